--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -45,7 +45,7 @@
 		return
 	}
 	p.waiting = append(p.waiting, t)
-	if !slices.ContainsFunc(p.links, func(l *link) bool { return !l.up }) && (len(c.links) < c.cfg.Links || c.makeRoom(true)) {
+	if !slices.ContainsFunc(p.links, func(l *link) bool { return !l.up }) && (len(c.links) < c.cfg.MaxLinks || c.makeRoom(true)) {
 		c.dial(p)
 	}
 }
@@ -67,7 +67,7 @@
 	l.used = c.now
 	c.log(slog.LevelDebug, "set-up", "call", t.call.name, "nth", t.n, "exchange", t.peer.Name, "link", l.id, "within", t.notAfter-c.now)
 	t.invite = t.call.invite(t.notAfter - c.now)
-	c.do(Send{l.id, t.invite, t.notAfter})
+	c.do(SendToExchange{l.id, t.invite, t.notAfter})
 }
 
 // conclude takes an attempt out of all that holds it.
@@ -93,7 +93,7 @@
 		}
 	} else {
 		c.remember(t.call.id, ending{ghost: t.peer, link: l})
-		c.do(Withdraw{l.id, t.call.name, &sip.Message{Method: sip.Cancel, URI: "sip:" + t.call.number + "@net",
+		c.do(WithdrawSetUp{l.id, t.call.name, &sip.Message{Method: sip.Cancel, URI: "sip:" + t.call.number + "@net",
 			CallID: t.call.name, Seq: 1, Of: sip.Cancel}})
 	}
 	c.ended(t, brain.Ended{Outcome: o})
@@ -118,7 +118,7 @@
 	}
 }
 
-func (c *Core) linkSays(in LinkSays) {
+func (c *Core) linkSays(in LinkMessage) {
 	l := c.links[in.Link]
 	if l == nil {
 		return
@@ -138,19 +138,19 @@
 	}
 	switch m.Method {
 	case sip.Bye:
-		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Bye}, 1 << 62})
+		c.do(SendToExchange{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Bye}, 1 << 62})
 		c.cleared(l.peer, m)
 	case sip.Notify:
 		c.notify(l.peer, m)
 	case sip.Options:
-		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Options}, 1 << 62})
+		c.do(SendToExchange{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Options}, 1 << 62})
 	default:
 		c.Stats.Stray++
 	}
 }
 
 func (c *Core) ack(l *link, m *sip.Message) {
-	c.do(Send{l.id, &sip.Message{Method: sip.Ack, URI: "sip:" + m.CallID + "@net", CallID: m.CallID, Seq: m.Seq, Of: sip.Ack}, 1 << 62})
+	c.do(SendToExchange{l.id, &sip.Message{Method: sip.Ack, URI: "sip:" + m.CallID + "@net", CallID: m.CallID, Seq: m.Seq, Of: sip.Ack}, 1 << 62})
 }
 
 // outcomes maps the answers to INVITE that say how an attempt ended; any other is a fault.
@@ -196,7 +196,7 @@
 		return
 	}
 	c.Stats.Answered++
-	c.do(Say{x.from.id, (&isup.Message{Type: isup.Answer, Call: id}).With(isup.Description, m.Body)})
+	c.do(SendToCaller{x.from.id, (&isup.Message{Type: isup.Answer, Call: id}).With(isup.Description, m.Body)})
 	c.open--
 	x.from.open--
 	x.from.standing++
@@ -266,7 +266,7 @@
 	switch {
 	case told:
 	case !x.from.gone:
-		c.do(Say{x.from.id, release(x.id, cause)})
+		c.do(SendToCaller{x.from.id, release(x.id, cause)})
 	default:
 		c.Stats.Unsaid++
 		c.log(slog.LevelInfo, "call over, its caller's connection gone", "call", x.name)
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -14,7 +14,7 @@
 
 // caller is a caller's connection.
 type caller struct {
-	id       Conn
+	id       ConnID
 	open     int // set-ups not answered
 	standing int // calls that were set up or adopted here
 	said     bool
@@ -36,11 +36,11 @@
 	stood    time.Duration
 }
 
-func (c *Core) callerUp(id Conn) {
+func (c *Core) callerUp(id ConnID) {
 	k := &caller{id: id, since: c.now}
 	c.callers[id] = k
 	c.order = append(c.order, k)
-	if c.cfg.Conns > 0 && len(c.callers) > c.cfg.Conns {
+	if c.cfg.MaxConns > 0 && len(c.callers) > c.cfg.MaxConns {
 		c.evict(k)
 	}
 }
@@ -68,12 +68,12 @@
 		return
 	}
 	c.Stats.ConnsShut++
-	c.do(Shut{k.id, why})
+	c.do(CloseConn{k.id, why})
 	c.callerDown(k.id)
 }
 
 // callerDown forgets a connection. Nobody is left there to be answered; what stands goes on.
-func (c *Core) callerDown(id Conn) {
+func (c *Core) callerDown(id ConnID) {
 	k := c.callers[id]
 	if k == nil {
 		return
@@ -116,10 +116,10 @@
 	c.order = rest
 }
 
-func (c *Core) callerSays(in CallerSays) {
+func (c *Core) callerSays(in CallerMessage) {
 	k := c.callers[in.Conn]
 	if k == nil {
-		if NewCall(in.Msg) { // read before the connection is closed, which has been decided
+		if IsNewCall(in.Msg) { // read before the connection is closed, which has been decided
 			c.turnAway(in.Conn, in.Msg.Call)
 		}
 		return
@@ -131,7 +131,7 @@
 	case isup.Release:
 		c.released(k, in.Msg)
 	case isup.Test:
-		c.do(Say{k.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
+		c.do(SendToCaller{k.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
 	case isup.Progress, isup.Released, isup.Tested:
 	default:
 		c.Stats.Invalid++
@@ -152,24 +152,24 @@
 	return m
 }
 
-// NewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
-func NewCall(m *isup.Message) bool {
+// IsNewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
+func IsNewCall(m *isup.Message) bool {
 	figures, _ := m.Get(isup.Figures)
 	return m.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
-// TurnAway is the answer to a set-up that is not taken: refused, with a time to come back where the
+// NewRejection is the answer to a set-up that is not taken: refused, with a time to come back where the
 // settings allow one.
-func TurnAway(id uint64, s brain.Settings) *isup.Message {
+func NewRejection(id uint64, s brain.Settings) *isup.Message {
 	if !s.Backoff {
 		return refusal(id, 0)
 	}
 	return refusal(id, s.BackoffMax)
 }
 
-func (c *Core) turnAway(to Conn, id uint64) {
+func (c *Core) turnAway(to ConnID, id uint64) {
 	c.Stats.Refused++
-	c.do(Say{to, TurnAway(id, c.cfg.Settings)})
+	c.do(SendToCaller{to, NewRejection(id, c.cfg.Settings)})
 }
 
 // request is a set-up that was read.
@@ -258,7 +258,7 @@
 	return nil
 }
 
-func (c *Core) setUp(k *caller, in CallerSays) {
+func (c *Core) setUp(k *caller, in CallerMessage) {
 	id := in.Msg.Call
 	have := c.calls[id]
 	r, err := c.read(in.Msg)
@@ -277,16 +277,16 @@
 		return
 	case err != nil:
 		c.Stats.Invalid++
-		c.do(Say{k.id, release(id, isup.InvalidContents)})
+		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
 		return
-	case c.closed, k.open >= c.cfg.PerConn, len(c.calls) >= c.cfg.Calls:
+	case c.closed, k.open >= c.cfg.MaxPendingPerConn, len(c.calls) >= c.cfg.MaxCalls:
 		c.turnAway(k.id, id)
 		return
 	}
 	x := &call{id: id, name: fmt.Sprintf("%016x", id), from: k, class: r.class, number: r.number, desc: r.desc}
 	if !c.fits(x) {
 		c.Stats.Invalid++
-		c.do(Say{k.id, release(id, isup.InvalidContents)})
+		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
 		return
 	}
 	c.Stats.Calls++
@@ -297,7 +297,7 @@
 	c.open++
 	k.open++
 	r.ID = x.name
-	r.Left -= max(c.now-in.At, 0)
+	r.Left -= max(c.now-in.ReceivedAt, 0)
 	c.feed(r.Call)
 }
 
@@ -312,15 +312,15 @@
 		return
 	}
 	if e, ended := c.recent[id]; ended && e.ghost == nil {
-		c.do(Say{k.id, release(id, e.cause)})
+		c.do(SendToCaller{k.id, release(id, e.cause)})
 		return
 	}
 	p := c.names[r.at]
 	if p == nil {
-		c.do(Say{k.id, release(id, isup.TemporaryFailure)})
+		c.do(SendToCaller{k.id, release(id, isup.TemporaryFailure)})
 		return
 	}
-	if len(c.calls) >= c.cfg.Calls {
+	if len(c.calls) >= c.cfg.MaxCalls {
 		return
 	}
 	c.Stats.Adopted++
@@ -341,7 +341,7 @@
 	if x.standing {
 		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
 		c.over(x, brain.Cancelled, isup.NormalClearing, true)
-		c.do(Say{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
+		c.do(SendToCaller{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
 		return
 	}
 	if x.from == k {
@@ -373,5 +373,5 @@
 	if t := c.tries[x.id]; t != nil {
 		c.withdraw(t, brain.TimedOut) // before the answer is said: nothing is sent after it
 	}
-	c.do(Say{x.from.id, m})
+	c.do(SendToCaller{x.from.id, m})
 }
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -15,19 +15,19 @@
 	r := newRig(t, mod)
 	l := r.stand(1, 7)
 	s, _ := r.sent(sip.Invite, 7)
-	if s.Msg.URI != "sip:7f3a9c21e0b4d655@net" || string(s.Msg.Body) != "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n" || s.NotAfter != start+time.Second {
+	if s.Msg.URI != "sip:7f3a9c21e0b4d655@net" || string(s.Msg.Body) != "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n" || s.Deadline != start+time.Second {
 		t.Errorf("INVITE %+v", s)
 	}
 	if r.count(sip.Ack, 7) != 1 {
 		t.Error("the answer got no ACK")
 	}
-	r.in(LinkSays{l, answer(7, 200)}) // a second copy
+	r.in(LinkMessage{l, answer(7, 200)}) // a second copy
 	if r.count(sip.Bye, 7) != 0 {
 		t.Error("a second copy of the answer ended the call")
 	}
 	other := r.second(1)
-	r.in(LinkSays{other, byeOf(7, 16)})
-	r.in(LinkSays{l, byeOf(7, 16)})
+	r.in(LinkMessage{other, byeOf(7, 16)})
+	r.in(LinkMessage{l, byeOf(7, 16)})
 	if got := r.said(1, 7); got != "9 12/16" {
 		t.Errorf("the caller was told %q", got)
 	}
@@ -52,7 +52,7 @@
 		{504, nil, brain.Ended{Outcome: brain.Reset}},
 	} {
 		mod, r, s := ringing(t, 1)
-		r.in(LinkSays{s.Link, answer(7, c.status, c.head...)})
+		r.in(LinkMessage{s.Link, answer(7, c.status, c.head...)})
 		ends := mod.ends()
 		if len(ends) != 1 || ends[0].Outcome != c.want.Outcome || ends[0].Note != c.want.Note || ends[0].Wait != c.want.Wait || ends[0].Final {
 			t.Errorf("%d %v: the module was told %+v", c.status, c.head, ends)
@@ -70,9 +70,9 @@
 	r := newRig(t, direct(1))
 	r.call(1, setUp(7, 1))
 	s, _ := r.sent(sip.Invite, 7)
-	r.in(LinkSays{s.Link, answer(7, 503)})
+	r.in(LinkMessage{s.Link, answer(7, 503)})
 	for _, e := range r.out {
-		if e, ok := e.(Say); ok {
+		if e, ok := e.(SendToCaller); ok {
 			if v, _ := e.Msg.Get(isup.StayAway); string(v) != "2" {
 				t.Errorf("stay away %q, want 2", v)
 			}
@@ -84,12 +84,12 @@
 // were taken for late ones.
 func TestAFurtherAttemptIsAnswered(t *testing.T) {
 	_, r, first := ringing(t, 2)
-	r.in(LinkSays{first.Link, answer(7, 480, "Fail-Word", "atb")})
+	r.in(LinkMessage{first.Link, answer(7, 480, "Fail-Word", "atb")})
 	second, _ := r.sent(sip.Invite, 7)
 	if r.count(sip.Invite, 7) != 2 || second.Msg.Seq != 1 {
 		t.Fatalf("%d attempts, CSeq %d", r.count(sip.Invite, 7), second.Msg.Seq)
 	}
-	r.in(LinkSays{second.Link, answer(7, 200)})
+	r.in(LinkMessage{second.Link, answer(7, 200)})
 	if got := r.said(1, 7); got != "9" {
 		t.Errorf("the caller was told %q", got)
 	}
@@ -105,11 +105,11 @@
 	if r.withdrawn(7) != 1 || second.Link == first.Link {
 		t.Fatalf("%d withdrawn; links %d and %d", r.withdrawn(7), first.Link, second.Link)
 	}
-	r.in(LinkSays{first.Link, answer(7, 200)})
+	r.in(LinkMessage{first.Link, answer(7, 200)})
 	if r.said(1, 7) != "" || r.count(sip.Ack, 7) != 1 || r.count(sip.Bye, 7) != 1 {
 		t.Errorf("after a late answer: said %q, %d ACK, %d BYE", r.said(1, 7), r.count(sip.Ack, 7), r.count(sip.Bye, 7))
 	}
-	r.in(LinkSays{second.Link, answer(7, 200)})
+	r.in(LinkMessage{second.Link, answer(7, 200)})
 	if got := r.said(1, 7); got != "9" {
 		t.Errorf("the caller was told %q", got)
 	}
@@ -118,7 +118,7 @@
 func TestAGivenUpSetUpIsCancelledAndNotAnswered(t *testing.T) {
 	mod, r, s := ringing(t, 1)
 	r.call(1, release(7, 16))
-	r.in(LinkSays{s.Link, answer(7, 200)})
+	r.in(LinkMessage{s.Link, answer(7, 200)})
 	if r.said(1, 7) != "" || r.withdrawn(7) != 1 || r.count(sip.Ack, 7) != 1 || r.count(sip.Bye, 7) != 1 {
 		t.Errorf("said %q, %d withdrawn, %d ACK, %d BYE", r.said(1, 7), r.withdrawn(7), r.count(sip.Ack, 7), r.count(sip.Bye, 7))
 	}
@@ -126,7 +126,7 @@
 		t.Errorf("the module was told %+v", ends)
 	}
 	r.call(2, setUp(8, 1))
-	r.in(CallerDown{2})
+	r.in(CallerDisconnected{2})
 	if r.withdrawn(8) != 1 || r.c.open != 0 || len(r.c.calls) != 0 || len(r.c.tries) != 0 {
 		t.Errorf("after the connection's end: %d withdrawn, %d open, %d calls", r.withdrawn(8), r.c.open, len(r.c.calls))
 	}
@@ -162,7 +162,7 @@
 		t.Errorf("two set-ups under one id: shut %v, said %q", r.shut(2), r.said(2, 9))
 	}
 	s, _ := r.sent(sip.Invite, 7)
-	r.in(LinkSays{s.Link, answer(7, 200)})
+	r.in(LinkMessage{s.Link, answer(7, 200)})
 	if got := r.said(1, 7); got != "9" {
 		t.Errorf("the first call was told %q", got)
 	}
@@ -174,7 +174,7 @@
 	r := newRig(t, nil)
 	gone := entry(3)
 	gone.State = brain.Out
-	r.in(Listed{Changes: []srvlist.Entry{gone}})
+	r.in(ExchangeListUpdate{Changes: []srvlist.Entry{gone}})
 	r.call(1, setUp(7, 3))
 	r.call(1, setUp(8, 99))
 	if r.said(1, 7) != "" || r.said(1, 8) != "12/100" {
@@ -190,7 +190,7 @@
 // one that stands already is no call and wants no answer.
 func TestASetUpBehindAShutIsRefused(t *testing.T) {
 	r := newRig(t, direct(1))
-	r.in(CallerDown{1})
+	r.in(CallerDisconnected{1})
 	r.call(1, setUp(7, 1))
 	at := setUp(8, 1)
 	for i := range at.Params {
@@ -225,7 +225,7 @@
 	if r.said(1, 7)+r.said(2, 7) != "" || r.count(sip.Invite, 7) != 0 || r.c.Stats.Adopted != 1 {
 		t.Fatalf("said %q and %q", r.said(1, 7), r.said(2, 7))
 	}
-	r.in(LinkSays{r.link(1), byeOf(7, 41)})
+	r.in(LinkMessage{r.link(1), byeOf(7, 41)})
 	if r.said(2, 7) != "12/41" || r.said(1, 7) != "" {
 		t.Errorf("said %q and %q", r.said(1, 7), r.said(2, 7))
 	}
@@ -243,13 +243,13 @@
 	r := newRig(t, direct(1))
 	l := r.stand(1, 7)
 	r.in(LinkDown{Link: l})
-	r.in(CallerDown{1})
+	r.in(CallerDisconnected{1})
 	r.pass(time.Second)
 	if r.count(sip.Bye, 7) != 0 || len(r.c.calls) != 1 {
 		t.Fatal("the call ended with a connection")
 	}
 	r.call(2, change(setUp(7, 1), isup.Figures, "dest:1;width:1;via:-1;at:s-1"))
-	r.in(LinkSays{r.link(1), byeOf(7, 16)})
+	r.in(LinkMessage{r.link(1), byeOf(7, 16)})
 	if got := r.said(2, 7); got != "12/16" {
 		t.Errorf("said %q", got)
 	}
@@ -295,12 +295,12 @@
 		"gone from the list": func(r *rig) {
 			e := entry(1)
 			e.State = brain.Out
-			r.in(Listed{Changes: []srvlist.Entry{e}})
+			r.in(ExchangeListUpdate{Changes: []srvlist.Entry{e}})
 		},
 		"started again": func(r *rig) {
 			e := entry(1)
-			e.Born = int64((time.Hour*1000 + r.now + 1) / time.Millisecond)
-			r.in(Listed{Changes: []srvlist.Entry{e}})
+			e.StartUnixMilli = int64((time.Hour*1000 + r.now + 1) / time.Millisecond)
+			r.in(ExchangeListUpdate{Changes: []srvlist.Entry{e}})
 		},
 		"refuses": func(r *rig) {
 			for _, l := range r.links() {
@@ -356,14 +356,14 @@
 	r.call(1, setUp(8, 1)) // waits for a link
 	e := entry(1)
 	e.State = brain.Draining
-	r.in(Listed{Changes: []srvlist.Entry{e}})
+	r.in(ExchangeListUpdate{Changes: []srvlist.Entry{e}})
 	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Moot {
 		t.Errorf("ends %+v", ends)
 	}
 	r.up()
 	fenced := false
 	for _, e := range r.out {
-		if f, ok := e.(Fence); ok && f.Shut {
+		if f, ok := e.(HoldSetUps); ok && f.Hold {
 			fenced = true
 		}
 	}
@@ -388,7 +388,7 @@
 func TestLeavingAnswersWhatWasTaken(t *testing.T) {
 	r := newRig(t, direct(1))
 	r.call(1, setUp(7, 1))
-	r.in(Leave{})
+	r.in(Shutdown{})
 	r.pass(500 * time.Millisecond)
 	r.call(2, setUp(8, 1)) // still taken
 	r.pass(300 * time.Millisecond)
@@ -401,18 +401,18 @@
 	if r.said(2, 9) != "12/42" {
 		t.Errorf("a call after the listener was closed was told %q", r.said(2, 9))
 	}
-	r.in(LinkSays{s7.Link, answer(7, 200)})
-	r.in(LinkSays{s8.Link, answer(8, 200)})
+	r.in(LinkMessage{s7.Link, answer(7, 200)})
+	r.in(LinkMessage{s8.Link, answer(8, 200)})
 	r.pass(100 * time.Millisecond)
 	if r.c.left || r.said(1, 7) != "9" {
 		t.Errorf("left %v, said %q", r.c.left, r.said(1, 7))
 	}
-	r.in(LinkSays{s7.Link, byeOf(7, isup.NormalClearing)}) // its caller is still told, then nothing stands on its connection
+	r.in(LinkMessage{s7.Link, byeOf(7, isup.NormalClearing)}) // its caller is still told, then nothing stands on its connection
 	r.pass(100 * time.Millisecond)
 	if r.c.left || r.said(1, 7) != "9 12/16" || r.c.callers[1] != nil || r.c.callers[2] == nil {
 		t.Errorf("left %v, said %q, connections %v", r.c.left, r.said(1, 7), r.c.callers)
 	}
-	r.in(LinkSays{s8.Link, byeOf(8, isup.NormalClearing)})
+	r.in(LinkMessage{s8.Link, byeOf(8, isup.NormalClearing)})
 	r.pass(100 * time.Millisecond)
 	if !r.c.left || r.count(sip.Bye, 7) != 0 {
 		t.Errorf("left %v, %d BYE", r.c.left, r.count(sip.Bye, 7))
@@ -426,11 +426,11 @@
 	r := newRig(t, mod)
 	r.call(1, setUp(7, 1))
 	s7, _ := r.sent(sip.Invite, 7)
-	r.in(LinkSays{s7.Link, answer(7, 200)})
+	r.in(LinkMessage{s7.Link, answer(7, 200)})
 	r.call(1, setUp(8, 1))
 	mod.on = nil // the module holds the next one
 	r.call(2, setUp(9, 1))
-	r.in(Leave{})
+	r.in(Shutdown{})
 	r.pass(3*time.Second + 300*time.Millisecond)
 	if r.c.left || r.said(1, 8) != "" || r.said(2, 9) != "" {
 		t.Fatalf("left %v, said %q and %q", r.c.left, r.said(1, 8), r.said(2, 9))
@@ -445,9 +445,9 @@
 	r := newRig(t, direct(1))
 	r.stand(1, 7)
 	r.call(2, &isup.Message{Type: isup.Test, Call: 1})
-	for conn := Conn(3); conn <= 9; conn++ {
+	for conn := ConnID(3); conn <= 9; conn++ {
 		r.now += time.Millisecond
-		r.in(CallerUp{conn})
+		r.in(CallerConnected{conn})
 	}
 	if !r.shut(3) || r.shut(1) || r.shut(2) || r.shut(9) {
 		t.Error("not the oldest silent connection made room")
@@ -465,31 +465,31 @@
 		c := r.c
 		return [7]int{len(c.calls), len(c.tries), len(c.callers), len(c.order), len(c.peers), len(c.names), len(c.ids)}
 	}
-	r.in(CallerDown{1})
-	r.in(CallerDown{2})
+	r.in(CallerDisconnected{1})
+	r.in(CallerDisconnected{2})
 	r.pass(time.Minute)
 	before := size()
 	id := uint64(1000)
 	for n := 4; n < 1500; n++ {
 		e := entry(n)
-		e.Cell = 4 + n%3
-		r.in(Listed{Changes: []srvlist.Entry{e}})
+		e.Number = 4 + n%3
+		r.in(ExchangeListUpdate{Changes: []srvlist.Entry{e}})
 		r.up()
-		conn := Conn(n)
-		r.in(CallerUp{conn})
+		conn := ConnID(n)
+		r.in(CallerConnected{conn})
 		for range 3 {
 			id++
 			r.call(conn, setUp(id, 1+int(id)%3))
 			if s, ok := r.sent(sip.Invite, id); ok && id%3 > 0 {
-				r.in(LinkSays{s.Link, answer(id, 200)})
-				r.in(LinkSays{s.Link, byeOf(id, 16)})
+				r.in(LinkMessage{s.Link, answer(id, 200)})
+				r.in(LinkMessage{s.Link, byeOf(id, 16)})
 			}
 		}
 		r.out = nil
 		r.pass(100 * time.Millisecond)
-		r.in(CallerDown{conn})
+		r.in(CallerDisconnected{conn})
 		e.State = brain.Out
-		r.in(Listed{Changes: []srvlist.Entry{e}})
+		r.in(ExchangeListUpdate{Changes: []srvlist.Entry{e}})
 	}
 	r.pass(time.Minute)
 	if after := size(); after != before {
@@ -506,8 +506,8 @@
 // The answer may be held up for longer than the call lasts.
 func TestACallThatEndedBeforeItsAnswerCameIsOver(t *testing.T) {
 	mod, r, s := ringing(t, 2)
-	r.in(LinkSays{s.Link, byeOf(7, 16)})
-	r.in(LinkSays{s.Link, answer(7, 200)})
+	r.in(LinkMessage{s.Link, byeOf(7, 16)})
+	r.in(LinkMessage{s.Link, answer(7, 200)})
 	if r.count(sip.Ack, 7) != 1 || r.count(sip.Bye, 7) != 0 {
 		t.Errorf("the late answer: %d ACK, %d BYE", r.count(sip.Ack, 7), r.count(sip.Bye, 7))
 	}
@@ -519,7 +519,7 @@
 	}
 	r.call(1, setUp(8, 1))
 	s, _ = r.sent(sip.Invite, 8)
-	r.in(LinkSays{s.Link, byeOf(8, 41)}) // it stood and was cut
+	r.in(LinkMessage{s.Link, byeOf(8, 41)}) // it stood and was cut
 	r.pass(time.Second)
 	if r.said(1, 8) != "12/41" || r.count(sip.Invite, 8) != 1 {
 		t.Errorf("said %q after %d attempts", r.said(1, 8), r.count(sip.Invite, 8))
@@ -527,7 +527,7 @@
 	if ends := mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.Reset || !ends[1].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
-	r.in(LinkSays{s.Link, answer(8, 200)})
+	r.in(LinkMessage{s.Link, answer(8, 200)})
 	if r.count(sip.Ack, 8) != 1 || r.count(sip.Bye, 8) != 0 || r.said(1, 8) != "12/41" {
 		t.Errorf("the late answer: %d ACK, %d BYE, said %q", r.count(sip.Ack, 8), r.count(sip.Bye, 8), r.said(1, 8))
 	}
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -20,144 +20,144 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// Conn numbers a caller's connection, Link one to an exchange. Numbers are not used again.
+// ConnID numbers a caller's connection, LinkID one to an exchange. Numbers are not used again.
 type (
-	Conn uint64
-	Link uint64
+	ConnID uint64
+	LinkID uint64
 )
 
 // Input is what happens to the core.
 type Input interface{ input() }
 
 type (
-	// CallerUp is a caller's connection that was accepted.
-	CallerUp struct{ Conn Conn }
-	// CallerSays is a message of a caller; At is when its last byte was read.
-	CallerSays struct {
-		Conn Conn
-		At   time.Duration
-		Msg  *isup.Message
+	// CallerConnected is a caller's connection that was accepted.
+	CallerConnected struct{ Conn ConnID }
+	// CallerMessage is a message of a caller; ReceivedAt is when its last byte was read.
+	CallerMessage struct {
+		Conn       ConnID
+		ReceivedAt time.Duration
+		Msg        *isup.Message
 	}
-	// CallerDown is the end of a caller's connection.
-	CallerDown struct{ Conn Conn }
+	// CallerDisconnected is the end of a caller's connection.
+	CallerDisconnected struct{ Conn ConnID }
 	// LinkUp is a connection to an exchange that was asked for and stands.
-	LinkUp struct{ Link Link }
-	// LinkSays is a message of an exchange.
-	LinkSays struct {
-		Link Link
+	LinkUp struct{ Link LinkID }
+	// LinkMessage is a message of an exchange.
+	LinkMessage struct {
+		Link LinkID
 		Msg  *sip.Message
 	}
 	// Unsent is a set-up that did not leave and won't.
 	Unsent struct {
-		Link Link
+		Link LinkID
 		Msg  *sip.Message
 	}
 	// LinkDown is the end of a connection to an exchange, or of the try to make one.
 	LinkDown struct {
-		Link    Link
+		Link    LinkID
 		Refused bool // nothing listens there
 	}
-	// Listed are changes to the exchange list.
-	Listed struct {
+	// ExchangeListUpdate are changes to the exchange list.
+	ExchangeListUpdate struct {
 		Complete bool
 		Changes  []srvlist.Entry
 	}
-	// Leave asks the controller to answer what it has and go.
-	Leave struct{}
+	// Shutdown asks the controller to answer what it has and go.
+	Shutdown struct{}
 	// Tick is the passing of time.
 	Tick struct{}
 )
 
-func (CallerUp) input()   {}
-func (CallerSays) input() {}
-func (CallerDown) input() {}
-func (LinkUp) input()     {}
-func (LinkSays) input()   {}
-func (Unsent) input()     {}
-func (LinkDown) input()   {}
-func (Listed) input()     {}
-func (Leave) input()      {}
-func (Tick) input()       {}
+func (CallerConnected) input()    {}
+func (CallerMessage) input()      {}
+func (CallerDisconnected) input() {}
+func (LinkUp) input()             {}
+func (LinkMessage) input()        {}
+func (Unsent) input()             {}
+func (LinkDown) input()           {}
+func (ExchangeListUpdate) input() {}
+func (Shutdown) input()           {}
+func (Tick) input()               {}
 
 // Effect is what the core asks for. Effects are carried out in their order.
 type Effect interface{ effect() }
 
 type (
-	// Say sends a message to a caller.
-	Say struct {
-		Conn Conn
+	// SendToCaller sends a message to a caller.
+	SendToCaller struct {
+		Conn ConnID
 		Msg  *isup.Message
 	}
-	// Shut closes a caller's connection once what was said on it is written; set-ups that were read
+	// CloseConn closes a caller's connection once what was said on it is written; set-ups that were read
 	// before that still come to the core and are refused.
-	Shut struct {
-		Conn Conn
-		Why  string
+	CloseConn struct {
+		Conn   ConnID
+		Reason string
 	}
 	// Dial opens a connection to an exchange.
 	Dial struct {
-		Link   Link
-		Addr   string
-		Within time.Duration
+		Link    LinkID
+		Addr    string
+		Timeout time.Duration
 	}
-	// Send sends a message to an exchange; a set-up that can't leave before NotAfter comes back Unsent.
-	Send struct {
-		Link     Link
+	// SendToExchange sends a message to an exchange; a set-up that can't leave before Deadline comes back Unsent.
+	SendToExchange struct {
+		Link     LinkID
 		Msg      *sip.Message
-		NotAfter time.Duration
+		Deadline time.Duration
 	}
-	// Withdraw takes the set-up of a Call-ID back, with a CANCEL if it has left.
-	Withdraw struct {
-		Link   Link
+	// WithdrawSetUp takes the set-up of a Call-ID back, with a CANCEL if it has left.
+	WithdrawSetUp struct {
+		Link   LinkID
 		CallID string
 		Cancel *sip.Message
 	}
-	// Fence holds back set-ups that have not left (on a link to an exchange that is draining).
-	Fence struct {
-		Link Link
-		Shut bool
+	// HoldSetUps holds back set-ups that have not left (on a link to an exchange that is draining).
+	HoldSetUps struct {
+		Link LinkID
+		Hold bool
 	}
-	// Drop closes a connection to an exchange; one that is not idle without giving it what it has not read.
-	Drop struct {
-		Link Link
-		Why  string
-		Idle bool
+	// CloseLink closes a connection to an exchange; one that is not idle without giving it what it has not read.
+	CloseLink struct {
+		Link   LinkID
+		Reason string
+		Idle   bool
 	}
-	// Close closes the listener.
-	Close struct{}
-	// Left says that nothing is owed any more.
-	Left struct{}
+	// CloseListener closes the listener.
+	CloseListener struct{}
+	// ShutdownComplete says that nothing is owed any more.
+	ShutdownComplete struct{}
 	// Log is a line for the log.
 	Log struct {
-		Level slog.Level
-		Text  string
-		Args  []any
+		Level   slog.Level
+		Message string
+		Args    []any
 	}
 )
 
-func (Say) effect()      {}
-func (Shut) effect()     {}
-func (Dial) effect()     {}
-func (Send) effect()     {}
-func (Withdraw) effect() {}
-func (Fence) effect()    {}
-func (Drop) effect()     {}
-func (Close) effect()    {}
-func (Left) effect()     {}
-func (Log) effect()      {}
+func (SendToCaller) effect()     {}
+func (CloseConn) effect()        {}
+func (Dial) effect()             {}
+func (SendToExchange) effect()   {}
+func (WithdrawSetUp) effect()    {}
+func (HoldSetUps) effect()       {}
+func (CloseLink) effect()        {}
+func (CloseListener) effect()    {}
+func (ShutdownComplete) effect() {}
+func (Log) effect()              {}
 
 // Config is what a core starts with.
 type Config struct {
-	Module   policy.Module
-	Settings brain.Settings
-	Connect  time.Duration // a connection that is not up by then counts as not made
-	Epoch    int64         // Unix nanoseconds at time 0 of the clock
-	Links    int           // connections to exchanges, at the most
-	Idle     time.Duration // exchanges close connections that were idle for so long, 0 never
-	Conns    int           // callers' connections, at the most
-	PerConn  int           // set-ups open on one of them, at the most
-	Debug    bool          // each verdict is logged, not only those that the module names
-	Calls    int           // calls open and standing, at the most
+	Module              policy.Module
+	Settings            brain.Settings
+	ConnectTimeout      time.Duration // a connection that is not up by then counts as not made
+	EpochUnixNano       int64         // Unix nanoseconds at time 0 of the clock
+	MaxLinks            int           // connections to exchanges, at the most
+	ExchangeIdleTimeout time.Duration // exchanges close connections that were idle for so long, 0 never
+	MaxConns            int           // callers' connections, at the most
+	MaxPendingPerConn   int           // set-ups open on one of them, at the most
+	LogAllVerdicts      bool          // each verdict is logged, not only those that the module names
+	MaxCalls            int           // calls open and standing, at the most
 }
 
 // Times of the edge. Nothing here touches a call that the module has.
@@ -219,7 +219,7 @@
 			}
 			out += len(l.open)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Cell, "state", p.State, "free", p.told.Free, "size", p.told.Size,
+		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.Free, "size", p.told.Size,
 			"links", len(p.links), "up", up, "out", out, "waiting", len(p.waiting), "standing", len(p.calls), "fails", p.fails,
 			"heard", c.now-p.heard)
 	}
@@ -238,7 +238,7 @@
 	random  *rand.Rand // jitter of tries to reach an exchange
 	retry   guard.Retry
 
-	callers map[Conn]*caller
+	callers map[ConnID]*caller
 	order   []*caller // by age
 	calls   map[uint64]*call
 	open    int                 // not answered
@@ -249,8 +249,8 @@
 	names    map[string]*peer
 	ids      map[uint32]*peer
 	lastID   uint32
-	links    map[Link]*link
-	lastLink Link
+	links    map[LinkID]*link
+	lastLink LinkID
 
 	recent  map[uint64]ending
 	recents []uint64 // oldest first
@@ -272,9 +272,9 @@
 
 // New starts a core.
 func New(cfg Config, now time.Duration) *Core {
-	c := &Core{cfg: cfg, module: policy.Feed{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[Conn]*caller{},
+	c := &Core{cfg: cfg, module: policy.Feed{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[ConnID]*caller{},
 		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
-		links: map[Link]*link{}, recent: map[uint64]ending{},
+		links: map[LinkID]*link{}, recent: map[uint64]ending{},
 		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
 	c.retry = guard.Retry{Least: retryLeast, Most: retryMost, Random: c.random}
 	for i, cl := range cfg.Settings.Classes {
@@ -287,8 +287,8 @@
 	return c
 }
 
-// Next is when the core wants a Tick.
-func (c *Core) Next() time.Duration {
+// NextTick is when the core wants a Tick.
+func (c *Core) NextTick() time.Duration {
 	at, _ := c.timers.Next() // the house timer is always set
 	return at
 }
@@ -298,23 +298,23 @@
 	c.now, c.out = max(now, c.now), nil
 	c.timers.Advance(c.now, c.fire)
 	switch in := in.(type) {
-	case CallerUp:
+	case CallerConnected:
 		c.callerUp(in.Conn)
-	case CallerSays:
+	case CallerMessage:
 		c.callerSays(in)
-	case CallerDown:
+	case CallerDisconnected:
 		c.callerDown(in.Conn)
 	case LinkUp:
 		c.linkUp(in.Link)
-	case LinkSays:
+	case LinkMessage:
 		c.linkSays(in)
 	case Unsent:
 		c.unsent(in)
 	case LinkDown:
 		c.linkDown(in)
-	case Listed:
+	case ExchangeListUpdate:
 		c.listed(in)
-	case Leave:
+	case Shutdown:
 		if !c.leaving {
 			c.leaving, c.leaveAt = true, c.now
 		}
@@ -366,7 +366,7 @@
 func (c *Core) leave() {
 	if !c.closed {
 		c.closed = true
-		c.do(Close{})
+		c.do(CloseListener{})
 	}
 	last := c.now-c.leaveAt >= c.grace
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
@@ -381,7 +381,7 @@
 	}
 	if last || len(c.calls) == 0 {
 		c.left = true
-		c.do(Left{})
+		c.do(ShutdownComplete{})
 	}
 }
 
--- a/internal/interwork/links_test.go
+++ b/internal/interwork/links_test.go
@@ -16,14 +16,14 @@
 	const most = 10
 	for _, first := range []int{0, 4} {
 		mod := direct(1)
-		c := New(Config{Module: mod, Settings: settings, Connect: 500 * time.Millisecond, Links: most, Conns: 8, PerConn: 5, Calls: 1000}, start)
+		c := New(Config{Module: mod, Settings: settings, ConnectTimeout: 500 * time.Millisecond, MaxLinks: most, MaxConns: 8, MaxPendingPerConn: 5, MaxCalls: 1000}, start)
 		r := &rig{t: t, mod: mod, now: start, c: c}
 		list := func(from, to int) {
 			var rows []srvlist.Entry
 			for n := from; n < to; n++ {
 				rows = append(rows, entry(n))
 			}
-			r.in(Listed{Complete: from == 0, Changes: rows})
+			r.in(ExchangeListUpdate{Complete: from == 0, Changes: rows})
 		}
 		held := func(when string) {
 			t.Helper()
@@ -38,7 +38,7 @@
 		r.up()
 		r.pass(time.Second)
 		held("grown")
-		r.in(CallerUp{1})
+		r.in(CallerConnected{1})
 		for n := 1; n < 25; n++ { // exchanges in turn
 			r.call(1, setUp(uint64(n), n))
 			held(fmt.Sprint("call ", n))
@@ -47,7 +47,7 @@
 			if !ok {
 				t.Fatalf("first %d: the set-up to exchange %d was not sent", first, n)
 			}
-			r.in(LinkSays{s.Link, answer(uint64(n), 200)})
+			r.in(LinkMessage{s.Link, answer(uint64(n), 200)})
 		}
 	}
 }
@@ -56,29 +56,29 @@
 // and made anew, and no set-up goes out on it: it might cross the exchange's close.
 func TestNoSetUpGoesOutOnAConnectionAboutToBeClosedAsIdle(t *testing.T) {
 	r := newRig(t, direct(1))
-	r.c.cfg.Idle = 8 * time.Second
+	r.c.cfg.ExchangeIdleTimeout = 8 * time.Second
 	old := r.link(1)
 	r.now += 8*time.Second - 900*time.Millisecond // no tick in between: the timer is late
-	r.in(CallerUp{9})
+	r.in(CallerConnected{9})
 	r.call(9, setUp(7, 1))
 	r.up()
 	s, ok := r.sent(sip.Invite, 7)
 	if !ok || s.Link == old {
 		t.Fatalf("sent %v on link %d, the idle one is %d", ok, s.Link, old)
 	}
-	r.in(LinkSays{s.Link, answer(7, 200)})
+	r.in(LinkMessage{s.Link, answer(7, 200)})
 	r.pass(6 * time.Second)
 	first := r.c.Stats.Resets
 	idle := 0
 	for _, e := range r.out {
-		if d, is := e.(Drop); is && d.Idle && d.Why == "idle" {
+		if d, is := e.(CloseLink); is && d.Idle && d.Reason == "idle" {
 			idle++
 		}
 	}
 	if idle < 4 || first != 0 || len(r.c.names["s-2"].links) == 0 {
 		t.Errorf("%d closed as idle, %d resets, %d links", idle, first, len(r.c.names["s-2"].links))
 	}
-	r.in(LinkSays{r.link(1), byeOf(7, 16)})
+	r.in(LinkMessage{r.link(1), byeOf(7, 16)})
 	if ends := r.mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OK {
 		t.Errorf("%+v", ends)
 	}
@@ -91,8 +91,8 @@
 	p := r.c.names["s-1"]
 	ring := func(from, to uint64) {
 		for id := from; id < to; id++ {
-			r.in(CallerUp{Conn(10 + id)})
-			r.call(Conn(10+id), setUp(id, 1))
+			r.in(CallerConnected{ConnID(10 + id)})
+			r.call(ConnID(10+id), setUp(id, 1))
 			r.up()
 		}
 	}
@@ -139,7 +139,7 @@
 	if r.count(sip.Invite, 7) != 2 || s.Link == first.Link {
 		t.Fatalf("%d attempts, on links %d and %d", r.count(sip.Invite, 7), first.Link, s.Link)
 	}
-	r.in(LinkSays{first.Link, answer(7, 200)}) // late: hung up
+	r.in(LinkMessage{first.Link, answer(7, 200)}) // late: hung up
 	if r.said(1, 7) != "" || r.count(sip.Bye, 7) != 1 {
 		t.Errorf("said %q, %d BYE", r.said(1, 7), r.count(sip.Bye, 7))
 	}
@@ -173,10 +173,10 @@
 // for that one, which is out.
 func TestAnUnsentThatComesLateEndsNothing(t *testing.T) {
 	r := newRig(t, direct(2))
-	r.c.cfg.Links = 4 // one to each exchange
+	r.c.cfg.MaxLinks = 4 // one to each exchange
 	r.call(1, setUp(7, 1))
 	first, _ := r.sent(sip.Invite, 7)
-	r.in(LinkSays{first.Link, answer(7, 504)})
+	r.in(LinkMessage{first.Link, answer(7, 504)})
 	second, _ := r.sent(sip.Invite, 7)
 	if r.count(sip.Invite, 7) != 2 || second.Link != first.Link {
 		t.Fatalf("%d attempts, on links %d and %d", r.count(sip.Invite, 7), first.Link, second.Link)
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -40,7 +40,7 @@
 		if a.Log {
 			level = slog.LevelInfo
 		}
-		if c.cfg.Debug || a.Log {
+		if c.cfg.LogAllVerdicts || a.Log {
 			c.log(level, "verdict", "call", a.ID, "reason", a.Reason, "scope", a.Scope, "cell", a.Cell, "nth", a.Nth)
 		}
 	}
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -42,7 +42,7 @@
 
 // link is a connection to an exchange.
 type link struct {
-	id     Link
+	id     LinkID
 	peer   *peer
 	up     bool
 	open   []*attempt
@@ -62,10 +62,10 @@
 	if born == 0 {
 		return 0
 	}
-	return max(time.Duration(born*int64(time.Millisecond)-c.cfg.Epoch), 0)
+	return max(time.Duration(born*int64(time.Millisecond)-c.cfg.EpochUnixNano), 0)
 }
 
-func (c *Core) listed(in Listed) {
+func (c *Core) listed(in ExchangeListUpdate) {
 	var rows []brain.Exchange
 	for _, e := range in.Changes {
 		p := c.names[e.Name]
@@ -77,12 +77,12 @@
 			p = &peer{Entry: e, id: c.lastID, calls: map[uint64]*call{}, heard: c.now}
 			c.names[e.Name], c.ids[p.id] = p, p
 			c.peers = append(c.peers, p)
-			c.cells[e.Cell] = true
+			c.cells[e.Number] = true
 		}
 		was := p.Entry
 		p.Entry = e
-		c.log(slog.LevelInfo, "exchange", "name", e.Name, "cell", e.Cell, "state", e.State, "born", e.Born, "addr", e.Addr)
-		rows = append(rows, brain.Exchange{ID: p.id, Cell: e.Cell, State: e.State, Since: c.since(e.Born)})
+		c.log(slog.LevelInfo, "exchange", "name", e.Name, "cell", e.Number, "state", e.State, "born", e.StartUnixMilli, "addr", e.Addr)
+		rows = append(rows, brain.Exchange{ID: p.id, Cell: e.Number, State: e.State, Since: c.since(e.StartUnixMilli)})
 		c.moved(p, was)
 	}
 	c.feed(brain.Exchanges{Complete: in.Complete, Entries: rows})
@@ -97,11 +97,11 @@
 
 // moved follows what the list says of an exchange that is known: its links, its calls.
 func (c *Core) moved(p *peer, was srvlist.Entry) {
-	if p.Born != was.Born || p.Addr != was.Addr {
+	if p.StartUnixMilli != was.StartUnixMilli || p.Addr != was.Addr {
 		// another process: the calls of the one before are over
-		c.callsOver(p, c.since(p.Born), "started again")
+		c.callsOver(p, c.since(p.StartUnixMilli), "started again")
 		for _, l := range slices.Clone(p.links) {
-			if l.dialed < c.since(p.Born) || p.Addr != was.Addr {
+			if l.dialed < c.since(p.StartUnixMilli) || p.Addr != was.Addr {
 				c.drop(l, "of before the exchange's start")
 			}
 		}
@@ -109,7 +109,7 @@
 	}
 	if (p.State == brain.In) != (was.State == brain.In) {
 		for _, l := range p.links {
-			c.do(Fence{l.id, p.State != brain.In})
+			c.do(HoldSetUps{l.id, p.State != brain.In})
 		}
 	}
 	if p.State == brain.In {
@@ -201,7 +201,7 @@
 			want = up
 		}
 	}
-	for n := up + dialing; n < want && (len(c.links) < c.cfg.Links || n == 0 && c.makeRoom(len(p.waiting) > 0)); n++ {
+	for n := up + dialing; n < want && (len(c.links) < c.cfg.MaxLinks || n == 0 && c.makeRoom(len(p.waiting) > 0)); n++ {
 		c.dial(p)
 	}
 	if up > want { // the longest unused goes
@@ -220,11 +220,11 @@
 // stale tells whether a link has been idle for so long that the exchange may be about to close it:
 // a set-up that crosses that close is unclear.
 func (c *Core) stale(l *link) bool {
-	return c.cfg.Idle > 0 && len(l.open) == 0 && l.tested == 0 && c.now-l.used >= c.cfg.Idle-min(c.cfg.Idle/4, idleMargin)
+	return c.cfg.ExchangeIdleTimeout > 0 && len(l.open) == 0 && l.tested == 0 && c.now-l.used >= c.cfg.ExchangeIdleTimeout-min(c.cfg.ExchangeIdleTimeout/4, idleMargin)
 }
 
 // perPeer is how many connections one exchange may have: the list may grow beyond that of the start.
-func (c *Core) perPeer() int { return min(max(c.cfg.Links/max(len(c.peers), 1), 1), linksMost) }
+func (c *Core) perPeer() int { return min(max(c.cfg.MaxLinks/max(len(c.peers), 1), 1), linksMost) }
 
 // makeRoom closes the link that was idle the longest: one of several to its exchange or, where a
 // set-up needs the room, any.
@@ -269,7 +269,7 @@
 	}
 	l.tested = c.now
 	c.Stats.Tests++
-	c.do(Send{l.id, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: fmt.Sprintf("%016x", uint64(l.id)), Seq: 1, Of: sip.Options}, 1 << 62})
+	c.do(SendToExchange{l.id, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: fmt.Sprintf("%016x", uint64(l.id)), Seq: 1, Of: sip.Options}, 1 << 62})
 }
 
 func (c *Core) dial(p *peer) {
@@ -277,20 +277,20 @@
 	l := &link{id: c.lastLink, peer: p, dialed: c.now}
 	c.links[l.id] = l
 	p.links = append(p.links, l)
-	c.do(Dial{l.id, p.Addr, c.cfg.Connect})
+	c.do(Dial{l.id, p.Addr, c.cfg.ConnectTimeout})
 }
 
-func (c *Core) linkUp(id Link) {
+func (c *Core) linkUp(id LinkID) {
 	l := c.links[id]
 	if l == nil {
-		c.do(Drop{Link: id, Why: "not wanted any more", Idle: true})
+		c.do(CloseLink{Link: id, Reason: "not wanted any more", Idle: true})
 		return
 	}
 	p := l.peer
 	l.up, l.heard, l.used = true, c.now, c.now
 	p.heard, p.fails, p.refused, p.retryAt = c.now, 0, 0, 0
 	if p.State != brain.In {
-		c.do(Fence{l.id, true})
+		c.do(HoldSetUps{l.id, true})
 	}
 	byes := p.byes
 	p.byes = nil
@@ -342,7 +342,7 @@
 // drop closes a link; what was out on it is unclear.
 func (c *Core) drop(l *link, why string) {
 	c.unlink(l)
-	c.do(Drop{Link: l.id, Why: why, Idle: len(l.open) == 0 && l.tested == 0})
+	c.do(CloseLink{Link: l.id, Reason: why, Idle: len(l.open) == 0 && l.tested == 0})
 	c.log(slog.LevelDebug, "link dropped", "exchange", l.peer.Name, "link", l.id, "why", why, "open", len(l.open))
 	c.reset(l)
 }
@@ -392,5 +392,5 @@
 
 func (c *Core) bye(l *link, b bye) {
 	m := &sip.Message{Method: sip.Bye, URI: "sip:" + b.name + "@net", CallID: b.name, Seq: 2, Of: sip.Bye}
-	c.do(Send{l.id, m.Put("Reason", sip.Reason(b.cause)), 1 << 62})
+	c.do(SendToExchange{l.id, m.Put("Reason", sip.Reason(b.cause)), 1 << 62})
 }
--- a/internal/interwork/rig_test.go
+++ b/internal/interwork/rig_test.go
@@ -55,7 +55,7 @@
 		{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 4 * time.Second, Width: 2, Holding: 10 * time.Second}}}
 
 func entry(n int) srvlist.Entry {
-	return srvlist.Entry{Name: fmt.Sprintf("s-%d", n), Addr: fmt.Sprintf("10.0.0.%d:1", n), Cell: n}
+	return srvlist.Entry{Name: fmt.Sprintf("s-%d", n), Addr: fmt.Sprintf("10.0.0.%d:1", n), Number: n}
 }
 
 // newRig has exchanges 0 to 3; the module is the script's or, with nil, the real one.
@@ -65,15 +65,15 @@
 	if mod == nil {
 		m = brain.New(settings)
 	}
-	r.c = New(Config{Module: m, Settings: settings, Connect: 500 * time.Millisecond, Epoch: int64(time.Hour) * 1000,
-		Links: 16, Conns: 8, PerConn: 5, Calls: 1000}, start)
-	r.in(Listed{Complete: true, Changes: []srvlist.Entry{entry(0), entry(1), entry(2), entry(3)}})
+	r.c = New(Config{Module: m, Settings: settings, ConnectTimeout: 500 * time.Millisecond, EpochUnixNano: int64(time.Hour) * 1000,
+		MaxLinks: 16, MaxConns: 8, MaxPendingPerConn: 5, MaxCalls: 1000}, start)
+	r.in(ExchangeListUpdate{Complete: true, Changes: []srvlist.Entry{entry(0), entry(1), entry(2), entry(3)}})
 	r.up()
 	for n := 1; n <= 3; n++ {
-		r.in(LinkSays{r.link(n), &sip.Message{Method: sip.Notify, Of: sip.Notify, Head: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
+		r.in(LinkMessage{r.link(n), &sip.Message{Method: sip.Notify, Of: sip.Notify, Head: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
 	}
-	r.in(CallerUp{1})
-	r.in(CallerUp{2})
+	r.in(CallerConnected{1})
+	r.in(CallerConnected{2})
 	r.out = nil
 	return r
 }
@@ -101,7 +101,7 @@
 // pass moves the time, with connections standing at once, tests passing and the timers firing.
 func (r *rig) pass(d time.Duration) {
 	for until := r.now + d; ; {
-		at := r.c.Next()
+		at := r.c.NextTick()
 		if at > until {
 			r.now = until
 			return
@@ -111,7 +111,7 @@
 		r.up()
 		for _, l := range r.links() {
 			if l.tested > 0 {
-				r.in(LinkSays{l.id, &sip.Message{Status: 200, Of: sip.Options}})
+				r.in(LinkMessage{l.id, &sip.Message{Status: 200, Of: sip.Options}})
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // link is the first that is up to an exchange.
-func (r *rig) link(n int) Link {
+func (r *rig) link(n int) LinkID {
 	for _, l := range r.c.names[fmt.Sprintf("s-%d", n)].links {
 		if l.up {
 			return l.id
@@ -136,7 +136,7 @@
 }
 
 // second makes a further connection to an exchange.
-func (r *rig) second(n int) Link {
+func (r *rig) second(n int) LinkID {
 	p := r.c.names[fmt.Sprintf("s-%d", n)]
 	r.c.dial(p)
 	l := p.links[len(p.links)-1].id
@@ -160,16 +160,16 @@
 	return m
 }
 
-func (r *rig) call(conn Conn, m *isup.Message) []Effect {
-	return r.in(CallerSays{conn, r.now, m})
+func (r *rig) call(conn ConnID, m *isup.Message) []Effect {
+	return r.in(CallerMessage{conn, r.now, m})
 }
 
 func name(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // sent finds the last message of a method for a call.
-func (r *rig) sent(method string, id uint64) (found Send, ok bool) {
+func (r *rig) sent(method string, id uint64) (found SendToExchange, ok bool) {
 	for _, e := range r.out {
-		if s, is := e.(Send); is && s.Msg.Method == method && s.Msg.CallID == name(id) {
+		if s, is := e.(SendToExchange); is && s.Msg.Method == method && s.Msg.CallID == name(id) {
 			found, ok = s, true
 		}
 	}
@@ -178,7 +178,7 @@
 
 func (r *rig) count(method string, id uint64) (n int) {
 	for _, e := range r.out {
-		if s, is := e.(Send); is && s.Msg.Method == method && s.Msg.CallID == name(id) {
+		if s, is := e.(SendToExchange); is && s.Msg.Method == method && s.Msg.CallID == name(id) {
 			n++
 		}
 	}
@@ -186,10 +186,10 @@
 }
 
 // said are the types of what a caller's connection was told of a call, with causes of releases.
-func (r *rig) said(conn Conn, id uint64) string {
+func (r *rig) said(conn ConnID, id uint64) string {
 	var out []string
 	for _, e := range r.out {
-		if s, is := e.(Say); is && s.Conn == conn && s.Msg.Call == id {
+		if s, is := e.(SendToCaller); is && s.Conn == conn && s.Msg.Call == id {
 			word := fmt.Sprint(s.Msg.Type)
 			if s.Msg.Type == isup.Release {
 				word += fmt.Sprint("/", s.Msg.Cause())
@@ -200,9 +200,9 @@
 	return strings.Join(out, " ")
 }
 
-func (r *rig) shut(conn Conn) bool {
+func (r *rig) shut(conn ConnID) bool {
 	for _, e := range r.out {
-		if s, is := e.(Shut); is && s.Conn == conn {
+		if s, is := e.(CloseConn); is && s.Conn == conn {
 			return true
 		}
 	}
@@ -211,7 +211,7 @@
 
 func (r *rig) withdrawn(id uint64) (n int) {
 	for _, e := range r.out {
-		if w, is := e.(Withdraw); is && w.CallID == name(id) {
+		if w, is := e.(WithdrawSetUp); is && w.CallID == name(id) {
 			n++
 		}
 	}
@@ -231,14 +231,14 @@
 }
 
 // stand sets a call up over exchange 1.
-func (r *rig) stand(conn Conn, id uint64) Link {
+func (r *rig) stand(conn ConnID, id uint64) LinkID {
 	r.t.Helper()
 	r.call(conn, setUp(id, 1))
 	s, ok := r.sent(sip.Invite, id)
 	if !ok {
 		r.t.Fatal("no INVITE")
 	}
-	r.in(LinkSays{s.Link, answer(id, 200)})
+	r.in(LinkMessage{s.Link, answer(id, 200)})
 	if got := r.said(conn, id); got != "9" {
 		r.t.Fatalf("the caller was told %q, want an answer", got)
 	}
@@ -275,7 +275,7 @@
 }
 
 // ringing is a rig with call 7 of connection 1 out to exchange 1; the module sends each call so often.
-func ringing(t *testing.T, times int) (*script, *rig, Send) {
+func ringing(t *testing.T, times int) (*script, *rig, SendToExchange) {
 	mod := direct(times)
 	r := newRig(t, mod)
 	r.call(1, setUp(7, 1))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -99,6 +99,6 @@
 	if len(f.Known) == 0 {
 		return nil, errors.New("known is missing")
 	}
-	c.List, err = srvlist.Known(f.Known)
+	c.List, err = srvlist.ParseKnown(f.Known)
 	return c, err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,9 +61,9 @@
 	wg     sync.WaitGroup
 	ln     net.Listener
 
-	callers map[interwork.Conn]*callerConn // of the core's goroutine
-	links   map[interwork.Link]*linkConn
-	dials   map[interwork.Link]context.CancelFunc
+	callers map[interwork.ConnID]*callerConn // of the core's goroutine
+	links   map[interwork.LinkID]*linkConn
+	dials   map[interwork.LinkID]context.CancelFunc
 	held    atomic.Int64 // callers' connections
 	most    int64
 	turned  atomic.Int64 // connections closed at accept
@@ -94,16 +94,16 @@
 
 func newNode(cfg *Config, ln net.Listener, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, log: log, ln: ln, start: time.Now(), inbox: make(chan interwork.Input, inboxMost),
-		callers: map[interwork.Conn]*callerConn{}, links: map[interwork.Link]*linkConn{},
-		dials: map[interwork.Link]context.CancelFunc{}}
+		callers: map[interwork.ConnID]*callerConn{}, links: map[interwork.LinkID]*linkConn{},
+		dials: map[interwork.LinkID]context.CancelFunc{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	room := cfg.Sockets - ownSockets
 	callers := room / 2
 	n.most = int64(callers + callers/8) // while the core makes room
 	n.core = interwork.New(interwork.Config{Module: policy.New("brain", cfg.Module), Settings: cfg.Module,
-		Connect: cfg.Connect, Epoch: n.start.Add(-clockStart).UnixNano(), Links: room / 3, Idle: cfg.Idle, Conns: callers,
-		PerConn: perConnMost, Calls: callsMost,
-		Debug: log.Enabled(n.ctx, slog.LevelDebug)}, n.now())
+		ConnectTimeout: cfg.Connect, EpochUnixNano: n.start.Add(-clockStart).UnixNano(), MaxLinks: room / 3, ExchangeIdleTimeout: cfg.Idle, MaxConns: callers,
+		MaxPendingPerConn: perConnMost, MaxCalls: callsMost,
+		LogAllVerdicts: log.Enabled(n.ctx, slog.LevelDebug)}, n.now())
 	return n
 }
 
@@ -114,14 +114,14 @@
 	n.log.Info("starting", "name", n.cfg.Name, "listen", n.cfg.Listen, "resolver", n.cfg.Resolver, "sockets", n.cfg.Sockets,
 		"memory", n.cfg.Memory, "exchanges", len(n.cfg.List.Entries()))
 	n.log.Debug("settings", "module", fmt.Sprintf("%+v", n.cfg.Module))
-	n.step(interwork.Listed{Complete: true, Changes: n.cfg.List.Entries()})
+	n.step(interwork.ExchangeListUpdate{Complete: true, Changes: n.cfg.List.Entries()})
 	res := newResolver(n, n.cfg.List)
 	n.wg.Go(func() { res.run(n.cfg.Resolver) })
 	n.wg.Go(n.accept)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !n.left {
-		timer.Reset(max(n.core.Next()-n.now(), 0))
+		timer.Reset(max(n.core.NextTick()-n.now(), 0))
 		select {
 		case in := <-n.inbox:
 			n.step(in)
@@ -140,7 +140,7 @@
 			res.use(cfg.Resolver)
 		case <-term:
 			n.log.Info("leaving")
-			n.step(interwork.Leave{})
+			n.step(interwork.Shutdown{})
 		}
 	}
 	n.flush()
@@ -215,7 +215,7 @@
 	switch in := in.(type) {
 	case accepted:
 		n.callers[in.id] = in.c
-		n.step(interwork.CallerUp{Conn: in.id})
+		n.step(interwork.CallerConnected{Conn: in.id})
 		close(in.known)
 		return
 	case dialed:
@@ -226,58 +226,58 @@
 			c.Finish(errors.New(in.why))
 		}
 		return
-	case interwork.CallerSays:
-		if c := n.callers[in.Conn]; c != nil && c.Over() && interwork.NewCall(in.Msg) {
+	case interwork.CallerMessage:
+		if c := n.callers[in.Conn]; c != nil && c.Over() && interwork.IsNewCall(in.Msg) {
 			return // its caller has gone while it waited here
 		}
-	case interwork.CallerDown:
+	case interwork.CallerDisconnected:
 		delete(n.callers, in.Conn)
 	case interwork.LinkDown:
 		delete(n.links, in.Link)
 	}
 	for _, e := range n.core.Handle(n.now(), in) {
 		switch e := e.(type) {
-		case interwork.Say:
+		case interwork.SendToCaller:
 			if c := n.callers[e.Conn]; c == nil || !c.Send(e.Msg, 0) {
 				n.unsaid++
 			}
-		case interwork.Shut:
-			n.later(ending{id: e.Conn, why: e.Why}) // behind what was read from it already
+		case interwork.CloseConn:
+			n.later(ending{id: e.Conn, why: e.Reason}) // behind what was read from it already
 		case interwork.Dial:
 			n.dial(e)
-		case interwork.Send:
+		case interwork.SendToExchange:
 			switch c := n.links[e.Link]; {
-			case c != nil && c.Send(e.Msg, e.NotAfter):
+			case c != nil && c.Send(e.Msg, e.Deadline):
 			case e.Msg.SetUp():
 				n.later(interwork.Unsent{Link: e.Link, Msg: e.Msg})
 			default:
 				n.unsaid++
 			}
-		case interwork.Withdraw:
+		case interwork.WithdrawSetUp:
 			if c := n.links[e.Link]; c != nil && !c.Recall(func(m *sip.Message) bool { return m.CallID == e.CallID }) {
 				c.Send(e.Cancel, 0)
 			}
-		case interwork.Fence:
-			if c := n.links[e.Link]; c != nil && e.Shut {
+		case interwork.HoldSetUps:
+			if c := n.links[e.Link]; c != nil && e.Hold {
 				c.Fence()
 			} else if c != nil {
 				c.Unfence()
 			}
-		case interwork.Drop:
+		case interwork.CloseLink:
 			if stop := n.dials[e.Link]; stop != nil {
 				stop()
 			}
 			if c := n.links[e.Link]; c != nil && e.Idle {
-				c.Finish(errors.New(e.Why))
+				c.Finish(errors.New(e.Reason))
 			} else if c != nil {
-				c.Close(errors.New(e.Why))
+				c.Close(errors.New(e.Reason))
 			}
-		case interwork.Close:
+		case interwork.CloseListener:
 			n.ln.Close()
-		case interwork.Left:
+		case interwork.ShutdownComplete:
 			n.left = true
 		case interwork.Log:
-			n.log.Log(n.ctx, e.Level, e.Text, e.Args...)
+			n.log.Log(n.ctx, e.Level, e.Message, e.Args...)
 		}
 	}
 }
@@ -295,18 +295,18 @@
 type (
 	accepted struct {
 		interwork.Input
-		id    interwork.Conn
+		id    interwork.ConnID
 		c     *callerConn
 		known chan struct{} // closed once the core knows the connection
 	}
 	ending struct {
 		interwork.Input
-		id  interwork.Conn
+		id  interwork.ConnID
 		why string
 	}
 	dialed struct {
 		interwork.Input
-		id  interwork.Link
+		id  interwork.LinkID
 		nc  net.Conn
 		err error
 	}
@@ -314,7 +314,7 @@
 
 // accept takes callers' connections. Running out of descriptors does not stop it.
 func (n *Node) accept() {
-	for id := interwork.Conn(1); ; id++ {
+	for id := interwork.ConnID(1); ; id++ {
 		nc, err := n.ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) || n.ctx.Err() != nil {
@@ -348,7 +348,7 @@
 // callerEdge brings what happens on a caller's connection to the core.
 type callerEdge struct {
 	n     *Node
-	id    interwork.Conn
+	id    interwork.ConnID
 	known chan struct{}
 }
 
@@ -370,12 +370,12 @@
 func (e *callerEdge) Message(c *callerConn, m *isup.Message) {
 	at := e.n.now()
 	e.wait()
-	if interwork.NewCall(m) && intake.Admit(guard.NewCall, len(e.n.inbox)) == guard.Shed {
+	if interwork.IsNewCall(m) && intake.Admit(guard.NewCall, len(e.n.inbox)) == guard.Shed {
 		e.n.shed.Add(1)
-		c.Send(interwork.TurnAway(m.Call, e.n.cfg.Module), 0)
+		c.Send(interwork.NewRejection(m.Call, e.n.cfg.Module), 0)
 		return
 	}
-	e.n.put(interwork.CallerSays{Conn: e.id, At: at, Msg: m})
+	e.n.put(interwork.CallerMessage{Conn: e.id, ReceivedAt: at, Msg: m})
 }
 
 func (e *callerEdge) wait() {
@@ -391,11 +391,11 @@
 	e.n.held.Add(-1)
 	e.n.log.Debug("caller's connection over", "conn", e.id, "why", why)
 	e.wait()
-	e.n.put(interwork.CallerDown{Conn: e.id})
+	e.n.put(interwork.CallerDisconnected{Conn: e.id})
 }
 
 func (n *Node) dial(e interwork.Dial) {
-	ctx, cancel := context.WithTimeout(n.ctx, e.Within)
+	ctx, cancel := context.WithTimeout(n.ctx, e.Timeout)
 	n.dials[e.Link] = cancel
 	n.wg.Go(func() {
 		defer cancel()
@@ -427,7 +427,7 @@
 // linkEdge brings what happens on a connection to an exchange to the core.
 type linkEdge struct {
 	n  *Node
-	id interwork.Link
+	id interwork.LinkID
 }
 
 func (e *linkEdge) reader(nc net.Conn) func() (*sip.Message, error) {
@@ -435,7 +435,7 @@
 }
 
 func (e *linkEdge) Message(_ *linkConn, m *sip.Message) {
-	e.n.put(interwork.LinkSays{Link: e.id, Msg: m})
+	e.n.put(interwork.LinkMessage{Link: e.id, Msg: m})
 }
 func (e *linkEdge) Bad(*linkConn, transport.Skipped) {}
 func (e *linkEdge) Unsent(_ *linkConn, m *sip.Message) {
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	g := &gated{b.node(cfg), t, b}
-	g.step(interwork.Listed{Complete: true, Changes: cfg.List.Entries()})
+	g.step(interwork.ExchangeListUpdate{Complete: true, Changes: cfg.List.Entries()})
 	g.wg.Go(g.accept)
 	t.Cleanup(func() {
 		g.flush()
@@ -69,7 +69,7 @@
 // linked looks at inputs until the exchange has told its group on a link.
 func (g *gated) linked() {
 	g.t.Helper()
-	g.until(func(in interwork.Input) bool { _, is := in.(interwork.LinkSays); return is })
+	g.until(func(in interwork.Input) bool { _, is := in.(interwork.LinkMessage); return is })
 }
 
 // pass lets time go by and the core see it; inputs wait meanwhile.
@@ -79,7 +79,7 @@
 }
 
 func saysSetUp(in interwork.Input) bool {
-	s, is := in.(interwork.CallerSays)
+	s, is := in.(interwork.CallerMessage)
 	return is && s.Msg.Type == isup.SetUp
 }
 
@@ -90,7 +90,7 @@
 	g.linked()
 	p := g.b.phone()
 	g.until(func(in interwork.Input) bool { _, is := in.(accepted); return is })
-	g.step(interwork.Leave{})
+	g.step(interwork.Shutdown{})
 	before := len(g.inbox)
 	p.call(7, "3000")
 	g.waiting(before + 1)
@@ -162,9 +162,9 @@
 	}
 	down := func(in interwork.Input) bool {
 		switch in := in.(type) {
-		case interwork.CallerDown:
+		case interwork.CallerDisconnected:
 			return true
-		case interwork.CallerSays:
+		case interwork.CallerMessage:
 			return in.Msg.Type == isup.Release
 		}
 		return false
@@ -181,12 +181,12 @@
 			g.until(down)
 		},
 		"module": func(g *gated, p *phone, leave func()) {
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Cell: 1, State: brain.Draining}}})
+			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Number: 1, State: brain.Draining}}})
 			p.call(7, "3000")
 			g.until(saysSetUp)
 			leave()
 			g.until(down)
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Cell: 1, State: brain.In}}})
+			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Number: 1, State: brain.In}}})
 		},
 		"retry timer": func(g *gated, p *phone, leave func()) {
 			p.call(7, "3000")
@@ -228,14 +228,14 @@
 func TestADialThatEndsLateBringsNothing(t *testing.T) {
 	for what, crossing := range map[string]func(g *gated){
 		"the caller has gone": func(g *gated) {
-			g.step(interwork.CallerDown{Conn: 1})
+			g.step(interwork.CallerDisconnected{Conn: 1})
 		},
 		"the exchange is gone": func(g *gated) {
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Cell: 1, State: brain.Out}}})
+			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Number: 1, State: brain.Out}}})
 		},
 		"a new exchange has its address": func(g *gated) {
 			at := g.b.x.ln.Addr().String()
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Addr: at, Cell: 1, State: brain.Draining}, {Name: "s-2", Addr: at, Cell: 2}}})
+			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: at, Number: 1, State: brain.Draining}, {Name: "s-2", Addr: at, Number: 2}}})
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
--- a/internal/node/resolver.go
+++ b/internal/node/resolver.go
@@ -79,7 +79,7 @@
 			}
 			if err = r.answer(packet); err == nil {
 				good, warned = time.Now(), false
-			} else if errors.Is(err, srvlist.ErrOld) {
+			} else if errors.Is(err, srvlist.ErrStale) {
 				next.Reset(askAgain)
 			}
 		}
@@ -112,7 +112,7 @@
 		r.n.wg.Go(a.read)
 	}
 	r.asked++
-	q, err := srvlist.Query(uint16(r.asked))
+	q, err := srvlist.NewQuery(uint16(r.asked))
 	if err != nil {
 		return fmt.Errorf("asking: %w", err)
 	}
@@ -129,7 +129,7 @@
 // as on the way.
 func (a *asking) read() {
 	defer close(a.heard)
-	buf := make([]byte, srvlist.Largest)
+	buf := make([]byte, srvlist.MaxAnswerBytes)
 	for {
 		k, err := a.Read(buf)
 		if err != nil {
@@ -152,9 +152,9 @@
 	if age >= min(askOpen, r.asked) {
 		return fmt.Errorf("resolver's answer: to question %d, not one of the last up to %d", id, uint16(r.asked))
 	}
-	changes, err := r.list.Answer(r.asked-age, packet)
+	changes, err := r.list.ApplyAnswer(r.asked-age, packet)
 	if len(changes) > 0 {
-		r.n.put(interwork.Listed{Changes: changes})
+		r.n.put(interwork.ExchangeListUpdate{Changes: changes})
 	}
 	return err
 }
--- a/internal/srvlist/srvlist.go
+++ b/internal/srvlist/srvlist.go
@@ -20,15 +20,15 @@
 // Service is the name that is asked for.
 const Service = "_work._tcp.fleet.local."
 
-// Largest is the size of the longest answer, in bytes.
-const Largest = 8 << 10
+// MaxAnswerBytes is the size of the longest answer, in bytes.
+const MaxAnswerBytes = 8 << 10
 
 // Entry is one exchange.
 type Entry struct {
-	Name, Addr string
-	Cell       int
-	State      brain.State
-	Born       int64 // Unix milliseconds of a late start, or 0
+	Name, Addr     string
+	Number         int
+	State          brain.State
+	StartUnixMilli int64 // Unix milliseconds of a late start, or 0
 }
 
 // List is the list as last told.
@@ -50,8 +50,8 @@
 
 var states = map[string]brain.State{"active": brain.In, "leaving": brain.Draining, "left": brain.Out}
 
-// Known starts a list from the events in a configuration. The error names the place.
-func Known(raw []byte) (*List, error) {
+// ParseKnown starts a list from the events in a configuration. The error names the place.
+func ParseKnown(raw []byte) (*List, error) {
 	var known struct {
 		Pos     uint64
 		Entries []struct {
@@ -114,21 +114,21 @@
 // Entries are all that are listed, by name.
 func (l *List) Entries() []Entry { return slices.Clone(l.entries) }
 
-// Query is the question under an id.
-func Query(id uint16) ([]byte, error) {
+// NewQuery is the question under an id.
+func NewQuery(id uint16) ([]byte, error) {
 	m := new(dns.Msg)
 	m.SetQuestion(Service, dns.TypeSRV)
 	m.Id, m.RecursionDesired = id, false
 	return m.Pack()
 }
 
-// ErrOld says that an answer is of before what the list holds.
-var ErrOld = errors.New("an older list")
+// ErrStale says that an answer is of before what the list holds.
+var ErrStale = errors.New("an older list")
 
-// Answer folds an answer to the nth question in and returns what has changed, what is gone first.
+// ApplyAnswer folds an answer to the nth question in and returns what has changed, what is gone first.
 // The question's id is the last 16 bits of n. An answer that is not whole, not to the question or
 // older changes nothing; answers may come in another order than the questions went out.
-func (l *List) Answer(n uint64, packet []byte) ([]Entry, error) {
+func (l *List) ApplyAnswer(n uint64, packet []byte) ([]Entry, error) {
 	id := uint16(n)
 	var m dns.Msg
 	if err := m.Unpack(packet); err != nil {
@@ -164,7 +164,7 @@
 			l.older, l.last, l.counted = l.older+1, serial, n
 		}
 		if l.older < overruled {
-			return nil, fmt.Errorf("resolver's answer: %w: %d after %d", ErrOld, serial, l.serial)
+			return nil, fmt.Errorf("resolver's answer: %w: %d after %d", ErrStale, serial, l.serial)
 		}
 	}
 	l.older, l.last, l.counted, l.told = 0, 0, 0, max(l.told, n)
@@ -219,10 +219,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: cell: %w", target, err)
 		}
-		if e.Born, err = strconv.ParseInt(value(txt, "started"), 10, 64); err != nil {
+		if e.StartUnixMilli, err = strconv.ParseInt(value(txt, "started"), 10, 64); err != nil {
 			return nil, fmt.Errorf("%s: started: %w", target, err)
 		}
-		e.Cell = cell
+		e.Number = cell
 		list = append(list, e)
 	}
 	return list, nil
--- a/internal/srvlist/srvlist_test.go
+++ b/internal/srvlist/srvlist_test.go
@@ -19,7 +19,7 @@
   {"host":"s-b","dial":"10.1.0.8:3868","block":0,"health":"leaving","born_ms":7}]}}]}`
 
 func list(t testing.TB) *List {
-	l, err := Known([]byte(known))
+	l, err := ParseKnown([]byte(known))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 
 // packet is an answer with these entries.
 func packet(t testing.TB, id uint16, serial uint32, change func(*dns.Msg), entries ...Entry) []byte {
-	q, err := Query(id)
+	q, err := NewQuery(id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		target := e.Name + ".east.hosts."
 		add(&m.Answer, "%s 0 IN SRV %d 40 3868 %s", Service, int(e.State), target)
 		add(&m.Extra, "%s 0 IN A %s", target, e.Addr[:len(e.Addr)-5])
-		add(&m.Extra, `%s 0 IN TXT "kind=std" "cell=%d" "started=%d"`, target, e.Cell, e.Born)
+		add(&m.Extra, `%s 0 IN TXT "kind=std" "cell=%d" "started=%d"`, target, e.Number, e.StartUnixMilli)
 	}
 	add(&m.Ns, "hosts. 0 IN SOA a. b. %d 1 1 1 1", serial)
 	if change != nil {
@@ -71,7 +71,7 @@
 	for _, bad := range []string{`{`, `{"entries":[{"hosts":{"hosts":[{"host":"x","dial":"1.1.1.1:1","health":"active"}]}}]}`,
 		`{"entries":[{"hosts":{"hosts":[{"host":"x","dial":"nowhere","block":1,"health":"active"}]}}]}`,
 		`{"entries":[{"hosts":{"hosts":[{"host":"x","dial":"1.1.1.1:1","block":1,"health":"well"}]}}]}`} {
-		if _, err := Known([]byte(bad)); err == nil {
+		if _, err := ParseKnown([]byte(bad)); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
 	}
@@ -80,7 +80,7 @@
 func TestAnAnswerIsFoldedToWhatChanged(t *testing.T) {
 	l := list(t)
 	c := Entry{"s-c", "10.1.0.8:3868", 0, brain.In, 99}
-	got, err := l.Answer(5, packet(t, 5, 43, nil, c, a))
+	got, err := l.ApplyAnswer(5, packet(t, 5, 43, nil, c, a))
 	gone := b
 	gone.State = brain.Out
 	if err != nil || !reflect.DeepEqual(got, []Entry{gone, c}) {
@@ -89,7 +89,7 @@
 	if got := l.Entries(); !reflect.DeepEqual(got, []Entry{a, c}) || l.Serial() != 43 {
 		t.Fatalf("%+v at %d", got, l.Serial())
 	}
-	if got, err := l.Answer(6, packet(t, 6, 43, nil, a)); err != nil || got != nil {
+	if got, err := l.ApplyAnswer(6, packet(t, 6, 43, nil, a)); err != nil || got != nil {
 		t.Errorf("the same number again: %+v, %v", got, err)
 	}
 }
@@ -106,11 +106,11 @@
 		"a question":  packet(t, 5, 50, func(m *dns.Msg) { m.Response = false }, a),
 		"an old list": packet(t, 5, 40, nil, a),
 	} {
-		if got, err := l.Answer(5, p); err == nil || got != nil {
+		if got, err := l.ApplyAnswer(5, p); err == nil || got != nil {
 			t.Errorf("%s: %+v, %v", what, got, err)
 		}
 	}
-	if _, err := l.Answer(5, packet(t, 5, 40, nil, a)); !errors.Is(err, ErrOld) {
+	if _, err := l.ApplyAnswer(5, packet(t, 5, 40, nil, a)); !errors.Is(err, ErrStale) {
 		t.Errorf("an older list: %v", err)
 	}
 	if l.Serial() != 41 || len(l.Entries()) != 2 {
@@ -123,27 +123,27 @@
 	l := list(t)
 	gone := a
 	gone.State = brain.Out
-	if _, err := l.Answer(5, packet(t, 5, 900, nil, a, b)); err != nil || l.Serial() != 900 {
+	if _, err := l.ApplyAnswer(5, packet(t, 5, 900, nil, a, b)); err != nil || l.Serial() != 900 {
 		t.Fatalf("at %d, %v", l.Serial(), err)
 	}
 	for i, serial := range []uint32{43, 42, 42, 43} { // one that is older still begins the row anew
 		n := uint64(6 + i)
 		for range 3 { // a copy is no further word
-			if _, err := l.Answer(n, packet(t, uint16(n), serial, nil, b)); !errors.Is(err, ErrOld) {
+			if _, err := l.ApplyAnswer(n, packet(t, uint16(n), serial, nil, b)); !errors.Is(err, ErrStale) {
 				t.Fatalf("answer %d: %v", n, err)
 			}
 		}
 	}
-	got, err := l.Answer(10, packet(t, 10, 44, nil, b))
+	got, err := l.ApplyAnswer(10, packet(t, 10, 44, nil, b))
 	if err != nil || !reflect.DeepEqual(got, []Entry{gone}) || l.Serial() != 44 {
 		t.Fatalf("%+v at %d, %v", got, l.Serial(), err)
 	}
 	// where good answers come between, older ones change nothing however many they are
 	for n := uint64(11); n < 11+6*overruled; n += 2 {
-		if _, err := l.Answer(n, packet(t, uint16(n), 40, nil, a)); !errors.Is(err, ErrOld) {
+		if _, err := l.ApplyAnswer(n, packet(t, uint16(n), 40, nil, a)); !errors.Is(err, ErrStale) {
 			t.Fatal(err)
 		}
-		if _, err := l.Answer(n+1, packet(t, uint16(n+1), 44, nil, b)); err != nil {
+		if _, err := l.ApplyAnswer(n+1, packet(t, uint16(n+1), 44, nil, b)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -153,18 +153,18 @@
 // however many they are.
 func TestOvertakenAnswersDoNotOverruleTheList(t *testing.T) {
 	l := list(t)
-	if _, err := l.Answer(20, packet(t, 20, 50, nil, a)); err != nil {
+	if _, err := l.ApplyAnswer(20, packet(t, 20, 50, nil, a)); err != nil {
 		t.Fatal(err)
 	}
 	for n := uint64(10); n < 20; n++ {
-		if _, err := l.Answer(n, packet(t, uint16(n), 45, nil, a, b)); !errors.Is(err, ErrOld) {
+		if _, err := l.ApplyAnswer(n, packet(t, uint16(n), 45, nil, a, b)); !errors.Is(err, ErrStale) {
 			t.Fatalf("question %d: %v", n, err)
 		}
 	}
 	if l.Serial() != 50 || len(l.Entries()) != 1 {
 		t.Errorf("the list is %+v at %d", l.Entries(), l.Serial())
 	}
-	if got, err := l.Answer(19, packet(t, 19, 51, nil, b)); err != nil || len(got) != 2 { // a late one may bring news
+	if got, err := l.ApplyAnswer(19, packet(t, 19, 51, nil, b)); err != nil || len(got) != 2 { // a late one may bring news
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -175,7 +175,7 @@
 	f.Add([]byte{0, 5, 0x80, 0})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		l := list(t)
-		changes, err := l.Answer(5, p)
+		changes, err := l.ApplyAnswer(5, p)
 		if l.Serial() < 41 || err != nil && (len(changes) > 0 || l.Serial() != 41) {
 			t.Fatalf("%+v, %v, at %d", changes, err, l.Serial())
 		}
