--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -13,79 +13,99 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// callAttempt is one set-up at an exchange, until its end or until the call stands.
+// callAttempt is one set-up at an exchange. It is kept until the attempt ends or the call is
+// established.
 type callAttempt struct {
 	call      *activeCall
 	number    int
 	peer      *peerExchange
-	link      *peerLink    // nil while it waits for one
-	invite    *sip.Message // as it was sent on the link
+	link      *peerLink    // nil while waiting for a link
+	invite    *sip.Message // as sent on the link
 	startedAt time.Duration
 	deadline  time.Duration
 	timer     wheel.Handle
 }
 
-func (c *Core) startAttempt(call *activeCall, a brain.Send) {
-	peer := c.peersByID[a.Exchange]
-	attempt := &callAttempt{call: call, number: call.attempts, peer: peer, startedAt: c.now, deadline: c.now + a.Timeout}
+// startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
+// link is up; otherwise the attempt waits, and a link is dialed unless a dial is in progress already.
+func (c *Core) startAttempt(call *activeCall, send brain.Send) {
+	peer := c.peersByID[send.Exchange]
+	attempt := &callAttempt{
+		call:      call,
+		number:    call.attempts,
+		peer:      peer,
+		startedAt: c.now,
+		deadline:  c.now + send.Timeout,
+	}
 	call.attempts++
 	c.attempts[call.id] = attempt
 	c.Stats.Attempts++
 	if peer == nil || peer.State != brain.In {
-		attempt.peer = &peerExchange{id: a.Exchange, removed: true}
+		attempt.peer = &peerExchange{id: send.Exchange, removed: true}
 		c.removeAttempt(attempt)
 		c.reportEnded(attempt, brain.Ended{Outcome: brain.NoConnect})
 		return
 	}
 	attempt.timer = c.timers.Set(attempt.deadline, timerEvent{attempt: attempt})
-	before := c.recentEndings[call.id].withdrawnLink // where an answer to the attempt before may still come
-	if link := c.pickLink(peer, before); link != nil && !c.nearIdleTimeout(link) && (link != before || len(peer.links) >= c.maxLinksPerPeer()) {
+	withdrawnLink := c.recentEndings[call.id].withdrawnLink // the previous attempt may still be answered on it
+	if link := c.pickLink(peer, withdrawnLink); link != nil && !c.nearIdleTimeout(link) &&
+		(link != withdrawnLink || len(peer.links) >= c.maxLinksPerPeer()) {
 		c.sendSetUp(attempt, link)
 		c.maintainLinks(peer)
 		return
 	}
 	peer.waiting = append(peer.waiting, attempt)
-	if !slices.ContainsFunc(peer.links, func(link *peerLink) bool { return !link.up }) && (len(c.links) < c.cfg.MaxLinks || c.closeIdlestLink(true)) {
+	if !slices.ContainsFunc(peer.links, func(link *peerLink) bool { return !link.up }) &&
+		(len(c.links) < c.cfg.MaxLinks || c.closeIdlestLink(true)) {
 		c.dialPeer(peer)
 	}
 }
 
-// newInvite is the set-up. Exchanges answer with CSeq 1 whatever stood there, so a further attempt at
-// the same exchange is told apart by its link.
-func (call *activeCall) newInvite(within time.Duration) *sip.Message {
-	msg := &sip.Message{Method: sip.Invite, URI: "sip:" + call.number + "@net", CallID: call.callID, Seq: 1, Of: sip.Invite, Body: call.description}
-	return msg.Put("Call-Kind", call.class).Put("Answer-Within", strconv.FormatInt(max(within.Milliseconds(), 1), 10))
+// newInvite returns the INVITE of the call. Exchanges answer with CSeq 1 whatever the request carried,
+// so answers to several attempts at one exchange can only be told apart by their link.
+func (call *activeCall) newInvite(timeLeft time.Duration) *sip.Message {
+	msg := &sip.Message{
+		Method: sip.Invite,
+		URI:    "sip:" + call.number + "@net",
+		CallID: call.callID,
+		Seq:    1,
+		Of:     sip.Invite,
+		Body:   call.description,
+	}
+	return msg.Put("Call-Kind", call.class).Put("Answer-Within", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 }
 
-// fitsMessageSize tells whether the set-up can be passed on at all.
+// fitsMessageSize reports whether the INVITE of the call stays within the maximum message size.
 func (c *Core) fitsMessageSize(call *activeCall) bool {
 	return len(call.newInvite(time.Hour).Append(nil)) <= sip.Most
 }
 
-// sendSetUp sends the set-up on a link.
+// sendSetUp sends the INVITE of an attempt on a link.
 func (c *Core) sendSetUp(attempt *callAttempt, link *peerLink) {
 	attempt.link = link
 	link.pending = append(link.pending, attempt)
 	link.lastUsedAt = c.now
-	c.log(slog.LevelDebug, "set-up", "call", attempt.call.callID, "nth", attempt.number, "exchange", attempt.peer.Name, "link", link.id, "within", attempt.deadline-c.now)
+	c.log(slog.LevelDebug, "set-up", "call", attempt.call.callID, "nth", attempt.number, "exchange", attempt.peer.Name,
+		"link", link.id, "within", attempt.deadline-c.now)
 	attempt.invite = attempt.call.newInvite(attempt.deadline - c.now)
 	c.emit(SendToExchange{link.id, attempt.invite, attempt.deadline})
 }
 
-// removeAttempt takes an attempt out of all that holds it.
+// removeAttempt stops the timer of an attempt and removes it from the tables of its call, peer and link.
 func (c *Core) removeAttempt(attempt *callAttempt) {
 	c.timers.Stop(attempt.timer)
 	if c.attempts[attempt.call.id] == attempt {
 		delete(c.attempts, attempt.call.id)
 	}
-	is := func(other *callAttempt) bool { return other == attempt }
-	attempt.peer.waiting = slices.DeleteFunc(attempt.peer.waiting, is)
+	isAttempt := func(other *callAttempt) bool { return other == attempt }
+	attempt.peer.waiting = slices.DeleteFunc(attempt.peer.waiting, isAttempt)
 	if attempt.link != nil {
-		attempt.link.pending = slices.DeleteFunc(attempt.link.pending, is)
+		attempt.link.pending = slices.DeleteFunc(attempt.link.pending, isAttempt)
 	}
 }
 
-// withdrawAttempt calls an attempt off.
+// withdrawAttempt cancels an attempt and reports its outcome. An attempt that was never sent cannot have
+// timed out at the exchange: it is reported as NoConnect.
 func (c *Core) withdrawAttempt(attempt *callAttempt, outcome brain.Outcome) {
 	link := attempt.link
 	c.removeAttempt(attempt)
@@ -101,7 +121,8 @@
 	c.reportEnded(attempt, brain.Ended{Outcome: outcome})
 }
 
-// handleAttemptTimeout is an attempt without an answer in time. Its link is tested before it is used again.
+// handleAttemptTimeout withdraws an attempt that was not answered in time. Its link is used for new
+// set-ups only after it has answered a ping.
 func (c *Core) handleAttemptTimeout(attempt *callAttempt) {
 	c.Stats.TimedOut++
 	link := attempt.link
@@ -112,14 +133,18 @@
 	}
 }
 
+// handleUnsent ends the attempt whose INVITE was not sent. A report on an earlier INVITE of the same call
+// is ignored.
 func (c *Core) handleUnsent(in Unsent) {
 	id, err := strconv.ParseUint(in.Msg.CallID, 16, 64)
-	if attempt := c.attempts[id]; err == nil && attempt != nil && attempt.invite == in.Msg { // not one of before that is told late
+	if attempt := c.attempts[id]; err == nil && attempt != nil && attempt.invite == in.Msg {
 		c.removeAttempt(attempt)
 		c.reportEnded(attempt, brain.Ended{Outcome: brain.Moot})
 	}
 }
 
+// handleLinkMessage dispatches a SIP message from an exchange. A deadline of
+// 1<<62 in an effect means that there is none.
 func (c *Core) handleLinkMessage(in LinkMessage) {
 	link := c.links[in.Link]
 	if link == nil {
@@ -151,17 +176,31 @@
 	}
 }
 
+// sendAck acknowledges a final response to an INVITE.
 func (c *Core) sendAck(link *peerLink, msg *sip.Message) {
-	c.emit(SendToExchange{link.id, &sip.Message{Method: sip.Ack, URI: "sip:" + msg.CallID + "@net", CallID: msg.CallID, Seq: msg.Seq, Of: sip.Ack}, 1 << 62})
+	c.emit(SendToExchange{link.id, &sip.Message{
+		Method: sip.Ack,
+		URI:    "sip:" + msg.CallID + "@net",
+		CallID: msg.CallID,
+		Seq:    msg.Seq,
+		Of:     sip.Ack,
+	}, 1 << 62})
 }
 
-// outcomeByStatus maps the answers to INVITE that say how an attempt ended; any other is a fault.
+// outcomeByStatus maps the final responses to INVITE that tell how an attempt ended. Any other failure
+// status counts as Failed.
 var outcomeByStatus = map[int]brain.Outcome{503: brain.Full, 480: brain.Moot, 504: brain.Reset, 408: brain.TimedOut}
 
-var noteByFailWord = map[string]brain.Note{"atb": brain.NoCircuit, "rtb": brain.TurnedBack, "racc": brain.DestProcFull,
-	"acc": brain.ProcFull, "sub": brain.LinesBusy}
+// noteByFailWord maps the values of the Fail-Word header field to the notes of the module.
+var noteByFailWord = map[string]brain.Note{
+	"atb":  brain.NoCircuit,
+	"rtb":  brain.TurnedBack,
+	"racc": brain.DestProcFull,
+	"acc":  brain.ProcFull,
+	"sub":  brain.LinesBusy,
+}
 
-// handleFinalResponse is a handleFinalResponse answer to a set-up.
+// handleFinalResponse handles a final response to an INVITE.
 func (c *Core) handleFinalResponse(link *peerLink, msg *sip.Message) {
 	id, err := strconv.ParseUint(msg.CallID, 16, 64)
 	if err != nil || len(msg.CallID) != 16 {
@@ -177,22 +216,26 @@
 	call := attempt.call
 	c.log(slog.LevelDebug, "answer", "call", msg.CallID, "status", msg.Status, "link", link.id, "after", c.now-attempt.startedAt)
 	if msg.Status >= 300 {
-		e := brain.Ended{Outcome: brain.Failed, Note: noteByFailWord[msg.Get("Fail-Word")], Report: c.parseReport(link.peer, msg)}
+		ended := brain.Ended{
+			Outcome: brain.Failed,
+			Note:    noteByFailWord[msg.Get("Fail-Word")],
+			Report:  c.parseReport(link.peer, msg),
+		}
 		if outcome, ok := outcomeByStatus[msg.Status]; ok {
-			e.Outcome = outcome
+			ended.Outcome = outcome
 		}
-		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && e.Note == brain.ProcFull {
-			e.Wait = time.Duration(max(ms, 0)) * time.Millisecond
+		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == brain.ProcFull {
+			ended.Wait = time.Duration(max(ms, 0)) * time.Millisecond
 		}
-		if e.Outcome == brain.Reset {
+		if ended.Outcome == brain.Reset {
 			c.Stats.Cut++
 		}
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, e)
+		c.reportEnded(attempt, ended)
 		return
 	}
 	c.removeAttempt(attempt)
-	if c.calls[id] != call { // given up meanwhile
+	if c.calls[id] != call { // abandoned in the meantime
 		c.sendBye(link, byeRequest{id, call.callID, isup.NormalClearing})
 		c.reportEnded(attempt, brain.Ended{Outcome: brain.Cancelled})
 		return
@@ -204,18 +247,25 @@
 	call.conn.established++
 	call.established, call.establishedAt, call.peer, call.description = true, c.now, link.peer, nil
 	link.peer.calls[id] = call
-	c.notifyModule(brain.Standing{ID: call.callID, Attempt: attempt.number, Exchange: link.peer.id, After: c.now - attempt.startedAt})
+	c.notifyModule(brain.Standing{
+		ID:       call.callID,
+		Attempt:  attempt.number,
+		Exchange: link.peer.id,
+		After:    c.now - attempt.startedAt,
+	})
 }
 
-// handleLateResponse is an answer that nobody waits for: one to a set-up that was given up is ended in order.
+// handleLateResponse handles a final response that belongs to no attempt in flight. If it accepts a
+// set-up that was withdrawn from this exchange, the call is released with a BYE, unless it is established
+// there.
 func (c *Core) handleLateResponse(link *peerLink, id uint64, msg *sip.Message) {
 	c.Stats.Late++
 	ending, known := c.recentEndings[id]
 	call := c.calls[id]
-	c.log(slog.LevelDebug, "late", "call", msg.CallID, "status", msg.Status, "link", link.id, "known", known, "ghost", ending.withdrawnPeer != nil,
-		"ago", c.now-ending.endedAt, "open", call != nil && !call.established, "standing", call != nil && call.established)
+	c.log(slog.LevelDebug, "late", "call", msg.CallID, "status", msg.Status, "link", link.id, "known", known,
+		"ghost", ending.withdrawnPeer != nil, "ago", c.now-ending.endedAt, "open", call != nil && !call.established, "standing", call != nil && call.established)
 	if !known && call == nil {
-		c.Stats.Stray++ // answers what was never asked, or long ago
+		c.Stats.Stray++ // the call is unknown or ended long ago
 		return
 	}
 	c.sendAck(link, msg)
@@ -224,7 +274,7 @@
 	}
 }
 
-// handlePeerRelease is the release of a call by its exchange.
+// handlePeerRelease handles the BYE of an exchange.
 func (c *Core) handlePeerRelease(peer *peerExchange, msg *sip.Message) {
 	id, err := strconv.ParseUint(msg.CallID, 16, 64)
 	if err != nil {
@@ -240,13 +290,13 @@
 	case call != nil && call.established && call.peer == peer:
 		c.endEstablishedCall(call, outcome, cause, false)
 	case attempt != nil && attempt.peer == peer && attempt.link != nil && attempt.call == call:
-		// it stood and is over while its answer was on the way (a BYE has no other place): its caller is
-		// owed that word, and there is nothing to try again
+		// An exchange sends BYE only for an established call, so the call was answered and ended before
+		// its 200 arrived here. Its caller gets the release, and the call is not retried.
 		c.removeAttempt(attempt)
 		c.recordEnding(id, callEnding{cause: cause})
 		c.sendFinalAnswer(call, newRelease(id, cause))
 		c.reportEnded(attempt, brain.Ended{Outcome: outcome})
-	case attempt != nil && attempt.peer == peer && attempt.link != nil: // given up meanwhile
+	case attempt != nil && attempt.peer == peer && attempt.link != nil: // abandoned in the meantime
 		c.removeAttempt(attempt)
 		c.reportEnded(attempt, brain.Ended{Outcome: brain.Reset})
 	case call == nil:
@@ -256,9 +306,11 @@
 	}
 }
 
-// endEstablishedCall ends a call that stood. Its caller is told unless the word came from there.
-func (c *Core) endEstablishedCall(call *activeCall, outcome brain.Outcome, cause byte, told bool) {
-	c.log(slog.LevelDebug, "over", "call", call.callID, "outcome", outcome, "cause", cause, "stood", c.now-call.establishedAt, "conn", call.conn.id, "gone", call.conn.closed)
+// endEstablishedCall ends an established call. The release is sent to its caller unless the caller
+// released the call itself.
+func (c *Core) endEstablishedCall(call *activeCall, outcome brain.Outcome, cause byte, byCaller bool) {
+	c.log(slog.LevelDebug, "over", "call", call.callID, "outcome", outcome, "cause", cause, "stood", c.now-call.establishedAt,
+		"conn", call.conn.id, "gone", call.conn.closed)
 	delete(c.calls, call.id)
 	if call.peer != nil {
 		delete(call.peer.calls, call.id)
@@ -266,22 +318,29 @@
 	call.conn.established--
 	call.conn.quietSince = c.now
 	switch {
-	case told:
+	case byCaller:
 	case !call.conn.closed:
 		c.emit(SendToCaller{call.conn.id, newRelease(call.id, cause)})
 	default:
 		c.Stats.Unsaid++
-		c.log(slog.LevelInfo, "call over, its caller's connection gone", "call", call.callID)
+		c.log(slog.LevelInfo, "call ended, its caller's connection is closed", "call", call.callID)
 	}
 	c.recordEnding(call.id, callEnding{cause: cause})
 	if call.adopted {
 		return
 	}
-	c.notifyModule(brain.Ended{ID: call.callID, Attempt: call.attempts - 1, Exchange: call.peer.id, Outcome: outcome, After: c.now - call.establishedAt, Final: true})
+	c.notifyModule(brain.Ended{
+		ID:       call.callID,
+		Attempt:  call.attempts - 1,
+		Exchange: call.peer.id,
+		Outcome:  outcome,
+		After:    c.now - call.establishedAt,
+		Final:    true,
+	})
 }
 
-// handleNotify is the state of the group towards an exchange. It comes on every link to it; only a
-// change is news.
+// handleNotify passes the state of the trunk group towards an exchange to the module. The exchange
+// sends it on every link; only changes are passed on.
 func (c *Core) handleNotify(peer *peerExchange, msg *sip.Message) {
 	report := c.parseReport(peer, msg)
 	if !report.Known || report == peer.lastReport {
@@ -291,19 +350,20 @@
 	c.notifyModule(brain.Circuits{Exchange: peer.id, OK: true, Report: report})
 }
 
-// parseReport is what a message tells of the group towards its exchange.
+// parseReport reads the state of the trunk group towards the exchange from a message. The report is
+// known only if both the free and the total number of circuits are given.
 func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report brain.Report) {
-	var free, size bool
+	var hasFree, hasSize bool
 	for part := range strings.SplitSeq(msg.Get("Link-State"), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch n, err := strconv.ParseFloat(value, 64); {
 		case err != nil || n < 0 || n > 1<<20:
 		case name == "idle":
-			report.Free, free = int(n), true
+			report.Free, hasFree = int(n), true
 		case name == "circuits":
-			report.Size, size = int(n), true
+			report.Size, hasSize = int(n), true
 		}
 	}
-	report.Known = free && size
+	report.Known = hasFree && hasSize
 	return report
 }
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -12,30 +12,32 @@
 	"dahliaspindle/internal/isup"
 )
 
-// callerConn is a callerConn's connection.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	id              ConnID
-	pending         int // set-ups not answered
-	established     int // calls that were set up or adopted here
-	messageReceived bool
-	quietSince      time.Duration // of the last word, or of the connection
+	pending         int           // set-ups without a final answer
+	established     int           // calls set up or adopted on this connection
+	messageReceived bool          // at least one
+	quietSince      time.Duration // time of the last message, end of a call or accept
 	closed          bool
 }
 
+// activeCall is a call that is pending or established.
 type activeCall struct {
 	id            uint64
-	callID        string // of the Call-ID and in the module
+	callID        string // id in hexadecimal, as in the Call-ID and towards the module
 	conn          *callerConn
 	class         string
 	number        string
 	description   []byte
 	attempts      int
-	peer          *peerExchange // where it stands
+	peer          *peerExchange // where the call is established, nil while pending
 	established   bool
-	adopted       bool
+	adopted       bool // established before this process knew it
 	establishedAt time.Duration
 }
 
+// handleCallerConnected registers a connection and, above the limit, closes one.
 func (c *Core) handleCallerConnected(id ConnID) {
 	conn := &callerConn{id: id, quietSince: c.now}
 	c.conns[id] = conn
@@ -45,34 +47,38 @@
 	}
 }
 
-// evictConn makes room: one that has said nothing goes first, then one without a call, the longest
-// quiet first; then the new one.
-func (c *Core) evictConn(fresh *callerConn) {
+// evictConn closes one connection to stay within the limit. Only connections without calls are
+// candidates: those that never sent a message first, then the longest quiet. Without a candidate the
+// new connection is closed.
+func (c *Core) evictConn(newConn *callerConn) {
 	var victim *callerConn
 	for _, conn := range c.connsByAge {
-		if conn.closed || conn.pending > 0 || conn == fresh || conn.established > 0 {
+		if conn.closed || conn.pending > 0 || conn == newConn || conn.established > 0 {
 			continue
 		}
-		if victim == nil || victim.messageReceived && !conn.messageReceived || victim.messageReceived == conn.messageReceived && conn.quietSince < victim.quietSince {
+		if victim == nil || victim.messageReceived && !conn.messageReceived ||
+			victim.messageReceived == conn.messageReceived && conn.quietSince < victim.quietSince {
 			victim = conn
 		}
 	}
 	if victim == nil {
-		victim = fresh
+		victim = newConn
 	}
 	c.closeConn(victim, "too many connections")
 }
 
-func (c *Core) closeConn(conn *callerConn, why string) {
+// closeConn closes a connection and abandons its pending calls.
+func (c *Core) closeConn(conn *callerConn, reason string) {
 	if conn.closed {
 		return
 	}
 	c.Stats.ConnsShut++
-	c.emit(CloseConn{conn.id, why})
+	c.emit(CloseConn{conn.id, reason})
 	c.handleCallerDisconnected(conn.id)
 }
 
-// handleCallerDisconnected forgets a connection. Nobody is left there to be answered; what stands goes on.
+// handleCallerDisconnected removes a connection. Its pending calls are abandoned, since nobody is left to
+// answer; established calls continue.
 func (c *Core) handleCallerDisconnected(id ConnID) {
 	conn := c.conns[id]
 	if conn == nil {
@@ -83,43 +89,44 @@
 	if conn.pending == 0 {
 		return
 	}
-	var left []uint64
+	var pendingIDs []uint64
 	for _, call := range c.calls {
 		if call.conn == conn && !call.established {
-			left = append(left, call.id)
+			pendingIDs = append(pendingIDs, call.id)
 		}
 	}
-	slices.Sort(left)
-	for _, id := range left {
+	slices.Sort(pendingIDs)
+	for _, id := range pendingIDs {
 		c.abandonCall(c.calls[id])
 	}
 }
 
-// closeIdleConns closes connections that say nothing.
+// closeIdleConns closes connections without calls that have sent no message for too long.
 func (c *Core) closeIdleConns() {
-	rest := c.connsByAge[:0]
+	remaining := c.connsByAge[:0]
 	for _, conn := range c.connsByAge {
 		switch {
 		case conn.closed:
 			continue
 		case conn.pending > 0 || conn.established > 0:
 		case !conn.messageReceived && c.now-conn.quietSince > firstMessageTimeout:
-			c.closeConn(conn, "nothing said")
+			c.closeConn(conn, "no message received")
 			continue
 		case c.now-conn.quietSince > idleTimeout:
 			c.closeConn(conn, "idle")
 			continue
 		}
-		rest = append(rest, conn)
+		remaining = append(remaining, conn)
 	}
-	clear(c.connsByAge[len(rest):])
-	c.connsByAge = rest
+	clear(c.connsByAge[len(remaining):])
+	c.connsByAge = remaining
 }
 
+// handleCallerMessage dispatches a message of a caller.
 func (c *Core) handleCallerMessage(in CallerMessage) {
 	conn := c.conns[in.Conn]
 	if conn == nil {
-		if IsNewCall(in.Msg) { // read before the connection is closed, which has been decided
+		if IsNewCall(in.Msg) { // read before the connection was closed, handled after the close was decided
 			c.rejectCall(in.Conn, in.Msg.Call)
 		}
 		return
@@ -135,15 +142,17 @@
 	case isup.Progress, isup.Released, isup.Tested:
 	default:
 		c.Stats.Invalid++
-		c.closeConn(conn, fmt.Sprintf("message of type %d", in.Msg.Type))
+		c.closeConn(conn, fmt.Sprintf("unexpected message type %d", in.Msg.Type))
 	}
 }
 
+// newRelease returns a release of a call with a cause.
 func newRelease(id uint64, cause byte) *isup.Message {
 	return (&isup.Message{Type: isup.Release, Call: id}).With(isup.Cause, []byte{cause})
 }
 
-// newCongestionRelease is a release that says that trying again is harmless, and when.
+// newCongestionRelease returns a release that allows a retry, after the backoff if it is positive. The
+// backoff is rounded up to whole milliseconds.
 func newCongestionRelease(id uint64, backoff time.Duration) *isup.Message {
 	msg := newRelease(id, isup.Congestion)
 	if backoff > 0 {
@@ -152,14 +161,15 @@
 	return msg
 }
 
-// IsNewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
+// IsNewCall reports whether a message is the set-up of a new call, which may be rejected before it
+// reaches the core. The set-up of an established call (one with an "at" figure) expects no answer.
 func IsNewCall(msg *isup.Message) bool {
 	figures, _ := msg.Get(isup.Figures)
 	return msg.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
-// NewRejection is the answer to a set-up that is not taken: refused, with a time to come back where the
-// settings allow one.
+// NewRejection returns the answer to a set-up that is not accepted: a release with cause congestion, and
+// with the longest backoff where the settings allow one.
 func NewRejection(id uint64, settings brain.Settings) *isup.Message {
 	if !settings.Backoff {
 		return newCongestionRelease(id, 0)
@@ -167,61 +177,64 @@
 	return newCongestionRelease(id, settings.BackoffMax)
 }
 
-func (c *Core) rejectCall(to ConnID, id uint64) {
+// rejectCall refuses a set-up without passing it to the module.
+func (c *Core) rejectCall(conn ConnID, id uint64) {
 	c.Stats.Refused++
-	c.emit(SendToCaller{to, NewRejection(id, c.cfg.Settings)})
+	c.emit(SendToCaller{conn, NewRejection(id, c.cfg.Settings)})
 }
 
-// setUpRequest is a set-up that was read.
+// setUpRequest is a parsed set-up.
 type setUpRequest struct {
 	brain.Call
 	class, number string
 	description   []byte
-	peerName      string
+	peerName      string // exchange of a call that is established already, else empty
 }
 
-// parseSetUp takes a set-up apart. The error names what is wrong with it.
+// parseSetUp parses a set-up. The error names the first invalid parameter.
 func (c *Core) parseSetUp(msg *isup.Message) (request setUpRequest, err error) {
 	text := func(code byte) string {
-		v, _ := msg.Get(code)
-		return string(v)
+		value, _ := msg.Get(code)
+		return string(value)
 	}
 	class, ok := c.classIndexes[text(isup.Class)]
 	if !ok {
 		return request, fmt.Errorf("unknown class %.40q", text(isup.Class))
 	}
 	request.class, request.Class = text(isup.Class), class
-	ms, err := strconv.ParseUint(text(isup.Patience), 10, 22)
+	millis, err := strconv.ParseUint(text(isup.Patience), 10, 22)
 	if err != nil {
-		return request, fmt.Errorf("patience: %w", err)
+		return request, fmt.Errorf("invalid patience: %w", err)
 	}
-	request.Left = time.Duration(ms) * time.Millisecond
+	request.Left = time.Duration(millis) * time.Millisecond
 	request.number = text(isup.Number)
 	if request.Number, err = strconv.ParseUint(request.number, 16, 64); err != nil || len(request.number) != 16 {
-		return request, fmt.Errorf("number %.40q", request.number)
+		return request, fmt.Errorf("invalid number %.40q", request.number)
 	}
 	request.Numbered = true
-	switch v := text(isup.Retry); v {
+	switch value := text(isup.Retry); value {
 	case "1":
 		request.Repeat = true
 	case "", "0":
 	default:
-		return request, fmt.Errorf("retry %.40q", v)
+		return request, fmt.Errorf("invalid retry mark %.40q", value)
 	}
 	request.description, ok = msg.Get(isup.Description)
 	if !ok {
-		return request, fmt.Errorf("no description")
+		return request, fmt.Errorf("missing description")
 	}
 	return request, c.parseFigures(&request, text(isup.Figures))
 }
 
+// parseFigures parses the figures of a set-up ("name:value" pairs separated by semicolons) into request.
+// Unknown figures are ignored.
 func (c *Core) parseFigures(request *setUpRequest, text string) error {
 	request.Through = -1
-	var dest, width, via bool
+	var hasDest, hasWidth, hasVia bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
 		if !ok {
-			return fmt.Errorf("figures %.80q", text)
+			return fmt.Errorf("malformed figures %.80q", text)
 		}
 		if name == "at" {
 			request.peerName = value
@@ -229,15 +242,15 @@
 		}
 		n, err := strconv.ParseInt(value, 10, 32)
 		if err != nil {
-			return fmt.Errorf("figure %.20q: %w", name, err)
+			return fmt.Errorf("invalid figure %.20q: %w", name, err)
 		}
 		switch name {
 		case "dest":
-			dest, request.Dest = true, int(n)
+			hasDest, request.Dest = true, int(n)
 		case "width":
-			width, request.Width = true, int(n)
+			hasWidth, request.Width = true, int(n)
 		case "via":
-			via, request.Through = true, int(n)
+			hasVia, request.Through = true, int(n)
 		case "transit":
 			request.Transit = n == 1
 		case "again":
@@ -248,16 +261,17 @@
 		}
 	}
 	switch {
-	case !dest || !c.isKnownDestination(request.Dest) || request.Dest == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
-		return fmt.Errorf("no such destination in %.80q", text)
-	case !width || request.Width < 1 || request.Width > c.maxWidth:
-		return fmt.Errorf("width out of range in %.80q", text)
-	case request.Through < -1 || request.Transit && !via:
-		return fmt.Errorf("via out of range in %.80q", text)
+	case !hasDest || !c.isKnownDestination(request.Dest) || request.Dest == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
+		return fmt.Errorf("missing or unknown destination in %.80q", text)
+	case !hasWidth || request.Width < 1 || request.Width > c.maxWidth:
+		return fmt.Errorf("missing or invalid width in %.80q", text)
+	case request.Through < -1 || request.Transit && !hasVia:
+		return fmt.Errorf("missing or invalid via in %.80q", text)
 	}
 	return nil
 }
 
+// handleSetUp adopts, rejects or starts a call. A call that is started is passed to the module.
 func (c *Core) handleSetUp(conn *callerConn, in CallerMessage) {
 	id := in.Msg.Call
 	existing := c.calls[id]
@@ -267,9 +281,9 @@
 		c.adoptCall(conn, existing, id, request)
 		return
 	case existing != nil && existing.conn == conn:
-		// a word about it would be taken for the answer to the first
+		// The caller would take a rejection for the answer to the first set-up.
 		c.Stats.Invalid++
-		c.closeConn(conn, "two set-ups under one id")
+		c.closeConn(conn, "two set-ups with the same id")
 		return
 	case existing != nil:
 		c.Stats.Invalid++
@@ -283,7 +297,14 @@
 		c.rejectCall(conn.id, id)
 		return
 	}
-	call := &activeCall{id: id, callID: fmt.Sprintf("%016x", id), conn: conn, class: request.class, number: request.number, description: request.description}
+	call := &activeCall{
+		id:          id,
+		callID:      fmt.Sprintf("%016x", id),
+		conn:        conn,
+		class:       request.class,
+		number:      request.number,
+		description: request.description,
+	}
 	if !c.fitsMessageSize(call) {
 		c.Stats.Invalid++
 		c.emit(SendToCaller{conn.id, newRelease(id, isup.InvalidContents)})
@@ -301,7 +322,8 @@
 	c.notifyModule(request.Call)
 }
 
-// adoptCall takes over a call that stands already, for which no answer is owed.
+// adoptCall registers a call that is established already, or moves it to the caller's new connection.
+// Such a set-up gets no answer, except a release if the call has ended or its exchange is unknown.
 func (c *Core) adoptCall(conn *callerConn, existing *activeCall, id uint64, request setUpRequest) {
 	if existing != nil {
 		if existing.established && existing.conn != conn {
@@ -324,20 +346,31 @@
 		return
 	}
 	c.Stats.Adopted++
-	call := &activeCall{id: id, callID: fmt.Sprintf("%016x", id), conn: conn, class: request.class, number: request.number,
-		peer: peer, established: true, adopted: true, establishedAt: c.now}
+	call := &activeCall{
+		id:            id,
+		callID:        fmt.Sprintf("%016x", id),
+		conn:          conn,
+		class:         request.class,
+		number:        request.number,
+		peer:          peer,
+		established:   true,
+		adopted:       true,
+		establishedAt: c.now,
+	}
 	c.calls[id] = call
 	conn.established++
 	peer.calls[id] = call
 }
 
-// handleCallerRelease is a caller's word that a set-up is given up or that a call is over.
+// handleCallerRelease handles the release of a caller: it ends an established call, on whatever
+// connection it arrives, or abandons a pending one on its own connection.
 func (c *Core) handleCallerRelease(conn *callerConn, msg *isup.Message) {
 	call := c.calls[msg.Call]
 	if call == nil {
 		return
 	}
-	c.log(slog.LevelDebug, "caller's release", "call", call.callID, "standing", call.established, "stood", c.now-call.establishedAt, "out", c.attempts[call.id] != nil, "cause", msg.Cause())
+	c.log(slog.LevelDebug, "caller's release", "call", call.callID, "standing", call.established, "stood", c.now-call.establishedAt,
+		"out", c.attempts[call.id] != nil, "cause", msg.Cause())
 	if call.established {
 		c.releaseAtPeer(call.peer, call.id, call.callID, isup.NormalClearing)
 		c.endEstablishedCall(call, brain.Cancelled, isup.NormalClearing, true)
@@ -349,17 +382,17 @@
 	}
 }
 
-// abandonCall is a call whose caller stopped waiting: no answer is owed.
+// abandonCall ends a pending call whose caller stopped waiting. No answer is sent.
 func (c *Core) abandonCall(call *activeCall) {
 	c.Stats.Gone++
 	c.removePending(call)
 	c.notifyModule(brain.CallGone{ID: call.callID})
-	if attempt := c.attempts[call.id]; attempt != nil { // where the module may not cancel
+	if attempt := c.attempts[call.id]; attempt != nil { // the module does not cancel where cancelling is disabled
 		c.withdrawAttempt(attempt, brain.Cancelled)
 	}
 }
 
-// removePending takes a call out of those that are owed an answer.
+// removePending removes a call from those that await a final answer.
 func (c *Core) removePending(call *activeCall) {
 	c.pending--
 	call.conn.pending--
@@ -367,11 +400,11 @@
 	delete(c.calls, call.id)
 }
 
-// sendFinalAnswer gives the final sendFinalAnswer to an open set-up.
+// sendFinalAnswer sends the final answer to a pending call. An attempt in flight is withdrawn first.
 func (c *Core) sendFinalAnswer(call *activeCall, msg *isup.Message) {
 	c.removePending(call)
 	if attempt := c.attempts[call.id]; attempt != nil {
-		c.withdrawAttempt(attempt, brain.TimedOut) // before the answer is said: nothing is sent after it
+		c.withdrawAttempt(attempt, brain.TimedOut) // before the answer, after which no set-up may be sent
 	}
 	c.emit(SendToCaller{call.conn.id, msg})
 }
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -73,8 +73,8 @@
 	h.handle(LinkMessage{sent.Link, newResponse(7, 503)})
 	for _, e := range h.effects {
 		if e, ok := e.(SendToCaller); ok {
-			if v, _ := e.Msg.Get(isup.StayAway); string(v) != "2" {
-				t.Errorf("stay away %q, want 2", v)
+			if value, _ := e.Msg.Get(isup.StayAway); string(value) != "2" {
+				t.Errorf("stay away %q, want 2", value)
 			}
 		}
 	}
@@ -192,13 +192,13 @@
 	h := newHarness(t, newDirectModule(1))
 	h.handle(CallerDisconnected{1})
 	h.handleCallerMessage(1, newSetUp(7, 1))
-	at := newSetUp(8, 1)
-	for i := range at.Params {
-		if at.Params[i].Code == isup.Figures {
-			at.Params[i].Value = []byte("dest:1;width:1;via:-1;at:s-1")
+	adoption := newSetUp(8, 1)
+	for i := range adoption.Params {
+		if adoption.Params[i].Code == isup.Figures {
+			adoption.Params[i].Value = []byte("dest:1;width:1;via:-1;at:s-1")
 		}
 	}
-	h.handleCallerMessage(1, at)
+	h.handleCallerMessage(1, adoption)
 	if h.sentToCaller(1, 7) != "12/42" || h.sentToCaller(1, 8) != "" {
 		t.Errorf("said %q and %q", h.sentToCaller(1, 7), h.sentToCaller(1, 8))
 	}
@@ -216,12 +216,12 @@
 
 func TestAnAdoptedCallIsReleasedWhereItWasNamedLast(t *testing.T) {
 	h := newHarness(t, newDirectModule(1))
-	at := func(id uint64, x string) *isup.Message {
+	adoption := func(id uint64, x string) *isup.Message {
 		return replaceParam(newSetUp(id, 1), isup.Figures, "dest:1;width:1;via:-1;at:"+x)
 	}
-	h.handleCallerMessage(1, at(7, "s-1"))
-	h.handleCallerMessage(1, at(7, "s-1"))
-	h.handleCallerMessage(2, at(7, "s-1"))
+	h.handleCallerMessage(1, adoption(7, "s-1"))
+	h.handleCallerMessage(1, adoption(7, "s-1"))
+	h.handleCallerMessage(2, adoption(7, "s-1"))
 	if h.sentToCaller(1, 7)+h.sentToCaller(2, 7) != "" || h.countSent(sip.Invite, 7) != 0 || h.core.Stats.Adopted != 1 {
 		t.Fatalf("said %q and %q", h.sentToCaller(1, 7), h.sentToCaller(2, 7))
 	}
@@ -229,11 +229,11 @@
 	if h.sentToCaller(2, 7) != "12/41" || h.sentToCaller(1, 7) != "" {
 		t.Errorf("said %q and %q", h.sentToCaller(1, 7), h.sentToCaller(2, 7))
 	}
-	h.handleCallerMessage(1, at(7, "s-1")) // once more: it is over
+	h.handleCallerMessage(1, adoption(7, "s-1")) // once more: it is over
 	if h.sentToCaller(1, 7) != "12/41" {
 		t.Errorf("said %q", h.sentToCaller(1, 7))
 	}
-	h.handleCallerMessage(1, at(8, "s-77"))
+	h.handleCallerMessage(1, adoption(8, "s-77"))
 	if h.sentToCaller(1, 8) != "12/41" {
 		t.Errorf("a call at an exchange that nobody knows: said %q", h.sentToCaller(1, 8))
 	}
@@ -291,7 +291,7 @@
 }
 
 func TestCallsAtAnExchangeThatIsGoneAreOver(t *testing.T) {
-	for what, happen := range map[string]func(h *testHarness){
+	for name, trigger := range map[string]func(h *testHarness){
 		"gone from the list": func(h *testHarness) {
 			entry := testEntry(1)
 			entry.State = brain.Out
@@ -334,12 +334,12 @@
 		h := newHarness(t, module)
 		h.establishCall(1, 7)
 		h.advance(100 * time.Millisecond)
-		happen(h)
+		trigger(h)
 		if got := h.sentToCaller(1, 7); got != "9 12/41" {
-			t.Errorf("%s: the caller was told %q", what, got)
+			t.Errorf("%s: the caller was told %q", name, got)
 		}
 		if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Reset || !ends[0].Final {
-			t.Errorf("%s: the module was told %+v", what, ends)
+			t.Errorf("%s: the module was told %+v", name, ends)
 		}
 	}
 }
@@ -361,14 +361,14 @@
 		t.Errorf("ends %+v", ends)
 	}
 	h.completeDials()
-	fenced := false
+	holding := false
 	for _, e := range h.effects {
 		if hold, ok := e.(HoldSetUps); ok && hold.Hold {
-			fenced = true
+			holding = true
 		}
 	}
-	if !fenced || h.countSent(sip.Invite, 8) != 0 || len(h.core.calls) != 1 {
-		t.Errorf("fenced %v, %d INVITE, %d calls", fenced, h.countSent(sip.Invite, 8), len(h.core.calls))
+	if !holding || h.countSent(sip.Invite, 8) != 0 || len(h.core.calls) != 1 {
+		t.Errorf("fenced %v, %d INVITE, %d calls", holding, h.countSent(sip.Invite, 8), len(h.core.calls))
 	}
 }
 
@@ -461,14 +461,14 @@
 // Nothing that the core holds may grow with what has come and gone.
 func TestTablesGoBackToNothing(t *testing.T) {
 	h := newHarness(t, nil)
-	size := func() [7]int {
+	tableSizes := func() [7]int {
 		c := h.core
 		return [7]int{len(c.calls), len(c.attempts), len(c.conns), len(c.connsByAge), len(c.peers), len(c.peersByName), len(c.peersByID)}
 	}
 	h.handle(CallerDisconnected{1})
 	h.handle(CallerDisconnected{2})
 	h.advance(time.Minute)
-	before := size()
+	sizesBefore := tableSizes()
 	id := uint64(1000)
 	for n := 4; n < 1500; n++ {
 		entry := testEntry(n)
@@ -492,8 +492,8 @@
 		h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
 	}
 	h.advance(time.Minute)
-	if after := size(); after != before {
-		t.Errorf("tables hold %v, %v before", after, before)
+	if sizesAfter := tableSizes(); sizesAfter != sizesBefore {
+		t.Errorf("tables hold %v, %v before", sizesAfter, sizesBefore)
 	}
 	if n := len(h.core.links); n > 4*len(h.core.peers) {
 		t.Errorf("%d links", n)
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -1,7 +1,7 @@
-// Package interwork is the core of a controller on the platform: callers' binary messages on one
-// side, SIP to the exchanges on the other, as ISUP-SIP interworking is called in the field. It
-// feeds the module and carries out what it decides, and decides nothing about a call itself.
-// It has no socket, goroutine, file or clock: inputs in, effects out, the time handed in.
+// Package interwork implements the core of a controller on the platform: ISUP-SIP interworking between
+// callers, who send binary messages, and exchanges, which are reached over SIP. The core passes events
+// to the routing module and carries out its actions; it takes no routing decision of its own. It has no
+// socket, goroutine, file or clock: Core.Handle takes an input and the current time and returns effects.
 package interwork
 
 import (
@@ -20,51 +20,52 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// ConnID numbers a caller's connection, LinkID one to an exchange. Numbers are not used again.
 type (
+	// ConnID identifies a connection of a caller. It is never reused.
 	ConnID uint64
+	// LinkID identifies a connection to an exchange. It is never reused.
 	LinkID uint64
 )
 
-// Input is what happens to the core.
+// Input is an event that the core handles.
 type Input interface{ input() }
 
 type (
-	// CallerConnected is a caller's connection that was accepted.
+	// CallerConnected reports that a connection of a caller was accepted.
 	CallerConnected struct{ Conn ConnID }
-	// CallerMessage is a message of a caller; ReceivedAt is when its last byte was read.
+	// CallerMessage is a message of a caller. ReceivedAt is the time at which its last byte was read.
 	CallerMessage struct {
 		Conn       ConnID
 		ReceivedAt time.Duration
 		Msg        *isup.Message
 	}
-	// CallerDisconnected is the end of a caller's connection.
+	// CallerDisconnected reports that a connection of a caller was closed.
 	CallerDisconnected struct{ Conn ConnID }
-	// LinkUp is a connection to an exchange that was asked for and stands.
+	// LinkUp reports that a dialed connection to an exchange is established.
 	LinkUp struct{ Link LinkID }
 	// LinkMessage is a message of an exchange.
 	LinkMessage struct {
 		Link LinkID
 		Msg  *sip.Message
 	}
-	// Unsent is a set-up that did not leave and won't.
+	// Unsent reports that a set-up was not sent and will not be.
 	Unsent struct {
 		Link LinkID
 		Msg  *sip.Message
 	}
-	// LinkDown is the end of a connection to an exchange, or of the try to make one.
+	// LinkDown reports that a connection to an exchange was closed or could not be established.
 	LinkDown struct {
 		Link    LinkID
-		Refused bool // nothing listens there
+		Refused bool // the exchange refused the connection
 	}
-	// ExchangeListUpdate are changes to the exchange list.
+	// ExchangeListUpdate brings the whole exchange list or changes to it.
 	ExchangeListUpdate struct {
 		Complete bool
 		Changes  []srvlist.Entry
 	}
-	// Shutdown asks the controller to answer what it has and go.
+	// Shutdown starts a graceful shutdown.
 	Shutdown struct{}
-	// Tick is the passing of time.
+	// Tick reports that time has passed.
 	Tick struct{}
 )
 
@@ -79,7 +80,7 @@
 func (Shutdown) input()           {}
 func (Tick) input()               {}
 
-// Effect is what the core asks for. Effects are carried out in their order.
+// Effect is an action that the core requests. Effects must be carried out in order.
 type Effect interface{ effect() }
 
 type (
@@ -88,8 +89,8 @@
 		Conn ConnID
 		Msg  *isup.Message
 	}
-	// CloseConn closes a caller's connection once what was said on it is written; set-ups that were read
-	// before that still come to the core and are refused.
+	// CloseConn closes a connection of a caller once all messages sent on it are written. Set-ups that
+	// were read before are still passed to the core, which rejects them.
 	CloseConn struct {
 		Conn   ConnID
 		Reason string
@@ -100,34 +101,37 @@
 		Addr    string
 		Timeout time.Duration
 	}
-	// SendToExchange sends a message to an exchange; a set-up that can't leave before Deadline comes back Unsent.
+	// SendToExchange sends a message to an exchange. A set-up that cannot be sent before Deadline is
+	// reported as Unsent.
 	SendToExchange struct {
 		Link     LinkID
 		Msg      *sip.Message
 		Deadline time.Duration
 	}
-	// WithdrawSetUp takes the set-up of a Call-ID back, with a CANCEL if it has left.
+	// WithdrawSetUp withdraws the set-up with the given Call-ID. If it was sent already, Cancel is sent.
 	WithdrawSetUp struct {
 		Link   LinkID
 		CallID string
 		Cancel *sip.Message
 	}
-	// HoldSetUps holds back set-ups that have not left (on a link to an exchange that is draining).
+	// HoldSetUps holds back the unsent set-ups on a link while its exchange is not in service (Hold is
+	// true), or lets them go out again.
 	HoldSetUps struct {
 		Link LinkID
 		Hold bool
 	}
-	// CloseLink closes a connection to an exchange; one that is not idle without giving it what it has not read.
+	// CloseLink closes a connection to an exchange. Unless it is idle, data that the exchange has not
+	// read yet is discarded.
 	CloseLink struct {
 		Link   LinkID
 		Reason string
 		Idle   bool
 	}
-	// CloseListener closes the listener.
+	// CloseListener closes the listener for callers.
 	CloseListener struct{}
-	// ShutdownComplete says that nothing is owed any more.
+	// ShutdownComplete reports that no answer is pending any more and the process may exit.
 	ShutdownComplete struct{}
-	// Log is a line for the log.
+	// Log writes a log record.
 	Log struct {
 		Level   slog.Level
 		Message string
@@ -146,64 +150,69 @@
 func (ShutdownComplete) effect() {}
 func (Log) effect()              {}
 
-// Config is what a core starts with.
+// Config configures a Core.
 type Config struct {
 	Module              policy.Module
 	Settings            brain.Settings
-	ConnectTimeout      time.Duration // a connection that is not up by then counts as not made
-	EpochUnixNano       int64         // Unix nanoseconds at time 0 of the clock
-	MaxLinks            int           // connections to exchanges, at the most
-	ExchangeIdleTimeout time.Duration // exchanges close connections that were idle for so long, 0 never
-	MaxConns            int           // callers' connections, at the most
-	MaxPendingPerConn   int           // set-ups open on one of them, at the most
-	LogAllVerdicts      bool          // each verdict is logged, not only those that the module names
-	MaxCalls            int           // calls open and standing, at the most
+	ConnectTimeout      time.Duration // limit for establishing a connection to an exchange
+	EpochUnixNano       int64         // Unix time in nanoseconds at time 0 of the clock
+	MaxLinks            int           // connections to exchanges
+	ExchangeIdleTimeout time.Duration // idle time after which exchanges close a connection, 0 for never
+	MaxConns            int           // connections of callers, 0 for no limit
+	MaxPendingPerConn   int           // pending set-ups on one connection of a caller
+	LogAllVerdicts      bool          // log every verdict, not only those that the module marks
+	MaxCalls            int           // pending and established calls
 }
 
-// Times of the edge. Nothing here touches a call that the module has.
+// Times and limits of the connections, the records of ended calls and the shutdown. They do not
+// apply to calls that the module is routing.
 const (
 	stateLogInterval     = time.Second
 	maintenanceInterval  = 50 * time.Millisecond
-	firstMessageTimeout  = 2500 * time.Millisecond // a caller's connection that has said nothing
-	idleTimeout          = 12 * time.Second        // one without a call
-	pingDelayPending     = 250 * time.Millisecond  // a link with set-ups out that says nothing is tested
-	pingDelayEstablished = time.Second             // one to an exchange with standing calls
-	pingTimeout          = 600 * time.Millisecond  // a test that is not answered by then ends the link
-	unresponsiveTimeout  = 4 * time.Second         // an exchange that nothing is heard of has no calls any more
-	refusingTimeout      = 600 * time.Millisecond  // the same, if it refuses connections
+	firstMessageTimeout  = 2500 * time.Millisecond // closes a caller's connection without any message
+	idleTimeout          = 12 * time.Second        // closes a caller's connection without calls, or a surplus link
+	pingDelayPending     = 250 * time.Millisecond  // quiet time before a link with attempts in flight is pinged
+	pingDelayEstablished = time.Second             // the same for a link to an exchange with established calls only
+	pingTimeout          = 600 * time.Millisecond  // closes a link whose ping is not answered
+	unresponsiveTimeout  = 4 * time.Second         // ends the calls at an exchange that nothing is received from
+	refusingTimeout      = 600 * time.Millisecond  // ends the calls at an exchange that refuses connections
 	endingRetention      = 20 * time.Second        // ended calls are remembered
 	maxRecentEndings     = 1 << 14
-	shutdownAcceptPeriod = 750 * time.Millisecond // calls are taken after Leave
-	shutdownMargin       = 300 * time.Millisecond // before it is killed the controller has left
-	setUpsPerLink        = 4                      // set-ups out on one connection before another is made
-	exclusiveLinkPeriod  = 10 * time.Second       // once one was lost with set-ups out, each gets one of its own for so long
-	maxLinksToPeer       = 12                     // connections to one exchange, at the most
-	maxIdleCloseMargin   = time.Second            // before the exchange does, at the most, this end closes an idle one
-	minConnectRetry      = 100 * time.Millisecond // between tries to reach an exchange
+	shutdownAcceptPeriod = 750 * time.Millisecond // calls are still accepted after Shutdown
+	shutdownMargin       = 300 * time.Millisecond // shutdown completes this long before the platform kills the process
+	setUpsPerLink        = 4                      // attempts in flight on one link before another link is dialed
+	exclusiveLinkPeriod  = 10 * time.Second       // no shared links after one was lost with attempts in flight
+	maxLinksToPeer       = 12
+	maxIdleCloseMargin   = time.Second            // idle links are closed up to this long before the exchange would
+	minConnectRetry      = 100 * time.Millisecond // between attempts to connect to an exchange
 	maxConnectRetry      = time.Second
 )
 
-// From SIGTERM to SIGKILL the platform leaves the longest patience, at most maxKillPatience, and killExtraTime.
+// The platform sends SIGKILL after SIGTERM once the longest patience of callers, but at most
+// maxKillPatience, and killExtraTime have passed.
 const (
 	maxKillPatience = 3 * time.Second
 	killExtraTime   = 700 * time.Millisecond
 )
 
-// Stats count what the core did. Those of a kind that is shed have their own.
+// Stats counts what the core did. Events that exceed a limit are counted separately. The field names are
+// written to the log.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Gone, Invalid, Again, Adopted    int
 	Attempts, Resets, TimedOut, NoConnect, Late, Stray, Cut, Forgotten int
 	Tests, TestsLost, ConnsShut                                        int
-	Unsaid, ByesShed                                                   int // releases without a connection; past a bound
+	Unsaid, ByesShed                                                   int // releases that could not be delivered to the caller; BYEs dropped beyond maxPendingByes
 }
 
+// timerEvent tells what a timer was set for: maintenance, the deadline of an attempt or, if attempt is
+// nil, a wake-up of the module with the given token.
 type timerEvent struct {
 	attempt     *callAttempt
 	token       uint64
 	maintenance bool
 }
 
-// logState logs what the controller believes, to be held against what passed.
+// logState logs the state of the core once per stateLogInterval, for comparison with the traffic.
 func (c *Core) logState() {
 	if c.now < c.nextStateLogAt {
 		return
@@ -212,40 +221,40 @@
 	c.log(slog.LevelDebug, "state", "open", c.pending, "calls", len(c.calls), "tries", len(c.attempts), "timers", c.timers.Len(),
 		"callers", len(c.conns), "recent", len(c.recentEndings), "stats", c.Stats)
 	for _, peer := range c.peers {
-		upCount, out := 0, 0
+		upCount, inFlight := 0, 0
 		for _, link := range peer.links {
 			if link.up {
 				upCount++
 			}
-			out += len(link.pending)
+			inFlight += len(link.pending)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", peer.Name, "cell", peer.Number, "state", peer.State, "free", peer.lastReport.Free, "size", peer.lastReport.Size,
-			"links", len(peer.links), "up", upCount, "out", out, "waiting", len(peer.waiting), "standing", len(peer.calls), "fails", peer.connectFailures,
-			"heard", c.now-peer.lastHeardAt)
+		c.log(slog.LevelDebug, "exchange", "name", peer.Name, "cell", peer.Number, "state", peer.State,
+			"free", peer.lastReport.Free, "size", peer.lastReport.Size, "links", len(peer.links), "up", upCount, "out", inFlight,
+			"waiting", len(peer.waiting), "standing", len(peer.calls), "fails", peer.connectFailures, "heard", c.now-peer.lastHeardAt)
 	}
 }
 
-// Core is one controller. It is not safe for concurrent use.
+// Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	cfg           Config
-	classIndexes  map[string]int
-	maxWidth      int
-	shutdownGrace time.Duration // from Leave to the last moment to be gone
+	classIndexes  map[string]int // by class name
+	maxWidth      int            // of all classes, in circuits
+	shutdownGrace time.Duration  // from Shutdown to the latest ShutdownComplete
 	now           time.Duration
 	timers        *wheel.Wheel[timerEvent]
 	effects       []Effect
 	module        policy.Feed
-	random        *rand.Rand // jitter of tries to reach an exchange
+	random        *rand.Rand // jitter of the intervals between connection attempts
 	retry         guard.Retry
 
 	conns      map[ConnID]*callerConn
-	connsByAge []*callerConn // by age
+	connsByAge []*callerConn // oldest first; closed ones are removed by maintenance
 	calls      map[uint64]*activeCall
-	pending    int                     // not answered
-	attempts   map[uint64]*callAttempt // out, by call
+	pending    int                     // calls without a final answer
+	attempts   map[uint64]*callAttempt // in flight or waiting for a link, by call
 
-	peers         []*peerExchange // by number
-	listedNumbers map[int]bool    // numbers that were ever listed
+	peers         []*peerExchange // in ascending order of their ids
+	listedNumbers map[int]bool    // exchange numbers that were ever listed
 	peersByName   map[string]*peerExchange
 	peersByID     map[uint32]*peerExchange
 	lastPeerID    uint32
@@ -262,20 +271,32 @@
 	Stats                        Stats
 }
 
-// callEnding is how a call ended of late.
+// callEnding records how a call ended recently, or where an attempt of it was withdrawn.
 type callEnding struct {
 	endedAt       time.Duration
 	cause         byte
-	withdrawnPeer *peerExchange // where a set-up was given up that may still be answered
-	withdrawnLink *peerLink     // and on which link
+	withdrawnPeer *peerExchange // exchange whose withdrawn set-up may still be answered
+	withdrawnLink *peerLink     // link on which that set-up was sent
 }
 
-// New starts a core.
+// New returns a core that knows no exchange and no connection.
 func New(cfg Config, now time.Duration) *Core {
-	c := &Core{cfg: cfg, module: policy.Feed{Module: cfg.Module}, classIndexes: map[string]int{}, now: now, timers: wheel.New[timerEvent](now), conns: map[ConnID]*callerConn{},
-		calls: map[uint64]*activeCall{}, attempts: map[uint64]*callAttempt{}, peersByName: map[string]*peerExchange{}, listedNumbers: map[int]bool{}, peersByID: map[uint32]*peerExchange{},
-		links: map[LinkID]*peerLink{}, recentEndings: map[uint64]callEnding{},
-		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
+	c := &Core{
+		cfg:           cfg,
+		module:        policy.Feed{Module: cfg.Module},
+		classIndexes:  map[string]int{},
+		now:           now,
+		timers:        wheel.New[timerEvent](now),
+		conns:         map[ConnID]*callerConn{},
+		calls:         map[uint64]*activeCall{},
+		attempts:      map[uint64]*callAttempt{},
+		peersByName:   map[string]*peerExchange{},
+		listedNumbers: map[int]bool{},
+		peersByID:     map[uint32]*peerExchange{},
+		links:         map[LinkID]*peerLink{},
+		recentEndings: map[uint64]callEnding{},
+		random:        rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7)),
+	}
 	c.retry = guard.Retry{Least: minConnectRetry, Most: maxConnectRetry, Random: c.random}
 	for i, class := range cfg.Settings.Classes {
 		c.classIndexes[class.Name] = i
@@ -287,13 +308,13 @@
 	return c
 }
 
-// NextTick is when the core wants a Tick.
+// NextTick returns the time at which the core needs its next Tick.
 func (c *Core) NextTick() time.Duration {
-	at, _ := c.timers.Next() // the house timer is always set
-	return at
+	next, _ := c.timers.Next() // the maintenance timer is always set
+	return next
 }
 
-// Handle takes one input and returns what to do about it.
+// Handle processes the timers that are due and then one input. It returns the effects to carry out.
 func (c *Core) Handle(now time.Duration, in Input) []Effect {
 	c.now, c.effects = max(now, c.now), nil
 	c.timers.Advance(c.now, c.handleTimer)
@@ -322,6 +343,7 @@
 	return c.effects
 }
 
+// handleTimer handles an expired timer.
 func (c *Core) handleTimer(event timerEvent) {
 	switch {
 	case event.maintenance:
@@ -334,12 +356,14 @@
 	}
 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-func (c *Core) log(level slog.Level, text string, args ...any) { c.emit(Log{level, text, args}) }
+func (c *Core) log(level slog.Level, message string, args ...any) {
+	c.emit(Log{level, message, args})
+}
 
-// runMaintenance does what is due now and then: quiet links, callers without a word, what is remembered,
-// the way out.
+// runMaintenance checks the links, closes idle connections, forgets old call endings and advances a
+// shutdown.
 func (c *Core) runMaintenance() {
 	for _, peer := range c.peers {
 		c.maintainLinks(peer)
@@ -347,12 +371,13 @@
 	c.peers = withoutRemoved(c.peers)
 	c.closeIdleConns()
 	c.logState()
-	n := 0
-	for n < len(c.recentIDs) && (c.now-c.recentEndings[c.recentIDs[n]].endedAt > endingRetention || len(c.recentIDs)-n > maxRecentEndings) {
-		delete(c.recentEndings, c.recentIDs[n])
-		n++
+	expired := 0
+	for expired < len(c.recentIDs) && (c.now-c.recentEndings[c.recentIDs[expired]].endedAt > endingRetention ||
+		len(c.recentIDs)-expired > maxRecentEndings) {
+		delete(c.recentEndings, c.recentIDs[expired])
+		expired++
 	}
-	if c.recentIDs = c.recentIDs[n:]; len(c.recentIDs) == 0 {
+	if c.recentIDs = c.recentIDs[expired:]; len(c.recentIDs) == 0 {
 		c.recentIDs = nil
 	}
 	if c.shuttingDown && !c.shutdownDone && c.now-c.shutdownAt >= shutdownAcceptPeriod {
@@ -360,32 +385,33 @@
 	}
 }
 
-// advanceShutdown sees the controller out (graceful shutdown): once no calls are taken any more it stays for
-// those that are open or stand, since who else would tell their callers that they are over; at the
-// end of its grace what is still open gets its answer.
+// advanceShutdown carries out a graceful shutdown. It closes the listener and waits for the pending and
+// established calls, because no other process would tell their callers that the calls are over. At the
+// end of the grace period the calls that are still pending get a final answer.
 func (c *Core) advanceShutdown() {
 	if !c.listenerClosed {
 		c.listenerClosed = true
 		c.emit(CloseListener{})
 	}
-	last := c.now-c.shutdownAt >= c.shutdownGrace
+	graceOver := c.now-c.shutdownAt >= c.shutdownGrace
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
-		if call := c.calls[id]; last && call != nil && !call.established {
+		if call := c.calls[id]; graceOver && call != nil && !call.established {
 			c.answerAtShutdown(call)
 		}
 	}
 	for _, conn := range c.connsByAge {
 		if conn.pending == 0 && conn.established == 0 {
-			c.closeConn(conn, "leaving")
+			c.closeConn(conn, "shutting down")
 		}
 	}
-	if last || len(c.calls) == 0 {
+	if graceOver || len(c.calls) == 0 {
 		c.shutdownDone = true
 		c.emit(ShutdownComplete{})
 	}
 }
 
-// answerAtShutdown answers a set-up that can't be waited for: failed, or refused if it was never sent on.
+// answerAtShutdown answers a call that is still pending at the end of the grace period: failed, or refused
+// if no attempt was made.
 func (c *Core) answerAtShutdown(call *activeCall) {
 	c.notifyModule(brain.CallGone{ID: call.callID})
 	if call.attempts > 0 {
@@ -397,9 +423,9 @@
 	c.sendFinalAnswer(call, newCongestionRelease(call.id, 0))
 }
 
-// recordEnding keeps the end of a call.
+// recordEnding remembers the ending of a call.
 func (c *Core) recordEnding(id uint64, ending callEnding) {
-	if _, there := c.recentEndings[id]; !there {
+	if _, found := c.recentEndings[id]; !found {
 		c.recentIDs = append(c.recentIDs, id)
 	}
 	ending.endedAt = c.now
--- a/internal/interwork/links_test.go
+++ b/internal/interwork/links_test.go
@@ -14,38 +14,38 @@
 // of descriptors, and a set-up to an exchange without one takes the room of the idlest.
 func TestAListThatGrowsStaysWithinTheDescriptors(t *testing.T) {
 	const most = 10
-	for _, first := range []int{0, 4} {
+	for _, resets := range []int{0, 4} {
 		module := newDirectModule(1)
 		c := New(Config{Module: module, Settings: testSettings, ConnectTimeout: 500 * time.Millisecond, MaxLinks: most, MaxConns: 8, MaxPendingPerConn: 5, MaxCalls: 1000}, startTime)
 		h := &testHarness{t: t, module: module, now: startTime, core: c}
 		list := func(from, to int) {
-			var rows []srvlist.Entry
+			var entries []srvlist.Entry
 			for n := from; n < to; n++ {
-				rows = append(rows, testEntry(n))
+				entries = append(entries, testEntry(n))
 			}
-			h.handle(ExchangeListUpdate{Complete: from == 0, Changes: rows})
+			h.handle(ExchangeListUpdate{Complete: from == 0, Changes: entries})
 		}
-		held := func(when string) {
+		checkLinkCount := func(when string) {
 			t.Helper()
 			if len(c.links) > most {
-				t.Fatalf("%s, first %d: %d connections, %d at the most", when, first, len(c.links), most)
+				t.Fatalf("%s, first %d: %d connections, %d at the most", when, resets, len(c.links), most)
 			}
 		}
-		list(0, first)
+		list(0, resets)
 		h.completeDials()
-		held("at the start")
-		list(first, 25)
+		checkLinkCount("at the start")
+		list(resets, 25)
 		h.completeDials()
 		h.advance(time.Second)
-		held("grown")
+		checkLinkCount("grown")
 		h.handle(CallerConnected{1})
 		for n := 1; n < 25; n++ { // exchanges in turn
 			h.handleCallerMessage(1, newSetUp(uint64(n), n))
-			held(fmt.Sprint("call ", n))
+			checkLinkCount(fmt.Sprint("call ", n))
 			h.completeDials()
 			sent, ok := h.lastSent(sip.Invite, uint64(n))
 			if !ok {
-				t.Fatalf("first %d: the set-up to exchange %d was not sent", first, n)
+				t.Fatalf("first %d: the set-up to exchange %d was not sent", resets, n)
 			}
 			h.handle(LinkMessage{sent.Link, newResponse(uint64(n), 200)})
 		}
@@ -68,15 +68,15 @@
 	}
 	h.handle(LinkMessage{sent.Link, newResponse(7, 200)})
 	h.advance(6 * time.Second)
-	first := h.core.Stats.Resets
-	idle := 0
+	resets := h.core.Stats.Resets
+	idleCloses := 0
 	for _, e := range h.effects {
-		if d, is := e.(CloseLink); is && d.Idle && d.Reason == "idle" {
-			idle++
+		if d, matches := e.(CloseLink); matches && d.Idle && d.Reason == "idle" {
+			idleCloses++
 		}
 	}
-	if idle < 4 || first != 0 || len(h.core.peersByName["s-2"].links) == 0 {
-		t.Errorf("%d closed as idle, %d resets, %d links", idle, first, len(h.core.peersByName["s-2"].links))
+	if idleCloses < 4 || resets != 0 || len(h.core.peersByName["s-2"].links) == 0 {
+		t.Errorf("%d closed as idle, %d resets, %d links", idleCloses, resets, len(h.core.peersByName["s-2"].links))
 	}
 	h.handle(LinkMessage{h.firstLinkUp(1), newBye(7, 16)})
 	if ends := h.module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OK {
@@ -152,20 +152,20 @@
 	for _, link := range h.allLinks() {
 		h.handle(LinkDown{Link: link.id})
 	}
-	most, tries := 0, 0
+	maxLinks, dials := 0, 0
 	for range 10 * 60 * 10 {
 		h.now += 100 * time.Millisecond
 		h.handle(Tick{})
 		for i, dial := range h.pendingDials {
-			tries++
+			dials++
 			h.handle(LinkDown{Link: dial.Link, Refused: i%2 == 0})
 		}
 		h.pendingDials = nil
-		most = max(most, len(h.core.links))
+		maxLinks = max(maxLinks, len(h.core.links))
 		h.effects = nil
 	}
-	if most > 8 || h.core.timers.Len() > 4 || tries < 4*300 || tries > 4*6000 {
-		t.Errorf("%d connections and %d timers at the most, %d tries", most, h.core.timers.Len(), tries)
+	if maxLinks > 8 || h.core.timers.Len() > 4 || dials < 4*300 || dials > 4*6000 {
+		t.Errorf("%d connections and %d timers at the most, %d tries", maxLinks, h.core.timers.Len(), dials)
 	}
 }
 
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -8,47 +8,49 @@
 	"dahliaspindle/internal/isup"
 )
 
-// notifyModule hands an event to the module and carries out what it asks for.
-func (c *Core) notifyModule(e brain.Event) { c.module.Give(c.now, e, c.applyAction) }
+// notifyModule passes an event to the routing module and carries out the actions it returns.
+func (c *Core) notifyModule(event brain.Event) { c.module.Give(c.now, event, c.applyAction) }
 
-func (c *Core) applyAction(a brain.Action) {
-	switch a := a.(type) {
+// applyAction carries out one action of the routing module. Actions on calls that are not pending any
+// more are ignored.
+func (c *Core) applyAction(action brain.Action) {
+	switch action := action.(type) {
 	case brain.Send:
-		if call := c.pendingCall(a.ID); call != nil && c.attempts[call.id] == nil {
-			c.startAttempt(call, a)
+		if call := c.pendingCall(action.ID); call != nil && c.attempts[call.id] == nil {
+			c.startAttempt(call, action)
 		}
 	case brain.Refuse:
-		if call := c.pendingCall(a.ID); call != nil {
+		if call := c.pendingCall(action.ID); call != nil {
 			c.Stats.Refused++
-			c.sendFinalAnswer(call, newCongestionRelease(call.id, a.Backoff))
+			c.sendFinalAnswer(call, newCongestionRelease(call.id, action.Backoff))
 		}
 	case brain.GiveUp:
-		if call := c.pendingCall(a.ID); call != nil {
+		if call := c.pendingCall(action.ID); call != nil {
 			c.Stats.Failed++
 			c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
 		}
 	case brain.Cancel:
-		if id, err := strconv.ParseUint(a.ID, 16, 64); err == nil {
-			if attempt := c.attempts[id]; attempt != nil && attempt.number == a.Attempt {
+		if id, err := strconv.ParseUint(action.ID, 16, 64); err == nil {
+			if attempt := c.attempts[id]; attempt != nil && attempt.number == action.Attempt {
 				c.withdrawAttempt(attempt, brain.Cancelled)
 			}
 		}
 	case brain.Wake:
-		c.timers.Set(c.now+a.After, timerEvent{token: a.Token})
+		c.timers.Set(c.now+action.After, timerEvent{token: action.Token})
 	case brain.Verdict:
 		level := slog.LevelDebug
-		if a.Log {
+		if action.Log {
 			level = slog.LevelInfo
 		}
-		if c.cfg.LogAllVerdicts || a.Log {
-			c.log(level, "verdict", "call", a.ID, "reason", a.Reason, "scope", a.Scope, "cell", a.Cell, "nth", a.Nth)
+		if c.cfg.LogAllVerdicts || action.Log {
+			c.log(level, "verdict", "call", action.ID, "reason", action.Reason, "scope", action.Scope, "cell", action.Cell, "nth", action.Nth)
 		}
 	}
 }
 
-// pendingCall is a call that is owed an answer.
-func (c *Core) pendingCall(name string) *activeCall {
-	id, err := strconv.ParseUint(name, 16, 64)
+// pendingCall returns the call with the given Call-ID if it still awaits its final answer, else nil.
+func (c *Core) pendingCall(callID string) *activeCall {
+	id, err := strconv.ParseUint(callID, 16, 64)
 	if err != nil {
 		return nil
 	}
@@ -58,11 +60,12 @@
 	return nil
 }
 
-// reportEnded tells the module of the end of an attempt.
-func (c *Core) reportEnded(attempt *callAttempt, e brain.Ended) {
+// reportEnded reports the end of an attempt to the module.
+func (c *Core) reportEnded(attempt *callAttempt, ended brain.Ended) {
 	call := attempt.call
-	e.ID, e.Attempt, e.Exchange, e.After = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
-	e.Final = c.calls[call.id] != call || call.established
-	c.log(slog.LevelDebug, "ended", "call", call.callID, "nth", attempt.number, "outcome", e.Outcome, "note", e.Note, "final", e.Final, "after", e.After)
-	c.notifyModule(e)
+	ended.ID, ended.Attempt, ended.Exchange, ended.After = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
+	ended.Final = c.calls[call.id] != call || call.established
+	c.log(slog.LevelDebug, "ended", "call", call.callID, "nth", attempt.number, "outcome", ended.Outcome, "note", ended.Note,
+		"final", ended.Final, "after", ended.After)
+	c.notifyModule(ended)
 }
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -13,31 +13,32 @@
 	"dahliaspindle/internal/srvlist"
 )
 
-// peerExchange is an exchange of the list, with the connections to it.
+// peerExchange is an exchange of the exchange list with its links and calls.
 type peerExchange struct {
 	srvlist.Entry
-	id          uint32 // in the module
+	id          uint32 // identifies the exchange towards the module
 	links       []*peerLink
-	waiting     []*callAttempt // for a link
-	calls       map[uint64]*activeCall
-	pendingByes []byeRequest // to be said once a link is up
+	waiting     []*callAttempt         // attempts that wait for a link
+	calls       map[uint64]*activeCall // established at this exchange
+	pendingByes []byeRequest           // to be sent once a link is up
 	removed     bool
-	lastReport  brain.Report // of the group, the last
+	lastReport  brain.Report // last known state of the trunk group
 
-	lastHeardAt     time.Duration // last sign of life
-	exclusiveUntil  time.Duration // until then set-ups share no connection
-	connectFailures int           // tries to connect in a row that came to nothing
-	refusingSince   time.Duration // since when it refuses connections, 0 if it does not
-	retryAt         time.Duration
+	lastHeardAt     time.Duration // last message or connect
+	exclusiveUntil  time.Duration // until then set-ups do not share links
+	connectFailures int           // consecutive failed connection attempts
+	refusingSince   time.Duration // start of the current run of refused connections, 0 if none
+	retryAt         time.Duration // no connection attempt before
 }
 
+// byeRequest is a BYE to be sent.
 type byeRequest struct {
 	id     uint64
 	callID string
 	cause  byte
 }
 
-// maxPendingByes bounds what is kept to be said to an exchange that can't be reached.
+// maxPendingByes limits the BYEs that are kept for an unreachable exchange.
 const maxPendingByes = 4096
 
 // peerLink is a connection to an exchange.
@@ -45,28 +46,31 @@
 	id          LinkID
 	peer        *peerExchange
 	up          bool
-	pending     []*callAttempt
-	suspect     bool          // no new set-ups until a test has passed
-	lastHeardAt time.Duration // last message, or when it came up
-	pingSentAt  time.Duration // when a test went out that is not answered, 0 if none is
-	lastUsedAt  time.Duration
+	pending     []*callAttempt // attempts in flight
+	suspect     bool           // used for new set-ups only if no other link is up, until a ping is answered
+	lastHeardAt time.Duration  // last message, or connect
+	pingSentAt  time.Duration  // time of the unanswered ping, 0 if none
+	lastUsedAt  time.Duration  // last set-up sent, or connect
 	dialedAt    time.Duration
 }
 
+// withoutRemoved filters out, in place, the peers that were removed.
 func withoutRemoved(peers []*peerExchange) []*peerExchange {
 	return slices.DeleteFunc(peers, func(peer *peerExchange) bool { return peer.removed })
 }
 
-// clockTime maps the start of an exchange to the clock: 0 is long ago.
-func (c *Core) clockTime(born int64) time.Duration {
-	if born == 0 {
+// clockTime converts the start time of an exchange to the core's clock. 0 stands for a start long ago.
+func (c *Core) clockTime(startUnixMilli int64) time.Duration {
+	if startUnixMilli == 0 {
 		return 0
 	}
-	return max(time.Duration(born*int64(time.Millisecond)-c.cfg.EpochUnixNano), 0)
+	return max(time.Duration(startUnixMilli*int64(time.Millisecond)-c.cfg.EpochUnixNano), 0)
 }
 
+// handleExchangeListUpdate applies changes of the exchange list and passes them to the module. Peers are
+// removed and links are dialed only once the module knows the new list.
 func (c *Core) handleExchangeListUpdate(in ExchangeListUpdate) {
-	var rows []brain.Exchange
+	var exchanges []brain.Exchange
 	for _, entry := range in.Changes {
 		peer := c.peersByName[entry.Name]
 		if peer == nil {
@@ -81,12 +85,13 @@
 		}
 		previous := peer.Entry
 		peer.Entry = entry
-		c.log(slog.LevelInfo, "exchange", "name", entry.Name, "cell", entry.Number, "state", entry.State, "born", entry.StartUnixMilli, "addr", entry.Addr)
-		rows = append(rows, brain.Exchange{ID: peer.id, Cell: entry.Number, State: entry.State, Since: c.clockTime(entry.StartUnixMilli)})
+		c.log(slog.LevelInfo, "exchange", "name", entry.Name, "cell", entry.Number, "state", entry.State,
+			"born", entry.StartUnixMilli, "addr", entry.Addr)
+		exchanges = append(exchanges, brain.Exchange{ID: peer.id, Cell: entry.Number, State: entry.State, Since: c.clockTime(entry.StartUnixMilli)})
 		c.applyEntryChange(peer, previous)
 	}
-	c.notifyModule(brain.Exchanges{Complete: in.Complete, Entries: rows})
-	for _, entry := range in.Changes { // once the module knows
+	c.notifyModule(brain.Exchanges{Complete: in.Complete, Entries: exchanges})
+	for _, entry := range in.Changes { // after the module has been notified
 		if peer := c.peersByName[entry.Name]; peer != nil && entry.State == brain.Out {
 			c.removePeer(peer)
 		} else if peer != nil {
@@ -95,14 +100,14 @@
 	}
 }
 
-// applyEntryChange follows what the list says of an exchange that is known: its links, its calls.
+// applyEntryChange adapts the links, calls and waiting attempts of an exchange to its new list entry.
 func (c *Core) applyEntryChange(peer *peerExchange, previous srvlist.Entry) {
 	if peer.StartUnixMilli != previous.StartUnixMilli || peer.Addr != previous.Addr {
-		// another process: the calls of the one before are over
-		c.endCallsBefore(peer, c.clockTime(peer.StartUnixMilli), "started again")
+		// The exchange is another process now: the calls of the previous one are over.
+		c.endCallsBefore(peer, c.clockTime(peer.StartUnixMilli), "restarted")
 		for _, link := range slices.Clone(peer.links) {
 			if link.dialedAt < c.clockTime(peer.StartUnixMilli) || peer.Addr != previous.Addr {
-				c.closeLink(link, "of before the exchange's start")
+				c.closeLink(link, "exchange restarted")
 			}
 		}
 		peer.connectFailures, peer.retryAt, peer.refusingSince, peer.lastHeardAt = 0, 0, 0, c.now
@@ -115,46 +120,49 @@
 	if peer.State == brain.In {
 		return
 	}
-	for _, attempt := range slices.Clone(peer.waiting) { // nothing new goes there
+	for _, attempt := range slices.Clone(peer.waiting) { // the exchange takes no new calls
 		c.removeAttempt(attempt)
 		c.reportEnded(attempt, brain.Ended{Outcome: brain.Moot})
 	}
 }
 
+// removePeer ends the calls at an exchange that left the list and closes its links.
 func (c *Core) removePeer(peer *peerExchange) {
-	c.endCallsBefore(peer, c.now+1, "gone")
+	c.endCallsBefore(peer, c.now+1, "removed from the list")
 	for _, link := range slices.Clone(peer.links) {
-		c.closeLink(link, "exchange gone")
+		c.closeLink(link, "exchange removed from the list")
 	}
 	peer.removed = true
 	delete(c.peersByName, peer.Name)
 	delete(c.peersByID, peer.id)
 }
 
-// isKnownDestination tells whether a number is an exchange's: one that was ever listed, or one of the controllers'
-// own exchanges; any, while no list was told. Whether it can be reached now is the module's to say:
-// one that is off the list for a while is no fault of the caller, who may come back.
-func (c *Core) isKnownDestination(cell int) bool {
-	return cell >= 0 && (c.listedNumbers[cell] || len(c.listedNumbers) == 0 || !c.cfg.Settings.Pools && cell < c.cfg.Settings.Controllers)
+// isKnownDestination reports whether a number belongs to an exchange: one that was ever listed or one of
+// the controllers' own exchanges. While no list has been received, every number that is not negative
+// counts as known. Whether the exchange can be reached now is decided by the module: an exchange that is
+// off the list for a while is no error of the caller, who may retry.
+func (c *Core) isKnownDestination(number int) bool {
+	return number >= 0 && (c.listedNumbers[number] || len(c.listedNumbers) == 0 || !c.cfg.Settings.Pools && number < c.cfg.Settings.Controllers)
 }
 
-// endCallsBefore ends the calls that stood at an exchange before a time.
-func (c *Core) endCallsBefore(peer *peerExchange, before time.Duration, why string) {
-	n := 0
+// endCallsBefore ends the calls that were established at an exchange before a time.
+func (c *Core) endCallsBefore(peer *peerExchange, before time.Duration, reason string) {
+	ended := 0
 	for _, id := range slices.Sorted(maps.Keys(peer.calls)) {
 		if call := peer.calls[id]; call.establishedAt < before {
-			n++
+			ended++
 			c.Stats.Forgotten++
 			c.releaseAtPeer(peer, call.id, call.callID, isup.TemporaryFailure)
 			c.endEstablishedCall(call, brain.Reset, isup.TemporaryFailure, false)
 		}
 	}
-	if n > 0 {
-		c.log(slog.LevelWarn, "calls over", "exchange", peer.Name, "why", why, "calls", n)
+	if ended > 0 {
+		c.log(slog.LevelWarn, "calls over", "exchange", peer.Name, "why", reason, "calls", ended)
 	}
 }
 
-// maintainLinks sees to the connections to an exchange: enough of them, none that is silent.
+// maintainLinks closes idle and unresponsive links to an exchange, ends its calls if it is unreachable, and
+// dials or closes links to match the set-ups in flight and waiting.
 func (c *Core) maintainLinks(peer *peerExchange) {
 	if peer.removed {
 		return
@@ -166,114 +174,128 @@
 			c.checkLiveness(link)
 		}
 	}
-	upCount, busy, dialing, out, spent := 0, 0, 0, len(peer.waiting), 0
-	for _, link := range peer.links { // what the tests have left
+	upCount, busyCount, dialingCount, inFlight, suspectCount := 0, 0, 0, len(peer.waiting), 0
+	for _, link := range peer.links { // those left after the checks above
 		if !link.up {
-			dialing++
+			dialingCount++
 			continue
 		}
 		upCount++
-		out += len(link.pending)
+		inFlight += len(link.pending)
 		if link.suspect {
-			spent++
+			suspectCount++
 		}
 		if len(link.pending) > 0 || link.suspect {
-			busy++
+			busyCount++
 		}
 	}
 	switch {
 	case peer.refusingSince > 0 && c.now-peer.refusingSince > refusingTimeout && upCount == 0:
 		c.endCallsBefore(peer, c.now+1, "refuses connections")
 	case c.now-peer.lastHeardAt > unresponsiveTimeout && len(peer.calls) > 0:
-		c.endCallsBefore(peer, c.now+1, "silent")
+		c.endCallsBefore(peer, c.now+1, "unresponsive")
 	}
-	want := max((out+setUpsPerLink-1)/setUpsPerLink, 1) + spent
+	wanted := max((inFlight+setUpsPerLink-1)/setUpsPerLink, 1) + suspectCount
 	if c.now < peer.exclusiveUntil {
-		want = busy + 1
+		wanted = busyCount + 1
 	}
-	want = min(want, c.maxLinksPerPeer())
+	wanted = min(wanted, c.maxLinksPerPeer())
 	if peer.State != brain.In {
-		want = 1
+		wanted = 1
 	}
 	if peer.connectFailures > 0 {
-		want = min(want, upCount+1)
+		wanted = min(wanted, upCount+1)
 		if c.now < peer.retryAt {
-			want = upCount
+			wanted = upCount
 		}
 	}
-	for n := upCount + dialing; n < want && (len(c.links) < c.cfg.MaxLinks || n == 0 && c.closeIdlestLink(len(peer.waiting) > 0)); n++ {
+	for n := upCount + dialingCount; n < wanted && (len(c.links) < c.cfg.MaxLinks ||
+		n == 0 && c.closeIdlestLink(len(peer.waiting) > 0)); n++ {
 		c.dialPeer(peer)
 	}
-	if upCount > want { // the longest unused goes
-		var link *peerLink
-		for _, other := range peer.links {
-			if other.up && len(other.pending) == 0 && c.now-other.lastUsedAt > idleTimeout && (link == nil || other.lastUsedAt < link.lastUsedAt) {
-				link = other
+	if upCount > wanted { // close the longest unused link
+		var idlest *peerLink
+		for _, link := range peer.links {
+			if link.up && len(link.pending) == 0 && c.now-link.lastUsedAt > idleTimeout &&
+				(idlest == nil || link.lastUsedAt < idlest.lastUsedAt) {
+				idlest = link
 			}
 		}
-		if link != nil {
-			c.closeLink(link, "not needed")
+		if idlest != nil {
+			c.closeLink(idlest, "not needed")
 		}
 	}
 }
 
-// nearIdleTimeout tells whether a link has been idle for so long that the exchange may be about to close it:
-// a set-up that crosses that close is unclear.
+// nearIdleTimeout reports whether a link has been idle so long that the exchange may be about to close it.
+// The outcome of a set-up that crosses the close would be unknown.
 func (c *Core) nearIdleTimeout(link *peerLink) bool {
-	return c.cfg.ExchangeIdleTimeout > 0 && len(link.pending) == 0 && link.pingSentAt == 0 && c.now-link.lastUsedAt >= c.cfg.ExchangeIdleTimeout-min(c.cfg.ExchangeIdleTimeout/4, maxIdleCloseMargin)
+	return c.cfg.ExchangeIdleTimeout > 0 && len(link.pending) == 0 && link.pingSentAt == 0 &&
+		c.now-link.lastUsedAt >= c.cfg.ExchangeIdleTimeout-min(c.cfg.ExchangeIdleTimeout/4, maxIdleCloseMargin)
 }
 
-// maxLinksPerPeer is how many connections one exchange may have: the list may grow beyond that of the start.
+// maxLinksPerPeer returns the share of one exchange in the allowed links. It is computed from the current
+// list, which may be longer than at the start.
 func (c *Core) maxLinksPerPeer() int {
 	return min(max(c.cfg.MaxLinks/max(len(c.peers), 1), 1), maxLinksToPeer)
 }
 
-// closeIdlestLink closes the link that was idle the longest: one of several to its exchange or, where a
-// set-up needs the room, any.
-func (c *Core) closeIdlestLink(needed bool) bool {
+// closeIdlestLink closes the link that was idle the longest and reports whether there was one. The last
+// link to an exchange is closed only if the descriptor is needed for a set-up.
+func (c *Core) closeIdlestLink(forSetUp bool) bool {
 	var idlest *peerLink
 	for _, peer := range c.peers {
 		for _, link := range peer.links {
-			if link.up && len(link.pending) == 0 && link.pingSentAt == 0 && (needed || len(peer.links) > 1) && (idlest == nil || link.lastUsedAt < idlest.lastUsedAt) {
+			if link.up && len(link.pending) == 0 && link.pingSentAt == 0 && (forSetUp || len(peer.links) > 1) &&
+				(idlest == nil || link.lastUsedAt < idlest.lastUsedAt) {
 				idlest = link
 			}
 		}
 	}
 	if idlest != nil {
-		c.closeLink(idlest, "its descriptor is needed")
+		c.closeLink(idlest, "descriptor needed for another link")
 	}
 	return idlest != nil
 }
 
-// checkLiveness asks a quiet link with work on it for a sign of life, and gives up one that gave none.
+// checkLiveness pings a quiet link that has attempts in flight, is suspect or leads to an exchange with
+// established calls, and closes a link whose ping was not answered in time.
 func (c *Core) checkLiveness(link *peerLink) {
 	if link.pingSentAt > 0 {
 		if c.now-link.pingSentAt >= pingTimeout {
 			c.Stats.TestsLost++
-			c.closeLink(link, "silent")
+			c.closeLink(link, "unresponsive")
 		}
 		return
 	}
-	wait := pingDelayPending
+	pingDelay := pingDelayPending
 	if len(link.pending) == 0 && !link.suspect {
-		if wait = pingDelayEstablished; len(link.peer.calls) == 0 {
+		if pingDelay = pingDelayEstablished; len(link.peer.calls) == 0 {
 			return
 		}
 	}
-	if c.now-max(link.lastHeardAt, link.lastUsedAt) >= wait {
+	if c.now-max(link.lastHeardAt, link.lastUsedAt) >= pingDelay {
 		c.sendPing(link)
 	}
 }
 
+// sendPing sends an OPTIONS request unless one is unanswered already.
 func (c *Core) sendPing(link *peerLink) {
 	if link.pingSentAt > 0 {
 		return
 	}
 	link.pingSentAt = c.now
 	c.Stats.Tests++
-	c.emit(SendToExchange{link.id, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: fmt.Sprintf("%016x", uint64(link.id)), Seq: 1, Of: sip.Options}, 1 << 62})
+	c.emit(SendToExchange{link.id, &sip.Message{
+		Method: sip.Options,
+		URI:    "sip:ping@net",
+		CallID: fmt.Sprintf("%016x", uint64(link.id)),
+		Seq:    1,
+		Of:     sip.Options,
+	}, 1 << 62})
 }
 
+// dialPeer opens a new link to an exchange.
 func (c *Core) dialPeer(peer *peerExchange) {
 	c.lastLinkID++
 	link := &peerLink{id: c.lastLinkID, peer: peer, dialedAt: c.now}
@@ -282,10 +304,11 @@
 	c.emit(Dial{link.id, peer.Addr, c.cfg.ConnectTimeout})
 }
 
+// handleLinkUp sends the pending BYEs and then the waiting set-ups on a link that came up.
 func (c *Core) handleLinkUp(id LinkID) {
 	link := c.links[id]
 	if link == nil {
-		c.emit(CloseLink{Link: id, Reason: "not wanted any more", Idle: true})
+		c.emit(CloseLink{Link: id, Reason: "no longer needed", Idle: true})
 		return
 	}
 	peer := link.peer
@@ -307,6 +330,8 @@
 	c.maintainLinks(peer)
 }
 
+// handleLinkDown handles the end of a link or a failed dial. If no link is up after a failed dial, the
+// waiting attempts end.
 func (c *Core) handleLinkDown(in LinkDown) {
 	link := c.links[in.Link]
 	if link == nil {
@@ -335,22 +360,24 @@
 	c.maintainLinks(peer)
 }
 
+// removeLink removes a link from the tables.
 func (c *Core) removeLink(link *peerLink) {
 	delete(c.links, link.id)
 	link.peer.links = slices.DeleteFunc(link.peer.links, func(other *peerLink) bool { return other == link })
 	link.up = false
 }
 
-// closeLink closes a link; what was out on it is unclear.
-func (c *Core) closeLink(link *peerLink, why string) {
+// closeLink closes a link. The attempts in flight on it end with an unknown outcome at the exchange.
+func (c *Core) closeLink(link *peerLink, reason string) {
 	c.removeLink(link)
-	c.emit(CloseLink{Link: link.id, Reason: why, Idle: len(link.pending) == 0 && link.pingSentAt == 0})
-	c.log(slog.LevelDebug, "link dropped", "exchange", link.peer.Name, "link", link.id, "why", why, "open", len(link.pending))
+	c.emit(CloseLink{Link: link.id, Reason: reason, Idle: len(link.pending) == 0 && link.pingSentAt == 0})
+	c.log(slog.LevelDebug, "link dropped", "exchange", link.peer.Name, "link", link.id, "why", reason,
+		"open", len(link.pending))
 	c.resetPending(link)
 }
 
-// resetPending ends what was out on a link that is over. The exchange gives it up as it sees the end; if
-// it had answered, the call is hung up on the next link.
+// resetPending ends the attempts in flight on a link that is closed. The exchange abandons them when it
+// sees the close; a call that it had answered is released with a BYE on another link.
 func (c *Core) resetPending(link *peerLink) {
 	if len(link.pending) > 0 {
 		link.peer.exclusiveUntil = c.now + exclusiveLinkPeriod
@@ -363,26 +390,28 @@
 	}
 }
 
-// pickLink is the link for a set-up: the one with least on it, rather not a given one; nil if none is up.
+// pickLink returns the link with the fewest attempts in flight, or nil if none is up. A suspect link and
+// the link to avoid are returned only if there is no other.
 func (c *Core) pickLink(peer *peerExchange, avoid *peerLink) *peerLink {
 	var best *peerLink
 	for _, link := range peer.links {
-		bad, badBest := link.suspect || link == avoid, best != nil && (best.suspect || best == avoid)
+		avoidLink, avoidBest := link.suspect || link == avoid, best != nil && (best.suspect || best == avoid)
 		switch {
 		case !link.up:
-		case best == nil, badBest && !bad, bad == badBest && len(link.pending) < len(best.pending):
+		case best == nil, avoidBest && !avoidLink, avoidLink == avoidBest && len(link.pending) < len(best.pending):
 			best = link
 		}
 	}
 	return best
 }
 
-// releaseAtPeer ends a call at an exchange, now or when it can be reached.
-func (c *Core) releaseAtPeer(peer *peerExchange, id uint64, name string, cause byte) {
+// releaseAtPeer sends a BYE to an exchange, at once or when a link is up. BYEs beyond maxPendingByes are
+// dropped and counted.
+func (c *Core) releaseAtPeer(peer *peerExchange, id uint64, callID string, cause byte) {
 	if peer == nil || peer.removed {
 		return
 	}
-	bye := byeRequest{id, name, cause}
+	bye := byeRequest{id, callID, cause}
 	if link := c.pickLink(peer, nil); link != nil {
 		c.sendBye(link, bye)
 	} else if len(peer.pendingByes) < maxPendingByes {
@@ -392,7 +421,14 @@
 	}
 }
 
+// sendBye sends a BYE on a link.
 func (c *Core) sendBye(link *peerLink, bye byeRequest) {
-	msg := &sip.Message{Method: sip.Bye, URI: "sip:" + bye.callID + "@net", CallID: bye.callID, Seq: 2, Of: sip.Bye}
+	msg := &sip.Message{
+		Method: sip.Bye,
+		URI:    "sip:" + bye.callID + "@net",
+		CallID: bye.callID,
+		Seq:    2,
+		Of:     sip.Bye,
+	}
 	c.emit(SendToExchange{link.id, msg.Put("Reason", sip.Reason(bye.cause)), 1 << 62})
 }
--- a/internal/interwork/rig_test.go
+++ b/internal/interwork/rig_test.go
@@ -169,7 +169,7 @@
 // lastSent finds the last message of a method for a call.
 func (h *testHarness) lastSent(method string, id uint64) (found SendToExchange, ok bool) {
 	for _, e := range h.effects {
-		if sent, is := e.(SendToExchange); is && sent.Msg.Method == method && sent.Msg.CallID == callID(id) {
+		if sent, matches := e.(SendToExchange); matches && sent.Msg.Method == method && sent.Msg.CallID == callID(id) {
 			found, ok = sent, true
 		}
 	}
@@ -178,7 +178,7 @@
 
 func (h *testHarness) countSent(method string, id uint64) (n int) {
 	for _, e := range h.effects {
-		if sent, is := e.(SendToExchange); is && sent.Msg.Method == method && sent.Msg.CallID == callID(id) {
+		if sent, matches := e.(SendToExchange); matches && sent.Msg.Method == method && sent.Msg.CallID == callID(id) {
 			n++
 		}
 	}
@@ -189,12 +189,12 @@
 func (h *testHarness) sentToCaller(conn ConnID, id uint64) string {
 	var out []string
 	for _, e := range h.effects {
-		if sent, is := e.(SendToCaller); is && sent.Conn == conn && sent.Msg.Call == id {
-			word := fmt.Sprint(sent.Msg.Type)
+		if sent, matches := e.(SendToCaller); matches && sent.Conn == conn && sent.Msg.Call == id {
+			text := fmt.Sprint(sent.Msg.Type)
 			if sent.Msg.Type == isup.Release {
-				word += fmt.Sprint("/", sent.Msg.Cause())
+				text += fmt.Sprint("/", sent.Msg.Cause())
 			}
-			out = append(out, word)
+			out = append(out, text)
 		}
 	}
 	return strings.Join(out, " ")
@@ -202,7 +202,7 @@
 
 func (h *testHarness) connClosed(conn ConnID) bool {
 	for _, e := range h.effects {
-		if closed, is := e.(CloseConn); is && closed.Conn == conn {
+		if closed, matches := e.(CloseConn); matches && closed.Conn == conn {
 			return true
 		}
 	}
@@ -211,7 +211,7 @@
 
 func (h *testHarness) countWithdrawn(id uint64) (n int) {
 	for _, e := range h.effects {
-		if withdrawal, is := e.(WithdrawSetUp); is && withdrawal.CallID == callID(id) {
+		if withdrawal, matches := e.(WithdrawSetUp); matches && withdrawal.CallID == callID(id) {
 			n++
 		}
 	}
@@ -248,9 +248,9 @@
 // newDirectModule sends each call to the exchange of its destination, once, or as often as it says.
 func newDirectModule(times int) *scriptedModule {
 	m := &scriptedModule{}
-	tried, calls := map[string]int{}, map[string]brain.Call{}
+	attempts, calls := map[string]int{}, map[string]brain.Call{}
 	send := func(id string) []brain.Action {
-		tried[id]++
+		attempts[id]++
 		return []brain.Action{brain.Send{ID: id, Exchange: uint32(calls[id].Dest + 1), Timeout: time.Second}}
 	}
 	m.respond = func(e brain.Event) []brain.Action {
@@ -259,12 +259,12 @@
 			calls[e.ID] = e
 			return send(e.ID)
 		case brain.CallGone:
-			return []brain.Action{brain.Cancel{ID: e.ID, Attempt: tried[e.ID] - 1}}
+			return []brain.Action{brain.Cancel{ID: e.ID, Attempt: attempts[e.ID] - 1}}
 		case brain.Ended:
 			if e.Final {
 				return nil
 			}
-			if tried[e.ID] < times {
+			if attempts[e.ID] < times {
 				return send(e.ID)
 			}
 			return []brain.Action{brain.Refuse{ID: e.ID, Backoff: 1500 * time.Microsecond}}
