--- a/brain/api.go
+++ b/brain/api.go
@@ -45,126 +45,126 @@
 	Tick           time.Duration
 }
 
-// State is what the exchange list says of an exchange.
-type State int
+// ExchangeState is what the exchange list says of an exchange.
+type ExchangeState int
 
 const (
-	In       State = iota // takes calls
-	Draining              // completes what it has
-	Out                   // withdrawn
+	InService    ExchangeState = iota // takes calls
+	Draining                          // completes what it has
+	OutOfService                      // withdrawn
 )
 
 // Exchange is one line of the exchange list.
 type Exchange struct {
-	ID    uint32
-	Cell  int
-	State State
-	Since time.Duration // clock time of its latest start, 0 long ago
+	ID        uint32
+	Number    int
+	State     ExchangeState
+	StartedAt time.Duration // clock time of its latest start, 0 long ago
 }
 
-// Report is what an answer or a probe tells of a far exchange.
-type Report struct {
-	Known      bool // Free and Size are set
-	Free, Size int  // circuits of the group between here and there
-	HasEps     bool
-	Eps        float64 // share of new set-ups to hold back
+// StatusReport is what an answer or a probe tells of a far exchange.
+type StatusReport struct {
+	CircuitsKnown           bool // Free and Size are set
+	FreeCircuits, GroupSize int  // circuits of the group between here and there
+	HasReduction            bool
+	Reduction               float64 // share of new set-ups to hold back
 }
 
 // Outcome says how an attempt ended.
 type Outcome int
 
 const (
-	OK        Outcome = iota // the call has ended after standing
-	Failed                   // all lines busy, or a signalling fault
-	Full                     // turned back or turned away, never ran
-	TimedOut                 // no timely answer
-	NoConnect                // never reached, never ran
-	Reset                    // cut
-	Cancelled                // withdrawn
-	Moot                     // not sent, never ran
+	OutcomeCompleted   Outcome = iota // the call has ended after standing
+	OutcomeFailed                     // all lines busy, or a signalling fault
+	OutcomeRejected                   // turned back or turned away, never ran
+	OutcomeTimedOut                   // no timely answer
+	OutcomeUnreachable                // never reached, never ran
+	OutcomeReset                      // cut
+	OutcomeCancelled                  // withdrawn
+	OutcomeNotSent                    // not sent, never ran
 )
 
 // Note says why, where it is known.
 type Note int
 
 const (
-	NoNote       Note = 0
-	NoCircuit    Note = 1
-	TurnedBack   Note = 2
-	ProcFull     Note = 3
-	LinesBusy    Note = 4
-	DestProcFull Note = 18 // turned back, the onward processor was full
+	NoteNone                Note = 0
+	NoteNoCircuit           Note = 1
+	NoteCrankback           Note = 2
+	NoteProcessorFull       Note = 3
+	NoteLinesBusy           Note = 4
+	NoteOnwardProcessorFull Note = 18 // turned back, the onward processor was full
 )
 
 // Event is one thing that a controller is told.
 type Event interface{ event() }
 
 type (
-	// Exchanges brings the exchange list or changes to it.
-	Exchanges struct {
+	// ExchangeListUpdate brings the exchange list or changes to it.
+	ExchangeListUpdate struct {
 		Complete bool
 		Entries  []Exchange
 	}
 	// Call hands over a call; one final answer is owed from here on.
 	Call struct {
-		ID       string
-		Class    int
-		Number   uint64
-		Numbered bool          // Number is set
-		Left     time.Duration // until the caller gives this try up
-		Dest     int
-		Width    int
-		Through  int // advice of the centre, or the source of a call in transit
-		Transit  bool
-		Repeat   bool // marked as a further try
-		Again    bool // was cut and comes again
+		ID              string
+		Class           int
+		CalledNumber    uint64
+		HasCalledNumber bool          // Number is set
+		Remaining       time.Duration // until the caller gives this try up
+		Destination     int
+		Width           int
+		Via             int // advice of the centre, or the source of a call in transit
+		Transit         bool
+		Repeat          bool // marked as a further try
+		Reconnect       bool // was cut and comes again
 	}
-	// CallGone says that the caller left.
-	CallGone struct{ ID string }
-	// Circuits tells the free circuits of the group towards an exchange.
-	Circuits struct {
-		Exchange uint32
-		OK       bool
-		Asked    bool // the answer to a Probe
-		After    time.Duration
-		Report   Report
+	// CallAbandoned says that the caller left.
+	CallAbandoned struct{ CallID string }
+	// GroupStatus tells the free circuits of the group towards an exchange.
+	GroupStatus struct {
+		ExchangeID uint32
+		OK         bool
+		ProbeReply bool // the answer to a Probe
+		Elapsed    time.Duration
+		Report     StatusReport
 	}
-	// Standing says that a call stands.
-	Standing struct {
-		ID       string
-		Attempt  int
-		Exchange uint32
-		After    time.Duration
+	// CallEstablished says that a call stands.
+	CallEstablished struct {
+		CallID     string
+		Attempt    int
+		ExchangeID uint32
+		Elapsed    time.Duration
 	}
-	// Ended says how an attempt ended.
-	Ended struct {
-		ID       string
-		Attempt  int
-		Exchange uint32
-		Outcome  Outcome
-		After    time.Duration
-		Final    bool
-		Note     Note
-		Wait     time.Duration // named by a full processor
-		Report   Report
+	// AttemptEnded says how an attempt ended.
+	AttemptEnded struct {
+		CallID     string
+		Attempt    int
+		ExchangeID uint32
+		Outcome    Outcome
+		Elapsed    time.Duration
+		Final      bool
+		Note       Note
+		RetryAfter time.Duration // named by a full processor
+		Report     StatusReport
 	}
-	// Alarm is the return of a Wake.
-	Alarm struct{ Token uint64 }
-	// Peer brings a message of another controller.
-	Peer struct {
+	// TimerExpired is the return of a Wake.
+	TimerExpired struct{ Token uint64 }
+	// PeerMessage brings a message of another controller.
+	PeerMessage struct {
 		From int
 		Data []byte
 	}
 )
 
-func (Exchanges) event() {}
-func (Call) event()      {}
-func (CallGone) event()  {}
-func (Circuits) event()  {}
-func (Standing) event()  {}
-func (Ended) event()     {}
-func (Alarm) event()     {}
-func (Peer) event()      {}
+func (ExchangeListUpdate) event() {}
+func (Call) event()               {}
+func (CallAbandoned) event()      {}
+func (GroupStatus) event()        {}
+func (CallEstablished) event()    {}
+func (AttemptEnded) event()       {}
+func (TimerExpired) event()       {}
+func (PeerMessage) event()        {}
 
 // Action is one thing that a controller asks for.
 type Action interface{ action() }
@@ -176,44 +176,44 @@
 type Scope string
 
 type (
-	// Send sets the call up through an exchange.
-	Send struct {
-		ID       string
-		Exchange uint32
-		Timeout  time.Duration
+	// StartAttempt sets the call up through an exchange.
+	StartAttempt struct {
+		CallID     string
+		ExchangeID uint32
+		Timeout    time.Duration
 	}
-	// Refuse is a final answer; Backoff names a time to come back.
-	Refuse struct {
-		ID      string
-		Backoff time.Duration
+	// RefuseCall is a final answer; Backoff names a time to come back.
+	RefuseCall struct {
+		CallID     string
+		RetryAfter time.Duration
 	}
-	// GiveUp is a final answer: it failed.
-	GiveUp struct{ ID string }
-	// Cancel withdraws an attempt.
-	Cancel struct {
-		ID      string
+	// FailCall is a final answer: it failed.
+	FailCall struct{ CallID string }
+	// CancelAttempt withdraws an attempt.
+	CancelAttempt struct {
+		CallID  string
 		Attempt int
 	}
-	// Wake asks for an Alarm.
-	Wake struct {
+	// SetTimer asks for an Alarm.
+	SetTimer struct {
 		Token uint64
-		After time.Duration
+		Delay time.Duration
 	}
 	// Verdict records why a call waited, was refused or rerouted.
 	Verdict struct {
-		ID     string
-		Class  int
-		Reason Reason
-		Scope  Scope
-		Cell   int  // exchange or pool concerned
-		Nth    int  // the how manieth of its reason
-		Log    bool // among the few worth a line in the log
+		CallID         string
+		Class          int
+		Reason         Reason
+		Scope          Scope
+		ExchangeNumber int  // exchange or pool concerned
+		Count          int  // the how manieth of its reason
+		Log            bool // among the few worth a line in the log
 	}
 )
 
-func (Send) action()    {}
-func (Refuse) action()  {}
-func (GiveUp) action()  {}
-func (Cancel) action()  {}
-func (Wake) action()    {}
-func (Verdict) action() {}
+func (StartAttempt) action()  {}
+func (RefuseCall) action()    {}
+func (FailCall) action()      {}
+func (CancelAttempt) action() {}
+func (SetTimer) action()      {}
+func (Verdict) action()       {}
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -59,22 +59,22 @@
 
 // Reasons and scopes of verdicts.
 const (
-	WaitRoom   Reason = "no circuit free"
-	WaitPress  Reason = "processor pressed"
-	WaitCold   Reason = "cold processor paced"
-	WaitDead   Reason = "far end silent"
-	WaitHold   Reason = "release awaited"
-	NoExchange Reason = "exchange not in service"
-	BusyNumber Reason = "number busy"
-	Tries      Reason = "attempts spent"
-	TimeUp     Reason = "time up"
-	Rerouted   Reason = "over tandem"
-	Left       Reason = "caller left"
-	ScopeGroup Scope  = "group"
-	ScopeFar   Scope  = "exchange"
-	ScopeOwn   Scope  = "own exchange"
-	ScopeNum   Scope  = "number"
-	ScopeCall  Scope  = "call"
+	ReasonNoCircuit     Reason = "no circuit free"
+	ReasonOverload      Reason = "processor pressed"
+	ReasonColdProcessor Reason = "cold processor paced"
+	ReasonUnresponsive  Reason = "far end silent"
+	ReasonReleaseWait   Reason = "release awaited"
+	ReasonNotInService  Reason = "exchange not in service"
+	ReasonNumberBusy    Reason = "number busy"
+	ReasonAttemptsSpent Reason = "attempts spent"
+	ReasonTimeUp        Reason = "time up"
+	ReasonRerouted      Reason = "over tandem"
+	ReasonCallerLeft    Reason = "caller left"
+	ScopeGroup          Scope  = "group"
+	ScopeExchange       Scope  = "exchange"
+	ScopeOwnExchange    Scope  = "own exchange"
+	ScopeNumber         Scope  = "number"
+	ScopeCall           Scope  = "call"
 )
 
 type phase int
@@ -103,7 +103,7 @@
 type far struct {
 	cell             int
 	id               uint32
-	state            State
+	state            ExchangeState
 	known            bool
 	free, size       int
 	direct           int           // circuits of own direct calls in flight
@@ -261,21 +261,21 @@
 	}
 	k.now, k.acts = now, nil
 	switch e := e.(type) {
-	case Exchanges:
+	case ExchangeListUpdate:
 		k.list(e)
 	case Call:
 		k.arrive(e)
-	case CallGone:
+	case CallAbandoned:
 		k.gone(e)
-	case Circuits:
-		if f := k.at(e.Exchange); f != nil && e.OK {
+	case GroupStatus:
+		if f := k.at(e.ExchangeID); f != nil && e.OK {
 			f.report(now, e.Report)
 		}
-	case Standing:
+	case CallEstablished:
 		k.stands(e)
-	case Ended:
+	case AttemptEnded:
 		k.ended(e)
-	case Alarm: // one that an earlier one has replaced must not start a row of its own
+	case TimerExpired: // one that an earlier one has replaced must not start a row of its own
 		if now >= k.wakeAt {
 			k.wakeAt = 0
 		}
@@ -293,51 +293,51 @@
 	return nil
 }
 
-func (f *far) report(now time.Duration, r Report) {
-	if r.Known {
-		f.known, f.free, f.size = true, r.Free, r.Size
-		if r.Free < reserveBase {
+func (f *far) report(now time.Duration, r StatusReport) {
+	if r.CircuitsKnown {
+		f.known, f.free, f.size = true, r.FreeCircuits, r.GroupSize
+		if r.FreeCircuits < reserveBase {
 			f.fullAt = now
 		}
 	}
-	if r.HasEps {
-		f.eps, f.epsAt = min(max(r.Eps, 0), 1), now
+	if r.HasReduction {
+		f.eps, f.epsAt = min(max(r.Reduction, 0), 1), now
 	}
 }
 
 // list follows the exchange list. A number keeps its group when a new
 // processor takes the old one's place; the newest that is in service serves.
-func (k *Controller) list(e Exchanges) {
+func (k *Controller) list(e ExchangeListUpdate) {
 	if e.Complete {
 		for _, f := range k.order {
-			f.state = Out
+			f.state = OutOfService
 		}
 	}
 	for _, x := range e.Entries {
-		f := k.cells[x.Cell]
+		f := k.cells[x.Number]
 		if f == nil {
-			f = &far{cell: x.Cell, id: x.ID, transit: map[int]int{}, turned: map[int]*turn{},
-				win: k.winStart, state: Out, classes: make([]share, len(k.set.Classes))}
-			k.cells[x.Cell] = f
+			f = &far{cell: x.Number, id: x.ID, transit: map[int]int{}, turned: map[int]*turn{},
+				win: k.winStart, state: OutOfService, classes: make([]share, len(k.set.Classes))}
+			k.cells[x.Number] = f
 			k.order = append(k.order, f)
 			slices.SortFunc(k.order, func(a, b *far) int { return a.cell - b.cell })
-			if x.Cell == k.set.Self {
+			if x.Number == k.set.Self {
 				k.own = f
 			}
 		}
-		if x.State != In && f.id != x.ID {
+		if x.State != InService && f.id != x.ID {
 			continue // word of one that has been replaced already
 		}
-		if x.ID != f.id || x.Since != f.since {
-			if f.state == In && x.ID != f.id && x.Since < f.since {
+		if x.ID != f.id || x.StartedAt != f.since {
+			if f.state == InService && x.ID != f.id && x.StartedAt < f.since {
 				continue
 			}
 			f.lat, f.blocked, f.eps, f.silent, f.win = 0, 0, 0, 0, k.winStart
 			f.tokens, f.tokensAt, f.normal = k.random.Float64(), k.now, f.demand.rate(k.now, k.born)
 		}
 		delete(k.hosts, f.id) // the table holds one processor a number
-		k.hosts[x.ID] = x.Cell
-		f.id, f.state, f.since = x.ID, x.State, x.Since
+		k.hosts[x.ID] = x.Number
+		f.id, f.state, f.since = x.ID, x.State, x.StartedAt
 	}
 }
 
@@ -348,18 +348,18 @@
 // mark it; it guards against redials that crowd out first tries, and harms callers
 // of one number that many call, while they all call.
 func (k *Controller) firstTry(e Call, cl Class) (time.Duration, bool) {
-	if e.Transit || e.Again || !e.Numbered {
-		return k.now, e.Repeat && !e.Again
+	if e.Transit || e.Reconnect || !e.HasCalledNumber {
+		return k.now, e.Repeat && !e.Reconnect
 	}
-	first, known := k.tried[e.Number]
+	first, known := k.tried[e.CalledNumber]
 	if !known {
-		first, known = k.triedOld[e.Number]
+		first, known = k.triedOld[e.CalledNumber]
 	}
 	if !known || k.now-first > cl.GiveUp || k.set.MarksRepeat && !e.Repeat {
 		if k.now-k.triedAt > cl.GiveUp || len(k.tried) >= triedMost {
 			k.tried, k.triedOld, k.triedAt = map[uint64]time.Duration{}, k.tried, k.now
 		}
-		k.tried[e.Number] = k.now
+		k.tried[e.CalledNumber] = k.now
 		return k.now, e.Repeat
 	}
 	return first, k.now-first >= cl.Aim
@@ -368,7 +368,7 @@
 func (k *Controller) arrive(e Call) {
 	cl := k.set.Classes[e.Class]
 	c := &call{Call: e, at: k.now, worth: cl.Worth}
-	c.due = k.now + e.Left - 2*k.set.Tick
+	c.due = k.now + e.Remaining - 2*k.set.Tick
 	began, late := k.firstTry(e, cl)
 	if late {
 		c.worth *= max(cl.LateWorth, 0.01)
@@ -389,7 +389,7 @@
 		k.own.firsts.add(k.now, first)
 	}
 	k.asked.add(k.now, 1)
-	if f := k.cells[e.Dest]; f != nil {
+	if f := k.cells[e.Destination]; f != nil {
 		f.demand.add(k.now, 1)
 		f.firsts.add(k.now, first)
 		if seconds := float64(e.Width) * cl.Holding.Seconds(); !e.Transit {
@@ -401,16 +401,16 @@
 	}
 	if !e.Transit {
 		k.credit = min(k.credit+altFree, altSaved)
-		if a := k.cells[e.Through]; a != nil && k.set.Advice {
-			a.second(e.Dest).good = k.now + vouchFor
+		if a := k.cells[e.Via]; a != nil && k.set.Advice {
+			a.second(e.Destination).good = k.now + vouchFor
 		}
 	}
-	if e.Left <= 0 {
-		k.giveUp(c, TimeUp, ScopeCall)
+	if e.Remaining <= 0 {
+		k.giveUp(c, ReasonTimeUp, ScopeCall)
 		return
 	}
-	if b := k.numbers[e.Number]; b != nil && k.gapped(b) {
-		k.refuse(c, BusyNumber, ScopeNum)
+	if b := k.numbers[e.CalledNumber]; b != nil && k.gapped(b) {
+		k.refuse(c, ReasonNumberBusy, ScopeNumber)
 		return
 	}
 	k.queue = append(k.queue, c)
@@ -424,8 +424,8 @@
 }
 
 // gone books a caller who left; an attempt that is out is called off.
-func (k *Controller) gone(e CallGone) {
-	c := k.calls[e.ID]
+func (k *Controller) gone(e CallAbandoned) {
+	c := k.calls[e.CallID]
 	if c == nil || c.state == done {
 		return
 	}
@@ -436,9 +436,9 @@
 		k.hasty.add(k.now, 1)
 		k.patience += (k.now - c.at - k.patience) / 8
 	}
-	k.verdict(c, Left, ScopeCall, c.Dest)
+	k.verdict(c, ReasonCallerLeft, ScopeCall, c.Destination)
 	if c.state == out && k.set.Cancelling {
-		k.acts = append(k.acts, Cancel{c.ID, c.attempts - 1})
+		k.acts = append(k.acts, CancelAttempt{c.ID, c.attempts - 1})
 	}
 	k.finish(c)
 }
@@ -505,10 +505,10 @@
 			return 1
 		case b.Transit && !a.Transit:
 			return -1
-		case a.Transit && a.Through != b.Through:
+		case a.Transit && a.Via != b.Via:
 			sa, fa := k.shortfall(a)
 			sb, fb := k.shortfall(b)
-			return cmp.Or(sb-sa, fa-fb, a.Through-b.Through)
+			return cmp.Or(sb-sa, fa-fb, a.Via-b.Via)
 		}
 		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.at, b.at))
 	})
@@ -517,11 +517,11 @@
 // shortfall tells how far a transit source is below its floor on the group it
 // wants, and how many circuits it has in flight there.
 func (k *Controller) shortfall(c *call) (int, int) {
-	f := k.cells[c.Dest]
+	f := k.cells[c.Destination]
 	if f == nil {
 		return 0, 0
 	}
-	return max(max(1, f.size/(4*max(len(k.order), 1)))-f.transit[c.Through], 0), f.transit[c.Through]
+	return max(max(1, f.size/(4*max(len(k.order), 1)))-f.transit[c.Via], 0), f.transit[c.Via]
 }
 
 // sweep finishes calls whose time or wait is over and forgets the finished.
@@ -535,7 +535,7 @@
 			k.stood = append(k.stood, c) // nothing is due of it, however many stand
 			continue
 		case k.now >= c.due:
-			k.giveUp(c, TimeUp, ScopeCall)
+			k.giveUp(c, ReasonTimeUp, ScopeCall)
 			continue
 		case c.state == waiting && k.now >= c.waitTill && !(k.now < c.notBefore && c.notBefore < c.due):
 			if k.attempt(c) {
@@ -579,7 +579,7 @@
 	}
 	k.wakeAt = max(next, k.now+time.Millisecond)
 	k.token++
-	k.acts = append(k.acts, Wake{k.token, k.wakeAt - k.now})
+	k.acts = append(k.acts, SetTimer{k.token, k.wakeAt - k.now})
 }
 
 func (k *Controller) verdict(c *call, r Reason, s Scope, cell int) {
@@ -596,25 +596,25 @@
 }
 
 func (k *Controller) refuse(c *call, r Reason, s Scope) {
-	k.verdict(c, r, s, c.Dest)
+	k.verdict(c, r, s, c.Destination)
 	hint := time.Duration(0)
 	if !c.Transit && k.set.Backoff {
 		hint = k.set.BackoffMax
 	}
-	k.acts = append(k.acts, Refuse{c.ID, hint})
+	k.acts = append(k.acts, RefuseCall{c.ID, hint})
 	k.finish(c)
 }
 
 func (k *Controller) giveUp(c *call, r Reason, s Scope) {
-	k.verdict(c, r, s, c.Dest)
-	k.acts = append(k.acts, GiveUp{c.ID})
+	k.verdict(c, r, s, c.Destination)
+	k.acts = append(k.acts, FailCall{c.ID})
 	k.finish(c)
 }
 
 // hold keeps the call waiting and notes why.
 func (k *Controller) hold(c *call, r Reason, s Scope) bool {
 	if c.why == "" {
-		k.verdict(c, r, s, c.Dest)
+		k.verdict(c, r, s, c.Destination)
 	}
 	c.why, c.scope = r, s
 	return false
@@ -623,17 +623,17 @@
 // attempt sends the call if a route admits it; true if it waits no more.
 func (k *Controller) attempt(c *call) bool {
 	if k.now < c.notBefore {
-		return k.hold(c, WaitHold, ScopeCall)
+		return k.hold(c, ReasonReleaseWait, ScopeCall)
 	}
 	if c.attempts >= k.set.MaxAttempts {
-		k.refuse(c, Tries, ScopeCall)
+		k.refuse(c, ReasonAttemptsSpent, ScopeCall)
 		return true
 	}
-	d := k.cells[c.Dest]
+	d := k.cells[c.Destination]
 	if d == nil || d == k.own && !k.set.Pools {
-		return k.hold(c, NoExchange, ScopeFar)
+		return k.hold(c, ReasonNotInService, ScopeExchange)
 	}
-	like := kind{c.Dest, c.Class, c.Width, c.worth, c.Transit, c.alts}
+	like := kind{c.Destination, c.Class, c.Width, c.worth, c.Transit, c.alts}
 	if why, shut := k.shut[like]; shut {
 		return k.hold(c, why.Reason, why.Scope)
 	}
@@ -647,7 +647,7 @@
 		return true
 	}
 	if t := k.tandem(c, d, r); t != nil {
-		k.verdict(c, Rerouted, s, t.cell)
+		k.verdict(c, ReasonRerouted, s, t.cell)
 		k.send(c, t, true)
 		return true
 	}
@@ -665,7 +665,7 @@
 		owed = max(owed, k.owed(d))
 	}
 	if d.known && d.free < c.Width+owed {
-		return WaitRoom, ScopeGroup
+		return ReasonNoCircuit, ScopeGroup
 	}
 	return "", ""
 }
@@ -721,19 +721,19 @@
 // closed tells why the processor at the far end takes no set-up now.
 func (k *Controller) closed(c *call, f *far) (Reason, Scope) {
 	switch {
-	case f.state != In:
-		return NoExchange, ScopeFar
+	case f.state != InService:
+		return ReasonNotInService, ScopeExchange
 	case k.cold(f) && f.tokens < 1:
-		return WaitCold, ScopeFar
+		return ReasonColdProcessor, ScopeExchange
 	case k.own != nil && k.cold(k.own) && k.own.tokens < 1:
-		return WaitCold, ScopeOwn
+		return ReasonColdProcessor, ScopeOwnExchange
 	}
 	dear := 0.0 // set-ups more that a dear call may have out
 	if c.worth > k.meanWorth {
 		dear = 1
 	}
 	if k.pend > 0 && float64(k.pend+1) > k.win+dear {
-		return WaitPress, ScopeOwn
+		return ReasonOverload, ScopeOwnExchange
 	}
 	win := f.win
 	if k.now-f.epsAt < epsFor {
@@ -745,9 +745,9 @@
 	}
 	if k.now < f.blocked || f.pend > 0 && float64(f.pend+1) > win {
 		if f.silent >= k.signs(f) {
-			return WaitDead, ScopeFar // one that is out is a trial
+			return ReasonUnresponsive, ScopeExchange // one that is out is a trial
 		}
-		return WaitPress, ScopeFar
+		return ReasonOverload, ScopeExchange
 	}
 	return "", ""
 }
@@ -788,18 +788,18 @@
 	if c.Transit || c.alts >= altTries || k.credit < 1 {
 		return nil
 	}
-	if !k.set.Pools && (r != WaitRoom && (r != WaitDead || k.now < d.told(c.Dest).until) ||
+	if !k.set.Pools && (r != ReasonNoCircuit && (r != ReasonUnresponsive || k.now < d.told(c.Destination).until) ||
 		d.size > 0 && (k.fade(k.press, k.pressAt) > altPressure || k.fade(d.lat, d.latAt) > altPressure)) {
 		return nil // a try round a silent way that failed speaks for all
 	}
 	var best *far
 	vouched := false
 	for _, t := range k.order { // what is cheap to see comes first: all that wait come by here at each event
-		if t == d || t == k.own || !t.known || t.state != In || t.free < c.Width ||
+		if t == d || t == k.own || !t.known || t.state != InService || t.free < c.Width ||
 			k.set.Pools && !slices.Contains(k.class(c).Pools, t.cell) || t.free-k.owed(t) < c.Width {
 			continue
 		}
-		leg := t.told(c.Dest)
+		leg := t.told(c.Destination)
 		good := k.now < leg.good
 		if best != nil && (vouched && !good || good == vouched && t.free <= best.free) ||
 			k.now < leg.until || k.fade(t.lat, t.latAt) > altPressure {
@@ -827,7 +827,7 @@
 	if k.own != nil {
 		k.own.tokens--
 	}
-	if b := k.numbers[c.Number]; b != nil {
+	if b := k.numbers[c.CalledNumber]; b != nil {
 		b.pend++
 	}
 	c.state, c.leg, c.alt = out, f, alt
@@ -838,12 +838,12 @@
 	}
 	switch {
 	case c.Transit:
-		f.transit[c.Through] += c.Width
+		f.transit[c.Via] += c.Width
 	case !alt:
 		f.direct += c.Width
 		f.classes[c.Class].running += c.Width
 	}
-	k.acts = append(k.acts, Send{c.ID, f.id, k.timeout(c, alt)})
+	k.acts = append(k.acts, StartAttempt{c.ID, f.id, k.timeout(c, alt)})
 }
 
 // timeout is the time left, or less where answers get lost, not slow, so that a further try can
@@ -872,9 +872,9 @@
 	case f == nil:
 		return
 	case c.Transit:
-		f.transit[c.Through] -= c.Width
-		if f.transit[c.Through] <= 0 {
-			delete(f.transit, c.Through)
+		f.transit[c.Via] -= c.Width
+		if f.transit[c.Via] <= 0 {
+			delete(f.transit, c.Via)
 		}
 	case !c.alt:
 		f.direct -= c.Width
@@ -891,15 +891,15 @@
 	if c.own {
 		k.pend--
 	}
-	b := k.numbers[c.Number]
+	b := k.numbers[c.CalledNumber]
 	if b != nil {
 		b.pend = max(b.pend-1, 0)
 	}
 	return b
 }
 
-func (k *Controller) stands(e Standing) {
-	c := k.calls[e.ID]
+func (k *Controller) stands(e CallEstablished) {
+	c := k.calls[e.CallID]
 	if c == nil || c.leg == nil || e.Attempt != c.attempts-1 || c.stood > 0 {
 		return
 	}
@@ -912,15 +912,15 @@
 		c.state = standing
 	}
 	f.silent = 0
-	if took := float64(e.After) / float64(k.target()); took <= 1 && float64(k.pend+1) >= k.win/2 {
+	if took := float64(e.Elapsed) / float64(k.target()); took <= 1 && float64(k.pend+1) >= k.win/2 {
 		k.win = min(k.win+1/k.win, windowMost)
 	}
-	if d := k.cells[c.Dest]; c.alt && d != nil {
+	if d := k.cells[c.Destination]; c.alt && d != nil {
 		k.credit = min(k.credit+altEarns, altSaved)
-		delete(d.turned, c.Dest)
-		f.turned[c.Dest] = &turn{good: k.now + vouchFor}
+		delete(d.turned, c.Destination)
+		f.turned[c.Destination] = &turn{good: k.now + vouchFor}
 	}
-	took := float64(e.After) / float64(k.target())
+	took := float64(e.Elapsed) / float64(k.target())
 	if c.alt {
 		took /= 1.5 // one more processor on the way
 	}
@@ -936,8 +936,8 @@
 	switch {
 	case took > 1:
 		k.tardy.add(k.now, 1)
-		k.cut(f, windowCut, k.winLeast, e.After)
-		if k.now-e.After >= k.winCut && k.press > altPressure {
+		k.cut(f, windowCut, k.winLeast, e.Elapsed)
+		if k.now-e.Elapsed >= k.winCut && k.press > altPressure {
 			k.winCut, k.win = k.now, max(k.win*windowCut, ownLeast)
 		}
 	case float64(f.pend+1) >= f.win/2:
@@ -986,9 +986,9 @@
 	k.cut(f, windowHalve, least, sent)
 }
 
-func (k *Controller) ended(e Ended) {
-	c := k.calls[e.ID]
-	if f := k.at(e.Exchange); f != nil {
+func (k *Controller) ended(e AttemptEnded) {
+	c := k.calls[e.CallID]
+	if f := k.at(e.ExchangeID); f != nil {
 		f.report(k.now, e.Report)
 	}
 	if c == nil || c.leg == nil || e.Attempt != c.attempts-1 {
@@ -997,12 +997,12 @@
 	f, stood := c.leg, c.stood > 0
 	if !stood {
 		b := k.answered(c)
-		if e.Outcome == TimedOut {
+		if e.Outcome == OutcomeTimedOut {
 			k.mute.add(k.now, 1)
 			f.mute.add(k.now, 1)
 		}
-		if e.Outcome == Failed && e.Note == LinesBusy {
-			k.busyNote(c.Number, b)
+		if e.Outcome == OutcomeFailed && e.Note == NoteLinesBusy {
+			k.busyNote(c.CalledNumber, b)
 		}
 	}
 	k.release(c)
@@ -1012,51 +1012,51 @@
 		return
 	}
 	c.state = waiting
-	if d := k.cells[c.Dest]; c.alt && d != nil && d.silent >= k.signs(d) && e.Outcome != Moot {
-		d.turnBack(c.Dest, k.now)
+	if d := k.cells[c.Destination]; c.alt && d != nil && d.silent >= k.signs(d) && e.Outcome != OutcomeNotSent {
+		d.turnBack(c.Destination, k.now)
 	}
 	switch e.Outcome {
-	case TimedOut, Reset, Cancelled, NoConnect:
-		if e.Outcome != NoConnect {
+	case OutcomeTimedOut, OutcomeReset, OutcomeCancelled, OutcomeUnreachable:
+		if e.Outcome != OutcomeUnreachable {
 			c.notBefore = k.now + k.set.ReleaseWait + k.set.Tick
 		}
-		if c.alt && !k.set.Pools && e.Outcome != NoConnect {
-			f.turnBack(c.Dest, k.now) // what lies behind the tandem may be silent
-		} else if e.Outcome == TimedOut || e.Outcome == NoConnect {
-			k.stop(f, e.After, k.lossy(f)) // a reset is an answer
+		if c.alt && !k.set.Pools && e.Outcome != OutcomeUnreachable {
+			f.turnBack(c.Destination, k.now) // what lies behind the tandem may be silent
+		} else if e.Outcome == OutcomeTimedOut || e.Outcome == OutcomeUnreachable {
+			k.stop(f, e.Elapsed, k.lossy(f)) // a reset is an answer
 		}
-	case Full:
-		if e.Note == ProcFull {
-			k.stop(f, e.After, false)
-			f.blocked = max(f.blocked, k.now+e.Wait)
+	case OutcomeRejected:
+		if e.Note == NoteProcessorFull {
+			k.stop(f, e.Elapsed, false)
+			f.blocked = max(f.blocked, k.now+e.RetryAfter)
 			break
 		}
-		f.turnBack(c.Dest, k.now)
-		if e.Note == DestProcFull {
-			k.cut(k.cells[c.Dest], windowHalve, k.winLeast, e.After)
+		f.turnBack(c.Destination, k.now)
+		if e.Note == NoteOnwardProcessorFull {
+			k.cut(k.cells[c.Destination], windowHalve, k.winLeast, e.Elapsed)
 		}
-	case Moot:
-		if e.Note == NoCircuit {
+	case OutcomeNotSent:
+		if e.Note == NoteNoCircuit {
 			f.free = min(f.free, c.Width-1)
-		} else if e.Note == ProcFull && k.own != nil {
-			k.refuse(c, WaitDead, ScopeOwn)
+		} else if e.Note == NoteProcessorFull && k.own != nil {
+			k.refuse(c, ReasonUnresponsive, ScopeOwnExchange)
 			return
 		}
-	case Failed:
-		if e.Note == LinesBusy {
-			k.refuse(c, BusyNumber, ScopeNum)
+	case OutcomeFailed:
+		if e.Note == NoteLinesBusy {
+			k.refuse(c, ReasonNumberBusy, ScopeNumber)
 			return
 		}
 	}
 	if k.now+k.set.Tick >= c.due || c.notBefore >= c.due {
-		k.giveUp(c, TimeUp, ScopeCall)
+		k.giveUp(c, ReasonTimeUp, ScopeCall)
 		return
 	}
-	if !c.Transit || e.Outcome == Moot {
+	if !c.Transit || e.Outcome == OutcomeNotSent {
 		k.queue = append(k.queue, c)
 		return
 	}
-	k.refuse(c, WaitPress, ScopeFar)
+	k.refuse(c, ReasonOverload, ScopeExchange)
 }
 
 func (k *Controller) busyNote(n uint64, b *busy) {
--- a/brain/design_test.go
+++ b/brain/design_test.go
@@ -9,8 +9,8 @@
 func TestDirectWhileTheGroupHasRoom(t *testing.T) {
 	r := newRig(t, settings(), 4)
 	r.circuits(101, 1, 20)
-	r.call(Call{Dest: 1})
-	if s := r.sent(); len(s) != 1 || s[0].Exchange != 101 {
+	r.call(Call{Destination: 1})
+	if s := r.sent(); len(s) != 1 || s[0].ExchangeID != 101 {
 		t.Fatalf("sent %v, want the direct way", s)
 	}
 }
@@ -21,16 +21,16 @@
 	r.circuits(102, 5, 20)
 	r.circuits(103, 9, 20)
 	r.circuits(104, 7, 20)
-	c := r.call(Call{Dest: 1})
+	c := r.call(Call{Destination: 1})
 	if c.exchange != 103 {
 		t.Fatalf("over %d, want 103 with most room", c.exchange)
 	}
-	r.ends(c, Full, TurnedBack, 100*ms)
+	r.ends(c, OutcomeRejected, NoteCrankback, 100*ms)
 	if !c.out || c.exchange != 104 {
 		t.Fatalf("over %d, want 104: 103 turned it back", c.exchange)
 	}
-	r.ends(c, Full, TurnedBack, 100*ms)
-	other := r.call(Call{Dest: 1})
+	r.ends(c, OutcomeRejected, NoteCrankback, 100*ms)
+	other := r.call(Call{Destination: 1})
 	if other.exchange != 102 {
 		t.Fatalf("over %d, want 102: the others turned one back just now", other.exchange)
 	}
@@ -39,18 +39,18 @@
 func TestOwedReserveKeepsTransitAndAlternativesOnly(t *testing.T) {
 	r := newRig(t, settings(), 4)
 	r.circuits(101, reserveBase, 20)
-	tr := r.call(Call{Dest: 1, Transit: true, Through: 2})
+	tr := r.call(Call{Destination: 1, Transit: true, Via: 2})
 	if tr.out {
 		t.Fatal("transit took an owed circuit")
 	}
-	if c := r.call(Call{Dest: 1}); !c.out {
+	if c := r.call(Call{Destination: 1}); !c.out {
 		t.Fatal("a direct call was kept from the reserve")
 	}
 	// an alternative call over 101's group is kept back as well
 	r.circuits(102, 0, 20)
 	r.circuits(103, 0, 20)
 	r.circuits(101, reserveBase, 20)
-	if c := r.call(Call{Dest: 2}); c.out {
+	if c := r.call(Call{Destination: 2}); c.out {
 		t.Fatal("an alternative call took an owed circuit")
 	}
 }
@@ -59,7 +59,7 @@
 	r := newRig(t, settings(), 4)
 	r.circuits(101, 20, 20)
 	for i := 0; i < 3; i++ {
-		r.stands(r.callOut(t, Call{Dest: 1}), 100*ms)
+		r.stands(r.callOut(t, Call{Destination: 1}), 100*ms)
 	}
 	f := r.k.cells[1]
 	r.circuits(101, 17, 20)
@@ -96,11 +96,11 @@
 		r.circuits(id, 0, 20)
 	}
 	r.k.cells[1].transit[3] = 9
-	busyTransit := r.call(Call{Dest: 1, Transit: true, Through: 3, Class: 1})
-	idleTransit := r.call(Call{Dest: 1, Transit: true, Through: 2})
-	plain := r.call(Call{Dest: 1})
-	dear := r.call(Call{Dest: 1, Class: 1})
-	wide := r.call(Call{Dest: 1, Class: 2})
+	busyTransit := r.call(Call{Destination: 1, Transit: true, Via: 3, Class: 1})
+	idleTransit := r.call(Call{Destination: 1, Transit: true, Via: 2})
+	plain := r.call(Call{Destination: 1})
+	dear := r.call(Call{Destination: 1, Class: 1})
+	wide := r.call(Call{Destination: 1, Class: 2})
 	r.run(20 * ms)
 	order := []*seen{dear, plain, idleTransit, busyTransit}
 	for i, c := range order {
@@ -125,7 +125,7 @@
 func TestWideCallWaitsForItsWholeWidth(t *testing.T) {
 	r := newRig(t, settings(), 2)
 	r.circuits(101, 1, 20)
-	c := r.call(Call{Dest: 1, Class: 2})
+	c := r.call(Call{Destination: 1, Class: 2})
 	if c.out {
 		t.Fatal("sent with one circuit of two")
 	}
@@ -138,8 +138,8 @@
 func TestWaitOfHalfASecondToASecond(t *testing.T) {
 	r := newRig(t, settings(), 2)
 	r.circuits(101, 0, 20)
-	c := r.call(Call{Dest: 1})
-	tr := r.call(Call{Dest: 1, Transit: true, Through: 3})
+	c := r.call(Call{Destination: 1})
+	tr := r.call(Call{Destination: 1, Transit: true, Via: 3})
 	r.run(waitLeast - 10*ms)
 	if c.answered || tr.answered {
 		t.Fatal("refused before half a second")
@@ -154,9 +154,9 @@
 	r := newRig(t, settings(), 2)
 	r.circuits(101, 0, 40)
 	var dears []*seen
-	plain := r.call(Call{Dest: 1})
+	plain := r.call(Call{Destination: 1})
 	for i := 0; i < 12; i++ {
-		dears = append(dears, r.call(Call{Dest: 1, Class: 1}))
+		dears = append(dears, r.call(Call{Destination: 1, Class: 1}))
 	}
 	served := 0
 	for i := 0; i < 2*keepEvery && !plain.out; i++ {
@@ -175,24 +175,24 @@
 
 // One time-out, one failed connect or one busy number fires nothing.
 func TestSingleSignsAreHarmless(t *testing.T) {
-	for _, o := range []Outcome{TimedOut, NoConnect} {
+	for _, o := range []Outcome{OutcomeTimedOut, OutcomeUnreachable} {
 		r := newRig(t, settings(), 2)
-		r.ends(r.callOut(t, Call{Dest: 1}), o, 0, time.Second)
-		r.callOut(t, Call{Dest: 1})
+		r.ends(r.callOut(t, Call{Destination: 1}), o, 0, time.Second)
+		r.callOut(t, Call{Destination: 1})
 	}
 	r := newRig(t, settings(), 2)
-	r.ends(r.callOut(t, Call{Dest: 1, Number: 5, Numbered: true}), Failed, LinesBusy, 100*ms)
-	r.callOut(t, Call{Dest: 1, Number: 5, Numbered: true})
+	r.ends(r.callOut(t, Call{Destination: 1, CalledNumber: 5, HasCalledNumber: true}), OutcomeFailed, NoteLinesBusy, 100*ms)
+	r.callOut(t, Call{Destination: 1, CalledNumber: 5, HasCalledNumber: true})
 }
 
 func TestSilentFarEndGetsFewTrials(t *testing.T) {
 	r := newRig(t, settings(), 2)
 	for i := 0; i < 100; i++ {
-		r.call(Call{Dest: 1})
+		r.call(Call{Destination: 1})
 		r.run(100 * ms)
 		for _, c := range append([]*seen(nil), r.pending...) {
 			if r.now >= c.due-2*r.set.Tick {
-				r.ends(c, TimedOut, 0, 3*time.Second)
+				r.ends(c, OutcomeTimedOut, 0, 3*time.Second)
 			}
 		}
 	}
@@ -202,12 +202,12 @@
 	}
 	for i := 0; i < 150; i++ { // it answers again
 		r.circuits(101, 20, 20)
-		r.call(Call{Dest: 1})
+		r.call(Call{Destination: 1})
 		r.run(100 * ms)
 		for _, c := range append([]*seen(nil), r.pending...) {
 			if !c.stood {
 				r.stands(c, 50*ms)
-				r.ends(c, OK, 0, 60*ms)
+				r.ends(c, OutcomeCompleted, 0, 60*ms)
 			}
 		}
 	}
@@ -218,19 +218,19 @@
 
 func TestBusyNumberIsGapped(t *testing.T) {
 	r := newRig(t, settings(), 2)
-	hot := Call{Dest: 1, Number: 5, Numbered: true}
+	hot := Call{Destination: 1, CalledNumber: 5, HasCalledNumber: true}
 	tries := 0
 	for i := 0; i < 100; i++ {
 		if c := r.call(hot); c.out {
 			tries++
-			r.ends(c, Failed, LinesBusy, 50*ms)
+			r.ends(c, OutcomeFailed, NoteLinesBusy, 50*ms)
 		}
 		r.run(50 * ms)
 	}
 	if tries > 10 {
 		t.Fatalf("%d tries in 5 s to a number that is busy", tries)
 	}
-	r.callOut(t, Call{Dest: 1}) // other numbers are not touched
+	r.callOut(t, Call{Destination: 1}) // other numbers are not touched
 	r.run(12 * time.Second)
 	r.callOut(t, hot) // and it is forgotten
 }
@@ -239,7 +239,7 @@
 	r := newRig(t, settings(), 2)
 	before := r.k.cells[1].win
 	for i := 0; i < 6; i++ {
-		c := r.callOut(t, Call{Dest: 1})
+		c := r.callOut(t, Call{Destination: 1})
 		r.run(time.Second)
 		r.stands(c, time.Second)
 	}
@@ -249,7 +249,7 @@
 	slow := r.k.cells[1].win
 	for i := 0; i < 30; i++ {
 		r.circuits(101, 20, 20)
-		c := r.callOut(t, Call{Dest: 1})
+		c := r.callOut(t, Call{Destination: 1})
 		r.run(50 * ms)
 		r.stands(c, 50*ms)
 	}
@@ -266,7 +266,7 @@
 	r.circuits(100, 0, 10)
 	r.circuits(101, 9, 10)
 	r.circuits(102, 8, 10)
-	c := r.callOut(t, Call{Dest: 0})
+	c := r.callOut(t, Call{Destination: 0})
 	if c.exchange != 102 {
 		t.Fatalf("pool %d, want 102: 101 has not the skill", c.exchange)
 	}
@@ -274,26 +274,26 @@
 
 func TestOddEvents(t *testing.T) {
 	r := &rig{t: t, k: New(settings()), set: settings(), now: time.Hour, calls: map[string]*seen{},
-		state: map[uint32]State{}, wakes: map[uint64]time.Duration{}, sentAt: map[uint32][]time.Duration{}}
-	c := r.call(Call{Dest: 1}) // no exchange known
+		state: map[uint32]ExchangeState{}, wakes: map[uint64]time.Duration{}, sentAt: map[uint32][]time.Duration{}}
+	c := r.call(Call{Destination: 1}) // no exchange known
 	r.run(1100 * ms)
 	if !c.answered {
 		t.Fatal("no answer while no exchange is known")
 	}
-	r.handle(Ended{ID: "unknown", Exchange: 5})
-	r.handle(Standing{ID: "unknown", Exchange: 5})
-	r.handle(Circuits{Exchange: 5, OK: true})
-	r.handle(Exchanges{Complete: true, Entries: []Exchange{{ID: 100}, {ID: 101, Cell: 1}}})
+	r.handle(AttemptEnded{CallID: "unknown", ExchangeID: 5})
+	r.handle(CallEstablished{CallID: "unknown", ExchangeID: 5})
+	r.handle(GroupStatus{ExchangeID: 5, OK: true})
+	r.handle(ExchangeListUpdate{Complete: true, Entries: []Exchange{{ID: 100}, {ID: 101, Number: 1}}})
 	r.circuits(101, 0, 0) // no group leads there
-	c = r.call(Call{Dest: 1})
+	c = r.call(Call{Destination: 1})
 	r.run(1100 * ms)
 	if c.out || !c.answered {
 		t.Fatal("sent where no group leads")
 	}
 	// an old list after a newer one: the processor that serves now is kept
-	r.handle(Exchanges{Entries: []Exchange{{ID: 201, Cell: 1, Since: r.now}}})
-	r.handle(Exchanges{Entries: []Exchange{{ID: 101, Cell: 1, State: Out}}})
-	if f := r.k.cells[1]; f.id != 201 || f.state != In {
+	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 201, Number: 1, StartedAt: r.now}}})
+	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, State: OutOfService}}})
+	if f := r.k.cells[1]; f.id != 201 || f.state != InService {
 		t.Fatalf("late word of the old processor closed the new one: %+v", f)
 	}
 }
@@ -302,10 +302,10 @@
 func TestAlarmsStayFew(t *testing.T) {
 	r := newRig(t, settings(), 2)
 	r.circuits(101, 0, 20)
-	r.call(Call{Dest: 1})
+	r.call(Call{Destination: 1})
 	for i := 0; i < 5; i++ { // each of these wants an alarm before the one that is set
 		r.run(25 * ms)
-		r.call(Call{Dest: 1, Left: 25 * ms})
+		r.call(Call{Destination: 1, Remaining: 25 * ms})
 	}
 	r.run(3 * glance)
 	if n := len(r.wakes); n > 2 {
@@ -322,22 +322,22 @@
 	for i := 0; i < 20; i++ { // one circuit's worth of the dear class
 		r.circuits(101, 20, 20)
 		if i%10 == 0 {
-			r.callOut(t, Call{Dest: 1, Class: 1})
+			r.callOut(t, Call{Destination: 1, Class: 1})
 		}
 		r.run(time.Second)
 		for _, c := range append([]*seen(nil), r.pending...) {
 			if !c.stood {
 				r.stands(c, 50*ms)
 			}
-			r.ends(c, OK, 0, 60*ms)
+			r.ends(c, OutcomeCompleted, 0, 60*ms)
 		}
 	}
 	r.circuits(101, 1, 20)
-	plain := r.call(Call{Dest: 1})
+	plain := r.call(Call{Destination: 1})
 	if plain.out {
 		t.Fatal("a cheap call took the circuit owed to the dear class")
 	}
-	r.callOut(t, Call{Dest: 1, Class: 1})
+	r.callOut(t, Call{Destination: 1, Class: 1})
 	r.circuits(101, 6, 20)
 	if !plain.out {
 		t.Fatal("a cheap call was kept from circuits that are not owed")
@@ -349,7 +349,7 @@
 	r := newRig(t, settings(), 2)
 	r.circuits(101, 0, 20)
 	wait := func() time.Duration {
-		c := r.call(Call{Dest: 1})
+		c := r.call(Call{Destination: 1})
 		at := r.now
 		for !c.answered && r.now < at+2*time.Second {
 			r.run(5 * ms)
@@ -358,11 +358,11 @@
 	}
 	leave := func(n, outOf int) {
 		for i := 0; i < outOf; i++ {
-			c := r.call(Call{Dest: 1})
+			c := r.call(Call{Destination: 1})
 			r.run(400 * ms)
 			if i < n {
 				c.answered = true
-				r.handle(CallGone{ID: c.id})
+				r.handle(CallAbandoned{CallID: c.id})
 			}
 		}
 	}
@@ -392,26 +392,26 @@
 		s := r.call(c)
 		return r.k.calls[s.id].worth
 	}
-	if w := worth(Call{Dest: 1, Number: 7, Numbered: true}); w != 1 {
+	if w := worth(Call{Destination: 1, CalledNumber: 7, HasCalledNumber: true}); w != 1 {
 		t.Fatalf("first try counts %v", w)
 	}
 	r.run(time.Second)
-	if w := worth(Call{Dest: 1, Number: 7, Numbered: true}); w != 1 {
+	if w := worth(Call{Destination: 1, CalledNumber: 7, HasCalledNumber: true}); w != 1 {
 		t.Fatalf("redial within the aim counts %v", w)
 	}
 	r.run(time.Second)
-	if w := worth(Call{Dest: 1, Number: 7, Numbered: true}); w >= 1 {
+	if w := worth(Call{Destination: 1, CalledNumber: 7, HasCalledNumber: true}); w >= 1 {
 		t.Fatalf("redial after the aim counts %v", w)
 	}
-	if w := worth(Call{Dest: 1, Number: 7, Numbered: true, Again: true}); w != 1 {
+	if w := worth(Call{Destination: 1, CalledNumber: 7, HasCalledNumber: true, Reconnect: true}); w != 1 {
 		t.Fatalf("a call that was cut counts %v", w)
 	}
 	r.run(10 * time.Second)
-	if w := worth(Call{Dest: 1, Number: 7, Numbered: true}); w != 1 {
+	if w := worth(Call{Destination: 1, CalledNumber: 7, HasCalledNumber: true}); w != 1 {
 		t.Fatalf("a call long after counts %v", w)
 	}
 	for i := 0; i < 3*triedMost; i++ {
-		r.k.firstTry(Call{Number: uint64(1000 + i), Numbered: true}, set.Classes[0])
+		r.k.firstTry(Call{CalledNumber: uint64(1000 + i), HasCalledNumber: true}, set.Classes[0])
 	}
 	if n := len(r.k.tried) + len(r.k.triedOld); n > 2*triedMost {
 		t.Fatalf("%d numbers kept", n)
@@ -422,26 +422,26 @@
 func TestTandemRoundASilentPair(t *testing.T) {
 	r := newRig(t, settings(), 3)
 	for i := 0; i < 4; i++ {
-		if c := r.call(Call{Dest: 1}); c.out && c.exchange == 101 {
+		if c := r.call(Call{Destination: 1}); c.out && c.exchange == 101 {
 			r.run(2 * time.Second)
-			r.ends(c, TimedOut, 0, 2*time.Second)
+			r.ends(c, OutcomeTimedOut, 0, 2*time.Second)
 			r.run(time.Second)
 			for _, p := range append([]*seen(nil), r.pending...) {
-				r.ends(p, Full, NoCircuit, 10*ms)
+				r.ends(p, OutcomeRejected, NoteNoCircuit, 10*ms)
 			}
 		}
 	}
-	c := r.callOut(t, Call{Dest: 1})
+	c := r.callOut(t, Call{Destination: 1})
 	if c.exchange != 102 {
 		t.Fatalf("sent to %d, want the tandem 102 while the direct way is silent", c.exchange)
 	}
 	win := r.k.cells[2].win
 	r.run(2 * time.Second)
-	r.ends(c, TimedOut, 0, 2*time.Second)
+	r.ends(c, OutcomeTimedOut, 0, 2*time.Second)
 	if r.k.cells[2].win != win {
 		t.Fatal("the tandem was blamed for what lies behind it")
 	}
-	if c := r.call(Call{Dest: 1}); c.out && c.exchange == 102 {
+	if c := r.call(Call{Destination: 1}); c.out && c.exchange == 102 {
 		t.Fatal("a tandem over which nothing answered is tried again at once")
 	}
 }
@@ -451,7 +451,7 @@
 func TestOwnWindowHoldsAFlood(t *testing.T) {
 	r := newRig(t, settings(), 14)
 	for i := 0; i < 60; i++ {
-		r.call(Call{Dest: 1 + i%13, Again: true})
+		r.call(Call{Destination: 1 + i%13, Reconnect: true})
 	}
 	if n := len(r.pending); n > ownStart+1 || n < windowStart {
 		t.Fatalf("%d set-ups out at once, want about %v", n, ownStart)
@@ -476,7 +476,7 @@
 			for j := uint32(102); j < 140; j++ {
 				r.circuits(j, 20, 20)
 			}
-			r.call(Call{Dest: 1})
+			r.call(Call{Destination: 1})
 			r.run(50 * ms)
 			for _, c := range append([]*seen(nil), r.pending...) {
 				switch {
@@ -484,10 +484,10 @@
 				case stand:
 					n++
 					r.stands(c, 50*ms)
-					r.ends(c, OK, 0, 60*ms)
+					r.ends(c, OutcomeCompleted, 0, 60*ms)
 				default:
 					n++
-					r.ends(c, Full, TurnedBack, 50*ms)
+					r.ends(c, OutcomeRejected, NoteCrankback, 50*ms)
 				}
 			}
 		}
@@ -510,15 +510,15 @@
 	r.circuits(102, 9, 20)
 	r.circuits(103, 5, 20)
 	r.circuits(104, 20, 20)
-	if c := r.call(Call{Dest: 1, Through: 3}); c.exchange != 103 {
+	if c := r.call(Call{Destination: 1, Via: 3}); c.exchange != 103 {
 		t.Fatalf("over %d, want 103 that the centre names", c.exchange)
 	}
 	r.run(2 * vouchFor)
-	if c := r.call(Call{Dest: 1, Through: 7}); c.exchange != 104 {
+	if c := r.call(Call{Destination: 1, Via: 7}); c.exchange != 104 {
 		t.Fatalf("over %d, want 104: the word is old and the new one names nobody", c.exchange)
 	}
 	r.circuits(103, 0, 20)
-	if c := r.call(Call{Dest: 1, Through: 3}); c.exchange != 104 {
+	if c := r.call(Call{Destination: 1, Via: 3}); c.exchange != 104 {
 		t.Fatalf("over %d, want 104: the named one has no first leg", c.exchange)
 	}
 }
@@ -533,15 +533,15 @@
 			for j := uint32(101); j < 105; j++ {
 				r.circuits(j, 20, 20)
 			}
-			if c := r.call(Call{Dest: 1 + i%4}); c.out {
+			if c := r.call(Call{Destination: 1 + i%4}); c.out {
 				last = r.sent()[0].Timeout
 				r.run(50 * ms)
 				for _, p := range append([]*seen(nil), r.pending...) {
 					if p == c && lose > 0 && i%lose == 0 {
-						r.ends(p, TimedOut, 0, 50*ms)
+						r.ends(p, OutcomeTimedOut, 0, 50*ms)
 					} else {
 						r.stands(p, 50*ms)
-						r.ends(p, OK, 0, 60*ms)
+						r.ends(p, OutcomeCompleted, 0, 60*ms)
 					}
 				}
 			}
@@ -610,10 +610,10 @@
 		r := newRig(t, set, 3)
 		for i := 0; i < 12; i++ {
 			r.circuits(101, 20, 20)
-			if c := r.call(Call{Dest: 1}); c.out {
+			if c := r.call(Call{Destination: 1}); c.out {
 				r.run(time.Second)
 				r.stands(c, time.Second)
-				r.ends(c, OK, 0, 2*time.Second)
+				r.ends(c, OutcomeCompleted, 0, 2*time.Second)
 			}
 			r.run(2 * time.Second)
 		}
@@ -634,14 +634,14 @@
 		for j := uint32(101); j < 106; j++ {
 			r.circuits(j, 20, 20)
 		}
-		if c := r.call(Call{Dest: 1 + i%5}); c.out {
+		if c := r.call(Call{Destination: 1 + i%5}); c.out {
 			took := 50 * ms
 			if c.exchange == 101 {
 				took = 2 * time.Second
 			}
 			r.run(50 * ms)
 			r.stands(c, took)
-			r.ends(c, OK, 0, took)
+			r.ends(c, OutcomeCompleted, 0, took)
 		}
 	}
 	if r.k.win < ownStart {
@@ -653,10 +653,10 @@
 func TestTransitWithoutAGroupIsTurnedBackAtOnce(t *testing.T) {
 	r := newRig(t, settings(), 4)
 	r.circuits(101, 0, 0)
-	if c := r.call(Call{Dest: 1, Transit: true, Through: 2}); !c.answered {
+	if c := r.call(Call{Destination: 1, Transit: true, Via: 2}); !c.answered {
 		t.Fatal("it waits for a group that is not there")
 	}
-	if c := r.call(Call{Dest: 1}); !c.out || c.exchange == 101 {
+	if c := r.call(Call{Destination: 1}); !c.out || c.exchange == 101 {
 		t.Fatal("an own call to a destination without a group goes over a tandem at once")
 	}
 }
@@ -671,20 +671,20 @@
 	for id := uint32(102); id < 100+n; id++ {
 		r.circuits(id, 0, 0)
 	}
-	c := r.callOut(t, Call{Dest: 1})
+	c := r.callOut(t, Call{Destination: 1})
 	r.stands(c, 50*ms)
-	r.ends(c, OK, 0, time.Second)
-	r.handle(Ended{ID: c.id, Attempt: 0, Exchange: 101, Outcome: Reset, After: time.Minute, Final: true})
-	far := r.call(Call{Dest: 50}) // no group, and the one tandem has to be tried at once
+	r.ends(c, OutcomeCompleted, 0, time.Second)
+	r.handle(AttemptEnded{CallID: c.id, Attempt: 0, ExchangeID: 101, Outcome: OutcomeReset, Elapsed: time.Minute, Final: true})
+	far := r.call(Call{Destination: 50}) // no group, and the one tandem has to be tried at once
 	if !far.out || far.exchange != 101 {
 		t.Fatalf("over %d, want the one exchange that a group leads to", far.exchange)
 	}
-	r.ends(far, Full, TurnedBack, 50*ms)
+	r.ends(far, OutcomeRejected, NoteCrankback, 50*ms)
 	var fresh []Exchange
 	for i := 1; i < n; i++ {
-		fresh = append(fresh, Exchange{ID: uint32(1000 + i), Cell: i, Since: r.now})
+		fresh = append(fresh, Exchange{ID: uint32(1000 + i), Number: i, StartedAt: r.now})
 	}
-	r.handle(Exchanges{Entries: fresh})
+	r.handle(ExchangeListUpdate{Entries: fresh})
 	r.run(set.ColdFor)
 	for i := 1; i < n; i++ {
 		r.circuits(uint32(1000+i), 20, 20)
@@ -693,30 +693,30 @@
 		t.Fatalf("%d exchanges kept", n)
 	}
 	win, own := r.k.cells[1].win, r.k.win
-	slow := r.callOut(t, Call{Dest: 1})
+	slow := r.callOut(t, Call{Destination: 1})
 	r.run(time.Second)
 	r.stands(slow, time.Second)
-	lost := r.callOut(t, Call{Dest: 2})
-	r.ends(lost, TimedOut, 0, time.Second)
+	lost := r.callOut(t, Call{Destination: 2})
+	r.ends(lost, OutcomeTimedOut, 0, time.Second)
 	if r.k.win != own || r.k.cells[2].win != win {
 		t.Fatalf("own window %v, was %v; far window %v, was %v", r.k.win, own, r.k.cells[2].win, win)
 	}
 	r.run(rest)
-	r.callOut(t, Call{Dest: 1})
-	r.callOut(t, Call{Dest: 3})
+	r.callOut(t, Call{Destination: 1})
+	r.callOut(t, Call{Destination: 3})
 }
 
 // A fleet of three: the one tandem is used, and a turn-back does not close it for good.
 func TestFleetOfThree(t *testing.T) {
 	r := newRig(t, settings(), 3)
 	r.circuits(101, 0, 20)
-	c := r.callOut(t, Call{Dest: 1})
+	c := r.callOut(t, Call{Destination: 1})
 	if c.exchange != 102 {
 		t.Fatalf("over %d, want 102", c.exchange)
 	}
-	r.ends(c, Full, TurnedBack, 50*ms)
+	r.ends(c, OutcomeRejected, NoteCrankback, 50*ms)
 	r.run(turnedSkip)
-	if c := r.callOut(t, Call{Dest: 1}); c.exchange != 102 {
+	if c := r.callOut(t, Call{Destination: 1}); c.exchange != 102 {
 		t.Fatalf("over %d, want 102 again", c.exchange)
 	}
 }
--- a/brain/fleet_test.go
+++ b/brain/fleet_test.go
@@ -56,31 +56,31 @@
 func (f *fleet) tell(k int, e Event) {
 	for _, a := range f.ks[k].Handle(f.now, e) {
 		switch a := a.(type) {
-		case Send:
-			c := f.calls[a.ID]
+		case StartAttempt:
+			c := f.calls[a.CallID]
 			n := c.n
 			c.n++
-			f.got[int(a.Exchange-1)%100] = append(f.got[int(a.Exchange-1)%100], f.now)
-			if f.ks[k].set.Self != int(a.Exchange-1)%100 { // the own processor has work of it too
+			f.got[int(a.ExchangeID-1)%100] = append(f.got[int(a.ExchangeID-1)%100], f.now)
+			if f.ks[k].set.Self != int(a.ExchangeID-1)%100 { // the own processor has work of it too
 				f.got[k] = append(f.got[k], f.now)
 			}
 			f.at(f.now+20*time.Millisecond, func() {
-				f.tell(k, Standing{ID: a.ID, Attempt: n, Exchange: a.Exchange, After: 20 * time.Millisecond})
+				f.tell(k, CallEstablished{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Elapsed: 20 * time.Millisecond})
 				f.at(f.now+f.exp(2*time.Second), func() {
-					f.tell(k, Ended{ID: a.ID, Attempt: n, Exchange: a.Exchange, Outcome: OK, Final: true})
+					f.tell(k, AttemptEnded{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Outcome: OutcomeCompleted, Final: true})
 				})
 			})
-		case Refuse: // half of the callers stay away as long as they are told, the others come sooner
-			c := *f.calls[a.ID]
+		case RefuseCall: // half of the callers stay away as long as they are told, the others come sooner
+			c := *f.calls[a.CallID]
 			if c.tries++; c.tries < 3 {
-				wait := a.Backoff
+				wait := a.RetryAfter
 				if f.rand.IntN(2) == 0 {
 					wait = 700 * time.Millisecond
 				}
-				f.at(f.now+wait, func() { f.call(c.k, c.Dest, c.tries) })
+				f.at(f.now+wait, func() { f.call(c.k, c.Destination, c.tries) })
 			}
-		case Wake:
-			f.at(f.now+a.After, func() { f.tell(k, Alarm{Token: a.Token}) })
+		case SetTimer:
+			f.at(f.now+a.Delay, func() { f.tell(k, TimerExpired{Token: a.Token}) })
 		}
 	}
 }
@@ -91,8 +91,8 @@
 
 func (f *fleet) call(k, dest, tries int) {
 	f.seq++
-	c := &fleetCall{k: k, tries: tries, Call: Call{ID: fmt.Sprint(f.seq), Left: 3 * time.Second, Dest: dest, Width: 1,
-		Through: -1, Numbered: true, Number: uint64(f.seq), Repeat: tries > 0}}
+	c := &fleetCall{k: k, tries: tries, Call: Call{ID: fmt.Sprint(f.seq), Remaining: 3 * time.Second, Destination: dest, Width: 1,
+		Via: -1, HasCalledNumber: true, CalledNumber: uint64(f.seq), Repeat: tries > 0}}
 	f.calls[c.ID] = c
 	f.tell(k, c.Call)
 }
@@ -141,7 +141,7 @@
 			}
 			var rows []Exchange
 			for x := range s.controllers {
-				rows = append(rows, Exchange{ID: uint32(x + 1), Cell: x})
+				rows = append(rows, Exchange{ID: uint32(x + 1), Number: x})
 			}
 			demand := make([]float64, s.controllers) // at an exchange, with its own callers' calls
 			for k := range s.controllers {
@@ -150,9 +150,9 @@
 					BackoffMax: 2 * time.Second, Tick: time.Millisecond, MarksRepeat: true, ColdFrom: s.from, ColdFor: s.cold,
 					OverloadFactor: s.factor, OverloadFor: s.over,
 					Classes: []Class{{Name: "voice", Worth: 1, LateWorth: 0.1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 2 * time.Second, Width: 1}}}))
-				f.tell(k, Exchanges{Complete: true, Entries: rows})
+				f.tell(k, ExchangeListUpdate{Complete: true, Entries: rows})
 				for x := range s.controllers {
-					f.tell(k, Circuits{Exchange: uint32(x + 1), OK: true, Report: Report{Known: true, Free: 1000, Size: 1000}})
+					f.tell(k, GroupStatus{ExchangeID: uint32(x + 1), OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 					if x != k {
 						rate := s.rate * weight[k] / sum * weight[x] / (sum - weight[k])
 						demand[x] += rate
@@ -166,22 +166,22 @@
 				heard := time.Duration(f.rand.Int64N(int64(1500 * time.Millisecond)))
 				var gone, back []Exchange
 				for x := 0; x < s.controllers; x += 3 {
-					gone = append(gone, Exchange{ID: uint32(x + 1), Cell: x, State: Out})
-					back = append(back, Exchange{ID: uint32(x + 101), Cell: x, Since: up})
+					gone = append(gone, Exchange{ID: uint32(x + 1), Number: x, State: OutOfService})
+					back = append(back, Exchange{ID: uint32(x + 101), Number: x, StartedAt: up})
 				}
-				f.at(down+heard, func() { f.tell(k, Exchanges{Entries: gone}) })
+				f.at(down+heard, func() { f.tell(k, ExchangeListUpdate{Entries: gone}) })
 				f.at(up+heard, func() {
-					f.tell(k, Exchanges{Entries: back})
+					f.tell(k, ExchangeListUpdate{Entries: back})
 					for _, b := range back {
-						f.tell(k, Circuits{Exchange: b.ID, OK: true, Report: Report{Known: true, Free: 1000, Size: 1000}})
+						f.tell(k, GroupStatus{ExchangeID: b.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 					}
 				})
 				if seed > 0 && uint64(k)%3 < seed { // this one starts again after them, knowing nothing
 					f.at(up+1500*time.Millisecond+time.Duration(f.rand.Int64N(int64(6*time.Second))), func() {
 						f.ks[k] = New(f.ks[k].set)
-						f.tell(k, Exchanges{Complete: true, Entries: append(slices.Clone(rows), back...)})
+						f.tell(k, ExchangeListUpdate{Complete: true, Entries: append(slices.Clone(rows), back...)})
 						for _, x := range append(slices.Clone(rows), back...) {
-							f.tell(k, Circuits{Exchange: x.ID, OK: true, Report: Report{Known: true, Free: 1000, Size: 1000}})
+							f.tell(k, GroupStatus{ExchangeID: x.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 						}
 					})
 				}
@@ -225,14 +225,14 @@
 			Tick: time.Millisecond, ColdFrom: 0.3, ColdFor: 13 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second,
 			Classes: []Class{{Name: "voice", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 2 * time.Second, Width: 1}}})
 		now := time.Hour
-		k.Handle(now, Exchanges{Complete: true, Entries: []Exchange{{ID: 1, Cell: 0}, {ID: 2, Cell: 1, Since: now - 2*time.Second}}})
-		k.Handle(now, Circuits{Exchange: 2, OK: true, Report: Report{Known: true, Free: 1000, Size: 1000}})
+		k.Handle(now, ExchangeListUpdate{Complete: true, Entries: []Exchange{{ID: 1, Number: 0}, {ID: 2, Number: 1, StartedAt: now - 2*time.Second}}})
+		k.Handle(now, GroupStatus{ExchangeID: 2, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 		for i := range 40 * (1 + redials) { // ten first tries a second
 			now += 100 * time.Millisecond / time.Duration(1+redials)
-			for _, a := range k.Handle(now, Call{ID: fmt.Sprint(i), Left: 9 * time.Second, Dest: 1, Width: 1, Through: -1, Repeat: i%(1+redials) > 0}) {
-				if s, ok := a.(Send); ok {
+			for _, a := range k.Handle(now, Call{ID: fmt.Sprint(i), Remaining: 9 * time.Second, Destination: 1, Width: 1, Via: -1, Repeat: i%(1+redials) > 0}) {
+				if s, ok := a.(StartAttempt); ok {
 					sent++
-					k.Handle(now, Standing{ID: s.ID, Exchange: 2, After: time.Millisecond})
+					k.Handle(now, CallEstablished{CallID: s.CallID, ExchangeID: 2, Elapsed: time.Millisecond})
 				}
 			}
 		}
--- a/brain/rules_test.go
+++ b/brain/rules_test.go
@@ -30,7 +30,7 @@
 	set     Settings
 	now     time.Duration
 	calls   map[string]*seen
-	state   map[uint32]State
+	state   map[uint32]ExchangeState
 	told    map[uint32]time.Duration
 	wakes   map[uint64]time.Duration
 	last    []Action
@@ -53,13 +53,13 @@
 }
 
 func newRig(t testing.TB, set Settings, cells int) *rig {
-	r := &rig{t: t, k: New(set), set: set, now: time.Hour, calls: map[string]*seen{}, state: map[uint32]State{},
+	r := &rig{t: t, k: New(set), set: set, now: time.Hour, calls: map[string]*seen{}, state: map[uint32]ExchangeState{},
 		told: map[uint32]time.Duration{}, wakes: map[uint64]time.Duration{}, sentAt: map[uint32][]time.Duration{}}
 	var list []Exchange
 	for i := 0; i < cells; i++ {
-		list = append(list, Exchange{ID: uint32(100 + i), Cell: i})
+		list = append(list, Exchange{ID: uint32(100 + i), Number: i})
 	}
-	r.handle(Exchanges{Complete: true, Entries: list})
+	r.handle(ExchangeListUpdate{Complete: true, Entries: list})
 	for i := 0; i < cells; i++ {
 		if i != set.Self {
 			r.circuits(uint32(100+i), 20, 20)
@@ -69,15 +69,15 @@
 }
 
 func (r *rig) circuits(id uint32, free, size int) {
-	r.handle(Circuits{Exchange: id, OK: true, Report: Report{Known: true, Free: free, Size: size}})
+	r.handle(GroupStatus{ExchangeID: id, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}})
 }
 
 func (r *rig) handle(e Event) []Action {
 	r.t.Helper()
-	if l, ok := e.(Exchanges); ok {
+	if l, ok := e.(ExchangeListUpdate); ok {
 		if l.Complete {
 			for id := range r.state {
-				r.state[id] = Out
+				r.state[id] = OutOfService
 			}
 		}
 		for _, x := range l.Entries {
@@ -94,32 +94,32 @@
 func (r *rig) check(a Action) {
 	r.t.Helper()
 	switch a := a.(type) {
-	case Send:
-		c := r.calls[a.ID]
+	case StartAttempt:
+		c := r.calls[a.CallID]
 		switch {
 		case c == nil || c.answered:
-			r.t.Fatalf("rule 1: send for a finished call %s", a.ID)
+			r.t.Fatalf("rule 1: send for a finished call %s", a.CallID)
 		case c.out:
-			r.t.Fatalf("rule 2: second attempt out for %s", a.ID)
-		case r.state[a.Exchange] != In:
-			r.t.Fatalf("rule 3: send to %d which is not in service", a.Exchange)
+			r.t.Fatalf("rule 2: second attempt out for %s", a.CallID)
+		case r.state[a.ExchangeID] != InService:
+			r.t.Fatalf("rule 3: send to %d which is not in service", a.ExchangeID)
 		case r.now < c.hold:
-			r.t.Fatalf("rule 5: %s sent %v too early", a.ID, c.hold-r.now)
+			r.t.Fatalf("rule 5: %s sent %v too early", a.CallID, c.hold-r.now)
 		case a.Timeout <= 0:
 			r.t.Fatalf("attempt without a time-out")
 		}
-		c.out, c.exchange = true, a.Exchange
-		r.sentAt[a.Exchange] = append(r.sentAt[a.Exchange], r.now)
+		c.out, c.exchange = true, a.ExchangeID
+		r.sentAt[a.ExchangeID] = append(r.sentAt[a.ExchangeID], r.now)
 		r.pending = append(r.pending, c)
-	case Refuse:
-		r.final(a.ID)
-	case GiveUp:
-		r.final(a.ID)
-	case Wake:
-		if a.After <= 0 {
-			r.t.Fatalf("wake in %v", a.After)
+	case RefuseCall:
+		r.final(a.CallID)
+	case FailCall:
+		r.final(a.CallID)
+	case SetTimer:
+		if a.Delay <= 0 {
+			r.t.Fatalf("wake in %v", a.Delay)
 		}
-		r.wakes[a.Token] = r.now + a.After
+		r.wakes[a.Token] = r.now + a.Delay
 	}
 }
 
@@ -142,16 +142,16 @@
 	if c.Width == 0 {
 		c.Width = r.set.Classes[c.Class].Width
 	}
-	if !c.Numbered {
-		c.Number = uint64(10000 + r.serial)
+	if !c.HasCalledNumber {
+		c.CalledNumber = uint64(10000 + r.serial)
 	}
-	if c.Left == 0 {
-		c.Left = 3 * time.Second
+	if c.Remaining == 0 {
+		c.Remaining = 3 * time.Second
 	}
 	if !c.Transit && !r.set.Advice {
-		c.Through = -1
+		c.Via = -1
 	}
-	s := &seen{id: c.ID, due: r.now + c.Left, class: c.Class}
+	s := &seen{id: c.ID, due: r.now + c.Remaining, class: c.Class}
 	r.calls[c.ID] = s
 	r.owed = append(r.owed, s)
 	r.handle(c)
@@ -161,15 +161,15 @@
 func (r *rig) stands(c *seen, after time.Duration) {
 	c.stood = true
 	c.answered = true
-	r.handle(Standing{ID: c.id, Attempt: c.attempt, Exchange: c.exchange, After: after})
+	r.handle(CallEstablished{CallID: c.id, Attempt: c.attempt, ExchangeID: c.exchange, Elapsed: after})
 }
 
 func (r *rig) ends(c *seen, o Outcome, note Note, after time.Duration) {
-	final := c.stood || o == OK
+	final := c.stood || o == OutcomeCompleted
 	if final {
 		c.answered = true
 	}
-	if o == TimedOut || o == Reset || o == Cancelled {
+	if o == OutcomeTimedOut || o == OutcomeReset || o == OutcomeCancelled {
 		c.hold = r.now + r.set.ReleaseWait
 	}
 	c.out = false
@@ -181,7 +181,7 @@
 			break
 		}
 	}
-	r.handle(Ended{ID: c.id, Attempt: at, Exchange: c.exchange, Outcome: o, Note: note, After: after, Final: final})
+	r.handle(AttemptEnded{CallID: c.id, Attempt: at, ExchangeID: c.exchange, Outcome: o, Note: note, Elapsed: after, Final: final})
 }
 
 // run passes time in ticks and rings the alarms that fall due.
@@ -198,7 +198,7 @@
 		slices.Sort(ring)
 		for _, tok := range ring {
 			delete(r.wakes, tok)
-			r.handle(Alarm{tok})
+			r.handle(TimerExpired{tok})
 		}
 		owed := r.owed[:0]
 		for _, c := range r.owed {
@@ -213,9 +213,9 @@
 	}
 }
 
-func (r *rig) sent() (s []Send) {
+func (r *rig) sent() (s []StartAttempt) {
 	for _, a := range r.last {
-		if x, ok := a.(Send); ok {
+		if x, ok := a.(StartAttempt); ok {
 			s = append(s, x)
 		}
 	}
@@ -233,17 +233,17 @@
 			for step := 0; step < 3000; step++ {
 				switch n := rnd.Intn(100); {
 				case n < 35:
-					c := Call{Class: rnd.Intn(3), Dest: 1 + rnd.Intn(3), Left: time.Duration(50+rnd.Intn(3500)) * ms,
-						Repeat: rnd.Intn(4) == 0, Again: rnd.Intn(20) == 0}
+					c := Call{Class: rnd.Intn(3), Destination: 1 + rnd.Intn(3), Remaining: time.Duration(50+rnd.Intn(3500)) * ms,
+						Repeat: rnd.Intn(4) == 0, Reconnect: rnd.Intn(20) == 0}
 					if rnd.Intn(5) == 0 {
-						c.Transit, c.Through = true, 1+rnd.Intn(3)
+						c.Transit, c.Via = true, 1+rnd.Intn(3)
 					}
 					if rnd.Intn(10) == 0 {
-						c.Number, c.Numbered = 5, true
+						c.CalledNumber, c.HasCalledNumber = 5, true
 					}
 					if rnd.Intn(200) == 0 {
-						c.Left = 0
-						c.Left = time.Nanosecond
+						c.Remaining = 0
+						c.Remaining = time.Nanosecond
 					}
 					r.call(c)
 				case n < 60:
@@ -254,7 +254,7 @@
 					if !c.stood && rnd.Intn(2) == 0 && !c.answered {
 						r.stands(c, took)
 					} else if c.stood {
-						r.ends(c, []Outcome{OK, Reset}[rnd.Intn(2)], 0, took)
+						r.ends(c, []Outcome{OutcomeCompleted, OutcomeReset}[rnd.Intn(2)], 0, took)
 					} else {
 						o := Outcome(1 + rnd.Intn(7))
 						r.ends(c, o, Note(rnd.Intn(5)), took)
@@ -267,11 +267,11 @@
 					}
 				case n < 95:
 					id := 1 + rnd.Intn(3)
-					x := Exchange{ID: uint32(100 + id), Cell: id, State: State(rnd.Intn(3))}
-					if x.State == In && rnd.Intn(2) == 0 {
-						x.Since = r.now
+					x := Exchange{ID: uint32(100 + id), Number: id, State: ExchangeState(rnd.Intn(3))}
+					if x.State == InService && rnd.Intn(2) == 0 {
+						x.StartedAt = r.now
 					}
-					r.handle(Exchanges{Entries: []Exchange{x}})
+					r.handle(ExchangeListUpdate{Entries: []Exchange{x}})
 				case n < 97:
 					ids := make([]string, 0)
 					for i := 1; i <= r.serial; i++ {
@@ -282,17 +282,17 @@
 					if len(ids) > 0 {
 						id := ids[rnd.Intn(len(ids))]
 						r.calls[id].answered = true
-						r.handle(CallGone{ID: id})
+						r.handle(CallAbandoned{CallID: id})
 					}
 				default:
-					r.handle(CallGone{ID: "never heard of"})
+					r.handle(CallAbandoned{CallID: "never heard of"})
 				}
 			}
 			// what is out times out at its deadline; then all must be answered
 			for i := 0; i < 4; i++ {
 				for _, c := range append([]*seen(nil), r.pending...) {
 					if !c.stood {
-						r.ends(c, TimedOut, 0, time.Second)
+						r.ends(c, OutcomeTimedOut, 0, time.Second)
 					}
 				}
 				r.run(1200 * ms)
@@ -323,12 +323,12 @@
 	for i := 1; i < 4; i++ {
 		r.circuits(uint32(100+i), 0, 20)
 	}
-	c := r.call(Call{Dest: 1, Left: 200 * ms})
+	c := r.call(Call{Destination: 1, Remaining: 200 * ms})
 	r.run(200 * ms)
 	if !c.answered {
 		t.Fatal("no final answer within the caller's time")
 	}
-	over := r.call(Call{Dest: 1, Left: time.Nanosecond})
+	over := r.call(Call{Destination: 1, Remaining: time.Nanosecond})
 	r.run(10 * ms)
 	if !over.answered {
 		t.Fatal("a call whose time is up got no answer")
@@ -337,8 +337,8 @@
 
 func TestReleaseIsAwaited(t *testing.T) {
 	r := newRig(t, settings(), 4)
-	c := r.call(Call{Dest: 1})
-	r.ends(c, Reset, 0, 100*ms)
+	c := r.call(Call{Destination: 1})
+	r.ends(c, OutcomeReset, 0, 100*ms)
 	r.run(295 * ms)
 	if c.out {
 		t.Fatal("sent again within the release time")
@@ -351,15 +351,15 @@
 
 func TestNothingToDrainingExchange(t *testing.T) {
 	r := newRig(t, settings(), 4)
-	r.handle(Exchanges{Entries: []Exchange{{ID: 101, Cell: 1, State: Draining}}})
-	c := r.call(Call{Dest: 1})
+	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, State: Draining}}})
+	c := r.call(Call{Destination: 1})
 	r.run(1200 * ms)
 	if len(r.sentAt[101]) > 0 || !c.answered {
 		t.Fatal("draining exchange was sent to, or the call was left hanging")
 	}
 	// one that is missing from a complete list is gone
-	r.handle(Exchanges{Complete: true, Entries: []Exchange{{ID: 100, Cell: 0}, {ID: 102, Cell: 2}}})
-	c = r.call(Call{Dest: 3})
+	r.handle(ExchangeListUpdate{Complete: true, Entries: []Exchange{{ID: 100, Number: 0}, {ID: 102, Number: 2}}})
+	c = r.call(Call{Destination: 3})
 	r.run(1200 * ms)
 	if len(r.sentAt[103]) > 0 || !c.answered {
 		t.Fatal("removed exchange was sent to, or the call was left hanging")
@@ -375,13 +375,13 @@
 	normal := func(d time.Duration, perTick int) {
 		for end := r.now + d; r.now < end; {
 			for i := 0; i < perTick; i++ {
-				r.call(Call{Dest: 1})
+				r.call(Call{Destination: 1})
 			}
 			r.run(gap)
 			for _, c := range append([]*seen(nil), r.pending...) {
 				if !c.stood {
 					r.stands(c, 100*ms)
-					r.ends(c, OK, 0, 200*ms)
+					r.ends(c, OutcomeCompleted, 0, 200*ms)
 				}
 			}
 			r.circuits(101, 20, 20)
@@ -389,7 +389,7 @@
 	}
 	normal(20*time.Second, 1)
 	start := r.now
-	r.handle(Exchanges{Entries: []Exchange{{ID: 101, Cell: 1, Since: r.now}}})
+	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, StartedAt: r.now}}})
 	normal(10*time.Second, 4) // redials: four times as many
 	var first []time.Duration
 	for _, at := range r.sentAt[101] {
@@ -422,14 +422,14 @@
 			for end := r.now + d; r.now < end; {
 				for p := perSecond / 20; p > 0; p-- {
 					if rnd.Float64() < p {
-						r.call(Call{Dest: 1})
+						r.call(Call{Destination: 1})
 					}
 				}
 				r.run(50 * ms)
 				for _, c := range append([]*seen(nil), r.pending...) {
 					if !c.stood && rnd.Intn(2) == 0 {
 						r.stands(c, 50*ms)
-						r.ends(c, OK, 0, 60*ms)
+						r.ends(c, OutcomeCompleted, 0, 60*ms)
 					}
 				}
 				r.circuits(101, 20, 20)
@@ -437,7 +437,7 @@
 		}
 		load(30*time.Second, 5)
 		start := r.now
-		r.handle(Exchanges{Entries: []Exchange{{ID: 101, Cell: 1, Since: start}}})
+		r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, StartedAt: start}}})
 		load(set.ColdFor, 10+float64(rnd.Intn(30)))
 		sent := r.sentAt[101]
 		for _, from := range sent {
@@ -470,22 +470,22 @@
 		set.Self, set.Me, set.Controllers = me, me, n
 		r := newRig(t, set, n+1)
 		for i := 0; i < 4; i++ { // one call in five seconds before, as one of many senders
-			c := r.callOut(t, Call{Dest: 0})
+			c := r.callOut(t, Call{Destination: 0})
 			r.run(50 * ms)
 			r.stands(c, 50*ms)
-			r.ends(c, OK, 0, 60*ms)
+			r.ends(c, OutcomeCompleted, 0, 60*ms)
 			r.run(5 * time.Second)
 		}
 		began, before := r.now, len(r.sentAt[900])
-		r.handle(Exchanges{Entries: []Exchange{{ID: 900, Cell: 0, Since: r.now}}})
+		r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 900, Number: 0, StartedAt: r.now}}})
 		for r.now < began+set.ColdFor { // and ten times that after its start
 			r.circuits(900, 20, 20)
-			r.call(Call{Dest: 0})
+			r.call(Call{Destination: 0})
 			r.run(500 * ms)
 			for _, p := range append([]*seen(nil), r.pending...) {
 				if p.exchange == 900 && !p.stood {
 					r.stands(p, 50*ms)
-					r.ends(p, OK, 0, 60*ms)
+					r.ends(p, OutcomeCompleted, 0, 60*ms)
 				}
 			}
 		}
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -40,19 +40,19 @@
 }
 
 // send carries out the module's Send.
-func (c *Controller) send(a brain.Send) {
-	k := c.calls[a.ID]
+func (c *Controller) send(a brain.StartAttempt) {
+	k := c.calls[a.CallID]
 	if k == nil || k.state != open || k.att != nil && !k.att.told {
 		// the module names a call that is over or has an attempt out: told, not obeyed
-		c.log(slog.LevelError, a.ID, "the module sends a call that can't be sent")
+		c.log(slog.LevelError, a.CallID, "the module sends a call that can't be sent")
 		if k != nil && k.state == open {
 			return
 		}
-		c.feed(brain.Ended{ID: a.ID, Exchange: a.Exchange, Outcome: brain.Moot, Final: true})
+		c.feed(brain.AttemptEnded{CallID: a.CallID, ExchangeID: a.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
 		return
 	}
 	c.stats.Attempts++
-	t := &attempt{call: k, n: k.attempts, to: a.Exchange, link: c.links[uint64(a.Exchange)], began: c.now, till: c.now + a.Timeout}
+	t := &attempt{call: k, n: k.attempts, to: a.ExchangeID, link: c.links[uint64(a.ExchangeID)], began: c.now, till: c.now + a.Timeout}
 	k.attempts++
 	k.att = t
 	if t.link != nil && t.link.cell != k.dest {
@@ -60,7 +60,7 @@
 	}
 	switch {
 	case t.link == nil || t.link.fenced:
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case t.link.life.up:
 		c.post(t)
 	default:
@@ -96,10 +96,10 @@
 	case queued:
 		t.link.waiting = without(t.link.waiting, t)
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case sent:
 		c.stats.TimedOut++
-		c.withdraw(t, brain.TimedOut)
+		c.withdraw(t, brain.OutcomeTimedOut)
 	case freeing:
 		at, lost := c.cfg.Release.Next(c.now, t.tries)
 		if lost {
@@ -180,11 +180,11 @@
 		c.stats.Standing--
 		k.state = over
 	}
-	e := brain.Ended{ID: k.id, Attempt: t.n, Exchange: t.to, Outcome: o, After: c.now - t.began, Final: k.state == over}
+	e := brain.AttemptEnded{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Outcome: o, Elapsed: c.now - t.began, Final: k.state == over}
 	c.attemptEnded(t, e.Outcome, &r)
 	k.cause = ""
 	if r.Kind == signal.Reply {
-		e.Note, e.Wait = note(&r)
+		e.Note, e.RetryAfter = note(&r)
 		e.Report = c.report(&r)
 		k.cause = r.Get("Note")
 	}
@@ -192,9 +192,9 @@
 		k.att = nil
 	}
 	switch o {
-	case brain.Reset:
+	case brain.OutcomeReset:
 		c.stats.Reset++
-	case brain.Cancelled:
+	case brain.OutcomeCancelled:
 		c.stats.Withdrawn++
 	}
 	c.feed(e)
@@ -220,8 +220,8 @@
 	c.timers.Stop(t.timer)
 	if k.state != open { // its caller left and the module did not call it off
 		t.told = true
-		c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
-		t.told, t.outcome = false, brain.OK
+		c.feed(brain.CallEstablished{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Elapsed: c.now - t.began})
+		t.told, t.outcome = false, brain.OutcomeCompleted
 		c.free(t, 0)
 		return
 	}
@@ -241,7 +241,7 @@
 	if c.cfg.Interim > 0 {
 		c.timers.Set(c.now+c.cfg.Interim, timer{interim: k})
 	}
-	c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
+	c.feed(brain.CallEstablished{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Elapsed: c.now - t.began})
 }
 
 // fromExchange reads what an exchange says.
@@ -292,13 +292,13 @@
 		if k == nil || k.name != m.Term || k.att == nil || k.att.link != l {
 			return
 		}
-		o := brain.OK
+		o := brain.OutcomeCompleted
 		if m.Get("Event") == "cut" {
-			o = brain.Reset
+			o = brain.OutcomeReset
 		}
 		switch t := k.att; {
 		case k.state == standing:
-			if o == brain.Reset {
+			if o == brain.OutcomeReset {
 				c.stats.Cut++
 				c.callEnded(k, flow.Cut)
 				c.notifyEnd(k, "cut")
@@ -312,7 +312,7 @@
 			}
 			c.end(t, o, signal.Message{}) // the exchange has let go by itself
 		case t.stage == sent:
-			c.end(t, brain.Reset, signal.Message{})
+			c.end(t, brain.OutcomeReset, signal.Message{})
 		case t.stage == freeing:
 			c.end(t, t.outcome, signal.Message{})
 		}
@@ -329,7 +329,7 @@
 	case t == nil:
 	case t.stage == sent:
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case t.stage == freeing: // withdrawn before it left: there is nothing to let go
 		c.end(t, t.outcome, signal.Message{})
 	}
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -136,7 +136,7 @@
 	}
 	k.context, k.id = c.context, contextID(c.context)
 	k.name, k.from, k.tx, k.taken = m.Term, cl, m.ID, c.now
-	k.due = c.now + e.Left
+	k.due = c.now + e.Remaining
 	e.ID = k.id
 	cl.open[m.ID], cl.calls[m.Term], c.calls[k.id] = k, k, k
 	c.stats.Taken++
@@ -154,40 +154,40 @@
 )
 
 func (c *Controller) readCall(m *signal.Message) (*call, brain.Call, error) {
-	k, e := &call{number: m.Get("Number")}, brain.Call{Through: -1}
+	k, e := &call{number: m.Get("Number")}, brain.Call{Via: -1}
 	class, ok := c.classes[m.Get("Class")]
 	if !ok {
 		return nil, e, fmt.Errorf("descriptor Class: %.40q is not one of this network's", m.Get("Class"))
 	}
 	k.class, e.Class = class, class
 	var err error
-	if e.Left, err = m.Span("Left"); err != nil {
+	if e.Remaining, err = m.Span("Left"); err != nil {
 		return nil, e, err
 	}
-	if e.Dest, err = m.Int("Dest", 0, mostCell); err != nil {
+	if e.Destination, err = m.Int("Dest", 0, mostCell); err != nil {
 		return nil, e, err
 	}
 	if e.Width, err = m.IntOr("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
 		return nil, e, err
 	}
 	if k.number != "" {
-		if e.Number, err = strconv.ParseUint(k.number, 10, 53); err != nil {
+		if e.CalledNumber, err = strconv.ParseUint(k.number, 10, 53); err != nil {
 			return nil, e, fmt.Errorf("descriptor Number: %.40q is not a number below 2^53", k.number)
 		}
-		e.Numbered = true
+		e.HasCalledNumber = true
 	}
 	name := "Advice" // the tandem with most room, or for a call in transit where it comes from
 	if e.Transit = m.Get("Source") != ""; e.Transit {
 		name = "Source"
 	}
-	if e.Through, err = m.IntOr(name, 0, mostCell, -1); err != nil {
+	if e.Via, err = m.IntOr(name, 0, mostCell, -1); err != nil {
 		return nil, e, err
 	}
-	e.Repeat, e.Again = m.Flag("Repeat"), m.Flag("Again")
-	k.width, k.dest, k.transit, k.again = e.Width, e.Dest, e.Transit, e.Again
-	k.called, k.repeat, k.source = e.Number, e.Repeat || e.Again, c.cfg.Self
+	e.Repeat, e.Reconnect = m.Flag("Repeat"), m.Flag("Again")
+	k.width, k.dest, k.transit, k.again = e.Width, e.Destination, e.Transit, e.Reconnect
+	k.called, k.repeat, k.source = e.CalledNumber, e.Repeat || e.Reconnect, c.cfg.Self
 	if e.Transit {
-		k.source = e.Through
+		k.source = e.Via
 	}
 	return k, e, nil
 }
@@ -212,7 +212,7 @@
 		c.stats.Left++
 		k.state = over
 		c.callEnded(k, flow.Left)
-		c.feed(brain.CallGone{ID: k.id}) // what is out is called off before the answer is said
+		c.feed(brain.CallAbandoned{CallID: k.id}) // what is out is called off before the answer is said
 		c.answer(k, &signal.Message{Code: signal.Gone, Text: "the caller left"})
 		if k.att == nil || k.att.stage == freed {
 			c.forget(k)
@@ -220,7 +220,7 @@
 	case standing:
 		c.stats.Ended++
 		c.callEnded(k, flow.Ended)
-		c.release(k, brain.OK)
+		c.release(k, brain.OutcomeCompleted)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -139,7 +139,7 @@
 	links    map[uint64]*link
 	listUp   life
 	cells    map[int]uint64 // number to id of the exchange that serves it
-	circuits map[int]brain.Circuits
+	circuits map[int]brain.GroupStatus
 	context  uint32
 	leaving  bool
 	left     bool
@@ -156,7 +156,7 @@
 func New(now time.Duration, cfg Config) *Controller {
 	c := &Controller{cfg: cfg, module: policy.Feed{Module: cfg.Module}, now: now, classes: map[string]int{}, timers: wheel.New[timer](now),
 		callers: map[uint64]*caller{}, calls: map[string]*call{}, links: map[uint64]*link{},
-		cells: map[int]uint64{}, circuits: map[int]brain.Circuits{}}
+		cells: map[int]uint64{}, circuits: map[int]brain.GroupStatus{}}
 	for i, cl := range cfg.Classes {
 		c.classes[cl.Name] = i
 	}
@@ -226,7 +226,7 @@
 func (c *Controller) fire(t timer) {
 	switch {
 	case t.wake:
-		c.feed(brain.Alarm{Token: t.token})
+		c.feed(brain.TimerExpired{Token: t.token})
 	case t.attempt != nil:
 		c.attemptDue(t.attempt)
 	case t.link != nil && t.round == t.link.round:
@@ -321,7 +321,7 @@
 		if k := c.calls[id]; k.state == standing {
 			c.notifyEnd(k, "cut")
 			c.callEnded(k, flow.Cut)
-			c.release(k, brain.Reset)
+			c.release(k, brain.OutcomeReset)
 		}
 	}
 	c.timers.Set(c.now+endAgain, timer{stand: true}) // one that was unanswered may stand yet
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -27,9 +27,9 @@
 	return s.on(e)
 }
 
-func (s *script) ended() (all []brain.Ended) {
+func (s *script) ended() (all []brain.AttemptEnded) {
 	for _, e := range s.told {
-		if x, ok := e.(brain.Ended); ok {
+		if x, ok := e.(brain.AttemptEnded); ok {
 			all = append(all, x)
 		}
 	}
@@ -41,12 +41,12 @@
 	return func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
-			return []brain.Action{brain.Send{ID: e.ID, Exchange: id, Timeout: timeout}}
-		case brain.CallGone:
-			return []brain.Action{brain.Cancel{ID: e.ID}}
-		case brain.Ended:
+			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: id, Timeout: timeout}}
+		case brain.CallAbandoned:
+			return []brain.Action{brain.CancelAttempt{CallID: e.CallID}}
+		case brain.AttemptEnded:
 			if !e.Final {
-				return []brain.Action{brain.Refuse{ID: e.ID}}
+				return []brain.Action{brain.RefuseCall{CallID: e.CallID}}
 			}
 		}
 		return nil
@@ -201,7 +201,7 @@
 		t.Fatal("the module is told before the exchange has let go")
 	}
 	r.say(exchangeNo(101), free.Answer())
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OK || !e[0].Final {
+	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCompleted || !e[0].Final {
 		t.Fatalf("%+v", e)
 	}
 	r.empty()
@@ -227,7 +227,7 @@
 			}
 		}
 		one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-		if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.Cancelled || !e[0].Final {
+		if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCancelled || !e[0].Final {
 			t.Fatalf("%+v", e)
 		}
 		// the answer crosses the withdrawal: it counts as late and moves nothing
@@ -292,7 +292,7 @@
 	for _, e := range m.ended() {
 		outcomes = append(outcomes, e.Outcome)
 	}
-	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.Reset, brain.NoConnect, brain.NoConnect}) {
+	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
 		t.Fatalf("%v (%s)", outcomes, sent.Term)
 	}
 	// back in service: the fence is lifted and set-ups leave
@@ -309,7 +309,7 @@
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 	r.word(101, 1, "draining")
 	out := r.in(Input{What: Unsent, Peer: exchangeNo(101), Msg: set})
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.NoConnect {
+	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeUnreachable {
 		t.Fatalf("%+v", e)
 	}
 	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
@@ -335,7 +335,7 @@
 			t.Fatalf("a late answer moves %+v", out)
 		}
 	}
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.TimedOut {
+	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeTimedOut {
 		t.Fatalf("%+v", e)
 	}
 	out = r.in(Input{What: Command, Peer: from(1), Msg: again})
@@ -367,13 +367,13 @@
 	answers += len(said(r.in(Input{What: Down, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
 	for _, e := range m.ended() {
-		if seen[e.ID] {
-			t.Fatalf("call %s is told twice", e.ID)
+		if seen[e.CallID] {
+			t.Fatalf("call %s is told twice", e.CallID)
 		}
-		seen[e.ID] = true
+		seen[e.CallID] = true
 		count[e.Outcome]++
 	}
-	if count[brain.Reset] != 300 || count[brain.NoConnect] != 200 || answers != 500 {
+	if count[brain.OutcomeReset] != 300 || count[brain.OutcomeUnreachable] != 200 || answers != 500 {
 		t.Fatalf("%v, %d answers", count, answers)
 	}
 	r.empty()
@@ -385,7 +385,7 @@
 	r := newRig(t, m)
 	r.list(0, 1)
 	out := r.say(from(7), add("c3-1/3.0").Put("Source", "3"))
-	if e, ok := m.told[len(m.told)-1].(brain.Call); !ok || !e.Transit || e.Through != 3 {
+	if e, ok := m.told[len(m.told)-1].(brain.Call); !ok || !e.Transit || e.Via != 3 {
 		t.Fatalf("%+v", m.told)
 	}
 	one(t, "set-up", said(out, exchangeNo(101), signal.Request, signal.Add))
@@ -587,7 +587,7 @@
 func TestModuleThatSendsTwiceIsNotObeyed(t *testing.T) {
 	m := &script{on: func(e brain.Event) []brain.Action {
 		if e, ok := e.(brain.Call); ok {
-			s := brain.Send{ID: e.ID, Exchange: 101, Timeout: time.Second}
+			s := brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: time.Second}
 			return []brain.Action{s, s}
 		}
 		return nil
@@ -605,9 +605,9 @@
 	m := &script{on: func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
-			return []brain.Action{brain.Send{ID: e.ID, Exchange: 101, Timeout: 3 * time.Second}, brain.Wake{Token: 1, After: time.Second}}
-		case brain.Alarm:
-			return []brain.Action{brain.GiveUp{ID: "1"}}
+			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: 3 * time.Second}, brain.SetTimer{Token: 1, Delay: time.Second}}
+		case brain.TimerExpired:
+			return []brain.Action{brain.FailCall{CallID: "1"}}
 		}
 		return nil
 	}}
@@ -637,7 +637,7 @@
 	if n := one(t, "notice", said(out, from(1), signal.Request, signal.Notify)); n.Get("Event") != "cut" || n.Term != "a" {
 		t.Fatalf("%s", n)
 	}
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.Reset || !e[0].Final {
+	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeReset || !e[0].Final {
 		t.Fatalf("%+v", e)
 	}
 	r.empty()
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -34,7 +34,7 @@
 	c.rec = flow.Record{Kind: kind, Outcome: o, Class: uint8(k.class), Context: k.context, Number: k.called,
 		Start: k.taken, SetUp: c.now - k.taken, Source: int32(k.source), Dest: int32(k.dest), Via: -1, Circuits: uint16(k.width),
 		N: uint8(min(k.attempts, 255)), Tandems: uint8(min(k.tandems, 255)), Repeat: k.repeat,
-		Reason: string(k.verdict.Reason), Scope: string(k.verdict.Scope), Where: int32(k.verdict.Cell)}
+		Reason: string(k.verdict.Reason), Scope: string(k.verdict.Scope), Where: int32(k.verdict.ExchangeNumber)}
 	if k.stood > 0 {
 		c.rec.SetUp, c.rec.Stood = k.stood-k.taken, c.now-k.stood
 		if k.att != nil && k.att.link != nil {
@@ -55,8 +55,8 @@
 }
 
 // ends maps the module's outcomes, by their number.
-var ends = [...]flow.Outcome{brain.OK: flow.Done, brain.Failed: flow.Error, brain.Full: flow.Full, brain.TimedOut: flow.TimedOut,
-	brain.NoConnect: flow.NoConnect, brain.Reset: flow.Reset, brain.Cancelled: flow.Cancelled, brain.Moot: flow.Moot}
+var ends = [...]flow.Outcome{brain.OutcomeCompleted: flow.Done, brain.OutcomeFailed: flow.Error, brain.OutcomeRejected: flow.Full, brain.OutcomeTimedOut: flow.TimedOut,
+	brain.OutcomeUnreachable: flow.NoConnect, brain.OutcomeReset: flow.Reset, brain.OutcomeCancelled: flow.Cancelled, brain.OutcomeNotSent: flow.Moot}
 
 // attemptEnded counts an attempt at its end, as the module is told of it.
 func (c *Controller) attemptEnded(t *attempt, o brain.Outcome, r *signal.Message) {
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -27,32 +27,32 @@
 
 func (c *Controller) act(a brain.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case brain.StartAttempt:
 		c.send(a)
-	case brain.Refuse:
-		if k := c.openCall(a.ID); k != nil {
+	case brain.RefuseCall:
+		if k := c.openCall(a.CallID); k != nil {
 			c.stats.Refused++
 			c.callEnded(k, flow.Refused)
 			m := &signal.Message{Code: signal.NoResources, Text: "refused"}
-			if a.Backoff > 0 {
-				m.PutSpan("Backoff", a.Backoff)
+			if a.RetryAfter > 0 {
+				m.PutSpan("Backoff", a.RetryAfter)
 			}
 			c.finish(k, m)
 		}
-	case brain.GiveUp:
-		if k := c.openCall(a.ID); k != nil {
+	case brain.FailCall:
+		if k := c.openCall(a.CallID); k != nil {
 			c.stats.Failed++
 			c.callEnded(k, flow.Failed)
 			c.finish(k, &signal.Message{Code: signal.Unavailable, Text: "failed"})
 		}
-	case brain.Cancel:
-		if k := c.calls[a.ID]; k != nil && k.att != nil && k.att.n == a.Attempt {
-			c.withdraw(k.att, brain.Cancelled)
+	case brain.CancelAttempt:
+		if k := c.calls[a.CallID]; k != nil && k.att != nil && k.att.n == a.Attempt {
+			c.withdraw(k.att, brain.OutcomeCancelled)
 		}
-	case brain.Wake:
-		c.timers.Set(c.now+a.After, timer{wake: true, token: a.Token})
+	case brain.SetTimer:
+		c.timers.Set(c.now+a.Delay, timer{wake: true, token: a.Token})
 	case brain.Verdict:
-		if k := c.calls[a.ID]; k != nil {
+		if k := c.calls[a.CallID]; k != nil {
 			c.verdict(k, a)
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	k.state = over
 	if k.att != nil {
-		c.withdraw(k.att, brain.TimedOut) // before the answer is said: nothing is sent after it
+		c.withdraw(k.att, brain.OutcomeTimedOut) // before the answer is said: nothing is sent after it
 	}
 	c.answer(k, m)
 	if k.att == nil || k.att.stage == freed {
@@ -86,11 +86,11 @@
 // verdict keeps the module's word with the call; a caller who is made to wait hears so.
 func (c *Controller) verdict(k *call, v brain.Verdict) {
 	k.verdict = v
-	k.why = fmt.Sprintf("%s; %s %d", v.Reason, v.Scope, v.Cell)
+	k.why = fmt.Sprintf("%s; %s %d", v.Reason, v.Scope, v.ExchangeNumber)
 	c.out = append(c.out, Effect{Do: Decided, Call: k.name, Peer: callerPeer(k), Verdict: v})
 	if v.Log {
 		c.out = append(c.out, Effect{Do: Log, Level: slog.LevelInfo, Call: k.name,
-			Text: fmt.Sprintf("%s (the %d. such)", k.why, v.Nth)})
+			Text: fmt.Sprintf("%s (the %d. such)", k.why, v.Count)})
 	}
 	if !k.pended {
 		c.waited = append(c.waited, k)
@@ -110,17 +110,17 @@
 	outcome brain.Outcome
 	note    brain.Note
 }{
-	"no-circuit":            {brain.Moot, brain.NoCircuit},    // the group between own and far is full
-	"own-processor":         {brain.Moot, brain.ProcFull},     // own is out of service
-	"over":                  {brain.Moot, brain.NoNote},       // the caller's time was over
-	"turned-back":           {brain.Full, brain.TurnedBack},   // by the tandem
-	"turned-back-processor": {brain.Full, brain.DestProcFull}, // by the tandem, for the far end's processor
-	"processor-full":        {brain.Full, brain.ProcFull},     // far turned it away
-	"lines-busy":            {brain.Failed, brain.LinesBusy},  // all lines of the number
-	"fault":                 {brain.Failed, brain.NoNote},     // signalling
-	"cut":                   {brain.Reset, brain.NoNote},      // in the middle of the set-up
-	"withdrawn":             {brain.Cancelled, brain.NoNote},  // by a Subtract
-	"not-in-service":        {brain.NoConnect, brain.NoNote},  // far takes nothing new
+	"no-circuit":            {brain.OutcomeNotSent, brain.NoteNoCircuit},            // the group between own and far is full
+	"own-processor":         {brain.OutcomeNotSent, brain.NoteProcessorFull},        // own is out of service
+	"over":                  {brain.OutcomeNotSent, brain.NoteNone},                 // the caller's time was over
+	"turned-back":           {brain.OutcomeRejected, brain.NoteCrankback},           // by the tandem
+	"turned-back-processor": {brain.OutcomeRejected, brain.NoteOnwardProcessorFull}, // by the tandem, for the far end's processor
+	"processor-full":        {brain.OutcomeRejected, brain.NoteProcessorFull},       // far turned it away
+	"lines-busy":            {brain.OutcomeFailed, brain.NoteLinesBusy},             // all lines of the number
+	"fault":                 {brain.OutcomeFailed, brain.NoteNone},                  // signalling
+	"cut":                   {brain.OutcomeReset, brain.NoteNone},                   // in the middle of the set-up
+	"withdrawn":             {brain.OutcomeCancelled, brain.NoteNone},               // by a Subtract
+	"not-in-service":        {brain.OutcomeUnreachable, brain.NoteNone},             // far takes nothing new
 }
 
 // outcome reads the reply to a set-up that failed. What has no note of ours is
@@ -131,11 +131,11 @@
 	}
 	switch m.Code {
 	case signal.NotReady, signal.Unavailable, signal.TooManyOpen, signal.InService:
-		return brain.NoConnect
+		return brain.OutcomeUnreachable
 	case signal.NoResources:
-		return brain.Full
+		return brain.OutcomeRejected
 	}
-	return brain.Failed
+	return brain.OutcomeFailed
 }
 
 // waitMost is the longest wait named by a full processor that is believed.
@@ -150,14 +150,14 @@
 }
 
 // report reads the group and the hold-back share that a reply tells.
-func (c *Controller) report(m *signal.Message) brain.Report {
-	var r brain.Report
+func (c *Controller) report(m *signal.Message) brain.StatusReport {
+	var r brain.StatusReport
 	if _, free, size, ok := group(m.Get("Group")); ok {
-		r.Known, r.Free, r.Size = true, free, size
+		r.CircuitsKnown, r.FreeCircuits, r.GroupSize = true, free, size
 	}
 	if v := m.Get("Reduce"); v != "" {
 		if x, err := strconv.ParseFloat(v, 64); err == nil && x >= 0 && x <= 1 {
-			r.HasEps, r.Eps = true, x
+			r.HasReduction, r.Reduction = true, x
 		}
 	}
 	return r
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -112,7 +112,7 @@
 		for _, t := range all {
 			switch t.stage {
 			case sent:
-				c.end(t, brain.Reset, signal.Message{})
+				c.end(t, brain.OutcomeReset, signal.Message{})
 			case freeing: // the exchange frees what came over a broken link
 				c.end(t, t.outcome, signal.Message{})
 			case carrying:
@@ -123,7 +123,7 @@
 				if k.from != nil {
 					delete(k.from.calls, k.name)
 				}
-				c.end(t, brain.Reset, signal.Message{})
+				c.end(t, brain.OutcomeReset, signal.Message{})
 			}
 		}
 		c.drop(l)
@@ -193,7 +193,7 @@
 	for _, cell := range sorted(c.circuits) { // circuits told before the list was
 		if id, ok := c.cells[cell]; ok && named[id] {
 			r := c.circuits[cell]
-			r.Exchange = uint32(id)
+			r.ExchangeID = uint32(id)
 			c.feed(r)
 		}
 	}
@@ -203,7 +203,7 @@
 func (c *Controller) listedExchange(e brain.Exchange, addr string) {
 	id := uint64(e.ID)
 	l := c.links[id]
-	if e.State == brain.Out {
+	if e.State == brain.OutOfService {
 		if l != nil {
 			c.shut(l, true)
 		}
@@ -218,12 +218,12 @@
 		l.addr = addr
 		c.out = append(c.out, Effect{Do: Dial, Peer: l.peer(), Addr: addr})
 	}
-	l.cell, l.gone = e.Cell, false
+	l.cell, l.gone = e.Number, false
 	if e.State == brain.Draining {
 		c.shut(l, false)
 		return
 	}
-	c.cells[e.Cell] = id
+	c.cells[e.Number] = id
 	if l.fenced {
 		l.fenced = false
 		c.out = append(c.out, Effect{Do: Unfence, Peer: l.peer()})
@@ -242,16 +242,16 @@
 	l.waiting = nil
 	for _, t := range waiting {
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	}
 	c.drop(l)
 }
 
-var states = map[string]brain.State{"in": brain.In, "draining": brain.Draining, "out": brain.Out}
+var states = map[string]brain.ExchangeState{"in": brain.InService, "draining": brain.Draining, "out": brain.OutOfService}
 
 // readList reads "Exchange: ID cell=N state=in since=MS at=ADDR" lines.
-func (c *Controller) readList(m *signal.Message) (brain.Exchanges, []string, error) {
-	word := brain.Exchanges{Complete: m.Flag("Complete")}
+func (c *Controller) readList(m *signal.Message) (brain.ExchangeListUpdate, []string, error) {
+	word := brain.ExchangeListUpdate{Complete: m.Flag("Complete")}
 	var addrs []string
 	for _, line := range m.All("Exchange") {
 		f := strings.Fields(line)
@@ -262,7 +262,7 @@
 		if err != nil {
 			return word, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", f[0])
 		}
-		e, addr := brain.Exchange{ID: uint32(id), Cell: -1, State: -1}, ""
+		e, addr := brain.Exchange{ID: uint32(id), Number: -1, State: -1}, ""
 		for _, p := range f[1:] {
 			name, v, _ := strings.Cut(p, "=")
 			switch name {
@@ -271,7 +271,7 @@
 				if err != nil {
 					return word, nil, fmt.Errorf("descriptor Exchange %d: cell: %.40q", id, v)
 				}
-				e.Cell = int(n)
+				e.Number = int(n)
 			case "state":
 				s, ok := states[v]
 				if !ok {
@@ -283,12 +283,12 @@
 				if err != nil || n < 0 || n > math.MaxInt64/int64(time.Millisecond) {
 					return word, nil, fmt.Errorf("descriptor Exchange %d: since: %.40q", id, v)
 				}
-				e.Since = time.Duration(n) * time.Millisecond
+				e.StartedAt = time.Duration(n) * time.Millisecond
 			case "at":
 				addr = v
 			}
 		}
-		if e.Cell < 0 || e.State < 0 || addr == "" && e.State != brain.Out {
+		if e.Number < 0 || e.State < 0 || addr == "" && e.State != brain.OutOfService {
 			return word, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
 		}
 		word.Entries, addrs = append(word.Entries, e), append(addrs, addr)
@@ -306,10 +306,10 @@
 		if !ok {
 			continue
 		}
-		r := brain.Circuits{OK: true, Report: brain.Report{Known: true, Free: free, Size: size}}
+		r := brain.GroupStatus{OK: true, Report: brain.StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}}
 		c.circuits[cell] = r
 		if id, ok := c.cells[cell]; ok {
-			r.Exchange = uint32(id)
+			r.ExchangeID = uint32(id)
 			c.feed(r)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -284,7 +284,7 @@
 				k.fence(false)
 			}
 		case controller.Decided:
-			d.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.Cell))
+			d.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.ExchangeNumber))
 		case controller.Log:
 			if e.Call == "" {
 				d.log.Log(ctx, e.Level, e.Text)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -113,7 +113,7 @@
 }
 
 func ledger(rows []wire.Row) ([]brain.Exchange, error) {
-	states := map[string]brain.State{"IN": brain.In, "LAME": brain.Draining, "OUT": brain.Out}
+	states := map[string]brain.ExchangeState{"IN": brain.InService, "LAME": brain.Draining, "OUT": brain.OutOfService}
 	var list []brain.Exchange
 	for i, r := range rows {
 		if r.Exchange == nil || r.Cell == nil || r.State == nil {
@@ -123,7 +123,7 @@
 		if !ok {
 			return nil, fmt.Errorf("field stage_state: unknown state %q", *r.State)
 		}
-		list = append(list, brain.Exchange{ID: *r.Exchange, Cell: *r.Cell, State: st, Since: time.Duration(r.Since)})
+		list = append(list, brain.Exchange{ID: *r.Exchange, Number: *r.Cell, State: st, StartedAt: time.Duration(r.Since)})
 	}
 	return list, nil
 }
@@ -156,7 +156,7 @@
 		}
 		switch *e.How {
 		case "update", "replace", "restored":
-			return brain.Exchanges{Complete: *e.How != "update", Entries: rows}, nil
+			return brain.ExchangeListUpdate{Complete: *e.How != "update", Entries: rows}, nil
 		}
 		return nil, fmt.Errorf("field how: unknown kind %q", *e.How)
 	case "Ask":
@@ -164,46 +164,46 @@
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Priority)
 		}
-		c := brain.Call{ID: *e.Job, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Dest),
-			Width: inst.widths[class], Through: -1, Transit: e.Transit, Repeat: e.Resent, Again: e.Again}
+		c := brain.Call{ID: *e.Job, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Dest),
+			Width: inst.widths[class], Via: -1, Transit: e.Transit, Repeat: e.Resent, Reconnect: e.Again}
 		if e.Object != nil {
-			c.Number, c.Numbered = *e.Object, true
+			c.CalledNumber, c.HasCalledNumber = *e.Object, true
 		}
 		if e.Slots != nil {
 			c.Width = int(*e.Slots)
 		}
 		if e.Through != nil {
-			c.Through = int(*e.Through)
+			c.Via = int(*e.Through)
 		}
 		return c, nil
 	case "Hangup":
-		return brain.CallGone{ID: *e.Job}, nil
+		return brain.CallAbandoned{CallID: *e.Job}, nil
 	case "Bell":
-		return brain.Alarm{Token: *e.Nonce}, nil
+		return brain.TimerExpired{Token: *e.Nonce}, nil
 	case "PeerData":
-		return brain.Peer{From: *e.By, Data: []byte(*e.Payload)}, nil
+		return brain.PeerMessage{From: *e.By, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Reason == 200, Asked: span(e.CostTime) > 0,
-			After: span(e.CostTime), Report: report(e.Load)}, nil
+		return brain.GroupStatus{ExchangeID: *e.Exchange, OK: *e.Reason == 200, ProbeReply: span(e.CostTime) > 0,
+			Elapsed: span(e.CostTime), Report: report(e.Load)}, nil
 	case "Started":
-		return brain.Standing{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, After: span(e.CostTime)}, nil
+		return brain.CallEstablished{CallID: *e.Job, Attempt: *e.Trial, ExchangeID: *e.Exchange, Elapsed: span(e.CostTime)}, nil
 	case "Reply":
 		oc, ok := outcomes[*e.Reason]
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Reason)
 		}
-		ended := brain.Ended{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, Outcome: oc,
-			After: span(e.CostTime), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
-		if e.Note > 16 && e.Note%16 == int(brain.ProcFull) {
-			ended.Note, ended.Wait = brain.ProcFull, time.Duration(e.Note/16)*time.Millisecond
+		ended := brain.AttemptEnded{CallID: *e.Job, Attempt: *e.Trial, ExchangeID: *e.Exchange, Outcome: oc,
+			Elapsed: span(e.CostTime), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
+		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
+			ended.Note, ended.RetryAfter = brain.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
 		}
 		return ended, nil
 	}
 	return nil, nil
 }
 
-var outcomes = map[int]brain.Outcome{200: brain.OK, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
-	502: brain.NoConnect, 598: brain.Reset, 499: brain.Cancelled, 410: brain.Moot}
+var outcomes = map[int]brain.Outcome{200: brain.OutcomeCompleted, 500: brain.OutcomeFailed, 503: brain.OutcomeRejected, 504: brain.OutcomeTimedOut,
+	502: brain.OutcomeUnreachable, 598: brain.OutcomeReset, 499: brain.OutcomeCancelled, 410: brain.OutcomeNotSent}
 
 func span(ns *int64) time.Duration {
 	if ns == nil {
@@ -212,28 +212,28 @@
 	return time.Duration(*ns)
 }
 
-func report(l wire.Load) brain.Report {
-	var r brain.Report
+func report(l wire.Load) brain.StatusReport {
+	var r brain.StatusReport
 	free, okFree := l.Get("idle")
 	size, okSize := l.Get("circuits")
-	r.Known, r.Free, r.Size = okFree && okSize, int(free), int(size)
-	r.Eps, r.HasEps = l.Get("reduce")
+	r.CircuitsKnown, r.FreeCircuits, r.GroupSize = okFree && okSize, int(free), int(size)
+	r.Reduction, r.HasReduction = l.Get("reduce")
 	return r
 }
 
 func (h *host) say(id int, inst *instance, a brain.Action) error {
 	w := wire.Action{Controller: &id}
 	switch a := a.(type) {
-	case brain.Send:
-		w.What, w.Job, w.Exchange, w.AllowFor = "Send", a.ID, &a.Exchange, int64(a.Timeout)
-	case brain.Refuse:
-		w.What, w.Job, w.Backoff = "PushBack", a.ID, int64(a.Backoff)
-	case brain.GiveUp:
-		w.What, w.Job = "GiveUp", a.ID
-	case brain.Cancel:
-		w.What, w.Job, w.Trial = "StopAttempt", a.ID, &a.Attempt
-	case brain.Wake:
-		ns := int64(a.After)
+	case brain.StartAttempt:
+		w.What, w.Job, w.Exchange, w.AllowFor = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
+	case brain.RefuseCall:
+		w.What, w.Job, w.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
+	case brain.FailCall:
+		w.What, w.Job = "GiveUp", a.CallID
+	case brain.CancelAttempt:
+		w.What, w.Job, w.Trial = "StopAttempt", a.CallID, &a.Attempt
+	case brain.SetTimer:
+		ns := int64(a.Delay)
 		w.What, w.Nonce, w.Delay = "SetAlarm", &a.Token, &ns
 	case brain.Verdict:
 		if !a.Log {
@@ -241,7 +241,7 @@
 		}
 		w.What = "SayLog"
 		w.Words = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
-			a.ID, a.Class, a.Reason, a.Scope, a.Cell, a.Nth)
+			a.CallID, a.Class, a.Reason, a.Scope, a.ExchangeNumber, a.Count)
 	default:
 		return fmt.Errorf("no wire form for %T", a)
 	}
--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -25,16 +25,16 @@
 	timer    wheel.Handle
 }
 
-func (c *Core) attempt(x *call, a brain.Send) {
-	p := c.ids[a.Exchange]
+func (c *Core) attempt(x *call, a brain.StartAttempt) {
+	p := c.ids[a.ExchangeID]
 	t := &attempt{call: x, n: x.attempts, peer: p, sent: c.now, notAfter: c.now + a.Timeout}
 	x.attempts++
 	c.tries[x.id] = t
 	c.Stats.Attempts++
-	if p == nil || p.State != brain.In {
-		t.peer = &peer{id: a.Exchange, gone: true}
+	if p == nil || p.State != brain.InService {
+		t.peer = &peer{id: a.ExchangeID, gone: true}
 		c.conclude(t)
-		c.ended(t, brain.Ended{Outcome: brain.NoConnect})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		return
 	}
 	t.timer = c.timers.Set(t.notAfter, timer{try: t})
@@ -88,22 +88,22 @@
 	l := t.link
 	c.conclude(t)
 	if l == nil {
-		if o == brain.TimedOut {
-			o = brain.NoConnect
+		if o == brain.OutcomeTimedOut {
+			o = brain.OutcomeUnreachable
 		}
 	} else {
 		c.remember(t.call.id, ending{ghost: t.peer, link: l})
 		c.do(Withdraw{l.id, t.call.name, &sip.Message{Method: sip.Cancel, URI: "sip:" + t.call.number + "@net",
 			CallID: t.call.name, Seq: 1, Of: sip.Cancel}})
 	}
-	c.ended(t, brain.Ended{Outcome: o})
+	c.ended(t, brain.AttemptEnded{Outcome: o})
 }
 
 // timedOut is an attempt without an answer in time. Its link is tested before it is used again.
 func (c *Core) timedOut(t *attempt) {
 	c.Stats.TimedOut++
 	l := t.link
-	c.withdraw(t, brain.TimedOut)
+	c.withdraw(t, brain.OutcomeTimedOut)
 	if l != nil && l.up {
 		l.spent = true
 		c.ping(l)
@@ -114,7 +114,7 @@
 	id, err := strconv.ParseUint(in.Msg.CallID, 16, 64)
 	if t := c.tries[id]; err == nil && t != nil && t.invite == in.Msg { // not one of before that is told late
 		c.conclude(t)
-		c.ended(t, brain.Ended{Outcome: brain.Moot})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
 	}
 }
 
@@ -154,10 +154,10 @@
 }
 
 // outcomes maps the answers to INVITE that say how an attempt ended; any other is a fault.
-var outcomes = map[int]brain.Outcome{503: brain.Full, 480: brain.Moot, 504: brain.Reset, 408: brain.TimedOut}
+var outcomes = map[int]brain.Outcome{503: brain.OutcomeRejected, 480: brain.OutcomeNotSent, 504: brain.OutcomeReset, 408: brain.OutcomeTimedOut}
 
-var notes = map[string]brain.Note{"atb": brain.NoCircuit, "rtb": brain.TurnedBack, "racc": brain.DestProcFull,
-	"acc": brain.ProcFull, "sub": brain.LinesBusy}
+var notes = map[string]brain.Note{"atb": brain.NoteNoCircuit, "rtb": brain.NoteCrankback, "racc": brain.NoteOnwardProcessorFull,
+	"acc": brain.NoteProcessorFull, "sub": brain.NoteLinesBusy}
 
 // final is a final answer to a set-up.
 func (c *Core) final(l *link, m *sip.Message) {
@@ -175,14 +175,14 @@
 	x := t.call
 	c.log(slog.LevelDebug, "answer", "call", m.CallID, "status", m.Status, "link", l.id, "after", c.now-t.sent)
 	if m.Status >= 300 {
-		e := brain.Ended{Outcome: brain.Failed, Note: notes[m.Get("Fail-Word")], Report: c.state(l.peer, m)}
+		e := brain.AttemptEnded{Outcome: brain.OutcomeFailed, Note: notes[m.Get("Fail-Word")], Report: c.state(l.peer, m)}
 		if o, ok := outcomes[m.Status]; ok {
 			e.Outcome = o
 		}
-		if ms, err := strconv.Atoi(m.Get("Proc-Wait")); err == nil && e.Note == brain.ProcFull {
-			e.Wait = time.Duration(max(ms, 0)) * time.Millisecond
+		if ms, err := strconv.Atoi(m.Get("Proc-Wait")); err == nil && e.Note == brain.NoteProcessorFull {
+			e.RetryAfter = time.Duration(max(ms, 0)) * time.Millisecond
 		}
-		if e.Outcome == brain.Reset {
+		if e.Outcome == brain.OutcomeReset {
 			c.Stats.Cut++
 		}
 		c.conclude(t)
@@ -192,7 +192,7 @@
 	c.conclude(t)
 	if c.calls[id] != x { // given up meanwhile
 		c.bye(l, bye{id, x.name, isup.NormalClearing})
-		c.ended(t, brain.Ended{Outcome: brain.Cancelled})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeCancelled})
 		return
 	}
 	c.Stats.Answered++
@@ -202,7 +202,7 @@
 	x.from.standing++
 	x.standing, x.stood, x.at, x.desc = true, c.now, l.peer, nil
 	l.peer.calls[id] = x
-	c.feed(brain.Standing{ID: x.name, Attempt: t.n, Exchange: l.peer.id, After: c.now - t.sent})
+	c.feed(brain.CallEstablished{CallID: x.name, Attempt: t.n, ExchangeID: l.peer.id, Elapsed: c.now - t.sent})
 }
 
 // late is an answer that nobody waits for: one to a set-up that was given up is ended in order.
@@ -229,9 +229,9 @@
 		return
 	}
 	cause := sip.Cause(m.Get("Reason"))
-	outcome := brain.Reset
+	outcome := brain.OutcomeReset
 	if cause == isup.NormalClearing {
-		outcome = brain.OK
+		outcome = brain.OutcomeCompleted
 	}
 	c.log(slog.LevelDebug, "release", "call", m.CallID, "exchange", p.Name, "cause", cause)
 	switch x, t := c.calls[id], c.tries[id]; {
@@ -243,10 +243,10 @@
 		c.conclude(t)
 		c.remember(id, ending{cause: cause})
 		c.answer(x, release(id, cause))
-		c.ended(t, brain.Ended{Outcome: outcome})
+		c.ended(t, brain.AttemptEnded{Outcome: outcome})
 	case t != nil && t.peer == p && t.link != nil: // given up meanwhile
 		c.conclude(t)
-		c.ended(t, brain.Ended{Outcome: brain.Reset})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeReset})
 	case x == nil:
 		if e, known := c.recent[id]; !known || e.ghost != nil {
 			c.remember(id, ending{cause: cause})
@@ -275,33 +275,33 @@
 	if x.adopted {
 		return
 	}
-	c.feed(brain.Ended{ID: x.name, Attempt: x.attempts - 1, Exchange: x.at.id, Outcome: o, After: c.now - x.stood, Final: true})
+	c.feed(brain.AttemptEnded{CallID: x.name, Attempt: x.attempts - 1, ExchangeID: x.at.id, Outcome: o, Elapsed: c.now - x.stood, Final: true})
 }
 
 // notify is the state of the group towards an exchange. It comes on every link to it; only a
 // change is news.
 func (c *Core) notify(p *peer, m *sip.Message) {
 	r := c.state(p, m)
-	if !r.Known || r == p.told {
+	if !r.CircuitsKnown || r == p.told {
 		return
 	}
 	p.told = r
-	c.feed(brain.Circuits{Exchange: p.id, OK: true, Report: r})
+	c.feed(brain.GroupStatus{ExchangeID: p.id, OK: true, Report: r})
 }
 
 // state is what a message tells of the group towards its exchange.
-func (c *Core) state(p *peer, m *sip.Message) (r brain.Report) {
+func (c *Core) state(p *peer, m *sip.Message) (r brain.StatusReport) {
 	var free, size bool
 	for part := range strings.SplitSeq(m.Get("Link-State"), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch n, err := strconv.ParseFloat(value, 64); {
 		case err != nil || n < 0 || n > 1<<20:
 		case name == "idle":
-			r.Free, free = int(n), true
+			r.FreeCircuits, free = int(n), true
 		case name == "circuits":
-			r.Size, size = int(n), true
+			r.GroupSize, size = int(n), true
 		}
 	}
-	r.Known = free && size
+	r.CircuitsKnown = free && size
 	return r
 }
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -195,12 +195,12 @@
 	if err != nil {
 		return r, fmt.Errorf("patience: %w", err)
 	}
-	r.Left = time.Duration(ms) * time.Millisecond
+	r.Remaining = time.Duration(ms) * time.Millisecond
 	r.number = text(isup.Number)
-	if r.Number, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
+	if r.CalledNumber, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
 		return r, fmt.Errorf("number %.40q", r.number)
 	}
-	r.Numbered = true
+	r.HasCalledNumber = true
 	switch v := text(isup.Retry); v {
 	case "1":
 		r.Repeat = true
@@ -216,7 +216,7 @@
 }
 
 func (c *Core) figures(r *request, text string) error {
-	r.Through = -1
+	r.Via = -1
 	var dest, width, via bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
@@ -233,26 +233,26 @@
 		}
 		switch name {
 		case "dest":
-			dest, r.Dest = true, int(n)
+			dest, r.Destination = true, int(n)
 		case "width":
 			width, r.Width = true, int(n)
 		case "via":
-			via, r.Through = true, int(n)
+			via, r.Via = true, int(n)
 		case "transit":
 			r.Transit = n == 1
 		case "again":
-			r.Again = n == 1
+			r.Reconnect = n == 1
 		}
 		if (name == "transit" || name == "again") && n != 0 && n != 1 {
 			return fmt.Errorf("figure %.20q out of range in %.80q", name, text)
 		}
 	}
 	switch {
-	case !dest || !c.served(r.Dest) || r.Dest == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
+	case !dest || !c.served(r.Destination) || r.Destination == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
 		return fmt.Errorf("no such destination in %.80q", text)
 	case !width || r.Width < 1 || r.Width > c.widest:
 		return fmt.Errorf("width out of range in %.80q", text)
-	case r.Through < -1 || r.Transit && !via:
+	case r.Via < -1 || r.Transit && !via:
 		return fmt.Errorf("via out of range in %.80q", text)
 	}
 	return nil
@@ -297,7 +297,7 @@
 	c.open++
 	k.open++
 	r.ID = x.name
-	r.Left -= max(c.now-in.At, 0)
+	r.Remaining -= max(c.now-in.At, 0)
 	c.feed(r.Call)
 }
 
@@ -340,7 +340,7 @@
 	c.log(slog.LevelDebug, "caller's release", "call", x.name, "standing", x.standing, "stood", c.now-x.stood, "out", c.tries[x.id] != nil, "cause", m.Cause())
 	if x.standing {
 		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
-		c.over(x, brain.Cancelled, isup.NormalClearing, true)
+		c.over(x, brain.OutcomeCancelled, isup.NormalClearing, true)
 		c.do(Say{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
 		return
 	}
@@ -353,9 +353,9 @@
 func (c *Core) givenUp(x *call) {
 	c.Stats.Gone++
 	c.closeOpen(x)
-	c.feed(brain.CallGone{ID: x.name})
+	c.feed(brain.CallAbandoned{CallID: x.name})
 	if t := c.tries[x.id]; t != nil { // where the module may not cancel
-		c.withdraw(t, brain.Cancelled)
+		c.withdraw(t, brain.OutcomeCancelled)
 	}
 }
 
@@ -371,7 +371,7 @@
 func (c *Core) answer(x *call, m *isup.Message) {
 	c.closeOpen(x)
 	if t := c.tries[x.id]; t != nil {
-		c.withdraw(t, brain.TimedOut) // before the answer is said: nothing is sent after it
+		c.withdraw(t, brain.OutcomeTimedOut) // before the answer is said: nothing is sent after it
 	}
 	c.do(Say{x.from.id, m})
 }
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -31,7 +31,7 @@
 	if got := r.said(1, 7); got != "9 12/16" {
 		t.Errorf("the caller was told %q", got)
 	}
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OK || !ends[0].Final {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 }
@@ -40,21 +40,21 @@
 	for _, c := range []struct {
 		status int
 		head   []string
-		want   brain.Ended
+		want   brain.AttemptEnded
 	}{
-		{503, []string{"Fail-Word", "rtb"}, brain.Ended{Outcome: brain.Full, Note: brain.TurnedBack}},
-		{503, []string{"Fail-Word", "racc"}, brain.Ended{Outcome: brain.Full, Note: brain.DestProcFull}},
-		{503, []string{"Fail-Word", "acc", "Proc-Wait", "120"}, brain.Ended{Outcome: brain.Full, Note: brain.ProcFull, Wait: 120 * time.Millisecond}},
-		{480, []string{"Fail-Word", "atb"}, brain.Ended{Outcome: brain.Moot, Note: brain.NoCircuit}},
-		{480, []string{"Fail-Word", "acc"}, brain.Ended{Outcome: brain.Moot, Note: brain.ProcFull}},
-		{486, []string{"Fail-Word", "sub"}, brain.Ended{Outcome: brain.Failed, Note: brain.LinesBusy}},
-		{500, nil, brain.Ended{Outcome: brain.Failed}},
-		{504, nil, brain.Ended{Outcome: brain.Reset}},
+		{503, []string{"Fail-Word", "rtb"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteCrankback}},
+		{503, []string{"Fail-Word", "racc"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteOnwardProcessorFull}},
+		{503, []string{"Fail-Word", "acc", "Proc-Wait", "120"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteProcessorFull, RetryAfter: 120 * time.Millisecond}},
+		{480, []string{"Fail-Word", "atb"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteNoCircuit}},
+		{480, []string{"Fail-Word", "acc"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteProcessorFull}},
+		{486, []string{"Fail-Word", "sub"}, brain.AttemptEnded{Outcome: brain.OutcomeFailed, Note: brain.NoteLinesBusy}},
+		{500, nil, brain.AttemptEnded{Outcome: brain.OutcomeFailed}},
+		{504, nil, brain.AttemptEnded{Outcome: brain.OutcomeReset}},
 	} {
 		mod, r, s := ringing(t, 1)
 		r.in(LinkSays{s.Link, answer(7, c.status, c.head...)})
 		ends := mod.ends()
-		if len(ends) != 1 || ends[0].Outcome != c.want.Outcome || ends[0].Note != c.want.Note || ends[0].Wait != c.want.Wait || ends[0].Final {
+		if len(ends) != 1 || ends[0].Outcome != c.want.Outcome || ends[0].Note != c.want.Note || ends[0].RetryAfter != c.want.RetryAfter || ends[0].Final {
 			t.Errorf("%d %v: the module was told %+v", c.status, c.head, ends)
 		}
 		if r.count(sip.Ack, 7) != 1 {
@@ -98,7 +98,7 @@
 func TestALateAnswerIsHungUpAndTheFurtherAttemptIsNotTakenForIt(t *testing.T) {
 	mod, r, first := ringing(t, 2)
 	r.pass(time.Second)
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.TimedOut {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeTimedOut {
 		t.Fatalf("ends %+v", ends)
 	}
 	second, _ := r.sent(sip.Invite, 7)
@@ -122,7 +122,7 @@
 	if r.said(1, 7) != "" || r.withdrawn(7) != 1 || r.count(sip.Ack, 7) != 1 || r.count(sip.Bye, 7) != 1 {
 		t.Errorf("said %q, %d withdrawn, %d ACK, %d BYE", r.said(1, 7), r.withdrawn(7), r.count(sip.Ack, 7), r.count(sip.Bye, 7))
 	}
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Cancelled || !ends[0].Final {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCancelled || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	r.call(2, setUp(8, 1))
@@ -173,7 +173,7 @@
 func TestACallToAnExchangeThatIsOffTheListIsTheModules(t *testing.T) {
 	r := newRig(t, nil)
 	gone := entry(3)
-	gone.State = brain.Out
+	gone.State = brain.OutOfService
 	r.in(Listed{Changes: []srvlist.Entry{gone}})
 	r.call(1, setUp(7, 3))
 	r.call(1, setUp(8, 99))
@@ -269,7 +269,7 @@
 	mod, r, s := ringing(t, 1)
 	r.second(1)
 	r.in(LinkDown{Link: s.Link})
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Reset {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset {
 		t.Fatalf("ends %+v", ends)
 	}
 	if r.count(sip.Bye, 7) != 1 {
@@ -285,7 +285,7 @@
 		r.in(LinkDown{Link: d.Link, Refused: true})
 	}
 	r.dial = nil
-	if ends := mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.NoConnect || r.count(sip.Invite, 8) != 0 {
+	if ends := mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeUnreachable || r.count(sip.Invite, 8) != 0 {
 		t.Errorf("ends %+v", ends)
 	}
 }
@@ -294,7 +294,7 @@
 	for what, happen := range map[string]func(r *rig){
 		"gone from the list": func(r *rig) {
 			e := entry(1)
-			e.State = brain.Out
+			e.State = brain.OutOfService
 			r.in(Listed{Changes: []srvlist.Entry{e}})
 		},
 		"started again": func(r *rig) {
@@ -338,7 +338,7 @@
 		if got := r.said(1, 7); got != "9 12/41" {
 			t.Errorf("%s: the caller was told %q", what, got)
 		}
-		if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Reset || !ends[0].Final {
+		if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset || !ends[0].Final {
 			t.Errorf("%s: the module was told %+v", what, ends)
 		}
 	}
@@ -357,7 +357,7 @@
 	e := entry(1)
 	e.State = brain.Draining
 	r.in(Listed{Changes: []srvlist.Entry{e}})
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Moot {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeNotSent {
 		t.Errorf("ends %+v", ends)
 	}
 	r.up()
@@ -380,7 +380,7 @@
 		r.now += 50 * time.Millisecond
 		r.in(Tick{})
 	}
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.Reset || ends[0].After > quiet+testWithin+2*houseEvery {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset || ends[0].Elapsed > quiet+testWithin+2*houseEvery {
 		t.Errorf("ends %+v", ends)
 	}
 }
@@ -488,7 +488,7 @@
 		r.out = nil
 		r.pass(100 * time.Millisecond)
 		r.in(CallerDown{conn})
-		e.State = brain.Out
+		e.State = brain.OutOfService
 		r.in(Listed{Changes: []srvlist.Entry{e}})
 	}
 	r.pass(time.Minute)
@@ -514,7 +514,7 @@
 	if got := r.said(1, 7); got != "12/16" || r.count(sip.Invite, 7) != 1 {
 		t.Errorf("said %q after %d attempts", got, r.count(sip.Invite, 7))
 	}
-	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OK || !ends[0].Final {
+	if ends := mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	r.call(1, setUp(8, 1))
@@ -524,7 +524,7 @@
 	if r.said(1, 8) != "12/41" || r.count(sip.Invite, 8) != 1 {
 		t.Errorf("said %q after %d attempts", r.said(1, 8), r.count(sip.Invite, 8))
 	}
-	if ends := mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.Reset || !ends[1].Final {
+	if ends := mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeReset || !ends[1].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	r.in(LinkSays{s.Link, answer(8, 200)})
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -219,7 +219,7 @@
 			}
 			out += len(l.open)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Cell, "state", p.State, "free", p.told.Free, "size", p.told.Size,
+		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Cell, "state", p.State, "free", p.told.FreeCircuits, "size", p.told.GroupSize,
 			"links", len(p.links), "up", up, "out", out, "waiting", len(p.waiting), "standing", len(p.calls), "fails", p.fails,
 			"heard", c.now-p.heard)
 	}
@@ -330,7 +330,7 @@
 	case t.try != nil:
 		c.timedOut(t.try)
 	default:
-		c.feed(brain.Alarm{Token: t.token})
+		c.feed(brain.TimerExpired{Token: t.token})
 	}
 }
 
@@ -387,7 +387,7 @@
 
 // lastWord answers a set-up that can't be waited for: failed, or refused if it was never sent on.
 func (c *Core) lastWord(x *call) {
-	c.feed(brain.CallGone{ID: x.name})
+	c.feed(brain.CallAbandoned{CallID: x.name})
 	if x.attempts > 0 {
 		c.Stats.Failed++
 		c.answer(x, release(x.id, isup.TemporaryFailure))
--- a/internal/interwork/links_test.go
+++ b/internal/interwork/links_test.go
@@ -79,7 +79,7 @@
 		t.Errorf("%d closed as idle, %d resets, %d links", idle, first, len(r.c.names["s-2"].links))
 	}
 	r.in(LinkSays{r.link(1), byeOf(7, 16)})
-	if ends := r.mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OK {
+	if ends := r.mod.ends(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted {
 		t.Errorf("%+v", ends)
 	}
 }
@@ -186,7 +186,7 @@
 		t.Errorf("ends %+v", ends)
 	}
 	r.in(Unsent{Link: second.Link, Msg: second.Msg})
-	if ends := r.mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.Moot {
+	if ends := r.mod.ends(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeNotSent {
 		t.Errorf("ends %+v", ends)
 	}
 }
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -13,35 +13,35 @@
 
 func (c *Core) act(a brain.Action) {
 	switch a := a.(type) {
-	case brain.Send:
-		if x := c.openCall(a.ID); x != nil && c.tries[x.id] == nil {
+	case brain.StartAttempt:
+		if x := c.openCall(a.CallID); x != nil && c.tries[x.id] == nil {
 			c.attempt(x, a)
 		}
-	case brain.Refuse:
-		if x := c.openCall(a.ID); x != nil {
+	case brain.RefuseCall:
+		if x := c.openCall(a.CallID); x != nil {
 			c.Stats.Refused++
-			c.answer(x, refusal(x.id, a.Backoff))
+			c.answer(x, refusal(x.id, a.RetryAfter))
 		}
-	case brain.GiveUp:
-		if x := c.openCall(a.ID); x != nil {
+	case brain.FailCall:
+		if x := c.openCall(a.CallID); x != nil {
 			c.Stats.Failed++
 			c.answer(x, release(x.id, isup.TemporaryFailure))
 		}
-	case brain.Cancel:
-		if id, err := strconv.ParseUint(a.ID, 16, 64); err == nil {
+	case brain.CancelAttempt:
+		if id, err := strconv.ParseUint(a.CallID, 16, 64); err == nil {
 			if t := c.tries[id]; t != nil && t.n == a.Attempt {
-				c.withdraw(t, brain.Cancelled)
+				c.withdraw(t, brain.OutcomeCancelled)
 			}
 		}
-	case brain.Wake:
-		c.timers.Set(c.now+a.After, timer{token: a.Token})
+	case brain.SetTimer:
+		c.timers.Set(c.now+a.Delay, timer{token: a.Token})
 	case brain.Verdict:
 		level := slog.LevelDebug
 		if a.Log {
 			level = slog.LevelInfo
 		}
 		if c.cfg.Debug || a.Log {
-			c.log(level, "verdict", "call", a.ID, "reason", a.Reason, "scope", a.Scope, "cell", a.Cell, "nth", a.Nth)
+			c.log(level, "verdict", "call", a.CallID, "reason", a.Reason, "scope", a.Scope, "cell", a.ExchangeNumber, "nth", a.Count)
 		}
 	}
 }
@@ -59,10 +59,10 @@
 }
 
 // ended tells the module of the end of an attempt.
-func (c *Core) ended(t *attempt, e brain.Ended) {
+func (c *Core) ended(t *attempt, e brain.AttemptEnded) {
 	x := t.call
-	e.ID, e.Attempt, e.Exchange, e.After = x.name, t.n, t.peer.id, c.now-t.sent
+	e.CallID, e.Attempt, e.ExchangeID, e.Elapsed = x.name, t.n, t.peer.id, c.now-t.sent
 	e.Final = c.calls[x.id] != x || x.standing
-	c.log(slog.LevelDebug, "ended", "call", x.name, "nth", t.n, "outcome", e.Outcome, "note", e.Note, "final", e.Final, "after", e.After)
+	c.log(slog.LevelDebug, "ended", "call", x.name, "nth", t.n, "outcome", e.Outcome, "note", e.Note, "final", e.Final, "after", e.Elapsed)
 	c.feed(e)
 }
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -22,7 +22,7 @@
 	calls   map[uint64]*call
 	byes    []bye // to be said once a link is up
 	gone    bool
-	told    brain.Report // of the group, the last
+	told    brain.StatusReport // of the group, the last
 
 	heard   time.Duration // last sign of life
 	apart   time.Duration // until then set-ups share no connection
@@ -70,7 +70,7 @@
 	for _, e := range in.Changes {
 		p := c.names[e.Name]
 		if p == nil {
-			if e.State == brain.Out {
+			if e.State == brain.OutOfService {
 				continue
 			}
 			c.lastID++
@@ -82,12 +82,12 @@
 		was := p.Entry
 		p.Entry = e
 		c.log(slog.LevelInfo, "exchange", "name", e.Name, "cell", e.Cell, "state", e.State, "born", e.Born, "addr", e.Addr)
-		rows = append(rows, brain.Exchange{ID: p.id, Cell: e.Cell, State: e.State, Since: c.since(e.Born)})
+		rows = append(rows, brain.Exchange{ID: p.id, Number: e.Cell, State: e.State, StartedAt: c.since(e.Born)})
 		c.moved(p, was)
 	}
-	c.feed(brain.Exchanges{Complete: in.Complete, Entries: rows})
+	c.feed(brain.ExchangeListUpdate{Complete: in.Complete, Entries: rows})
 	for _, e := range in.Changes { // once the module knows
-		if p := c.names[e.Name]; p != nil && e.State == brain.Out {
+		if p := c.names[e.Name]; p != nil && e.State == brain.OutOfService {
 			c.remove(p)
 		} else if p != nil {
 			c.keep(p)
@@ -107,17 +107,17 @@
 		}
 		p.fails, p.retryAt, p.refused, p.heard = 0, 0, 0, c.now
 	}
-	if (p.State == brain.In) != (was.State == brain.In) {
+	if (p.State == brain.InService) != (was.State == brain.InService) {
 		for _, l := range p.links {
-			c.do(Fence{l.id, p.State != brain.In})
+			c.do(Fence{l.id, p.State != brain.InService})
 		}
 	}
-	if p.State == brain.In {
+	if p.State == brain.InService {
 		return
 	}
 	for _, t := range slices.Clone(p.waiting) { // nothing new goes there
 		c.conclude(t)
-		c.ended(t, brain.Ended{Outcome: brain.Moot})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
 	}
 }
 
@@ -146,7 +146,7 @@
 			n++
 			c.Stats.Forgotten++
 			c.hangUp(p, x.id, x.name, isup.TemporaryFailure)
-			c.over(x, brain.Reset, isup.TemporaryFailure, false)
+			c.over(x, brain.OutcomeReset, isup.TemporaryFailure, false)
 		}
 	}
 	if n > 0 {
@@ -192,7 +192,7 @@
 		want = busy + 1
 	}
 	want = min(want, c.perPeer())
-	if p.State != brain.In {
+	if p.State != brain.InService {
 		want = 1
 	}
 	if p.fails > 0 {
@@ -289,7 +289,7 @@
 	p := l.peer
 	l.up, l.heard, l.used = true, c.now, c.now
 	p.heard, p.fails, p.refused, p.retryAt = c.now, 0, 0, 0
-	if p.State != brain.In {
+	if p.State != brain.InService {
 		c.do(Fence{l.id, true})
 	}
 	byes := p.byes
@@ -327,7 +327,7 @@
 		for _, t := range slices.Clone(p.waiting) {
 			c.Stats.NoConnect++
 			c.conclude(t)
-			c.ended(t, brain.Ended{Outcome: brain.NoConnect})
+			c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		}
 	}
 	c.keep(p)
@@ -357,7 +357,7 @@
 		c.Stats.Resets++
 		c.hangUp(l.peer, t.call.id, t.call.name, isup.TemporaryFailure)
 		c.conclude(t)
-		c.ended(t, brain.Ended{Outcome: brain.Reset})
+		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeReset})
 	}
 }
 
--- a/internal/interwork/rig_test.go
+++ b/internal/interwork/rig_test.go
@@ -30,9 +30,9 @@
 }
 
 // ends are the ends of attempts that the module was told.
-func (s *script) ends() (out []brain.Ended) {
+func (s *script) ends() (out []brain.AttemptEnded) {
 	for _, e := range s.events {
-		if e, ok := e.(brain.Ended); ok {
+		if e, ok := e.(brain.AttemptEnded); ok {
 			out = append(out, e)
 		}
 	}
@@ -251,23 +251,23 @@
 	tried, calls := map[string]int{}, map[string]brain.Call{}
 	send := func(id string) []brain.Action {
 		tried[id]++
-		return []brain.Action{brain.Send{ID: id, Exchange: uint32(calls[id].Dest + 1), Timeout: time.Second}}
+		return []brain.Action{brain.StartAttempt{CallID: id, ExchangeID: uint32(calls[id].Destination + 1), Timeout: time.Second}}
 	}
 	s.on = func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
 			calls[e.ID] = e
 			return send(e.ID)
-		case brain.CallGone:
-			return []brain.Action{brain.Cancel{ID: e.ID, Attempt: tried[e.ID] - 1}}
-		case brain.Ended:
+		case brain.CallAbandoned:
+			return []brain.Action{brain.CancelAttempt{CallID: e.CallID, Attempt: tried[e.CallID] - 1}}
+		case brain.AttemptEnded:
 			if e.Final {
 				return nil
 			}
-			if tried[e.ID] < times {
-				return send(e.ID)
+			if tried[e.CallID] < times {
+				return send(e.CallID)
 			}
-			return []brain.Action{brain.Refuse{ID: e.ID, Backoff: 1500 * time.Microsecond}}
+			return []brain.Action{brain.RefuseCall{CallID: e.CallID, RetryAfter: 1500 * time.Microsecond}}
 		}
 		return nil
 	}
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -186,7 +186,7 @@
 			g.until(saysSetUp)
 			leave()
 			g.until(down)
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Cell: 1, State: brain.In}}})
+			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Cell: 1, State: brain.InService}}})
 		},
 		"retry timer": func(g *gated, p *phone, leave func()) {
 			p.call(7, "3000")
@@ -231,7 +231,7 @@
 			g.step(interwork.CallerDown{Conn: 1})
 		},
 		"the exchange is gone": func(g *gated) {
-			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Cell: 1, State: brain.Out}}})
+			g.step(interwork.Listed{Changes: []srvlist.Entry{{Name: "s-1", Cell: 1, State: brain.OutOfService}}})
 		},
 		"a new exchange has its address": func(g *gated) {
 			at := g.b.x.ln.Addr().String()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -50,7 +50,7 @@
 
 type group struct {
 	id    uint32
-	state brain.State
+	state brain.ExchangeState
 	free  int
 }
 
@@ -77,35 +77,35 @@
 // Handle takes one event.
 func (p *plain) Handle(now time.Duration, e brain.Event) []brain.Action {
 	switch e := e.(type) {
-	case brain.Exchanges:
+	case brain.ExchangeListUpdate:
 		p.list(e)
-	case brain.Circuits:
-		p.report(e.Exchange, e.Report)
+	case brain.GroupStatus:
+		p.report(e.ExchangeID, e.Report)
 	case brain.Call:
-		c := &call{Call: e, due: now + e.Left, past: -1}
+		c := &call{Call: e, due: now + e.Remaining, past: -1}
 		p.calls[e.ID] = c
 		return p.try(now, c)
-	case brain.CallGone:
-		if c := p.calls[e.ID]; c != nil {
+	case brain.CallAbandoned:
+		if c := p.calls[e.CallID]; c != nil {
 			if !c.out {
-				delete(p.calls, e.ID)
+				delete(p.calls, e.CallID)
 				return nil
 			}
-			return []brain.Action{brain.Cancel{ID: e.ID, Attempt: c.attempts - 1}}
+			return []brain.Action{brain.CancelAttempt{CallID: e.CallID, Attempt: c.attempts - 1}}
 		}
-	case brain.Ended:
-		p.report(e.Exchange, e.Report)
-		c := p.calls[e.ID]
+	case brain.AttemptEnded:
+		p.report(e.ExchangeID, e.Report)
+		c := p.calls[e.CallID]
 		if c == nil {
 			return nil
 		}
 		c.out = false
 		if e.Final {
-			delete(p.calls, e.ID)
+			delete(p.calls, e.CallID)
 			return nil
 		}
 		// only what never ran is tried elsewhere at once
-		if e.Outcome == brain.Full || e.Outcome == brain.NoConnect || e.Outcome == brain.Moot {
+		if e.Outcome == brain.OutcomeRejected || e.Outcome == brain.OutcomeUnreachable || e.Outcome == brain.OutcomeNotSent {
 			return p.try(now, c)
 		}
 		return p.refuse(c, "failed")
@@ -115,36 +115,36 @@
 
 func (p *plain) refuse(c *call, why brain.Reason) []brain.Action {
 	delete(p.calls, c.ID)
-	return []brain.Action{brain.Verdict{ID: c.ID, Class: c.Class, Reason: why, Scope: brain.ScopeCall, Cell: c.Dest}, brain.Refuse{ID: c.ID}}
+	return []brain.Action{brain.Verdict{CallID: c.ID, Class: c.Class, Reason: why, Scope: brain.ScopeCall, ExchangeNumber: c.Destination}, brain.RefuseCall{CallID: c.ID}}
 }
 
-func (p *plain) list(e brain.Exchanges) {
+func (p *plain) list(e brain.ExchangeListUpdate) {
 	if e.Complete {
 		for _, cell := range p.cells {
-			p.groups[cell].state = brain.Out
+			p.groups[cell].state = brain.OutOfService
 		}
 	}
 	for _, x := range e.Entries {
-		g := p.groups[x.Cell]
+		g := p.groups[x.Number]
 		if g == nil {
-			g = &group{state: brain.Out}
-			p.groups[x.Cell] = g
-			p.cells = append(p.cells, x.Cell)
+			g = &group{state: brain.OutOfService}
+			p.groups[x.Number] = g
+			p.cells = append(p.cells, x.Number)
 			for i := len(p.cells) - 1; i > 0 && p.cells[i] < p.cells[i-1]; i-- {
 				p.cells[i], p.cells[i-1] = p.cells[i-1], p.cells[i]
 			}
 		}
-		if x.State != brain.In && g.id != x.ID && g.id != 0 {
+		if x.State != brain.InService && g.id != x.ID && g.id != 0 {
 			continue
 		}
 		g.id, g.state = x.ID, x.State
-		p.hosts[x.ID] = x.Cell
+		p.hosts[x.ID] = x.Number
 	}
 }
 
-func (p *plain) report(id uint32, r brain.Report) {
-	if cell, ok := p.hosts[id]; ok && r.Known {
-		p.groups[cell].free = r.Free
+func (p *plain) report(id uint32, r brain.StatusReport) {
+	if cell, ok := p.hosts[id]; ok && r.CircuitsKnown {
+		p.groups[cell].free = r.FreeCircuits
 	}
 }
 
@@ -152,13 +152,13 @@
 	if now >= c.due || c.attempts >= p.set.MaxAttempts {
 		return p.refuse(c, "attempts spent")
 	}
-	if g := p.groups[c.Dest]; g != nil && c.attempts == 0 && g.state == brain.In && g.free >= c.Width && c.Dest != p.set.Self {
+	if g := p.groups[c.Destination]; g != nil && c.attempts == 0 && g.state == brain.InService && g.free >= c.Width && c.Destination != p.set.Self {
 		return p.send(now, c, g)
 	}
 	if p.tandems && !c.Transit {
 		for _, cell := range p.cells {
 			g := p.groups[cell]
-			if cell > c.past && cell != c.Dest && cell != p.set.Self && g.state == brain.In && g.free >= c.Width {
+			if cell > c.past && cell != c.Destination && cell != p.set.Self && g.state == brain.InService && g.free >= c.Width {
 				c.past = cell
 				return p.send(now, c, g)
 			}
@@ -171,5 +171,5 @@
 	c.attempts++
 	c.out = true
 	g.free -= c.Width
-	return []brain.Action{brain.Send{ID: c.ID, Exchange: g.id, Timeout: c.due - now - 2*p.set.Tick}}
+	return []brain.Action{brain.StartAttempt{CallID: c.ID, ExchangeID: g.id, Timeout: c.due - now - 2*p.set.Tick}}
 }
--- a/internal/srvlist/srvlist.go
+++ b/internal/srvlist/srvlist.go
@@ -27,7 +27,7 @@
 type Entry struct {
 	Name, Addr string
 	Cell       int
-	State      brain.State
+	State      brain.ExchangeState
 	Born       int64 // Unix milliseconds of a late start, or 0
 }
 
@@ -48,7 +48,7 @@
 // Serial is the number of the last event that the list holds.
 func (l *List) Serial() uint64 { return l.serial }
 
-var states = map[string]brain.State{"active": brain.In, "leaving": brain.Draining, "left": brain.Out}
+var states = map[string]brain.ExchangeState{"active": brain.InService, "leaving": brain.Draining, "left": brain.OutOfService}
 
 // Known starts a list from the events in a configuration. The error names the place.
 func Known(raw []byte) (*List, error) {
@@ -99,9 +99,9 @@
 func (l *List) put(e Entry) bool {
 	i, there := l.find(e.Name)
 	switch {
-	case e.State == brain.Out && there:
+	case e.State == brain.OutOfService && there:
 		l.entries = slices.Delete(l.entries, i, i+1)
-	case e.State == brain.Out || there && l.entries[i] == e:
+	case e.State == brain.OutOfService || there && l.entries[i] == e:
 		return false
 	case there:
 		l.entries[i] = e
@@ -174,7 +174,7 @@
 	var changes []Entry
 	for _, old := range l.Entries() {
 		if !slices.ContainsFunc(list, func(e Entry) bool { return e.Name == old.Name }) {
-			old.State = brain.Out
+			old.State = brain.OutOfService
 			l.put(old)
 			changes = append(changes, old)
 		}
--- a/internal/srvlist/srvlist_test.go
+++ b/internal/srvlist/srvlist_test.go
@@ -26,7 +26,7 @@
 	return l
 }
 
-var a, b = Entry{"s-a", "10.1.0.9:3868", 2, brain.In, 0}, Entry{"s-b", "10.1.0.8:3868", 0, brain.Draining, 7}
+var a, b = Entry{"s-a", "10.1.0.9:3868", 2, brain.InService, 0}, Entry{"s-b", "10.1.0.8:3868", 0, brain.Draining, 7}
 
 // packet is an answer with these entries.
 func packet(t testing.TB, id uint16, serial uint32, change func(*dns.Msg), entries ...Entry) []byte {
@@ -79,10 +79,10 @@
 
 func TestAnAnswerIsFoldedToWhatChanged(t *testing.T) {
 	l := list(t)
-	c := Entry{"s-c", "10.1.0.8:3868", 0, brain.In, 99}
+	c := Entry{"s-c", "10.1.0.8:3868", 0, brain.InService, 99}
 	got, err := l.Answer(5, packet(t, 5, 43, nil, c, a))
 	gone := b
-	gone.State = brain.Out
+	gone.State = brain.OutOfService
 	if err != nil || !reflect.DeepEqual(got, []Entry{gone, c}) {
 		t.Fatalf("%+v, %v", got, err)
 	}
@@ -122,7 +122,7 @@
 func TestAnAnswerOfBeforeTheStartIsOverruled(t *testing.T) {
 	l := list(t)
 	gone := a
-	gone.State = brain.Out
+	gone.State = brain.OutOfService
 	if _, err := l.Answer(5, packet(t, 5, 900, nil, a, b)); err != nil || l.Serial() != 900 {
 		t.Fatalf("at %d, %v", l.Serial(), err)
 	}
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -105,7 +105,7 @@
 		}
 	case controller.Decided:
 		if n.capture != nil {
-			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.Cell))
+			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.ExchangeNumber))
 		}
 	case controller.Left:
 		n.left = true
