--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -65,7 +65,7 @@
 		c.post(t)
 	default:
 		t.link.waiting = append(t.link.waiting, t)
-		t.timer = c.timers.Set(min(t.till, c.now+c.cfg.Connect), timer{attempt: t})
+		t.timer = c.timers.Set(min(t.till, c.now+c.cfg.LinkTimeout), timer{attempt: t})
 	}
 }
 
@@ -76,16 +76,16 @@
 	t.tx = t.link.tx()
 	t.add = t.tx
 	t.link.out[t.tx] = t
-	c.stats.Held++
+	c.stats.HeldAttempts++
 	t.link.held[t] = true
 	m := &signal.Message{ID: t.tx, Context: k.context, Command: signal.Add, Term: k.name, Fields: make([]signal.Field, 0, 9)}
-	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.Self).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
+	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.ExchangeNumber).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
 	m.PutInt("Width", k.width).PutSpan("Left", k.due-c.now)
 	if k.number != "" {
 		m.Put("Number", k.number)
 	}
 	m.PutFlag("Transit", k.transit).PutFlag("Again", k.again)
-	c.out = append(c.out, Effect{Do: Say, Peer: t.link.peer(), Msg: m, NotAfter: t.till, Call: k.name})
+	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, Deadline: t.till, Call: k.name})
 	t.timer = c.timers.Set(t.till, timer{attempt: t})
 }
 
@@ -101,13 +101,13 @@
 		c.stats.TimedOut++
 		c.withdraw(t, brain.TimedOut)
 	case freeing:
-		at, lost := c.cfg.Release.Next(c.now, t.tries)
+		at, lost := c.cfg.ReleaseRetry.Next(c.now, t.tries)
 		if lost {
 			c.log(slog.LevelWarn, t.call.name, fmt.Sprintf("exchange %d does not answer releases", t.link.id))
-			c.out = append(c.out, Effect{Do: Close, Peer: t.link.peer(), Text: "releases are not answered"})
+			c.out = append(c.out, Effect{Kind: EffectClose, Peer: t.link.peer(), Text: "releases are not answered"})
 			return // its Down frees what it holds
 		}
-		c.stats.ReleasesRepeat++
+		c.stats.ReleaseRetries++
 		c.askRelease(t, at, 0)
 	}
 }
@@ -134,7 +134,7 @@
 func (c *Controller) free(t *attempt, recall uint32) {
 	t.stage = freeing
 	c.stats.Releases++
-	at, _ := c.cfg.Release.Next(c.now, 1)
+	at, _ := c.cfg.ReleaseRetry.Next(c.now, 1)
 	c.askRelease(t, at, recall)
 }
 
@@ -146,7 +146,7 @@
 	t.link.out[t.tx] = t
 	m := &signal.Message{ID: t.tx, Context: t.call.context, Command: signal.Subtract, Term: t.call.name}
 	m.PutInt("Attempt", t.n)
-	c.out = append(c.out, Effect{Do: Say, Peer: t.link.peer(), Msg: m, Recall: recall})
+	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, RecallID: recall})
 	t.timer = c.timers.Set(again, timer{attempt: t})
 }
 
@@ -156,7 +156,7 @@
 	if t.stage != queued && t.stage != freed {
 		delete(t.link.out, t.tx)
 		delete(t.link.held, t)
-		c.stats.Held--
+		c.stats.HeldAttempts--
 	}
 	t.stage = freed
 	c.tell(t, o, r)
@@ -177,7 +177,7 @@
 	k := t.call
 	stood := t.stage == carrying || k.state == standing && k.att == t
 	if stood {
-		c.stats.Standing--
+		c.stats.Established--
 		k.state = over
 	}
 	e := brain.Ended{ID: k.id, Attempt: t.n, Exchange: t.to, Outcome: o, After: c.now - t.began, Final: k.state == over}
@@ -195,7 +195,7 @@
 	case brain.Reset:
 		c.stats.Reset++
 	case brain.Cancelled:
-		c.stats.Withdrawn++
+		c.stats.Cancelled++
 	}
 	c.feed(e)
 }
@@ -205,7 +205,7 @@
 func (c *Controller) release(k *call, o brain.Outcome) {
 	t := k.att
 	k.state = over
-	c.stats.Standing--
+	c.stats.Established--
 	if k.from != nil {
 		delete(k.from.calls, k.name)
 	}
@@ -236,10 +236,10 @@
 	c.answer(k, m)
 	k.state = standing
 	k.stood = c.now
-	c.stats.Stood++
-	c.stats.Standing++
-	if c.cfg.Interim > 0 {
-		c.timers.Set(c.now+c.cfg.Interim, timer{interim: k})
+	c.stats.Answered++
+	c.stats.Established++
+	if c.cfg.InterimInterval > 0 {
+		c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
 	}
 	c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
 }
@@ -259,7 +259,7 @@
 	t := l.out[m.ID]
 	if t == nil {
 		if m.Command == signal.Add || m.Command == signal.Subtract {
-			c.stats.Late++ // it was withdrawn, or is told twice
+			c.stats.LateReplies++ // it was withdrawn, or is told twice
 		}
 		return
 	}
@@ -322,7 +322,7 @@
 // unsent is a set-up that the edge could not send.
 func (c *Controller) unsent(p Peer, m *signal.Message) {
 	l := c.links[p.ID]
-	if l == nil || p.Role != Exchange {
+	if l == nil || p.Role != RoleExchange {
 		return
 	}
 	switch t := l.out[m.ID]; {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -19,7 +19,7 @@
 				ColdFrom: 0.3, ColdFor: 10 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second, MaxAttempts: 6, Cancelling: true,
 				Tick: time.Millisecond}))
 			r.list(0, 1)
-			r.in(Input{What: Command, Peer: exchangeNo(100), Msg: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+			r.in(Input{Kind: InputMessage, Peer: exchangeNo(100), Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
 				Put("Group", "1 1000000 1000000")})
 			n := 0
 			up := func() string {
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -36,7 +36,7 @@
 func (c *Controller) caller(id uint64) *caller {
 	cl := c.callers[id]
 	if cl == nil {
-		cl = &caller{peer: Peer{Caller, id}, open: map[uint32]*call{}, calls: map[string]*call{}, faults: c.cfg.Faults}
+		cl = &caller{peer: Peer{RoleCaller, id}, open: map[uint32]*call{}, calls: map[string]*call{}, faults: c.cfg.FaultLimit}
 		c.callers[id] = cl
 	}
 	return cl
@@ -85,7 +85,7 @@
 		return // callers answer notifications; nothing waits for it
 	}
 	if m.ID <= cl.last { // ids rise on a connection: this one was used
-		c.stats.Doubled++
+		c.stats.DuplicateIDs++
 		if cl.openTx(m.ID) {
 			c.say(cl.peer, &signal.Message{Kind: signal.Pending, ID: m.ID})
 			return
@@ -97,9 +97,9 @@
 	cl.last = m.ID
 	switch m.Command {
 	case signal.Add:
-		c.stats.Asked++
+		c.stats.AddsReceived++
 		if refusal := c.take(cl, m); refusal != nil {
-			c.stats.NotTaken++
+			c.stats.AddsRejected++
 			c.say(cl.peer, refusal.Put("Taken", "no"))
 		}
 	case signal.Subtract:
@@ -121,9 +121,9 @@
 		return m.Refuse(signal.NotReady, "going out of service")
 	case cl.calls[m.Term] != nil:
 		return m.Refuse(signal.TermInContext, "the call is there already")
-	case len(cl.open) >= c.cfg.MostPerPeer:
+	case len(cl.open) >= c.cfg.MaxPendingPerCaller:
 		return m.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(cl.open)))
-	case len(c.calls) >= c.cfg.MostCalls:
+	case len(c.calls) >= c.cfg.MaxCalls:
 		return m.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
 	}
 	k, e, err := c.readCall(m)
@@ -139,8 +139,8 @@
 	k.due = c.now + e.Left
 	e.ID = k.id
 	cl.open[m.ID], cl.calls[m.Term], c.calls[k.id] = k, k, k
-	c.stats.Taken++
-	c.stats.Open++
+	c.stats.Accepted++
+	c.stats.Pending++
 	c.feed(e)
 	return nil
 }
@@ -185,7 +185,7 @@
 	}
 	e.Repeat, e.Again = m.Flag("Repeat"), m.Flag("Again")
 	k.width, k.dest, k.transit, k.again = e.Width, e.Dest, e.Transit, e.Again
-	k.called, k.repeat, k.source = e.Number, e.Repeat || e.Again, c.cfg.Self
+	k.called, k.repeat, k.source = e.Number, e.Repeat || e.Again, c.cfg.ExchangeNumber
 	if e.Transit {
 		k.source = e.Through
 	}
@@ -209,7 +209,7 @@
 func (c *Controller) hangUp(k *call) {
 	switch k.state {
 	case open:
-		c.stats.Left++
+		c.stats.Abandoned++
 		k.state = over
 		c.callEnded(k, flow.Left)
 		c.feed(brain.CallGone{ID: k.id}) // what is out is called off before the answer is said
@@ -227,7 +227,7 @@
 // answer gives the call its one final answer, if its caller is still there.
 func (c *Controller) answer(k *call, r *signal.Message) {
 	k.state = over
-	c.stats.Open--
+	c.stats.Pending--
 	if k.from == nil {
 		return
 	}
@@ -281,9 +281,9 @@
 		return c.traffic(m)
 	}
 	s := c.stats
-	return m.Answer().PutInt("Open", s.Open).PutInt("Standing", s.Standing).PutInt("Held", s.Held).
-		PutInt("Taken", s.Taken).PutInt("Stood", s.Stood).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
-		PutInt("Left", s.Left).PutInt("Cut", s.Cut).PutInt("Turned", s.Turned).PutInt("NotTaken", s.NotTaken)
+	return m.Answer().PutInt("Open", s.Pending).PutInt("Standing", s.Established).PutInt("Held", s.HeldAttempts).
+		PutInt("Taken", s.Accepted).PutInt("Stood", s.Answered).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
+		PutInt("Left", s.Abandoned).PutInt("Cut", s.Cut).PutInt("Turned", s.Shed).PutInt("NotTaken", s.AddsRejected)
 }
 
 // trafficTerm names what is offered, in an audit.
@@ -295,10 +295,10 @@
 // traffic tells what own callers offer: the last whole span of the measurement,
 // pair by pair and class by class, those that offer most first.
 func (c *Controller) traffic(m *signal.Message) *signal.Message {
-	if c.cfg.Traffic == nil {
+	if c.cfg.TrafficMeter == nil {
 		return m.Refuse(signal.BadValue, "traffic is not measured")
 	}
-	all, from, to := c.cfg.Traffic.Estimates(c.now)
+	all, from, to := c.cfg.TrafficMeter.Estimates(c.now)
 	slices.SortStableFunc(all, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
 	r := m.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
 	for _, e := range all[:min(len(all), trafficLines)] {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,9 +30,9 @@
 type Role uint8
 
 const (
-	Caller   Role = iota // a connection of subscribers, or of the own exchange with calls in transit
-	Exchange             // a kept link to an exchange
-	List                 // the kept link to the exchange list
+	RoleCaller       Role = iota // a connection of subscribers, or of the own exchange with calls in transit
+	RoleExchange                 // a kept link to an exchange
+	RoleExchangeList             // the kept link to the exchange list
 )
 
 var roles = [...]string{"caller", "exchange", "list"}
@@ -48,84 +48,84 @@
 
 // Input is one thing that happened at the edge.
 type Input struct {
-	What What
-	Peer Peer
-	Msg  *signal.Message    // with Command and Unsent
-	Bad  signal.SyntaxError // with Garbled
-	N    int                // with Turned
+	Kind        InputKind
+	Peer        Peer
+	Message     *signal.Message    // with Command and Unsent
+	SyntaxError signal.SyntaxError // with Garbled
+	Count       int                // with Turned
 }
 
-// What kind of thing an Input is.
-type What uint8
+// InputKind kind of thing an Input is.
+type InputKind uint8
 
 const (
-	Command What = iota // Msg came from Peer
-	Up                  // the link to Peer stands
-	Down                // the connection with Peer is gone; what it had not sent came before as Unsent
-	Unsent              // Msg, a set-up, was not sent and won't be
-	Garbled             // Peer sent something that can't be read
-	Turned              // N new calls were turned away at the edge, before they were taken
-	Clock               // nothing but time
-	Leave               // stop taking calls; Left comes when all are answered
+	InputMessage      InputKind = iota // Msg came from Peer
+	InputConnected                     // the link to Peer stands
+	InputDisconnected                  // the connection with Peer is gone; what it had not sent came before as Unsent
+	InputUnsent                        // Msg, a set-up, was not sent and won't be
+	InputMalformed                     // Peer sent something that can't be read
+	InputShed                          // N new calls were turned away at the edge, before they were taken
+	InputTimer                         // nothing but time
+	InputShutdown                      // stop taking calls; Left comes when all are answered
 )
 
 // Effect is one thing that the edge is asked to do.
 type Effect struct {
-	Do       Do
+	Kind     EffectKind
 	Peer     Peer
-	Msg      *signal.Message // with Say
-	NotAfter time.Duration   // with Say of a set-up: not to be sent later than this
-	Recall   uint32          // with Say of a release: the set-up, which is given back as Unsent in its place if it has not left
-	Addr     string          // with Dial
+	Message  *signal.Message // with Say
+	Deadline time.Duration   // with Say of a set-up: not to be sent later than this
+	RecallID uint32          // with Say of a release: the set-up, which is given back as Unsent in its place if it has not left
+	Address  string          // with Dial
 	Text     string          // with Close: why; with Log
 	Level    slog.Level      // with Log
 	Call     string          // with Log and Decided
 	Verdict  brain.Verdict   // with Decided
 }
 
-// Do is the kind of an Effect.
-type Do uint8
+// EffectKind is the kind of an Effect.
+type EffectKind uint8
 
 const (
-	Say     Do = iota // send Msg to Peer
-	Dial              // keep a link to Peer at Addr from now on
-	HangUp            // keep it no longer
-	Close             // close the connection with Peer now; a kept link is dialled again
-	Fence             // send no set-up to Peer any more that has not left; give them back as Unsent
-	Unfence           // lift that
-	Decided           // the module's word on a call, to be kept with the record
-	Log               // one line
-	Left              // all is answered after Leave
+	EffectSend       EffectKind = iota // send Msg to Peer
+	EffectConnect                      // keep a link to Peer at Addr from now on
+	EffectDisconnect                   // keep it no longer
+	EffectClose                        // close the connection with Peer now; a kept link is dialled again
+	EffectBlock                        // send no set-up to Peer any more that has not left; give them back as Unsent
+	EffectUnblock                      // lift that
+	EffectVerdict                      // the module's word on a call, to be kept with the record
+	EffectLog                          // one line
+	EffectStopped                      // all is answered after Leave
 )
 
 // Config is what a controller starts with.
 type Config struct {
-	Module       policy.Module // what decides: brain.Controller, or a rule that it is held against
-	Classes      []brain.Class
-	Self         int           // number of the own exchange
-	Number       int           // number of this controller
-	MostCalls    int           // open and standing calls together
-	MostPerPeer  int           // transactions of one caller's connection that are open
-	MostRoutes   int           // exchanges listed
-	Connect      time.Duration // a set-up waits so long for a link that is down
-	StandingLeft time.Duration // calls that stand may go on so long after Leave
-	Life         guard.Life
-	Release      guard.Release
-	Faults       guard.Faults
-	Flows        flow.Sink     // takes a record of each call and attempt; nil for none
-	Interim      time.Duration // a call that stands is told of so often; 0 never
-	Traffic      *measure.Live // measures what own callers offer; nil for none
+	Module              policy.Module // what decides: brain.Controller, or a rule that it is held against
+	Classes             []brain.Class
+	ExchangeNumber      int           // number of the own exchange
+	ControllerNumber    int           // number of this controller
+	MaxCalls            int           // open and standing calls together
+	MaxPendingPerCaller int           // transactions of one caller's connection that are open
+	MaxExchanges        int           // exchanges listed
+	LinkTimeout         time.Duration // a set-up waits so long for a link that is down
+	ShutdownGrace       time.Duration // calls that stand may go on so long after Leave
+	Liveness            guard.Life
+	ReleaseRetry        guard.Release
+	FaultLimit          guard.Faults
+	FlowSink            flow.Sink     // takes a record of each call and attempt; nil for none
+	InterimInterval     time.Duration // a call that stands is told of so often; 0 never
+	TrafficMeter        *measure.Live // measures what own callers offer; nil for none
 }
 
 // Stats counts what the controller did; all of it only grows but for Open,
 // Standing and Held.
 type Stats struct {
-	Open, Standing, Held                             int // unanswered calls; calls standing; attempts not yet released
-	Asked, NotTaken, Turned                          int // Adds of callers; of these refused untaken; turned away at the edge
-	Taken, Stood, Refused, Failed, Left              int // calls; their final answers
-	Ended, Cut                                       int // of those that stood
-	Attempts, TimedOut, Reset, NoLink, Withdrawn     int
-	Late, Garbled, Doubled, Releases, ReleasesRepeat int // answers to nothing; unreadable; ids used again
+	Pending, Established, HeldAttempts                             int // unanswered calls; calls standing; attempts not yet released
+	AddsReceived, AddsRejected, Shed                               int // Adds of callers; of these refused untaken; turned away at the edge
+	Accepted, Answered, Refused, Failed, Abandoned                 int // calls; their final answers
+	Ended, Cut                                                     int // of those that stood
+	Attempts, TimedOut, Reset, NoLink, Cancelled                   int
+	LateReplies, Malformed, DuplicateIDs, Releases, ReleaseRetries int // answers to nothing; unreadable; ids used again
 }
 
 // Controller is the core. It is not safe for concurrent use.
@@ -143,7 +143,7 @@
 	context  uint32
 	leaving  bool
 	left     bool
-	module   policy.Feed
+	module   policy.Dispatcher
 	waited   []*call // that the module made wait just now
 	out      []Effect
 	stats    Stats
@@ -154,7 +154,7 @@
 
 // New starts a controller at a time. The first effects come with the first input.
 func New(now time.Duration, cfg Config) *Controller {
-	c := &Controller{cfg: cfg, module: policy.Feed{Module: cfg.Module}, now: now, classes: map[string]int{}, timers: wheel.New[timer](now),
+	c := &Controller{cfg: cfg, module: policy.Dispatcher{Module: cfg.Module}, now: now, classes: map[string]int{}, timers: wheel.New[timer](now),
 		callers: map[uint64]*caller{}, calls: map[string]*call{}, links: map[uint64]*link{},
 		cells: map[int]uint64{}, circuits: map[int]brain.Circuits{}}
 	for i, cl := range cfg.Classes {
@@ -170,8 +170,8 @@
 // records that went to the sink add up to.
 func (c *Controller) Counts() *flow.Counts { return &c.counts }
 
-// Next is the time at which a Clock input is due at the latest.
-func (c *Controller) Next() (time.Duration, bool) { return c.timers.Next() }
+// NextDeadline is the time at which a Clock input is due at the latest.
+func (c *Controller) NextDeadline() (time.Duration, bool) { return c.timers.Next() }
 
 // Handle takes one input and returns what to do, valid until the next call.
 func (c *Controller) Handle(now time.Duration, in Input) []Effect {
@@ -179,36 +179,36 @@
 	clear(c.out)
 	c.out = c.out[:0]
 	c.timers.Advance(c.now, c.fire)
-	switch in.What {
-	case Command:
-		c.command(in.Peer, in.Msg)
-	case Up:
+	switch in.Kind {
+	case InputMessage:
+		c.command(in.Peer, in.Message)
+	case InputConnected:
 		c.up(in.Peer)
-	case Down:
+	case InputDisconnected:
 		c.down(in.Peer)
-	case Unsent:
-		c.unsent(in.Peer, in.Msg)
-	case Garbled:
-		c.garbled(in.Peer, in.Bad)
-	case Turned:
-		c.stats.Turned += in.N
+	case InputUnsent:
+		c.unsent(in.Peer, in.Message)
+	case InputMalformed:
+		c.garbled(in.Peer, in.SyntaxError)
+	case InputShed:
+		c.stats.Shed += in.Count
 		c.log(slog.LevelWarn, "", "calls turned away at the edge: the controller can't keep up")
-	case Leave:
+	case InputShutdown:
 		c.leave()
 	}
-	if c.leaving && !c.left && c.stats.Open == 0 && len(c.calls) == 0 && c.stats.Held == 0 {
+	if c.leaving && !c.left && c.stats.Pending == 0 && len(c.calls) == 0 && c.stats.HeldAttempts == 0 {
 		c.left = true
-		c.out = append(c.out, Effect{Do: Left})
+		c.out = append(c.out, Effect{Kind: EffectStopped})
 	}
 	return c.out
 }
 
 func (c *Controller) say(p Peer, m *signal.Message) {
-	c.out = append(c.out, Effect{Do: Say, Peer: p, Msg: m})
+	c.out = append(c.out, Effect{Kind: EffectSend, Peer: p, Message: m})
 }
 
 func (c *Controller) log(l slog.Level, call, text string) {
-	c.out = append(c.out, Effect{Do: Log, Level: l, Call: call, Text: text})
+	c.out = append(c.out, Effect{Kind: EffectLog, Level: l, Call: call, Text: text})
 }
 
 // timer is what a moment was set for: just one of its fields is.
@@ -243,14 +243,14 @@
 
 func (c *Controller) command(p Peer, m *signal.Message) {
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		c.fromCaller(c.caller(p.ID), m)
-	case Exchange:
+	case RoleExchange:
 		if l := c.links[p.ID]; l != nil {
 			l.life.heard = c.now
 			c.fromExchange(l, m)
 		}
-	case List:
+	case RoleExchangeList:
 		c.listUp.heard = c.now
 		c.fromList(m)
 	}
@@ -258,12 +258,12 @@
 
 // garbled answers what can't be read; a peer that goes on so is cut off.
 func (c *Controller) garbled(p Peer, bad signal.SyntaxError) {
-	c.stats.Garbled++
+	c.stats.Malformed++
 	faults := &c.listUp.faults
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		faults = &c.caller(p.ID).faults
-	case Exchange:
+	case RoleExchange:
 		l := c.links[p.ID]
 		if l == nil {
 			return
@@ -271,11 +271,11 @@
 		faults = &l.life.faults
 	}
 	if !faults.Tolerate(c.now) {
-		c.out = append(c.out, Effect{Do: Close, Peer: p, Text: "too many messages that can't be read"})
+		c.out = append(c.out, Effect{Kind: EffectClose, Peer: p, Text: "too many messages that can't be read"})
 		return
 	}
 	m := &signal.Message{Kind: signal.Fault, Code: bad.Code, Text: bad.What}
-	if bad.ID != 0 && p.Role == Caller && !c.caller(p.ID).openTx(bad.ID) {
+	if bad.ID != 0 && p.Role == RoleCaller && !c.caller(p.ID).openTx(bad.ID) {
 		m = &signal.Message{Kind: signal.Reply, ID: bad.ID, Command: signal.Add, Term: signal.Root, Code: bad.Code, Text: bad.What}
 		c.caller(p.ID).last = max(c.caller(p.ID).last, bad.ID)
 	}
@@ -289,11 +289,11 @@
 	}
 	c.leaving = true
 	for _, k := range sorted(c.callers) {
-		c.say(Peer{Caller, k}, &signal.Message{ID: c.callers[k].tx(), Command: signal.ServiceChange,
+		c.say(Peer{RoleCaller, k}, &signal.Message{ID: c.callers[k].tx(), Command: signal.ServiceChange,
 			Term: signal.Root, Fields: []signal.Field{{Name: "Method", Value: "graceful"}}})
 	}
-	c.timers.Set(c.now+c.cfg.StandingLeft, timer{stand: true})
-	c.timers.Set(c.now+c.cfg.StandingLeft+stuckAfter, timer{stuck: true})
+	c.timers.Set(c.now+c.cfg.ShutdownGrace, timer{stand: true})
+	c.timers.Set(c.now+c.cfg.ShutdownGrace+stuckAfter, timer{stuck: true})
 }
 
 // endAgain is how often what stands is ended again once its time is over.
@@ -304,7 +304,7 @@
 
 // remaining names some of what keeps the controller from leaving.
 func (c *Controller) remaining() string {
-	s := fmt.Sprintf("%d open, %d standing, %d calls, %d attempts held", c.stats.Open, c.stats.Standing, len(c.calls), c.stats.Held)
+	s := fmt.Sprintf("%d open, %d standing, %d calls, %d attempts held", c.stats.Pending, c.stats.Established, len(c.calls), c.stats.HeldAttempts)
 	for i, id := range sorted(c.calls) {
 		if k := c.calls[id]; i < 3 {
 			s += fmt.Sprintf("; call %s in state %d", k.name, k.state)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -67,10 +67,10 @@
 
 func newRig(t fataler, m policy.Module) *rig {
 	r := &rig{t: t, now: time.Hour, tx: map[Peer]uint32{}}
-	r.c = New(r.now, Config{Module: m, Classes: testClasses, Self: 0,
-		MostCalls: 50000, MostPerPeer: 10000, MostRoutes: 1000, Connect: 300 * time.Millisecond, StandingLeft: 2 * time.Second,
-		Life:    guard.Life{After: time.Second, Lost: 3 * time.Second},
-		Release: guard.Release{Every: time.Second, Tries: 3}, Faults: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
+	r.c = New(r.now, Config{Module: m, Classes: testClasses, ExchangeNumber: 0,
+		MaxCalls: 50000, MaxPendingPerCaller: 10000, MaxExchanges: 1000, LinkTimeout: 300 * time.Millisecond, ShutdownGrace: 2 * time.Second,
+		Liveness:     guard.Life{After: time.Second, Lost: 3 * time.Second},
+		ReleaseRetry: guard.Release{Every: time.Second, Tries: 3}, FaultLimit: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
 	return r
 }
 
@@ -84,15 +84,15 @@
 	var all []Effect
 	until := r.now + d
 	for {
-		at, ok := r.c.Next()
+		at, ok := r.c.NextDeadline()
 		if !ok || at > until {
 			break
 		}
 		r.now = max(at, r.now)
-		all = append(all, r.in(Input{What: Clock})...)
+		all = append(all, r.in(Input{Kind: InputTimer})...)
 	}
 	r.now = until
-	all = append(all, r.in(Input{What: Clock})...)
+	all = append(all, r.in(Input{Kind: InputTimer})...)
 	r.out = all
 	return all
 }
@@ -102,11 +102,11 @@
 		r.tx[p]++
 		m.ID = r.tx[p]
 	}
-	return r.in(Input{What: Command, Peer: p, Msg: m})
+	return r.in(Input{Kind: InputMessage, Peer: p, Message: m})
 }
 
-func from(n uint64) Peer     { return Peer{Caller, n} }
-func exchangeNo(id int) Peer { return Peer{Exchange, uint64(id)} }
+func from(n uint64) Peer     { return Peer{RoleCaller, n} }
+func exchangeNo(id int) Peer { return Peer{RoleExchange, uint64(id)} }
 func add(name string) *signal.Message {
 	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: name}).Put("Class", "fetch").
 		PutInt("Dest", 1).Put("Number", "77").PutSpan("Left", 4*time.Second)
@@ -119,9 +119,9 @@
 	for _, n := range cells {
 		m.Put("Exchange", entry(100+n, n, "in"))
 	}
-	r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: m})
+	r.in(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: m})
 	for _, n := range cells {
-		r.in(Input{What: Up, Peer: exchangeNo(100 + n)})
+		r.in(Input{Kind: InputConnected, Peer: exchangeNo(100 + n)})
 	}
 }
 
@@ -130,23 +130,23 @@
 }
 
 func (r *rig) word(id, cell int, state string) []Effect {
-	return r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+	return r.in(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
 		Put("Exchange", entry(id, cell, state))})
 }
 
 // said picks the messages to a peer of a kind and command.
 func said(out []Effect, p Peer, k signal.Kind, c signal.Command) (all []*signal.Message) {
 	for _, e := range out {
-		if e.Do == Say && e.Peer == p && e.Msg.Kind == k && (e.Msg.Command == c || k == signal.Pending || k == signal.Fault) {
-			all = append(all, e.Msg)
+		if e.Kind == EffectSend && e.Peer == p && e.Message.Kind == k && (e.Message.Command == c || k == signal.Pending || k == signal.Fault) {
+			all = append(all, e.Message)
 		}
 	}
 	return all
 }
 
-func did(out []Effect, d Do, p Peer) bool {
+func did(out []Effect, d EffectKind, p Peer) bool {
 	for _, e := range out {
-		if e.Do == d && e.Peer == p {
+		if e.Kind == d && e.Peer == p {
 			return true
 		}
 	}
@@ -165,8 +165,8 @@
 func (r *rig) empty() {
 	r.t.Helper()
 	s := r.c.Stats()
-	if s.Open != 0 || s.Standing != 0 || s.Held != 0 || len(r.c.calls) != 0 {
-		r.t.Fatalf("left over: %d open, %d standing, %d held, %d calls", s.Open, s.Standing, s.Held, len(r.c.calls))
+	if s.Pending != 0 || s.Established != 0 || s.HeldAttempts != 0 || len(r.c.calls) != 0 {
+		r.t.Fatalf("left over: %d open, %d standing, %d held, %d calls", s.Pending, s.Established, s.HeldAttempts, len(r.c.calls))
 	}
 	for _, cl := range r.c.callers {
 		if len(cl.open) != 0 || len(cl.calls) != 0 {
@@ -216,7 +216,7 @@
 		set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 		var out []Effect
 		if dies {
-			out = r.in(Input{What: Down, Peer: from(1)})
+			out = r.in(Input{Kind: InputDisconnected, Peer: from(1)})
 			if n := len(said(out, from(1), signal.Reply, signal.Add)); n != 0 {
 				t.Fatalf("%d answers to nobody", n)
 			}
@@ -231,7 +231,7 @@
 			t.Fatalf("%+v", e)
 		}
 		// the answer crosses the withdrawal: it counts as late and moves nothing
-		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 || r.c.Stats().Late != 1 {
+		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 || r.c.Stats().LateReplies != 1 {
 			t.Fatalf("%+v", out)
 		}
 		// the release is asked for again until it is answered
@@ -239,8 +239,8 @@
 		r.say(exchangeNo(101), free.Answer())
 		r.empty()
 		for _, e := range r.pass(10 * time.Second) {
-			if e.Do == Say && e.Msg.Command == signal.Add {
-				t.Fatalf("sent after the end: %s", e.Msg)
+			if e.Kind == EffectSend && e.Message.Command == signal.Add {
+				t.Fatalf("sent after the end: %s", e.Message)
 			}
 		}
 	}
@@ -252,13 +252,13 @@
 	r.say(from(1), add("a"))
 	closed := false
 	for range 100 {
-		r.in(Input{What: Command, Peer: exchangeNo(101), Msg: &signal.Message{Kind: signal.Pending, ID: 99}}) // it lives
-		closed = closed || did(r.pass(200*time.Millisecond), Close, exchangeNo(101))
+		r.in(Input{Kind: InputMessage, Peer: exchangeNo(101), Message: &signal.Message{Kind: signal.Pending, ID: 99}}) // it lives
+		closed = closed || did(r.pass(200*time.Millisecond), EffectClose, exchangeNo(101))
 	}
 	if !closed {
 		t.Fatal("never closed")
 	}
-	r.in(Input{What: Down, Peer: exchangeNo(101)})
+	r.in(Input{Kind: InputDisconnected, Peer: exchangeNo(101)})
 	r.empty()
 }
 
@@ -268,19 +268,19 @@
 	r := newRig(t, m)
 	r.list(0, 1)
 	sent := one(t, "set-up", said(r.say(from(1), add("out")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Down, Peer: exchangeNo(101)}) // the first is reset; its link is gone
-	r.say(from(1), add("waits"))                   // waits for the link
+	r.in(Input{Kind: InputDisconnected, Peer: exchangeNo(101)}) // the first is reset; its link is gone
+	r.say(from(1), add("waits"))                                // waits for the link
 	if len(r.c.links[101].waiting) != 1 {
 		t.Fatal("does not wait for its link")
 	}
 	out := r.word(101, 1, "draining")
-	if !did(out, Fence, exchangeNo(101)) {
+	if !did(out, EffectBlock, exchangeNo(101)) {
 		t.Fatal("no fence")
 	}
 	if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.NoResources {
 		t.Fatalf("%s", a)
 	}
-	r.in(Input{What: Up, Peer: exchangeNo(101)})
+	r.in(Input{Kind: InputConnected, Peer: exchangeNo(101)})
 	// the module sends in the same instant all the same: nothing leaves
 	if n := len(said(r.say(from(1), add("late")), exchangeNo(101), signal.Request, signal.Add)); n != 0 {
 		t.Fatalf("%d set-ups to a draining exchange", n)
@@ -296,7 +296,7 @@
 		t.Fatalf("%v (%s)", outcomes, sent.Term)
 	}
 	// back in service: the fence is lifted and set-ups leave
-	if !did(r.word(101, 1, "in"), Unfence, exchangeNo(101)) {
+	if !did(r.word(101, 1, "in"), EffectUnblock, exchangeNo(101)) {
 		t.Fatal("the fence stays")
 	}
 	one(t, "set-up", said(r.say(from(1), add("b")), exchangeNo(101), signal.Request, signal.Add))
@@ -308,7 +308,7 @@
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 	r.word(101, 1, "draining")
-	out := r.in(Input{What: Unsent, Peer: exchangeNo(101), Msg: set})
+	out := r.in(Input{Kind: InputUnsent, Peer: exchangeNo(101), Message: set})
 	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.NoConnect {
 		t.Fatalf("%+v", e)
 	}
@@ -324,7 +324,7 @@
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 	again := add("b")
 	again.ID = r.tx[from(1)]
-	out := r.in(Input{What: Command, Peer: from(1), Msg: again})
+	out := r.in(Input{Kind: InputMessage, Peer: from(1), Message: again})
 	if p := said(out, from(1), signal.Pending, ""); len(p) != 1 || len(out) != 1 {
 		t.Fatalf("an open id again: %+v", out)
 	}
@@ -338,11 +338,11 @@
 	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.TimedOut {
 		t.Fatalf("%+v", e)
 	}
-	out = r.in(Input{What: Command, Peer: from(1), Msg: again})
+	out = r.in(Input{Kind: InputMessage, Peer: from(1), Message: again})
 	if f := said(out, from(1), signal.Fault, ""); len(f) != 1 || f[0].Code != signal.BadIdentifier || len(out) != 1 {
 		t.Fatalf("a closed id again: %+v", out)
 	}
-	if s := r.c.Stats(); s.Late != 2 || s.Doubled != 2 || s.Taken != 1 {
+	if s := r.c.Stats(); s.LateReplies != 2 || s.DuplicateIDs != 2 || s.Accepted != 1 {
 		t.Fatalf("%+v", s)
 	}
 	if out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); one(t, "reply", said(out, from(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
@@ -361,10 +361,10 @@
 	}
 	answers := 0
 	for _, s := range sets[300:] {
-		answers += len(said(r.in(Input{What: Unsent, Peer: exchangeNo(101), Msg: s}), from(1), signal.Reply, signal.Add))
+		answers += len(said(r.in(Input{Kind: InputUnsent, Peer: exchangeNo(101), Message: s}), from(1), signal.Reply, signal.Add))
 	}
-	answers += len(said(r.in(Input{What: Down, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
-	answers += len(said(r.in(Input{What: Down, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
+	answers += len(said(r.in(Input{Kind: InputDisconnected, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
+	answers += len(said(r.in(Input{Kind: InputDisconnected, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
 	for _, e := range m.ended() {
 		if seen[e.ID] {
@@ -400,9 +400,9 @@
 	r.list(0, 1)
 	closed := 0
 	for n := range 100 {
-		out := r.in(Input{What: Garbled, Peer: from(5), Bad: signal.SyntaxError{ID: uint32(n), Code: signal.BadCommand, What: "no command"}})
+		out := r.in(Input{Kind: InputMalformed, Peer: from(5), SyntaxError: signal.SyntaxError{ID: uint32(n), Code: signal.BadCommand, What: "no command"}})
 		switch {
-		case did(out, Close, from(5)):
+		case did(out, EffectClose, from(5)):
 			closed++
 		case n > 0 && one(t, "error", said(out, from(5), signal.Reply, signal.Add)).ID != uint32(n):
 			t.Fatalf("%+v", out)
@@ -425,7 +425,7 @@
 	if a := one(t, "answer", said(r.say(from(1), ask), from(1), signal.Reply, signal.AuditValue)); a.Code != signal.BadValue {
 		t.Fatalf("%s", a)
 	}
-	r.c.cfg.Traffic = measure.NewLive(r.now, 10*time.Minute, 9*time.Second)
+	r.c.cfg.TrafficMeter = measure.NewLive(r.now, 10*time.Minute, 9*time.Second)
 	r.list(0, 1)
 	for i := range 61 { // a call each 10 s that stands for 5: half an erlang
 		m := add(fmt.Sprint("c", i))
@@ -437,8 +437,8 @@
 		r.say(exchangeNo(101), sub.Answer())
 		r.pass(5 * time.Second)
 		for _, e := range r.out { // signs of life keep the links up
-			if e.Do == Say && e.Msg.Command == signal.AuditValue && e.Msg.Kind == signal.Request {
-				r.say(e.Peer, e.Msg.Answer())
+			if e.Kind == EffectSend && e.Message.Command == signal.AuditValue && e.Message.Kind == signal.Request {
+				r.say(e.Peer, e.Message.Answer())
 			}
 		}
 	}
@@ -463,7 +463,7 @@
 	if a := one(t, "refusal", said(r.say(from(1), add("more")), from(1), signal.Reply, signal.Add)); a.Code != signal.TooManyOpen || a.Get("Taken") != "no" {
 		t.Fatalf("%s", a)
 	}
-	if s := r.c.Stats(); s.Taken != 10000 || s.NotTaken != 1 {
+	if s := r.c.Stats(); s.Accepted != 10000 || s.AddsRejected != 1 {
 		t.Fatalf("%+v", s)
 	}
 	if out := r.say(from(2), add("other")); len(said(out, from(2), signal.Reply, signal.Add)) != 0 {
@@ -501,23 +501,23 @@
 	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Down, Peer: Peer{Role: List}})
+	r.in(Input{Kind: InputDisconnected, Peer: Peer{Role: RoleExchangeList}})
 	r.say(exchangeNo(101), set.Answer()) // the last list stays in force
-	r.in(Input{What: Up, Peer: Peer{Role: List}})
+	r.in(Input{Kind: InputConnected, Peer: Peer{Role: RoleExchangeList}})
 	w := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
 		Put("Exchange", entry(200, 0, "in")).Put("Exchange", entry(201, 1, "in"))
-	out = r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: w})
-	if !did(out, Dial, exchangeNo(201)) || !did(out, Fence, exchangeNo(101)) || did(out, HangUp, exchangeNo(101)) {
+	out = r.in(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: w})
+	if !did(out, EffectConnect, exchangeNo(201)) || !did(out, EffectBlock, exchangeNo(101)) || did(out, EffectDisconnect, exchangeNo(101)) {
 		t.Fatalf("%+v", out)
 	}
 	// the call that stands at the old one ends there; then its link is dropped
 	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
 	out = r.say(exchangeNo(101), one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract)).Answer())
-	if !did(out, HangUp, exchangeNo(101)) || r.c.links[101] != nil {
+	if !did(out, EffectDisconnect, exchangeNo(101)) || r.c.links[101] != nil {
 		t.Fatal("the old link is kept")
 	}
 	bad := (&signal.Message{ID: 2, Command: signal.Notify, Term: signal.Root}).Put("Exchange", "7 cell=x")
-	if a := one(t, "error", said(r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: bad}), Peer{Role: List}, signal.Reply, signal.Notify)); a.Code != signal.BadValue {
+	if a := one(t, "error", said(r.in(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: bad}), Peer{Role: RoleExchangeList}, signal.Reply, signal.Notify)); a.Code != signal.BadValue {
 		t.Fatalf("%s", a)
 	}
 }
@@ -530,7 +530,7 @@
 	if n := len(said(out, exchangeNo(101), signal.Request, signal.AuditValue)); n < 1 || n > 3 {
 		t.Fatalf("%d signs of life asked for", n)
 	}
-	if !did(out, Close, exchangeNo(101)) {
+	if !did(out, EffectClose, exchangeNo(101)) {
 		t.Fatal("the silent link stays")
 	}
 }
@@ -542,7 +542,7 @@
 	set := one(t, "set-up", said(r.say(from(1), add("stands")), exchangeNo(101), signal.Request, signal.Add))
 	r.say(exchangeNo(101), set.Answer())
 	out := one(t, "set-up", said(r.say(from(1), add("out")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Leave})
+	r.in(Input{Kind: InputShutdown})
 	if a := one(t, "refusal", said(r.say(from(1), add("new")), from(1), signal.Reply, signal.Add)); a.Code != signal.NotReady || a.Get("Taken") != "no" {
 		t.Fatalf("%s", a)
 	}
@@ -553,7 +553,7 @@
 		t.Fatalf("%s", n)
 	}
 	free := one(t, "release", said(all, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
+	if !did(r.say(exchangeNo(101), free.Answer()), EffectStopped, Peer{}) {
 		t.Fatal("does not leave")
 	}
 	r.empty()
@@ -572,13 +572,13 @@
 	r := newRig(t, &script{on: sendTo(101, 9*time.Second)})
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("late")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Leave})
+	r.in(Input{Kind: InputShutdown})
 	r.pass(2500 * time.Millisecond)
 	r.say(exchangeNo(101), set.Answer())
 	out := r.pass(300 * time.Millisecond)
 	one(t, "notice", said(out, from(1), signal.Request, signal.Notify))
 	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
+	if !did(r.say(exchangeNo(101), free.Answer()), EffectStopped, Peer{}) {
 		t.Fatal("does not leave")
 	}
 	r.empty()
@@ -633,7 +633,7 @@
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 	r.say(exchangeNo(101), set.Answer())
-	out := r.in(Input{What: Down, Peer: exchangeNo(101)})
+	out := r.in(Input{Kind: InputDisconnected, Peer: exchangeNo(101)})
 	if n := one(t, "notice", said(out, from(1), signal.Request, signal.Notify)); n.Get("Event") != "cut" || n.Term != "a" {
 		t.Fatalf("%s", n)
 	}
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -12,8 +12,8 @@
 func (c *Controller) callEnded(k *call, o flow.Outcome) {
 	c.callRecord(k, flow.Call, o)
 	*c.counts.At(&c.rec)++
-	if r := &c.rec; c.cfg.Traffic != nil && r.Route != flow.Transit {
-		c.cfg.Traffic.Add(c.now, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Class: r.Class, Circuits: k.width, Number: r.Number,
+	if r := &c.rec; c.cfg.TrafficMeter != nil && r.Route != flow.Transit {
+		c.cfg.TrafficMeter.Add(c.now, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Class: r.Class, Circuits: k.width, Number: r.Number,
 			Repeat: r.Repeat, Lost: o != flow.Ended && o != flow.Cut, Cut: o == flow.Cut, Stood: r.Stood})
 	}
 	c.put()
@@ -27,7 +27,7 @@
 	c.callRecord(k, flow.Interim, flow.Stands)
 	*c.counts.At(&c.rec)++
 	c.put()
-	c.timers.Set(c.now+c.cfg.Interim, timer{interim: k})
+	c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
 }
 
 func (c *Controller) callRecord(k *call, kind flow.Kind, o flow.Outcome) {
@@ -80,10 +80,10 @@
 
 // put numbers the record and hands it on.
 func (c *Controller) put() {
-	if c.cfg.Flows == nil {
+	if c.cfg.FlowSink == nil {
 		return
 	}
 	c.records++
 	c.rec.Seq = c.records
-	c.cfg.Flows.Put(&c.rec)
+	c.cfg.FlowSink.Put(&c.rec)
 }
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -13,7 +13,7 @@
 
 // feed hands an event to the module and carries out what it asks for.
 func (c *Controller) feed(e brain.Event) {
-	if !c.module.Give(c.now, e, c.act) {
+	if !c.module.Dispatch(c.now, e, c.act) {
 		return
 	}
 	for _, k := range c.waited {
@@ -87,9 +87,9 @@
 func (c *Controller) verdict(k *call, v brain.Verdict) {
 	k.verdict = v
 	k.why = fmt.Sprintf("%s; %s %d", v.Reason, v.Scope, v.Cell)
-	c.out = append(c.out, Effect{Do: Decided, Call: k.name, Peer: callerPeer(k), Verdict: v})
+	c.out = append(c.out, Effect{Kind: EffectVerdict, Call: k.name, Peer: callerPeer(k), Verdict: v})
 	if v.Log {
-		c.out = append(c.out, Effect{Do: Log, Level: slog.LevelInfo, Call: k.name,
+		c.out = append(c.out, Effect{Kind: EffectLog, Level: slog.LevelInfo, Call: k.name,
 			Text: fmt.Sprintf("%s (the %d. such)", k.why, v.Nth)})
 	}
 	if !k.pended {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -50,13 +50,13 @@
 func (c *Controller) up(p Peer) {
 	var li *life
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		c.caller(p.ID)
 		return
-	case List:
+	case RoleExchangeList:
 		li = &c.listUp
-		li.peer, li.faults = p, c.cfg.Faults
-	case Exchange:
+		li.peer, li.faults = p, c.cfg.FaultLimit
+	case RoleExchange:
 		l := c.links[p.ID]
 		if l == nil {
 			return
@@ -67,16 +67,16 @@
 	li.round++
 	li.txs++
 	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Term: signal.Root}
-	m.Put("Method", "restart").PutInt("Controller", c.cfg.Number).PutInt("From", c.cfg.Self)
+	m.Put("Method", "restart").PutInt("Controller", c.cfg.ControllerNumber).PutInt("From", c.cfg.ExchangeNumber)
 	c.say(p, m)
 	li.txs++
 	events := "circuits"
-	if p.Role == List {
+	if p.Role == RoleExchangeList {
 		events = "list"
 	}
 	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
 	c.look(li)
-	if p.Role == Exchange {
+	if p.Role == RoleExchange {
 		l := c.links[p.ID]
 		waiting := l.waiting
 		l.waiting = nil
@@ -90,12 +90,12 @@
 // down ends what was out on a connection: each attempt once.
 func (c *Controller) down(p Peer) {
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		c.gone(p.ID)
-	case List:
+	case RoleExchangeList:
 		c.listUp.up = false
 		c.log(slog.LevelWarn, "", "the exchange list is out of reach; the last one stays in force")
-	case Exchange:
+	case RoleExchange:
 		l := c.links[p.ID]
 		if l == nil {
 			return
@@ -136,9 +136,9 @@
 	if !li.up {
 		return
 	}
-	ask, lost, again := c.cfg.Life.Check(c.now, li.heard, li.asked)
+	ask, lost, again := c.cfg.Liveness.Check(c.now, li.heard, li.asked)
 	if lost {
-		c.out = append(c.out, Effect{Do: Close, Peer: li.peer, Text: "no sign of life"})
+		c.out = append(c.out, Effect{Kind: EffectClose, Peer: li.peer, Text: "no sign of life"})
 		return
 	}
 	if ask {
@@ -152,7 +152,7 @@
 // drop forgets a link that is out of the list and holds nothing.
 func (c *Controller) drop(l *link) {
 	if l.gone && c.links[l.id] == l && len(l.held) == 0 && len(l.waiting) == 0 {
-		c.out = append(c.out, Effect{Do: HangUp, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectDisconnect, Peer: l.peer()})
 		l.life.up = false
 		delete(c.links, l.id)
 	}
@@ -211,12 +211,12 @@
 	}
 	if l == nil {
 		l = &link{id: id, out: map[uint32]*attempt{}, held: map[*attempt]bool{},
-			life: life{peer: Peer{Exchange, id}, faults: c.cfg.Faults}}
+			life: life{peer: Peer{RoleExchange, id}, faults: c.cfg.FaultLimit}}
 		c.links[id] = l
 	}
 	if l.addr != addr {
 		l.addr = addr
-		c.out = append(c.out, Effect{Do: Dial, Peer: l.peer(), Addr: addr})
+		c.out = append(c.out, Effect{Kind: EffectConnect, Peer: l.peer(), Address: addr})
 	}
 	l.cell, l.gone = e.Cell, false
 	if e.State == brain.Draining {
@@ -226,7 +226,7 @@
 	c.cells[e.Cell] = id
 	if l.fenced {
 		l.fenced = false
-		c.out = append(c.out, Effect{Do: Unfence, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectUnblock, Peer: l.peer()})
 	}
 }
 
@@ -235,7 +235,7 @@
 func (c *Controller) shut(l *link, gone bool) {
 	if !l.fenced {
 		l.fenced = true
-		c.out = append(c.out, Effect{Do: Fence, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectBlock, Peer: l.peer()})
 	}
 	l.gone = l.gone || gone
 	waiting := l.waiting
@@ -293,8 +293,8 @@
 		}
 		word.Entries, addrs = append(word.Entries, e), append(addrs, addr)
 	}
-	if len(word.Entries) > c.cfg.MostRoutes {
-		return word, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(word.Entries), c.cfg.MostRoutes)
+	if len(word.Entries) > c.cfg.MaxExchanges {
+		return word, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(word.Entries), c.cfg.MaxExchanges)
 	}
 	return word, addrs, nil
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -35,27 +35,27 @@
 func (w *watcher) see(out []Effect) {
 	for _, e := range out {
 		id := e.Peer.ID
-		switch e.Do {
-		case Fence:
+		switch e.Kind {
+		case EffectBlock:
 			w.fenced[id] = true
-		case Unfence:
+		case EffectUnblock:
 			w.fenced[id] = false
-		case Close:
-			if e.Peer.Role == Exchange {
+		case EffectClose:
+			if e.Peer.Role == RoleExchange {
 				w.down(id)
 			}
 		}
-		if e.Do != Say {
+		if e.Kind != EffectSend {
 			continue
 		}
-		m := e.Msg
+		m := e.Message
 		switch {
-		case e.Peer.Role == Caller && m.Kind == signal.Reply && m.Command == signal.Add:
+		case e.Peer.Role == RoleCaller && m.Kind == signal.Reply && m.Command == signal.Add:
 			if w.answered[m.Term]++; w.answered[m.Term] > 1 {
 				w.t.Fatalf("call %s is answered twice", m.Term)
 			}
 			w.stands[m.Term] = m.Code == 0
-		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Add:
+		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Add:
 			switch {
 			case w.answered[m.Term] > 0 || w.left[m.Term]:
 				w.t.Fatalf("call %s is sent after its end", m.Term)
@@ -67,12 +67,12 @@
 				w.t.Fatalf("call %s is sent over a link that is down", m.Term)
 			case w.r.now < w.blocked[m.Term]:
 				w.t.Fatalf("call %s is sent %v before the release time", m.Term, w.blocked[m.Term]-w.r.now)
-			case e.NotAfter <= w.r.now:
+			case e.Deadline <= w.r.now:
 				w.t.Fatalf("call %s is sent with no time", m.Term)
 			}
 			w.out[m.Term] = id
 			w.adds[id][m.ID] = m
-		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Subtract:
+		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Subtract:
 			if w.out[m.Term] == id {
 				w.end(m.Term, true)
 			}
@@ -99,7 +99,7 @@
 		}
 	}
 	w.adds[id], w.subs[id] = map[uint32]*signal.Message{}, nil
-	w.see(w.r.in(Input{What: Down, Peer: Peer{Exchange, id}}))
+	w.see(w.r.in(Input{Kind: InputDisconnected, Peer: Peer{RoleExchange, id}}))
 }
 
 // TestRulesWhateverHappens plays random callers, exchanges, links and lists to
@@ -113,7 +113,7 @@
 			MaxAttempts: 6, Cancelling: true, Tick: time.Millisecond}
 		r := newRig(t, brain.New(set))
 		sink := &tally{}
-		r.c.cfg.Flows = sink
+		r.c.cfg.FlowSink = sink
 		w := &watcher{t: t, r: r, answered: map[string]int{}, left: map[string]bool{}, out: map[string]uint64{},
 			adds: map[uint64]map[uint32]*signal.Message{}, subs: map[uint64][]*signal.Message{}, stands: map[string]bool{},
 			blocked: map[string]time.Duration{}, fenced: map[uint64]bool{}, up: map[uint64]bool{}}
@@ -126,7 +126,7 @@
 			for i, f := range free {
 				m.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
 			}
-			w.see(r.in(Input{What: Command, Peer: exchangeNo(100), Msg: m}))
+			w.see(r.in(Input{Kind: InputMessage, Peer: exchangeNo(100), Message: m}))
 		}
 		groups(20, 20, 20)
 		var calls []string
@@ -155,14 +155,14 @@
 				if n := len(w.subs[id]); n > 0 {
 					m := w.subs[id][n-1]
 					w.subs[id] = w.subs[id][:n-1]
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.Answer()}))
 				}
 			case 7:
 				if w.up[id] {
 					w.down(id)
 				} else {
 					w.up[id] = true
-					w.see(r.in(Input{What: Up, Peer: Peer{Exchange, id}}))
+					w.see(r.in(Input{Kind: InputConnected, Peer: Peer{RoleExchange, id}}))
 				}
 			case 8:
 				state := rapid.SampledFrom([]string{"in", "draining"}).Draw(t, "state")
@@ -183,13 +183,13 @@
 				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
 			}
 		}
-		for round := 0; r.c.Stats().Held > 0; round++ {
+		for round := 0; r.c.Stats().HeldAttempts > 0; round++ {
 			if round > 100 {
-				t.Fatalf("%d attempts are never released", r.c.Stats().Held)
+				t.Fatalf("%d attempts are never released", r.c.Stats().HeldAttempts)
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
 				for _, m := range w.subs[id] {
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.Answer()}))
 				}
 				w.subs[id] = nil
 			}
@@ -201,8 +201,8 @@
 		if got := flow.Counts(*sink); got != *r.c.Counts() {
 			t.Fatalf("told %v, counted %v", got, *r.c.Counts())
 		}
-		if s, n := r.c.Stats(), r.c.Counts(); uint64(s.Taken) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Taken != len(calls) {
-			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Taken, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
+		if s, n := r.c.Stats(), r.c.Counts(); uint64(s.Accepted) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Accepted != len(calls) {
+			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Accepted, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
 		}
 	})
 }
@@ -213,19 +213,19 @@
 	for w.r.now < until {
 		for _, id := range []uint64{100, 101, 102, 103} {
 			if w.up[id] {
-				w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
+				w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
 			}
 		}
 		step := min(until-w.r.now, 500*time.Millisecond)
 		for end := w.r.now + step; ; {
-			at, ok := w.r.c.Next()
+			at, ok := w.r.c.NextDeadline()
 			if !ok || at > end {
 				w.r.now = end
-				w.see(w.r.in(Input{What: Clock}))
+				w.see(w.r.in(Input{Kind: InputTimer}))
 				break
 			}
 			w.r.now = max(w.r.now, at)
-			w.see(w.r.in(Input{What: Clock}))
+			w.see(w.r.in(Input{Kind: InputTimer}))
 		}
 	}
 }
@@ -251,8 +251,8 @@
 			delete(w.blocked, oldest.Term)
 		}
 	}
-	w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: a}))
+	w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
 	if rapid.Bool().Draw(t, "twice") {
-		w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: a}))
+		w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,10 +28,10 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Net is how a daemon reaches the world; tests put memory in its place.
-type Net struct {
-	Listen net.Listener
-	Dial   func(ctx context.Context, addr string) (net.Conn, error)
+// Network is how a daemon reaches the world; tests put memory in its place.
+type Network struct {
+	Listener net.Listener
+	Dial     func(ctx context.Context, addr string) (net.Conn, error)
 }
 
 // Daemon is one running controller.
@@ -39,7 +39,7 @@
 	set     *settings.Controller
 	log     *slog.Logger
 	capture *capture.Writer
-	net     Net
+	net     Network
 	base    time.Duration // wall clock at the start, since 1970
 	start   time.Time
 	core    *controller.Controller
@@ -74,7 +74,7 @@
 	}
 	var w *capture.Writer
 	if set.Capture.File != "" {
-		if w, err = capture.Create(set.Capture.File, Owner(set.Number)); err != nil {
+		if w, err = capture.Create(set.Capture.File, CaptureOwner(set.Number)); err != nil {
 			ln.Close()
 			return err
 		}
@@ -83,12 +83,12 @@
 	var sink flow.Sink
 	var exporter *export.Exporter
 	if len(set.Flows.Collectors) > 0 {
-		if exporter, err = Exporter(set, l); err != nil {
+		if exporter, err = NewExporter(set, l); err != nil {
 			return errors.Join(err, ln.Close(), w.Close())
 		}
 		sink = exporter
 	}
-	d := New(set, l, w, Net{ln, func(ctx context.Context, addr string) (net.Conn, error) {
+	d := New(set, l, w, Network{ln, func(ctx context.Context, addr string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", addr)
 	}}, sink)
 	l.Info("listening", "address", ln.Addr().String(), "exchange", set.Self, "policy", set.Policy)
@@ -104,15 +104,15 @@
 			<-ended
 			s := exporter.Status()
 			l.Info("flow export ended", "counted", s.Counted, "sent", s.Sent, "folded", s.Folded, "dropped", s.Dropped,
-				"uncounted", d.Uncounted(exporter.Counted()))
+				"uncounted", d.CountMismatch(exporter.Counted()))
 		}()
 	}
 	d.Serve(ctx)
 	return w.Close()
 }
 
-// Owner is how a controller's capture names it.
-func Owner(number int) string { return "controller " + strconv.Itoa(number) }
+// CaptureOwner is how a controller's capture names it.
+func CaptureOwner(number int) string { return "controller " + strconv.Itoa(number) }
 
 // Listen opens a listener: host:port, or fd:N for one that the parent passed on.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
@@ -138,20 +138,20 @@
 }
 
 // New makes a daemon; Serve runs it. flows takes a record of each call and attempt; nil for none.
-func New(set *settings.Controller, log *slog.Logger, w *capture.Writer, n Net, flows flow.Sink) *Daemon {
+func New(set *settings.Controller, log *slog.Logger, w *capture.Writer, n Network, flows flow.Sink) *Daemon {
 	d := &Daemon{set: set, log: log, capture: w, net: n, start: time.Now(), inbox: newInbox(set.Limits.Inbox),
 		left: make(chan struct{}), callers: map[uint64]*transport.Conn[*signal.Message]{}, links: map[controller.Peer]*keeper{}}
 	d.base = time.Duration(d.start.UnixNano())
-	d.core = controller.New(d.now(), setup.Core(d.now(), set, flows))
+	d.core = controller.New(d.now(), setup.ControllerConfig(d.now(), set, flows))
 	return d
 }
 
 // now is the core's clock: time since 1970 as it was at the start, and steady from there.
 func (d *Daemon) now() time.Duration { return d.base + time.Since(d.start) }
 
-// Uncounted is by how much an exporter's counts differ from the core's; for
+// CountMismatch is by how much an exporter's counts differ from the core's; for
 // use when Serve has returned.
-func (d *Daemon) Uncounted(c *flow.Counts) uint64 {
+func (d *Daemon) CountMismatch(c *flow.Counts) uint64 {
 	n := uint64(0)
 	for k, classes := range d.core.Counts() {
 		for i, outcomes := range classes {
@@ -174,7 +174,7 @@
 func (d *Daemon) Serve(ctx context.Context) {
 	// The edges outlive ctx until the core has left.
 	edges, stop := context.WithCancel(context.WithoutCancel(ctx))
-	d.keep(edges, controller.Peer{Role: controller.List}, d.set.List)
+	d.keep(edges, controller.Peer{Role: controller.RoleExchangeList}, d.set.List)
 	d.wg.Go(func() { d.accept() })
 	loop := make(chan struct{})
 	go func() {
@@ -183,7 +183,7 @@
 	}()
 	<-ctx.Done()
 	d.log.Info("leaving: no new calls")
-	d.inbox.put(guard.Answer, controller.Input{What: controller.Leave})
+	d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputShutdown})
 	<-d.left
 	// what was said last is written before the connections close
 	d.mu.Lock()
@@ -200,7 +200,7 @@
 	}
 	time.Sleep(20 * time.Millisecond)
 	stop()
-	d.net.Listen.Close()
+	d.net.Listener.Close()
 	d.inbox.close()
 	for _, c := range conns {
 		c.Close(transport.ErrClosed)
@@ -208,8 +208,8 @@
 	<-loop
 	d.wg.Wait()
 	s := d.Stats()
-	d.log.Info("left", "taken", s.Taken, "stood", s.Stood, "refused", s.Refused, "failed", s.Failed, "left", s.Left,
-		"cut", s.Cut, "attempts", s.Attempts, "turned", s.Turned)
+	d.log.Info("left", "taken", s.Accepted, "stood", s.Answered, "refused", s.Refused, "failed", s.Failed, "left", s.Abandoned,
+		"cut", s.Cut, "attempts", s.Attempts, "turned", s.Shed)
 }
 
 // loop owns the core.
@@ -220,7 +220,7 @@
 	for {
 		inputs := d.inbox.take()
 		if len(inputs) == 0 {
-			inputs = append(inputs, controller.Input{What: controller.Clock})
+			inputs = append(inputs, controller.Input{Kind: controller.InputTimer})
 		}
 		for _, in := range inputs {
 			left = d.step(ctx, in) || left
@@ -241,7 +241,7 @@
 			}
 		}
 		wait := time.Hour
-		if at, ok := d.core.Next(); ok {
+		if at, ok := d.core.NextDeadline(); ok {
 			wait = max(at-d.now(), 0)
 		}
 		timer.Reset(wait)
@@ -259,39 +259,39 @@
 func (d *Daemon) step(ctx context.Context, in controller.Input) bool {
 	left := false
 	for _, e := range d.core.Handle(d.now(), in) {
-		switch e.Do {
-		case controller.Say:
-			if c := d.conn(e.Peer); e.Recall != 0 && c != nil && c.Recall(func(m *signal.Message) bool { return m.ID == e.Recall }) {
-				d.back = append(d.back, controller.Input{What: controller.Unsent, Peer: e.Peer, Msg: e.Msg})
-			} else if (c == nil || !c.Send(e.Msg, e.NotAfter)) && e.NotAfter > 0 {
-				d.back = append(d.back, controller.Input{What: controller.Unsent, Peer: e.Peer, Msg: e.Msg})
+		switch e.Kind {
+		case controller.EffectSend:
+			if c := d.conn(e.Peer); e.RecallID != 0 && c != nil && c.Recall(func(m *signal.Message) bool { return m.ID == e.RecallID }) {
+				d.back = append(d.back, controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
+			} else if (c == nil || !c.Send(e.Message, e.Deadline)) && e.Deadline > 0 {
+				d.back = append(d.back, controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
 			}
-		case controller.Dial:
-			d.keep(ctx, e.Peer, e.Addr)
-		case controller.HangUp:
+		case controller.EffectConnect:
+			d.keep(ctx, e.Peer, e.Address)
+		case controller.EffectDisconnect:
 			d.drop(e.Peer)
-		case controller.Close:
+		case controller.EffectClose:
 			d.log.Warn("closing a connection", "peer", e.Peer.Role, "id", e.Peer.ID, "why", e.Text)
 			if c := d.conn(e.Peer); c != nil {
 				c.Close(errors.New(e.Text))
 			}
-		case controller.Fence:
+		case controller.EffectBlock:
 			if k := d.link(e.Peer); k != nil {
 				k.fence(true)
 			}
-		case controller.Unfence:
+		case controller.EffectUnblock:
 			if k := d.link(e.Peer); k != nil {
 				k.fence(false)
 			}
-		case controller.Decided:
+		case controller.EffectVerdict:
 			d.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.Cell))
-		case controller.Log:
+		case controller.EffectLog:
 			if e.Call == "" {
 				d.log.Log(ctx, e.Level, e.Text)
 			} else {
 				d.log.Log(ctx, e.Level, e.Text, "call", e.Call)
 			}
-		case controller.Left:
+		case controller.EffectStopped:
 			left = true
 		}
 	}
@@ -299,7 +299,7 @@
 }
 
 func (d *Daemon) conn(p controller.Peer) *transport.Conn[*signal.Message] {
-	if p.Role == controller.Caller {
+	if p.Role == controller.RoleCaller {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.callers[p.ID]
@@ -319,7 +319,7 @@
 // accept takes callers' connections.
 func (d *Daemon) accept() {
 	for id := uint64(1); ; id++ {
-		nc, err := d.net.Listen.Accept()
+		nc, err := d.net.Listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) && !errors.Is(err, io.EOF) {
 				d.log.Error("accepting connections", "error", err)
@@ -339,11 +339,11 @@
 			nc.Close()
 			continue
 		}
-		p := controller.Peer{Role: controller.Caller, ID: id}
-		d.inbox.put(guard.Answer, controller.Input{What: controller.Up, Peer: p})
+		p := controller.Peer{Role: controller.RoleCaller, ID: id}
+		d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputConnected, Peer: p})
 		up := make(chan struct{})
 		close(up)
-		tap := d.capture.Open(transport.Key(nc, false), capture.Ends{Owner: Owner(d.set.Number), Role: "caller"})
+		tap := d.capture.Open(transport.Key(nc, false), capture.Ends{Owner: CaptureOwner(d.set.Number), Role: "caller"})
 		d.mu.Lock()
 		d.callers[id] = transport.Start(nc, d.options(tap), &edge{d, p, up})
 		d.mu.Unlock()
@@ -358,7 +358,7 @@
 }
 
 func (e *edge) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
-	in := controller.Input{What: controller.Command, Peer: e.peer, Msg: m}
+	in := controller.Input{Kind: controller.InputMessage, Peer: e.peer, Message: m}
 	if e.d.inbox.put(kindOf(in), in) {
 		return
 	}
@@ -368,22 +368,22 @@
 }
 
 func (e *edge) Bad(_ *transport.Conn[*signal.Message], s transport.Skipped) {
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Garbled, Peer: e.peer, Bad: *s.(*signal.SyntaxError)})
+	e.d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputMalformed, Peer: e.peer, SyntaxError: *s.(*signal.SyntaxError)})
 }
 
 func (e *edge) Unsent(_ *transport.Conn[*signal.Message], m *signal.Message) {
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Unsent, Peer: e.peer, Msg: m})
+	e.d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputUnsent, Peer: e.peer, Message: m})
 }
 
 func (e *edge) Closed(c *transport.Conn[*signal.Message], why error) {
 	e.d.log.Debug("connection over", "peer", e.peer.Role, "id", e.peer.ID, "why", why)
-	if e.peer.Role == controller.Caller {
+	if e.peer.Role == controller.RoleCaller {
 		e.d.mu.Lock()
 		delete(e.d.callers, e.peer.ID)
 		e.d.mu.Unlock()
 	}
 	<-e.up
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Down, Peer: e.peer})
+	e.d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputDisconnected, Peer: e.peer})
 }
 
 // keeper keeps the connection to one peer: it dials again when it is lost.
@@ -477,7 +477,7 @@
 // hold serves one connection until it is over.
 func (k *keeper) hold(ctx context.Context, nc net.Conn) {
 	d := k.d
-	tap := d.capture.Open(transport.Key(nc, true), capture.Ends{Owner: Owner(d.set.Number), Role: k.peer.Role.String(),
+	tap := d.capture.Open(transport.Key(nc, true), capture.Ends{Owner: CaptureOwner(d.set.Number), Role: k.peer.Role.String(),
 		Peer: k.peer.ID, Dialed: true})
 	up := make(chan struct{})
 	k.mu.Lock()
@@ -486,7 +486,7 @@
 		c.Fence()
 	}
 	k.mu.Unlock()
-	d.inbox.put(guard.Answer, controller.Input{What: controller.Up, Peer: k.peer})
+	d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputConnected, Peer: k.peer})
 	close(up)
 	select {
 	case <-c.Done():
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -77,10 +77,10 @@
 				t.Fatal(err)
 			}
 			d.addrs = append(d.addrs, ln.Addr())
-			cw := d.writer(daemon.Owner(cell))
+			cw := d.writer(daemon.CaptureOwner(cell))
 			writers = append(writers, cw)
-			c := daemon.New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), cw, daemon.Net{Listen: ln, Dial: d.net.Dial}, nil)
-			d.stats = append(d.stats, func() int { s := c.Stats(); return s.Open + s.Standing + s.Held })
+			c := daemon.New(set, slog.New(slog.NewTextHandler(io.Discard, nil)), cw, daemon.Network{Listener: ln, Dial: d.net.Dial}, nil)
+			d.stats = append(d.stats, func() int { s := c.Stats(); return s.Pending + s.Established + s.HeldAttempts })
 			all.Go(func() { c.Serve(ctx) })
 		}
 		if err := wd.Run(ctx, d, nil); err != nil {
--- a/internal/daemon/flows.go
+++ b/internal/daemon/flows.go
@@ -18,8 +18,8 @@
 	"dahliaspindle/internal/spool"
 )
 
-// Exporter makes the exporting process that the settings ask for.
-func Exporter(set *settings.Controller, log *slog.Logger) (*export.Exporter, error) {
+// NewExporter makes the exporting process that the settings ask for.
+func NewExporter(set *settings.Controller, log *slog.Logger) (*export.Exporter, error) {
 	f := &set.Flows
 	key, err := hashKey(f.KeyFile)
 	if err != nil {
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -61,7 +61,7 @@
 	clear(b.spare)
 	b.items, b.spare = b.spare[:0], got
 	if b.turned > 0 {
-		got = append(got, controller.Input{What: controller.Turned, N: b.turned})
+		got = append(got, controller.Input{Kind: controller.InputShed, Count: b.turned})
 		b.turned = 0
 	}
 	b.room.Broadcast()
@@ -78,9 +78,9 @@
 // kindOf tells what the loss of an input would cost.
 func kindOf(in controller.Input) guard.Kind {
 	switch {
-	case in.What != controller.Command || in.Msg.Ends():
+	case in.Kind != controller.InputMessage || in.Message.Ends():
 		return guard.Answer
-	case in.Peer.Role == controller.Caller && in.Msg.Command == signal.Add:
+	case in.Peer.Role == controller.RoleCaller && in.Message.Command == signal.Add:
 		return guard.NewCall
 	}
 	return guard.Word
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -17,7 +17,7 @@
 		b := newInbox(20)
 		put := func(k guard.Kind, n int) (taken int) {
 			for range n {
-				if b.put(k, controller.Input{What: controller.Command}) {
+				if b.put(k, controller.Input{Kind: controller.InputMessage}) {
 					taken++
 				}
 			}
@@ -30,16 +30,16 @@
 			t.Fatalf("%d answers taken", n)
 		}
 		late := make(chan bool)
-		go func() { late <- b.put(guard.Answer, controller.Input{What: controller.Down}) }()
+		go func() { late <- b.put(guard.Answer, controller.Input{Kind: controller.InputDisconnected}) }()
 		synctest.Wait()
 		got := b.take()
-		if len(got) != 21 || got[20].What != controller.Turned || got[20].N != 20 {
+		if len(got) != 21 || got[20].Kind != controller.InputShed || got[20].Count != 20 {
 			t.Fatalf("%d inputs, the last %+v", len(got), got[len(got)-1])
 		}
 		if !<-late {
 			t.Fatal("an answer is lost")
 		}
-		if got = b.take(); len(got) != 1 || got[0].What != controller.Down {
+		if got = b.take(); len(got) != 1 || got[0].Kind != controller.InputDisconnected {
 			t.Fatalf("%+v", got)
 		}
 		put(guard.Answer, 20)
@@ -53,7 +53,7 @@
 }
 
 func TestWhatTheLossOfAMessageCosts(t *testing.T) {
-	caller, exchange := controller.Peer{Role: controller.Caller}, controller.Peer{Role: controller.Exchange}
+	caller, exchange := controller.Peer{Role: controller.RoleCaller}, controller.Peer{Role: controller.RoleExchange}
 	for _, c := range []struct {
 		p    controller.Peer
 		m    signal.Message
@@ -66,11 +66,11 @@
 		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Answer},
 		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.Word},
 	} {
-		if got := kindOf(controller.Input{What: controller.Command, Peer: c.p, Msg: &c.m}); got != c.want {
+		if got := kindOf(controller.Input{Kind: controller.InputMessage, Peer: c.p, Message: &c.m}); got != c.want {
 			t.Errorf("%s of a %s: %d, want %d", &c.m, c.p.Role, got, c.want)
 		}
 	}
-	if kindOf(controller.Input{What: controller.Down}) != guard.Answer {
+	if kindOf(controller.Input{Kind: controller.InputDisconnected}) != guard.Answer {
 		t.Error("the end of a connection may be lost")
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -252,7 +252,7 @@
 		p := &f.procs[cell]
 		_ = p.cmd.Process.Kill() // fails only if it has ended
 		_ = p.cmd.Wait()         // killed: its status says so
-		f.w.Fact("killed", capture.Killed{Owner: daemon.Owner(cell)})
+		f.w.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
 		if err := f.start(cell); err != nil {
 			f.errs = append(f.errs, err)
 		}
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -234,7 +234,7 @@
 	now     time.Duration
 	timers  *wheel.Wheel[timer]
 	out     []Effect
-	module  policy.Feed
+	module  policy.Dispatcher
 	random  *rand.Rand // jitter of tries to reach an exchange
 	retry   guard.Retry
 
@@ -272,7 +272,7 @@
 
 // New starts a core.
 func New(cfg Config, now time.Duration) *Core {
-	c := &Core{cfg: cfg, module: policy.Feed{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[Conn]*caller{},
+	c := &Core{cfg: cfg, module: policy.Dispatcher{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[Conn]*caller{},
 		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
 		links: map[Link]*link{}, recent: map[uint64]ending{},
 		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -9,7 +9,7 @@
 )
 
 // feed hands an event to the module and carries out what it asks for.
-func (c *Core) feed(e brain.Event) { c.module.Give(c.now, e, c.act) }
+func (c *Core) feed(e brain.Event) { c.module.Dispatch(c.now, e, c.act) }
 
 func (c *Core) act(a brain.Action) {
 	switch a := a.(type) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -13,16 +13,16 @@
 	Handle(now time.Duration, e brain.Event) []brain.Action
 }
 
-// Feed hands a module one event after another. The zero Feed with a module is ready.
-type Feed struct {
+// Dispatcher hands a module one event after another. The zero Dispatcher with a module is ready.
+type Dispatcher struct {
 	Module Module
 	queue  []brain.Event
 	busy   bool
 }
 
-// Give hands an event over and has the module's actions carried out. Events that these bring
+// Dispatch hands an event over and has the module's actions carried out. Events that these bring
 // about wait their turn; false if this one does.
-func (f *Feed) Give(now time.Duration, e brain.Event, act func(brain.Action)) bool {
+func (f *Dispatcher) Dispatch(now time.Duration, e brain.Event, act func(brain.Action)) bool {
 	f.queue = append(f.queue, e)
 	if f.busy {
 		return false
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -13,27 +13,27 @@
 	"dahliaspindle/internal/settings"
 )
 
-// Core is what a controller core starts with at a time; flows takes its records, nil for none.
-func Core(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
-	b := Module(set)
+// ControllerConfig is what a controller core starts with at a time; flows takes its records, nil for none.
+func ControllerConfig(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
+	b := ModuleSettings(set)
 	patience := time.Duration(0)
 	for _, c := range set.Classes {
 		patience = max(patience, c.Patience)
 	}
 	return controller.Config{
-		Module: policy.New(set.Policy, b), Classes: b.Classes, Self: set.Self, Number: set.Number,
-		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.PerPeer, MostRoutes: set.Limits.Exchanges,
-		Connect: set.Peers.Connect, StandingLeft: set.Limits.Leave,
-		Life:    guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
-		Release: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
-		Faults:  guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
-		Flows:   flows, Interim: set.Flows.Interim,
-		Traffic: measure.NewLive(now, set.Limits.Measure, patience),
+		Module: policy.New(set.Policy, b), Classes: b.Classes, ExchangeNumber: set.Self, ControllerNumber: set.Number,
+		MaxCalls: set.Limits.Calls, MaxPendingPerCaller: set.Limits.PerPeer, MaxExchanges: set.Limits.Exchanges,
+		LinkTimeout: set.Peers.Connect, ShutdownGrace: set.Limits.Leave,
+		Liveness:     guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
+		ReleaseRetry: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
+		FaultLimit:   guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
+		FlowSink:     flows, InterimInterval: set.Flows.Interim,
+		TrafficMeter: measure.NewLive(now, set.Limits.Measure, patience),
 	}
 }
 
-// Module is what the decision module starts with, from the settings.
-func Module(set *settings.Controller) brain.Settings {
+// ModuleSettings is what the decision module starts with, from the settings.
+func ModuleSettings(set *settings.Controller) brain.Settings {
 	b := brain.Settings{Seed: set.Seed, Self: set.Self, Me: set.Number, Controllers: set.Controllers,
 		ReleaseWait: set.Rules.Release, ResendAfter: set.Rules.ResendAfter, DrainGrace: set.Rules.DrainGrace,
 		AnswerSlack: set.Rules.AnswerSlack, ColdFrom: set.Rules.ColdFrom, ColdFor: set.Rules.ColdFor,
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -48,8 +48,8 @@
 	set.Seed += r.starts[cell] << 32
 	set.Defaults()
 	n := &node{r: r, cell: cell, set: set, wires: map[controller.Peer]*wire{}, links: map[controller.Peer]*keeper{}, capture: w}
-	n.core = controller.New(r.clock.now, setup.Core(r.clock.now, set, sink))
-	n.keep(controller.Peer{Role: controller.List}, "list")
+	n.core = controller.New(r.clock.now, setup.ControllerConfig(r.clock.now, set, sink))
+	n.keep(controller.Peer{Role: controller.RoleExchangeList}, "list")
 	return n
 }
 
@@ -74,7 +74,7 @@
 
 // arm sets the clock input that the core wants next.
 func (n *node) arm() {
-	at, ok := n.core.Next()
+	at, ok := n.core.NextDeadline()
 	if !ok || n.dead || n.due != 0 && n.due <= at {
 		return
 	}
@@ -83,34 +83,34 @@
 	n.r.clock.After(due-n.r.clock.now, func() {
 		if n.due == due && !n.dead {
 			n.due = 0
-			n.step(controller.Input{What: controller.Clock})
+			n.step(controller.Input{Kind: controller.InputTimer})
 		}
 	})
 }
 
 func (n *node) carryOut(e controller.Effect) {
-	switch e.Do {
-	case controller.Say:
+	switch e.Kind {
+	case controller.EffectSend:
 		w := n.wires[e.Peer]
-		if (w == nil || !w.toStandIn(e.Msg)) && e.NotAfter > 0 {
-			n.step(controller.Input{What: controller.Unsent, Peer: e.Peer, Msg: e.Msg})
+		if (w == nil || !w.toStandIn(e.Message)) && e.Deadline > 0 {
+			n.step(controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
 		}
-	case controller.Dial:
-		n.keep(e.Peer, e.Addr)
-	case controller.HangUp:
+	case controller.EffectConnect:
+		n.keep(e.Peer, e.Address)
+	case controller.EffectDisconnect:
 		n.hangUp(e.Peer)
-	case controller.Close:
+	case controller.EffectClose:
 		if w := n.wires[e.Peer]; w != nil {
 			w.close(e.Text, true)
 		}
-	case controller.Decided:
+	case controller.EffectVerdict:
 		if n.capture != nil {
 			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.Cell))
 		}
-	case controller.Left:
+	case controller.EffectStopped:
 		n.left = true
-	case controller.Fence, controller.Unfence: // nothing waits to leave: what was said is on its way
-	case controller.Log:
+	case controller.EffectBlock, controller.EffectUnblock: // nothing waits to leave: what was said is on its way
+	case controller.EffectLog:
 		n.r.logs++
 	}
 }
@@ -129,7 +129,7 @@
 		k.over = true
 		delete(n.links, p)
 	}
-	if w := n.wires[p]; w != nil && p.Role != controller.Caller {
+	if w := n.wires[p]; w != nil && p.Role != controller.RoleCaller {
 		w.close("closed by this end", true)
 	}
 }
@@ -143,7 +143,7 @@
 		k.tries++
 		if w := n.r.answer(n, p, k.addr); w != nil {
 			n.wires[p] = w
-			n.step(controller.Input{What: controller.Up, Peer: p})
+			n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
 			return
 		}
 		n.again(p, k)
@@ -162,7 +162,7 @@
 	if n.dead {
 		return
 	}
-	n.step(controller.Input{What: controller.Down, Peer: w.peer})
+	n.step(controller.Input{Kind: controller.InputDisconnected, Peer: w.peer})
 	if k := n.links[w.peer]; k != nil {
 		k.tries = 1
 		n.again(w.peer, k)
@@ -172,8 +172,8 @@
 // accept takes a caller's connection.
 func (n *node) accept() controller.Peer {
 	n.callers++
-	p := controller.Peer{Role: controller.Caller, ID: n.callers}
-	n.step(controller.Input{What: controller.Up, Peer: p})
+	p := controller.Peer{Role: controller.RoleCaller, ID: n.callers}
+	n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
 	return p
 }
 
@@ -189,11 +189,11 @@
 func (n *node) junk(p controller.Peer, text string) {
 	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{Line: n.set.Limits.Line, Block: n.set.Limits.Block}).Read()
 	if err == nil {
-		n.step(controller.Input{What: controller.Command, Peer: p, Msg: m})
+		n.step(controller.Input{Kind: controller.InputMessage, Peer: p, Message: m})
 		return
 	}
 	if bad, ok := err.(*signal.SyntaxError); ok {
-		n.step(controller.Input{What: controller.Garbled, Peer: p, Bad: *bad})
+		n.step(controller.Input{Kind: controller.InputMalformed, Peer: p, SyntaxError: *bad})
 	}
 }
 
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
 	}
 	for _, n := range r.nodes {
-		n.step(controller.Input{What: controller.Leave})
+		n.step(controller.Input{Kind: controller.InputShutdown})
 	}
 	left := r.clock.Run(r.clock.now+leaveWithin, func() bool {
 		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.left })
@@ -168,7 +168,7 @@
 
 // answer is a controller's call at a door; nil if nobody opens.
 func (r *Runner) answer(n *node, p controller.Peer, addr string) *wire {
-	if p.Role == controller.List {
+	if p.Role == controller.RoleExchangeList {
 		if r.away {
 			return nil
 		}
--- a/internal/virtual/wire.go
+++ b/internal/virtual/wire.go
@@ -92,7 +92,7 @@
 			if w.nearTap != nil {
 				w.nearTap.Received(m.Append(nil))
 			}
-			w.n.step(controller.Input{What: controller.Command, Peer: w.peer, Msg: m})
+			w.n.step(controller.Input{Kind: controller.InputMessage, Peer: w.peer, Message: m})
 		}
 	})
 	return true
