--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -308,9 +308,9 @@
 		e.message(c, m)
 	}
 }
-func (end) Bad(*transport.Conn[*signal.Message], transport.Skipped)  {}
-func (end) Unsent(*transport.Conn[*signal.Message], *signal.Message) {}
-func (end) Closed(*transport.Conn[*signal.Message], error)           {}
+func (end) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (end) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (end) Closed(*transport.Conn[*signal.Message], error)                          {}
 
 // The same breaches by a controller on connections, tapped as the real one is.
 func TestARogueControllerIsFound(t *testing.T) {
@@ -318,7 +318,7 @@
 		t.Run(fmt.Sprint("rule ", rule), func(t *testing.T) {
 			file := &buffer{}
 			synctest.Test(t, func(t *testing.T) {
-				var n memnet.Net
+				var n memnet.Network
 				w := capture.NewWriter(file, "controller 0", func() int64 { return time.Now().UnixNano() })
 				w.Fact("rules", capture.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 					ReleaseWait: 300 * time.Millisecond, OverloadFactor: 2.5, OverloadFor: 3 * time.Second})
@@ -340,7 +340,7 @@
 						t.Fatal(err)
 					}
 					<-got
-					x := transport.Start(a, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Tap: w.Open(transport.Key(a, true), e)}, near)
+					x := transport.Start(a, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Capture: w.Open(transport.ConnectionKey(a, true), e)}, near)
 					y := transport.Start(b, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, far)
 					conns = append(conns, x, y)
 					return x, y
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -23,7 +23,7 @@
 	open   map[uint32]*call // unanswered Adds by transaction
 	calls  map[string]*call // unanswered and standing calls by their name
 	txs    uint32           // own transactions towards it
-	faults guard.Faults
+	faults guard.FaultLimiter
 }
 
 func (cl *caller) openTx(id uint32) bool { return cl.open[id] != nil }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -109,9 +109,9 @@
 	MostRoutes   int           // exchanges listed
 	Connect      time.Duration // a set-up waits so long for a link that is down
 	StandingLeft time.Duration // calls that stand may go on so long after Leave
-	Life         guard.Life
-	Release      guard.Release
-	Faults       guard.Faults
+	Life         guard.Liveness
+	Release      guard.ReleaseRetry
+	Faults       guard.FaultLimiter
 	Flows        flow.Sink     // takes a record of each call and attempt; nil for none
 	Interim      time.Duration // a call that stands is told of so often; 0 never
 	Traffic      *measure.Live // measures what own callers offer; nil for none
@@ -270,7 +270,7 @@
 		}
 		faults = &l.life.faults
 	}
-	if !faults.Tolerate(c.now) {
+	if !faults.Allow(c.now) {
 		c.out = append(c.out, Effect{Do: Close, Peer: p, Text: "too many messages that can't be read"})
 		return
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -69,8 +69,8 @@
 	r := &rig{t: t, now: time.Hour, tx: map[Peer]uint32{}}
 	r.c = New(r.now, Config{Module: m, Classes: testClasses, Self: 0,
 		MostCalls: 50000, MostPerPeer: 10000, MostRoutes: 1000, Connect: 300 * time.Millisecond, StandingLeft: 2 * time.Second,
-		Life:    guard.Life{After: time.Second, Lost: 3 * time.Second},
-		Release: guard.Release{Every: time.Second, Tries: 3}, Faults: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
+		Life:    guard.Liveness{ProbeAfter: time.Second, LostAfter: 3 * time.Second},
+		Release: guard.ReleaseRetry{Interval: time.Second, MaxRequests: 3}, Faults: guard.FaultLimiter{Burst: 20, ForgiveEvery: 100 * time.Millisecond}})
 	return r
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -23,7 +23,7 @@
 	round        int // connections so far
 	heard, asked time.Duration
 	txs          uint32
-	faults       guard.Faults
+	faults       guard.FaultLimiter
 }
 
 // link is the kept connection to one exchange of the list.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -183,7 +183,7 @@
 	}()
 	<-ctx.Done()
 	d.log.Info("leaving: no new calls")
-	d.inbox.put(guard.Answer, controller.Input{What: controller.Leave})
+	d.inbox.put(guard.Completion, controller.Input{What: controller.Leave})
 	<-d.left
 	// what was said last is written before the connections close
 	d.mu.Lock()
@@ -194,7 +194,7 @@
 	d.mu.Unlock()
 	flushed := time.Now().Add(time.Second)
 	for _, c := range conns {
-		for c.Queued() > 0 && time.Now().Before(flushed) {
+		for c.QueueLen() > 0 && time.Now().Before(flushed) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -312,8 +312,8 @@
 
 func (d *Daemon) options(tap *capture.Tap) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{Line: d.set.Limits.Line, Block: d.set.Limits.Block}),
-		Outbox: guard.Outbox{Most: d.set.Limits.Outbox}, Write: d.set.Peers.Write, Grace: d.set.Rules.DrainGrace,
-		Tap: tap, Now: d.now}
+		Outbox: guard.Outbox{Most: d.set.Limits.Outbox}, WriteTimeout: d.set.Peers.Write, DrainGrace: d.set.Rules.DrainGrace,
+		Capture: tap, Now: d.now}
 }
 
 // accept takes callers' connections.
@@ -340,10 +340,10 @@
 			continue
 		}
 		p := controller.Peer{Role: controller.Caller, ID: id}
-		d.inbox.put(guard.Answer, controller.Input{What: controller.Up, Peer: p})
+		d.inbox.put(guard.Completion, controller.Input{What: controller.Up, Peer: p})
 		up := make(chan struct{})
 		close(up)
-		tap := d.capture.Open(transport.Key(nc, false), capture.Ends{Owner: Owner(d.set.Number), Role: "caller"})
+		tap := d.capture.Open(transport.ConnectionKey(nc, false), capture.Ends{Owner: Owner(d.set.Number), Role: "caller"})
 		d.mu.Lock()
 		d.callers[id] = transport.Start(nc, d.options(tap), &edge{d, p, up})
 		d.mu.Unlock()
@@ -367,12 +367,12 @@
 	}
 }
 
-func (e *edge) Bad(_ *transport.Conn[*signal.Message], s transport.Skipped) {
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Garbled, Peer: e.peer, Bad: *s.(*signal.SyntaxError)})
+func (e *edge) Unreadable(_ *transport.Conn[*signal.Message], s transport.RecoverableError) {
+	e.d.inbox.put(guard.Completion, controller.Input{What: controller.Garbled, Peer: e.peer, Bad: *s.(*signal.SyntaxError)})
 }
 
 func (e *edge) Unsent(_ *transport.Conn[*signal.Message], m *signal.Message) {
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Unsent, Peer: e.peer, Msg: m})
+	e.d.inbox.put(guard.Completion, controller.Input{What: controller.Unsent, Peer: e.peer, Msg: m})
 }
 
 func (e *edge) Closed(c *transport.Conn[*signal.Message], why error) {
@@ -383,7 +383,7 @@
 		e.d.mu.Unlock()
 	}
 	<-e.up
-	e.d.inbox.put(guard.Answer, controller.Input{What: controller.Down, Peer: e.peer})
+	e.d.inbox.put(guard.Completion, controller.Input{What: controller.Down, Peer: e.peer})
 }
 
 // keeper keeps the connection to one peer: it dials again when it is lost.
@@ -445,16 +445,16 @@
 	switch {
 	case k.c == nil:
 	case shut:
-		k.c.Fence()
+		k.c.BlockSetUps()
 	default:
-		k.c.Unfence()
+		k.c.UnblockSetUps()
 	}
 }
 
 func (k *keeper) run(ctx context.Context, addr string) {
 	d := k.d
 	// jitter only: no decision rests on these numbers
-	retry := guard.Retry{Least: d.set.Peers.RetryFrom, Most: d.set.Peers.RetryMost,
+	retry := guard.Backoff{Min: d.set.Peers.RetryFrom, Max: d.set.Peers.RetryMost,
 		Random: rand.New(rand.NewPCG(d.set.Seed, uint64(d.set.Number)<<32^k.peer.ID))}
 	for n := 1; ctx.Err() == nil; n++ {
 		nc, err := d.net.Dial(ctx, addr)
@@ -469,7 +469,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry.Gap(n)):
+		case <-time.After(retry.Delay(n)):
 		}
 	}
 }
@@ -477,16 +477,16 @@
 // hold serves one connection until it is over.
 func (k *keeper) hold(ctx context.Context, nc net.Conn) {
 	d := k.d
-	tap := d.capture.Open(transport.Key(nc, true), capture.Ends{Owner: Owner(d.set.Number), Role: k.peer.Role.String(),
+	tap := d.capture.Open(transport.ConnectionKey(nc, true), capture.Ends{Owner: Owner(d.set.Number), Role: k.peer.Role.String(),
 		Peer: k.peer.ID, Dialed: true})
 	up := make(chan struct{})
 	k.mu.Lock()
 	c := transport.Start(nc, d.options(tap), &edge{d, k.peer, up})
 	if k.c = c; k.fenced {
-		c.Fence()
+		c.BlockSetUps()
 	}
 	k.mu.Unlock()
-	d.inbox.put(guard.Answer, controller.Input{What: controller.Up, Peer: k.peer})
+	d.inbox.put(guard.Completion, controller.Input{What: controller.Up, Peer: k.peer})
 	close(up)
 	select {
 	case <-c.Done():
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -34,7 +34,7 @@
 	policy string
 	change func(*settings.Controller)
 
-	net   memnet.Net
+	net   memnet.Network
 	files []*file
 	addrs []net.Addr
 	wd    *world.World
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -22,7 +22,7 @@
 }
 
 func newInbox(most int) *inbox {
-	b := &inbox{intake: guard.Intake{Most: most}, wake: make(chan struct{}, 1)}
+	b := &inbox{intake: guard.Intake{Capacity: most}, wake: make(chan struct{}, 1)}
 	b.room.L = &b.mu
 	return b
 }
@@ -79,9 +79,9 @@
 func kindOf(in controller.Input) guard.Kind {
 	switch {
 	case in.What != controller.Command || in.Msg.Ends():
-		return guard.Answer
+		return guard.Completion
 	case in.Peer.Role == controller.Caller && in.Msg.Command == signal.Add:
 		return guard.NewCall
 	}
-	return guard.Word
+	return guard.StatusUpdate
 }
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -26,11 +26,11 @@
 		if n := put(guard.NewCall, 30); n != 10 {
 			t.Fatalf("%d new calls taken, want half", n)
 		}
-		if n := put(guard.Answer, 10); n != 10 {
+		if n := put(guard.Completion, 10); n != 10 {
 			t.Fatalf("%d answers taken", n)
 		}
 		late := make(chan bool)
-		go func() { late <- b.put(guard.Answer, controller.Input{What: controller.Down}) }()
+		go func() { late <- b.put(guard.Completion, controller.Input{What: controller.Down}) }()
 		synctest.Wait()
 		got := b.take()
 		if len(got) != 21 || got[20].What != controller.Turned || got[20].N != 20 {
@@ -42,8 +42,8 @@
 		if got = b.take(); len(got) != 1 || got[0].What != controller.Down {
 			t.Fatalf("%+v", got)
 		}
-		put(guard.Answer, 20)
-		go func() { late <- b.put(guard.Answer, controller.Input{}) }()
+		put(guard.Completion, 20)
+		go func() { late <- b.put(guard.Completion, controller.Input{}) }()
 		time.Sleep(time.Second)
 		b.close()
 		if <-late {
@@ -60,17 +60,17 @@
 		want guard.Kind
 	}{
 		{caller, signal.Message{Command: signal.Add, Term: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Answer},
-		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.Word},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.Word},
+		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Completion},
+		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.StatusUpdate},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.StatusUpdate},
 	} {
 		if got := kindOf(controller.Input{What: controller.Command, Peer: c.p, Msg: &c.m}); got != c.want {
 			t.Errorf("%s of a %s: %d, want %d", &c.m, c.p.Role, got, c.want)
 		}
 	}
-	if kindOf(controller.Input{What: controller.Down}) != guard.Answer {
+	if kindOf(controller.Input{What: controller.Down}) != guard.Completion {
 		t.Error("the end of a connection may be lost")
 	}
 }
--- a/internal/export/sender.go
+++ b/internal/export/sender.go
@@ -27,7 +27,7 @@
 }
 
 func (n *sender) run(ctx context.Context) {
-	retry := guard.Retry{Least: n.e.cfg.RetryFrom, Most: n.e.cfg.RetryMost, Random: rand.New(rand.NewPCG(n.e.codec.Life, n.seed))}
+	retry := guard.Backoff{Min: n.e.cfg.RetryFrom, Max: n.e.cfg.RetryMost, Random: rand.New(rand.NewPCG(n.e.codec.Life, n.seed))}
 	for try := 1; ctx.Err() == nil; try++ {
 		nc, err := n.e.cfg.Dial(ctx, n.s.to)
 		if err == nil {
@@ -44,7 +44,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry.Gap(try)):
+		case <-time.After(retry.Delay(try)):
 		}
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -14,36 +14,36 @@
 type Kind uint8
 
 const (
-	NewCall Kind = iota // a call that is not taken yet: it can be turned away with a word
-	Word                // circuits, list, signs of life: a later one replaces it, but a peer may wait for the reply
-	Answer              // the end of something that is counted: a reply, a release, a lost connection
+	NewCall      Kind = iota // a call that is not taken yet: it can be turned away with a word
+	StatusUpdate             // circuits, list, signs of life: a later one replaces it, but a peer may wait for the reply
+	Completion               // the end of something that is counted: a reply, a release, a lost connection
 )
 
 // Intake says what is let into the controller's inbox, by its depth.
 type Intake struct {
-	Most int // messages in the inbox, at the most
+	Capacity int // messages in the inbox, at the most
 }
 
-// Verdict of Intake.
-type Verdict uint8
+// Admission of Intake.
+type Admission uint8
 
 const (
-	Take Verdict = iota
-	Shed         // turn it away with a word now
-	Wait         // don't read on from that peer until there is room
+	Accept Admission = iota
+	Shed             // turn it away with a word now
+	Wait             // don't read on from that peer until there is room
 )
 
 // Admit decides on one message when the inbox holds depth others. New calls go
 // first, from half; a word waits from nine tenths; an answer or a release has
 // the whole inbox and then waits, but is never dropped.
-func (i Intake) Admit(k Kind, depth int) Verdict {
+func (i Intake) Admit(k Kind, depth int) Admission {
 	switch {
-	case k == NewCall && depth >= i.Most/2:
+	case k == NewCall && depth >= i.Capacity/2:
 		return Shed
-	case k == Word && depth >= i.Most-i.Most/10, depth >= i.Most:
+	case k == StatusUpdate && depth >= i.Capacity-i.Capacity/10, depth >= i.Capacity:
 		return Wait
 	}
-	return Take
+	return Accept
 }
 
 // Outbox says what may still be queued towards one peer, by the queue's length.
@@ -51,87 +51,87 @@
 	Most int
 }
 
-// Refuse tells whether a message is not to be queued: a set-up from half of the
+// ShouldReject tells whether a message is not to be queued: a set-up from half of the
 // bound, so that answers and releases always find room behind set-ups.
-func (o Outbox) Refuse(setup bool, queued int) bool { return setup && queued >= o.Most/2 }
+func (o Outbox) ShouldReject(setup bool, queued int) bool { return setup && queued >= o.Most/2 }
 
-// Stuck tells whether the peer reads so slowly that the connection is to be closed.
-func (o Outbox) Stuck(queued int) bool { return queued >= o.Most }
+// IsFull tells whether the peer reads so slowly that the connection is to be closed.
+func (o Outbox) IsFull(queued int) bool { return queued >= o.Most }
 
-// Fence keeps the third rule at the very edge: what was decided before an
+// SetUpBlock keeps the third rule at the very edge: what was decided before an
 // exchange was told to be draining may not leave long after.
-type Fence struct {
-	Shut bool
-	At   time.Duration // when the word came
+type SetUpBlock struct {
+	Active bool
+	Since  time.Duration // when the word came
 }
 
-// MayLeave tells whether a set-up may be written now. notAfter is the set-up's
+// MaySend tells whether a set-up may be written now. notAfter is the set-up's
 // own time-out. Nothing leaves once the fence is shut: the grace is for what
 // had been handed to the socket by then.
-func (f Fence) MayLeave(now, notAfter time.Duration) bool { return !f.Shut && now < notAfter }
+func (f SetUpBlock) MaySend(now, notAfter time.Duration) bool { return !f.Active && now < notAfter }
 
-// MustBeWritten is the moment by which a write that was under way when the
+// WriteDeadline is the moment by which a write that was under way when the
 // fence was shut has to be over; half of the grace is left for the wire.
-func (f Fence) MustBeWritten(grace time.Duration) time.Duration { return f.At + grace/2 }
+func (f SetUpBlock) WriteDeadline(grace time.Duration) time.Duration { return f.Since + grace/2 }
 
-// Life watches one peer: silence for After asks for a sign of life, silence for
+// Liveness watches one peer: silence for After asks for a sign of life, silence for
 // Lost counts as a lost peer, even if the connection seems to stand (half open).
-type Life struct {
-	After, Lost time.Duration
+type Liveness struct {
+	ProbeAfter, LostAfter time.Duration
 }
 
 // Check tells what the time since the peer was last heard calls for, and when to look again.
-func (l Life) Check(now, heard, asked time.Duration) (ask, lost bool, again time.Duration) {
+func (l Liveness) Check(now, heard, asked time.Duration) (ask, lost bool, again time.Duration) {
 	quiet := now - heard
 	switch {
-	case quiet >= l.Lost:
+	case quiet >= l.LostAfter:
 		return false, true, 0
-	case quiet >= l.After && now-asked >= l.After:
-		return true, false, now + l.After
+	case quiet >= l.ProbeAfter && now-asked >= l.ProbeAfter:
+		return true, false, now + l.ProbeAfter
 	}
-	return false, false, min(max(heard, asked)+l.After, heard+l.Lost)
+	return false, false, min(max(heard, asked)+l.ProbeAfter, heard+l.LostAfter)
 }
 
-// Retry paces further tries to reach a peer: doubling gaps with jitter, so that
+// Backoff paces further tries to reach a peer: doubling gaps with jitter, so that
 // many senders don't come back to one peer in step.
-type Retry struct {
-	Least, Most time.Duration
-	Random      *rand.Rand
+type Backoff struct {
+	Min, Max time.Duration
+	Random   *rand.Rand
 }
 
-// Gap is the wait before try n, counted from 1.
-func (r Retry) Gap(n int) time.Duration {
-	gap := r.Least << min(max(n-1, 0), 20)
-	if gap > r.Most || gap <= 0 {
-		gap = r.Most
+// Delay is the wait before try n, counted from 1.
+func (r Backoff) Delay(n int) time.Duration {
+	gap := r.Min << min(max(n-1, 0), 20)
+	if gap > r.Max || gap <= 0 {
+		gap = r.Max
 	}
 	return gap/2 + time.Duration(r.Random.Int64N(int64(gap/2)+1))
 }
 
-// Faults bounds the messages of one peer that can't be read: a budget that
+// FaultLimiter bounds the messages of one peer that can't be read: a budget that
 // fills up again with time.
-type Faults struct {
-	Most int           // in a row
-	Each time.Duration // one is forgiven after so long
-	have float64
-	at   time.Duration
+type FaultLimiter struct {
+	Burst        int           // in a row
+	ForgiveEvery time.Duration // one is forgiven after so long
+	have         float64
+	at           time.Duration
 }
 
-// Tolerate books one bad message and tells whether the peer is still heard.
-func (f *Faults) Tolerate(now time.Duration) bool {
-	f.have = max(f.have-float64(now-f.at)/float64(f.Each), 0) + 1
+// Allow books one bad message and tells whether the peer is still heard.
+func (f *FaultLimiter) Allow(now time.Duration) bool {
+	f.have = max(f.have-float64(now-f.at)/float64(f.ForgiveEvery), 0) + 1
 	f.at = now
-	return f.have <= float64(f.Most)
+	return f.have <= float64(f.Burst)
 }
 
-// Release says when a withdrawn attempt's release is asked for again, and after
+// ReleaseRetry says when a withdrawn attempt's release is asked for again, and after
 // how many askings the peer counts as lost.
-type Release struct {
-	Every time.Duration
-	Tries int
+type ReleaseRetry struct {
+	Interval    time.Duration
+	MaxRequests int
 }
 
 // Next returns when to ask again after asking n times, and whether to give the peer up.
-func (r Release) Next(now time.Duration, n int) (at time.Duration, lost bool) {
-	return now + r.Every<<min(n-1, 4), n >= r.Tries
+func (r ReleaseRetry) Next(now time.Duration, n int) (at time.Duration, lost bool) {
+	return now + r.Interval<<min(n-1, 4), n >= r.MaxRequests
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -12,25 +12,25 @@
 // something that matters less is let in.
 func TestIntakeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		i := Intake{Most: rapid.IntRange(10, 10000).Draw(t, "most")}
+		i := Intake{Capacity: rapid.IntRange(10, 10000).Draw(t, "most")}
 		depth := rapid.IntRange(0, 11000).Draw(t, "depth")
-		n, w, a := i.Admit(NewCall, depth), i.Admit(Word, depth), i.Admit(Answer, depth)
+		n, w, a := i.Admit(NewCall, depth), i.Admit(StatusUpdate, depth), i.Admit(Completion, depth)
 		if w == Shed || a == Shed {
 			t.Fatalf("depth %d: a word %v, an answer %v", depth, w, a)
 		}
-		if n == Take && w != Take || w == Take && a != Take {
+		if n == Accept && w != Accept || w == Accept && a != Accept {
 			t.Fatalf("depth %d: new %v, word %v, answer %v", depth, n, w, a)
 		}
-		if depth >= i.Most && a == Take {
-			t.Fatalf("depth %d of %d is taken", depth, i.Most)
+		if depth >= i.Capacity && a == Accept {
+			t.Fatalf("depth %d of %d is taken", depth, i.Capacity)
 		}
 	})
-	i := Intake{Most: 100}
+	i := Intake{Capacity: 100}
 	for _, c := range []struct {
 		k     Kind
 		depth int
-		want  Verdict
-	}{{NewCall, 49, Take}, {NewCall, 50, Shed}, {Word, 89, Take}, {Word, 90, Wait}, {Answer, 99, Take}, {Answer, 100, Wait}} {
+		want  Admission
+	}{{NewCall, 49, Accept}, {NewCall, 50, Shed}, {StatusUpdate, 89, Accept}, {StatusUpdate, 90, Wait}, {Completion, 99, Accept}, {Completion, 100, Wait}} {
 		if got := i.Admit(c.k, c.depth); got != c.want {
 			t.Errorf("kind %d at %d: %d, want %d", c.k, c.depth, got, c.want)
 		}
@@ -39,21 +39,21 @@
 
 func TestOutboxKeepsRoomForReleases(t *testing.T) {
 	o := Outbox{Most: 100}
-	if o.Refuse(true, 49) || !o.Refuse(true, 50) || o.Refuse(false, 99) || o.Stuck(99) || !o.Stuck(100) {
+	if o.ShouldReject(true, 49) || !o.ShouldReject(true, 50) || o.ShouldReject(false, 99) || o.IsFull(99) || !o.IsFull(100) {
 		t.Fatal("set-ups to half, the rest to the end")
 	}
 }
 
 func TestFence(t *testing.T) {
-	var f Fence
-	if !f.MayLeave(10, 11) || f.MayLeave(11, 11) {
+	var f SetUpBlock
+	if !f.MaySend(10, 11) || f.MaySend(11, 11) {
 		t.Error("an open fence lets through what has not timed out")
 	}
-	f = Fence{Shut: true, At: time.Second}
-	if f.MayLeave(time.Second, time.Minute) {
+	f = SetUpBlock{Active: true, Since: time.Second}
+	if f.MaySend(time.Second, time.Minute) {
 		t.Error("a shut fence lets nothing through, also in the same instant")
 	}
-	if f.MustBeWritten(250*time.Millisecond) >= f.At+250*time.Millisecond {
+	if f.WriteDeadline(250*time.Millisecond) >= f.Since+250*time.Millisecond {
 		t.Error("a write under way ends within the grace")
 	}
 }
@@ -63,7 +63,7 @@
 func TestLife(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		after := time.Duration(rapid.IntRange(1, 1000).Draw(t, "after")) * time.Millisecond
-		l := Life{After: after, Lost: after * time.Duration(rapid.IntRange(2, 5).Draw(t, "times"))}
+		l := Liveness{ProbeAfter: after, LostAfter: after * time.Duration(rapid.IntRange(2, 5).Draw(t, "times"))}
 		answers := rapid.Bool().Draw(t, "answers")
 		now, heard, asked := time.Second, time.Second, time.Duration(0)
 		for range 50 {
@@ -72,7 +72,7 @@
 				if answers {
 					t.Fatal("one that answers is lost")
 				}
-				if now-heard > l.Lost+l.After {
+				if now-heard > l.LostAfter+l.ProbeAfter {
 					t.Fatalf("found after %v", now-heard)
 				}
 				return
@@ -94,15 +94,15 @@
 }
 
 func TestRetryGapsGrowAndDiffer(t *testing.T) {
-	a := Retry{Least: 100 * time.Millisecond, Most: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 1))}
-	b := Retry{Least: 100 * time.Millisecond, Most: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 2))}
+	a := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 1))}
+	b := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 2))}
 	same := 0
 	for n := 1; n < 80; n++ {
-		x, y := a.Gap(n), b.Gap(n)
-		if x < a.Least/2 || x > a.Most {
+		x, y := a.Delay(n), b.Delay(n)
+		if x < a.Min/2 || x > a.Max {
 			t.Fatalf("try %d: %v", n, x)
 		}
-		if n > 6 && x < a.Most/2 {
+		if n > 6 && x < a.Max/2 {
 			t.Fatalf("try %d: %v", n, x)
 		}
 		if x == y {
@@ -115,19 +115,19 @@
 }
 
 func TestFaultsAreForgiven(t *testing.T) {
-	f := Faults{Most: 3, Each: time.Second}
+	f := FaultLimiter{Burst: 3, ForgiveEvery: time.Second}
 	for n, want := range []bool{true, true, true, false} {
-		if f.Tolerate(time.Second) != want {
+		if f.Allow(time.Second) != want {
 			t.Fatalf("fault %d", n)
 		}
 	}
-	if !f.Tolerate(10 * time.Second) {
+	if !f.Allow(10 * time.Second) {
 		t.Error("not forgiven")
 	}
 }
 
 func TestReleaseGivesUp(t *testing.T) {
-	r := Release{Every: time.Second, Tries: 3}
+	r := ReleaseRetry{Interval: time.Second, MaxRequests: 3}
 	if at, lost := r.Next(0, 1); lost || at != time.Second {
 		t.Error(at, lost)
 	}
--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -53,12 +53,12 @@
 // invite is the set-up. Exchanges answer with CSeq 1 whatever stood there, so a further attempt at
 // the same exchange is told apart by its link.
 func (x *call) invite(within time.Duration) *sip.Message {
-	m := &sip.Message{Method: sip.Invite, URI: "sip:" + x.number + "@net", CallID: x.name, Seq: 1, Of: sip.Invite, Body: x.desc}
-	return m.Put("Call-Kind", x.class).Put("Answer-Within", strconv.FormatInt(max(within.Milliseconds(), 1), 10))
+	m := &sip.Message{Method: sip.Invite, URI: "sip:" + x.number + "@net", CallID: x.name, CSeq: 1, CSeqMethod: sip.Invite, Body: x.desc}
+	return m.Add("Call-Kind", x.class).Add("Answer-Within", strconv.FormatInt(max(within.Milliseconds(), 1), 10))
 }
 
 // fits tells whether the set-up can be passed on at all.
-func (c *Core) fits(x *call) bool { return len(x.invite(time.Hour).Append(nil)) <= sip.Most }
+func (c *Core) fits(x *call) bool { return len(x.invite(time.Hour).Append(nil)) <= sip.MaxMessageBytes }
 
 // put sends the set-up on a link.
 func (c *Core) put(t *attempt, l *link) {
@@ -94,7 +94,7 @@
 	} else {
 		c.remember(t.call.id, ending{ghost: t.peer, link: l})
 		c.do(Withdraw{l.id, t.call.name, &sip.Message{Method: sip.Cancel, URI: "sip:" + t.call.number + "@net",
-			CallID: t.call.name, Seq: 1, Of: sip.Cancel}})
+			CallID: t.call.name, CSeq: 1, CSeqMethod: sip.Cancel}})
 	}
 	c.ended(t, brain.Ended{Outcome: o})
 }
@@ -126,7 +126,7 @@
 	m := in.Msg
 	l.heard, l.peer.heard = c.now, c.now
 	if m.Status != 0 {
-		switch m.Of {
+		switch m.CSeqMethod {
 		case sip.Invite:
 			if m.Status >= 200 {
 				c.final(l, m)
@@ -138,19 +138,19 @@
 	}
 	switch m.Method {
 	case sip.Bye:
-		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Bye}, 1 << 62})
+		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Bye}, 1 << 62})
 		c.cleared(l.peer, m)
 	case sip.Notify:
 		c.notify(l.peer, m)
 	case sip.Options:
-		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, Seq: m.Seq, Of: sip.Options}, 1 << 62})
+		c.do(Send{l.id, &sip.Message{Status: 200, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Options}, 1 << 62})
 	default:
 		c.Stats.Stray++
 	}
 }
 
 func (c *Core) ack(l *link, m *sip.Message) {
-	c.do(Send{l.id, &sip.Message{Method: sip.Ack, URI: "sip:" + m.CallID + "@net", CallID: m.CallID, Seq: m.Seq, Of: sip.Ack}, 1 << 62})
+	c.do(Send{l.id, &sip.Message{Method: sip.Ack, URI: "sip:" + m.CallID + "@net", CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Ack}, 1 << 62})
 }
 
 // outcomes maps the answers to INVITE that say how an attempt ended; any other is a fault.
@@ -196,7 +196,7 @@
 		return
 	}
 	c.Stats.Answered++
-	c.do(Say{x.from.id, (&isup.Message{Type: isup.Answer, Call: id}).With(isup.Description, m.Body)})
+	c.do(Say{x.from.id, (&isup.Message{Type: isup.Answer, CallID: id}).Add(isup.ParamDescription, m.Body)})
 	c.open--
 	x.from.open--
 	x.from.standing++
@@ -228,7 +228,7 @@
 	if err != nil {
 		return
 	}
-	cause := sip.Cause(m.Get("Reason"))
+	cause := sip.ParseCause(m.Get("Reason"))
 	outcome := brain.Reset
 	if cause == isup.NormalClearing {
 		outcome = brain.OK
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -120,7 +120,7 @@
 	k := c.callers[in.Conn]
 	if k == nil {
 		if NewCall(in.Msg) { // read before the connection is closed, which has been decided
-			c.turnAway(in.Conn, in.Msg.Call)
+			c.turnAway(in.Conn, in.Msg.CallID)
 		}
 		return
 	}
@@ -131,8 +131,8 @@
 	case isup.Release:
 		c.released(k, in.Msg)
 	case isup.Test:
-		c.do(Say{k.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
-	case isup.Progress, isup.Released, isup.Tested:
+		c.do(Say{k.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
+	case isup.Progress, isup.ReleaseComplete, isup.TestResult:
 	default:
 		c.Stats.Invalid++
 		c.shut(k, fmt.Sprintf("message of type %d", in.Msg.Type))
@@ -140,21 +140,21 @@
 }
 
 func release(id uint64, cause byte) *isup.Message {
-	return (&isup.Message{Type: isup.Release, Call: id}).With(isup.Cause, []byte{cause})
+	return (&isup.Message{Type: isup.Release, CallID: id}).Add(isup.ParamCause, []byte{cause})
 }
 
 // refusal is a release that says that trying again is harmless, and when.
 func refusal(id uint64, backoff time.Duration) *isup.Message {
 	m := release(id, isup.Congestion)
 	if backoff > 0 {
-		m.With(isup.StayAway, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
+		m.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
 	}
 	return m
 }
 
 // NewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
 func NewCall(m *isup.Message) bool {
-	figures, _ := m.Get(isup.Figures)
+	figures, _ := m.Get(isup.ParamRouting)
 	return m.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
@@ -186,33 +186,33 @@
 		v, _ := m.Get(code)
 		return string(v)
 	}
-	class, ok := c.classes[text(isup.Class)]
+	class, ok := c.classes[text(isup.ParamClass)]
 	if !ok {
-		return r, fmt.Errorf("unknown class %.40q", text(isup.Class))
+		return r, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
 	}
-	r.class, r.Class = text(isup.Class), class
-	ms, err := strconv.ParseUint(text(isup.Patience), 10, 22)
+	r.class, r.Class = text(isup.ParamClass), class
+	ms, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
 	if err != nil {
 		return r, fmt.Errorf("patience: %w", err)
 	}
 	r.Left = time.Duration(ms) * time.Millisecond
-	r.number = text(isup.Number)
+	r.number = text(isup.ParamNumber)
 	if r.Number, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
 		return r, fmt.Errorf("number %.40q", r.number)
 	}
 	r.Numbered = true
-	switch v := text(isup.Retry); v {
+	switch v := text(isup.ParamRetry); v {
 	case "1":
 		r.Repeat = true
 	case "", "0":
 	default:
 		return r, fmt.Errorf("retry %.40q", v)
 	}
-	r.desc, ok = m.Get(isup.Description)
+	r.desc, ok = m.Get(isup.ParamDescription)
 	if !ok {
 		return r, fmt.Errorf("no description")
 	}
-	return r, c.figures(&r, text(isup.Figures))
+	return r, c.figures(&r, text(isup.ParamRouting))
 }
 
 func (c *Core) figures(r *request, text string) error {
@@ -259,7 +259,7 @@
 }
 
 func (c *Core) setUp(k *caller, in CallerSays) {
-	id := in.Msg.Call
+	id := in.Msg.CallID
 	have := c.calls[id]
 	r, err := c.read(in.Msg)
 	switch {
@@ -333,7 +333,7 @@
 
 // released is a caller's word that a set-up is given up or that a call is over.
 func (c *Core) released(k *caller, m *isup.Message) {
-	x := c.calls[m.Call]
+	x := c.calls[m.CallID]
 	if x == nil {
 		return
 	}
@@ -341,7 +341,7 @@
 	if x.standing {
 		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
 		c.over(x, brain.Cancelled, isup.NormalClearing, true)
-		c.do(Say{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
+		c.do(Say{k.id, &isup.Message{Type: isup.ReleaseComplete, CallID: m.CallID}})
 		return
 	}
 	if x.from == k {
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -73,7 +73,7 @@
 	r.in(LinkSays{s.Link, answer(7, 503)})
 	for _, e := range r.out {
 		if e, ok := e.(Say); ok {
-			if v, _ := e.Msg.Get(isup.StayAway); string(v) != "2" {
+			if v, _ := e.Msg.Get(isup.ParamRetryAfter); string(v) != "2" {
 				t.Errorf("stay away %q, want 2", v)
 			}
 		}
@@ -86,8 +86,8 @@
 	_, r, first := ringing(t, 2)
 	r.in(LinkSays{first.Link, answer(7, 480, "Fail-Word", "atb")})
 	second, _ := r.sent(sip.Invite, 7)
-	if r.count(sip.Invite, 7) != 2 || second.Msg.Seq != 1 {
-		t.Fatalf("%d attempts, CSeq %d", r.count(sip.Invite, 7), second.Msg.Seq)
+	if r.count(sip.Invite, 7) != 2 || second.Msg.CSeq != 1 {
+		t.Fatalf("%d attempts, CSeq %d", r.count(sip.Invite, 7), second.Msg.CSeq)
 	}
 	r.in(LinkSays{second.Link, answer(7, 200)})
 	if got := r.said(1, 7); got != "9" {
@@ -137,19 +137,19 @@
 	r := newRig(t, mod)
 	r.call(1, setUp(7, 1))
 	for _, m := range []*isup.Message{
-		change(setUp(100, 1), isup.Class, "nobody"), change(setUp(101, 1), isup.Patience, "-5"),
-		change(setUp(102, 1), isup.Patience, "NaN"), change(setUp(103, 1), isup.Number, "7f3a9c21e0b4d65"),
-		change(setUp(104, 1), isup.Number, "7f3a9c21 HTTP/1"), change(setUp(105, 1), isup.Figures, "dest:9;width:1;via:-1"),
-		change(setUp(106, 1), isup.Figures, "dest:0;width:1;via:-1"), change(setUp(107, 1), isup.Figures, "dest:1;width:0;via:-1"),
-		change(setUp(108, 1), isup.Figures, "dest:1;width:3;via:-1"), change(setUp(109, 1), isup.Figures, "dest:1;width:1e9;via:-1"),
-		change(setUp(110, 1), isup.Figures, "dest:1;width:1;via:-2"), change(setUp(111, 1), isup.Figures, "nonsense"),
-		change(setUp(112, 1), isup.Figures, ""), setUp(113, 1).With(isup.Retry, []byte("x")),
-		change(setUp(116, 1), isup.Figures, "dest:1;width:1;via:2;transit:7"), {Type: isup.SetUp, Call: 114},
-		change(setUp(115, 1), isup.Description, string(make([]byte, sip.Most-100))),
+		change(setUp(100, 1), isup.ParamClass, "nobody"), change(setUp(101, 1), isup.ParamPatience, "-5"),
+		change(setUp(102, 1), isup.ParamPatience, "NaN"), change(setUp(103, 1), isup.ParamNumber, "7f3a9c21e0b4d65"),
+		change(setUp(104, 1), isup.ParamNumber, "7f3a9c21 HTTP/1"), change(setUp(105, 1), isup.ParamRouting, "dest:9;width:1;via:-1"),
+		change(setUp(106, 1), isup.ParamRouting, "dest:0;width:1;via:-1"), change(setUp(107, 1), isup.ParamRouting, "dest:1;width:0;via:-1"),
+		change(setUp(108, 1), isup.ParamRouting, "dest:1;width:3;via:-1"), change(setUp(109, 1), isup.ParamRouting, "dest:1;width:1e9;via:-1"),
+		change(setUp(110, 1), isup.ParamRouting, "dest:1;width:1;via:-2"), change(setUp(111, 1), isup.ParamRouting, "nonsense"),
+		change(setUp(112, 1), isup.ParamRouting, ""), setUp(113, 1).Add(isup.ParamRetry, []byte("x")),
+		change(setUp(116, 1), isup.ParamRouting, "dest:1;width:1;via:2;transit:7"), {Type: isup.SetUp, CallID: 114},
+		change(setUp(115, 1), isup.ParamDescription, string(make([]byte, sip.MaxMessageBytes-100))),
 	} {
 		r.call(2, m)
-		if got := r.said(2, m.Call); got != "12/100" {
-			t.Errorf("set-up %d was told %q", m.Call, got)
+		if got := r.said(2, m.CallID); got != "12/100" {
+			t.Errorf("set-up %d was told %q", m.CallID, got)
 		}
 	}
 	r.call(2, setUp(7, 1)) // the id of another's open call
@@ -194,7 +194,7 @@
 	r.call(1, setUp(7, 1))
 	at := setUp(8, 1)
 	for i := range at.Params {
-		if at.Params[i].Code == isup.Figures {
+		if at.Params[i].Code == isup.ParamRouting {
 			at.Params[i].Value = []byte("dest:1;width:1;via:-1;at:s-1")
 		}
 	}
@@ -217,7 +217,7 @@
 func TestAnAdoptedCallIsReleasedWhereItWasNamedLast(t *testing.T) {
 	r := newRig(t, direct(1))
 	at := func(id uint64, x string) *isup.Message {
-		return change(setUp(id, 1), isup.Figures, "dest:1;width:1;via:-1;at:"+x)
+		return change(setUp(id, 1), isup.ParamRouting, "dest:1;width:1;via:-1;at:"+x)
 	}
 	r.call(1, at(7, "s-1"))
 	r.call(1, at(7, "s-1"))
@@ -248,7 +248,7 @@
 	if r.count(sip.Bye, 7) != 0 || len(r.c.calls) != 1 {
 		t.Fatal("the call ended with a connection")
 	}
-	r.call(2, change(setUp(7, 1), isup.Figures, "dest:1;width:1;via:-1;at:s-1"))
+	r.call(2, change(setUp(7, 1), isup.ParamRouting, "dest:1;width:1;via:-1;at:s-1"))
 	r.in(LinkSays{r.link(1), byeOf(7, 16)})
 	if got := r.said(2, 7); got != "12/16" {
 		t.Errorf("said %q", got)
@@ -444,7 +444,7 @@
 func TestSilentConnectionsAreClosedAndTheOldestMakeRoom(t *testing.T) {
 	r := newRig(t, direct(1))
 	r.stand(1, 7)
-	r.call(2, &isup.Message{Type: isup.Test, Call: 1})
+	r.call(2, &isup.Message{Type: isup.Test, CallID: 1})
 	for conn := Conn(3); conn <= 9; conn++ {
 		r.now += time.Millisecond
 		r.in(CallerUp{conn})
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -236,7 +236,7 @@
 	out     []Effect
 	module  policy.Feed
 	random  *rand.Rand // jitter of tries to reach an exchange
-	retry   guard.Retry
+	retry   guard.Backoff
 
 	callers map[Conn]*caller
 	order   []*caller // by age
@@ -276,7 +276,7 @@
 		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
 		links: map[Link]*link{}, recent: map[uint64]ending{},
 		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
-	c.retry = guard.Retry{Least: retryLeast, Most: retryMost, Random: c.random}
+	c.retry = guard.Backoff{Min: retryLeast, Max: retryMost, Random: c.random}
 	for i, cl := range cfg.Settings.Classes {
 		c.classes[cl.Name] = i
 		c.widest = max(c.widest, cl.Width)
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -269,7 +269,7 @@
 	}
 	l.tested = c.now
 	c.Stats.Tests++
-	c.do(Send{l.id, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: fmt.Sprintf("%016x", uint64(l.id)), Seq: 1, Of: sip.Options}, 1 << 62})
+	c.do(Send{l.id, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: fmt.Sprintf("%016x", uint64(l.id)), CSeq: 1, CSeqMethod: sip.Options}, 1 << 62})
 }
 
 func (c *Core) dial(p *peer) {
@@ -314,7 +314,7 @@
 	c.unlink(l)
 	if !was {
 		p.fails++
-		p.retryAt = c.now + c.retry.Gap(p.fails)
+		p.retryAt = c.now + c.retry.Delay(p.fails)
 		switch {
 		case !in.Refused:
 			p.refused = 0
@@ -391,6 +391,6 @@
 }
 
 func (c *Core) bye(l *link, b bye) {
-	m := &sip.Message{Method: sip.Bye, URI: "sip:" + b.name + "@net", CallID: b.name, Seq: 2, Of: sip.Bye}
-	c.do(Send{l.id, m.Put("Reason", sip.Reason(b.cause)), 1 << 62})
+	m := &sip.Message{Method: sip.Bye, URI: "sip:" + b.name + "@net", CallID: b.name, CSeq: 2, CSeqMethod: sip.Bye}
+	c.do(Send{l.id, m.Add("Reason", sip.FormatReason(b.cause)), 1 << 62})
 }
--- a/internal/interwork/rig_test.go
+++ b/internal/interwork/rig_test.go
@@ -70,7 +70,7 @@
 	r.in(Listed{Complete: true, Changes: []srvlist.Entry{entry(0), entry(1), entry(2), entry(3)}})
 	r.up()
 	for n := 1; n <= 3; n++ {
-		r.in(LinkSays{r.link(n), &sip.Message{Method: sip.Notify, Of: sip.Notify, Head: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
+		r.in(LinkSays{r.link(n), &sip.Message{Method: sip.Notify, CSeqMethod: sip.Notify, Header: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
 	}
 	r.in(CallerUp{1})
 	r.in(CallerUp{2})
@@ -111,7 +111,7 @@
 		r.up()
 		for _, l := range r.links() {
 			if l.tested > 0 {
-				r.in(LinkSays{l.id, &sip.Message{Status: 200, Of: sip.Options}})
+				r.in(LinkSays{l.id, &sip.Message{Status: 200, CSeqMethod: sip.Options}})
 			}
 		}
 	}
@@ -145,9 +145,9 @@
 }
 
 func setUp(id uint64, dest int) *isup.Message {
-	return (&isup.Message{Type: isup.SetUp, Call: id}).With(isup.Class, []byte("voice")).With(isup.Patience, []byte("1500")).
-		With(isup.Number, []byte("7f3a9c21e0b4d655")).With(isup.Figures, fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)).
-		With(isup.Description, []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"))
+	return (&isup.Message{Type: isup.SetUp, CallID: id}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte("1500")).
+		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)).
+		Add(isup.ParamDescription, []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"))
 }
 
 // change replaces a parameter.
@@ -189,7 +189,7 @@
 func (r *rig) said(conn Conn, id uint64) string {
 	var out []string
 	for _, e := range r.out {
-		if s, is := e.(Say); is && s.Conn == conn && s.Msg.Call == id {
+		if s, is := e.(Say); is && s.Conn == conn && s.Msg.CallID == id {
 			word := fmt.Sprint(s.Msg.Type)
 			if s.Msg.Type == isup.Release {
 				word += fmt.Sprint("/", s.Msg.Cause())
@@ -219,15 +219,15 @@
 }
 
 func answer(id uint64, status int, head ...string) *sip.Message {
-	m := &sip.Message{Status: status, CallID: name(id), Seq: 1, Of: sip.Invite, Body: []byte("made by the exchange"), Head: map[string][]string{}}
+	m := &sip.Message{Status: status, CallID: name(id), CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("made by the exchange"), Header: map[string][]string{}}
 	for i := 0; i < len(head); i += 2 {
-		m.Head[head[i]] = []string{head[i+1]}
+		m.Header[head[i]] = []string{head[i+1]}
 	}
 	return m
 }
 
 func byeOf(id uint64, cause byte) *sip.Message {
-	return &sip.Message{Method: sip.Bye, CallID: name(id), Seq: 1, Of: sip.Bye, Head: map[string][]string{"Reason": {sip.Reason(cause)}}}
+	return &sip.Message{Method: sip.Bye, CallID: name(id), CSeq: 1, CSeqMethod: sip.Bye, Header: map[string][]string{"Reason": {sip.FormatReason(cause)}}}
 }
 
 // stand sets a call up over exchange 1.
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -15,26 +15,26 @@
 
 // Types of messages.
 const (
-	SetUp    = 1
-	Progress = 6
-	Answer   = 9
-	Release  = 12
-	Released = 16
-	Group    = 43
-	Test     = 52
-	Tested   = 53
+	SetUp           = 1
+	Progress        = 6
+	Answer          = 9
+	Release         = 12
+	ReleaseComplete = 16
+	TrunkGroup      = 43
+	Test            = 52
+	TestResult      = 53
 )
 
-// Codes of parameters: text, but for Cause (one byte) and Description.
+// Codes of parameters: text, but for ParamCause (one byte) and ParamDescription.
 const (
-	Class       = 64
-	Patience    = 67 // milliseconds that the caller waits
-	Retry       = 73
-	Number      = 76
-	Figures     = 79 // dest:2;width:1;via:-1 and flags
-	StayAway    = 82 // milliseconds
-	Cause       = 106
-	Description = 109
+	ParamClass       = 64
+	ParamPatience    = 67 // milliseconds that the caller waits
+	ParamRetry       = 73
+	ParamNumber      = 76
+	ParamRouting     = 79 // dest:2;width:1;via:-1 and flags
+	ParamRetryAfter  = 82 // milliseconds
+	ParamCause       = 106
+	ParamDescription = 109
 )
 
 // Causes of Q.850 that are told to callers. Congestion says that the call was refused and trying
@@ -46,8 +46,8 @@
 	InvalidContents  = 100
 )
 
-// Most is the length of the longest message, in bytes.
-const Most = 16 << 10
+// MaxMessageBytes is the length of the longest message, in bytes.
+const MaxMessageBytes = 16 << 10
 
 const head = 2 + 1 + 8
 
@@ -60,7 +60,7 @@
 // Message is one message. Parameters are as on the wire, in their order.
 type Message struct {
 	Type   byte
-	Call   uint64
+	CallID uint64
 	Params []Param
 }
 
@@ -76,20 +76,20 @@
 
 // Cause returns the cause, 0 if none is told.
 func (m *Message) Cause() byte {
-	if v, ok := m.Get(Cause); ok && len(v) == 1 {
+	if v, ok := m.Get(ParamCause); ok && len(v) == 1 {
 		return v[0]
 	}
 	return 0
 }
 
-// With adds a parameter.
-func (m *Message) With(code byte, value []byte) *Message {
+// Add adds a parameter.
+func (m *Message) Add(code byte, value []byte) *Message {
 	m.Params = append(m.Params, Param{code, value})
 	return m
 }
 
-// SetUp tells whether the message opens a call at its receiver. What goes to callers never does.
-func (m *Message) SetUp() bool { return m.Type == SetUp }
+// IsSetUp reports whether the message opens a call at its receiver. What goes to callers never does.
+func (m *Message) IsSetUp() bool { return m.Type == SetUp }
 
 // Len is the value of the length field.
 func (m *Message) Len() int {
@@ -104,7 +104,7 @@
 func (m *Message) Append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint16(b, uint16(m.Len()))
 	b = append(b, m.Type)
-	b = binary.BigEndian.AppendUint64(b, m.Call)
+	b = binary.BigEndian.AppendUint64(b, m.CallID)
 	for _, p := range m.Params {
 		b = append(b, p.Code)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(p.Value)))
@@ -150,14 +150,14 @@
 		return nil, cut(err)
 	}
 	n := int(binary.BigEndian.Uint16(h[:]))
-	if n < head-2 || n > Most {
+	if n < head-2 || n > MaxMessageBytes {
 		return nil, fmt.Errorf("%w: a length of %d bytes", ErrSyntax, n)
 	}
 	body, err := grow(r.r, n-(head-2))
 	if err != nil {
 		return nil, cut(err)
 	}
-	m := &Message{Type: h[2], Call: binary.BigEndian.Uint64(h[3:])}
+	m := &Message{Type: h[2], CallID: binary.BigEndian.Uint64(h[3:])}
 	for at := 0; at < len(body); {
 		rest := body[at:]
 		if len(rest) < 3 || len(rest)-3 < int(binary.BigEndian.Uint16(rest[1:])) {
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -10,8 +10,8 @@
 )
 
 func sample() *Message {
-	return (&Message{Type: SetUp, Call: 0x9b1f03aa5c7e2d41}).With(Class, []byte("voice")).With(Patience, []byte("1500")).
-		With(Description, []byte("9d41c07a5be2f318\r\n"))
+	return (&Message{Type: SetUp, CallID: 0x9b1f03aa5c7e2d41}).Add(ParamClass, []byte("voice")).Add(ParamPatience, []byte("1500")).
+		Add(ParamDescription, []byte("9d41c07a5be2f318\r\n"))
 }
 
 func TestAMessageOnTheWire(t *testing.T) {
@@ -24,7 +24,7 @@
 }
 
 func release() *Message {
-	return (&Message{Type: Release, Call: 7}).With(Cause, []byte{42}).With(StayAway, []byte("20"))
+	return (&Message{Type: Release, CallID: 7}).Add(ParamCause, []byte{42}).Add(ParamRetryAfter, []byte("20"))
 }
 
 func TestMessagesAreReadWhateverPiecesTheyComeIn(t *testing.T) {
@@ -75,7 +75,7 @@
 
 // A long message claimed by many must not take memory before it comes.
 func TestAClaimedLengthTakesNoMemory(t *testing.T) {
-	b, err := grow(bytes.NewReader(make([]byte, 10)), Most)
+	b, err := grow(bytes.NewReader(make([]byte, 10)), MaxMessageBytes)
 	if err == nil || cap(b) > 4<<10 {
 		t.Fatalf("%d bytes held for ten, %v", cap(b), err)
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -114,7 +114,7 @@
 				return nil, fmt.Errorf("load: %w", err)
 			}
 			c := &client{r: r, open: map[uint32]began{}}
-			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}, Write: time.Minute}, c)
+			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}, WriteTimeout: time.Minute}, c)
 			r.clients = append(r.clients, c)
 		}
 	}
@@ -236,8 +236,8 @@
 	})
 }
 
-// Bad is a message that can't be read: nothing waits for it.
-func (c *client) Bad(*transport.Conn[*signal.Message], transport.Skipped) {}
+// Unreadable is called for a message that can't be read: nothing waits for it.
+func (c *client) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
 
 // Unsent is a call that could not be sent.
 func (c *client) Unsent(_ *transport.Conn[*signal.Message], m *signal.Message) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -43,13 +43,13 @@
 		delete(s.opened, m.Term)
 	}
 }
-func (*server) Bad(*transport.Conn[*signal.Message], transport.Skipped)  {}
-func (*server) Unsent(*transport.Conn[*signal.Message], *signal.Message) {}
-func (*server) Closed(*transport.Conn[*signal.Message], error)           {}
+func (*server) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (*server) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (*server) Closed(*transport.Conn[*signal.Message], error)                          {}
 
 func TestOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var n memnet.Net
+		var n memnet.Network
 		ln, err := n.Listen()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Net is one network. The zero Net is ready.
-type Net struct {
+// Network is one network. The zero Network is ready.
+type Network struct {
 	mu        sync.Mutex
 	next      int
 	listeners map[string]*listener
@@ -30,20 +30,20 @@
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
 type listener struct {
-	n    *Net
+	n    *Network
 	addr addr
 	in   chan net.Conn
 	done chan struct{}
 	once sync.Once
 }
 
-func (n *Net) name() addr {
+func (n *Network) name() addr {
 	n.next++
 	return addr(fmt.Sprintf("mem:%d", n.next))
 }
 
 // Listen opens a listener at a new address.
-func (n *Net) Listen() (net.Listener, error) {
+func (n *Network) Listen() (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &listener{n: n, addr: n.name(), in: make(chan net.Conn), done: make(chan struct{})}
@@ -55,7 +55,7 @@
 }
 
 // Dial connects to a listener.
-func (n *Net) Dial(ctx context.Context, to string) (net.Conn, error) {
+func (n *Network) Dial(ctx context.Context, to string) (net.Conn, error) {
 	n.mu.Lock()
 	l, from := n.listeners[to], n.name()
 	n.mu.Unlock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,16 +26,16 @@
 
 // Config is what the platform tells.
 type Config struct {
-	Name, Listen, Resolver string
-	Sockets                int   // descriptors
-	Memory                 int64 // bytes
-	Module                 brain.Settings
-	Connect, Idle          time.Duration // bounds of a connection's making and of its rest
-	List                   *srvlist.List
+	Name, ListenAddr, ResolverAddr string
+	MaxDescriptors                 int   // descriptors
+	MemoryBytes                    int64 // bytes
+	ModuleSettings                 brain.Settings
+	ConnectTimeout, IdleTimeout    time.Duration // bounds of a connection's making and of its rest
+	ExchangeList                   *srvlist.List
 }
 
-// Read reads the file that the variables name. The error is one line that names the place.
-func Read(env func(string) string) (*Config, error) {
+// ReadConfig reads the file that the variables name. The error is one line that names the place.
+func ReadConfig(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
 		return nil, errors.New(EnvConfig + " is not set: it names the configuration file")
@@ -52,7 +52,7 @@
 		if _, _, err := net.SplitHostPort(v); err != nil {
 			return nil, fmt.Errorf("%s: %w", EnvListen, err)
 		}
-		c.Listen = v
+		c.ListenAddr = v
 	}
 	if v := env(EnvName); v != "" {
 		c.Name = v
@@ -88,17 +88,17 @@
 	if f.Limits.Sockets < 64 || f.Limits.Memory < 16 {
 		return nil, fmt.Errorf("limits: %d sockets and %d MB: at least 64 and 16 are needed", f.Limits.Sockets, f.Limits.Memory)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Resolver: f.Resolver, Sockets: f.Limits.Sockets,
-		Memory: f.Limits.Memory << 20, Connect: time.Duration(f.Settings.Limits.Connect), Idle: time.Duration(f.Settings.Limits.Idle)}
-	if c.Module, err = f.Settings.Module(seed); err != nil {
+	c := &Config{Name: f.Name, ListenAddr: f.Listen, ResolverAddr: f.Resolver, MaxDescriptors: f.Limits.Sockets,
+		MemoryBytes: f.Limits.Memory << 20, ConnectTimeout: time.Duration(f.Settings.Limits.Connect), IdleTimeout: time.Duration(f.Settings.Limits.Idle)}
+	if c.ModuleSettings, err = f.Settings.Module(seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Connect <= 0 {
+	if c.ConnectTimeout <= 0 {
 		return nil, errors.New("settings: connect_timeout_ns is missing")
 	}
 	if len(f.Known) == 0 {
 		return nil, errors.New("known is missing")
 	}
-	c.List, err = srvlist.Known(f.Known)
+	c.ExchangeList, err = srvlist.Known(f.Known)
 	return c, err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 )
 
 // intake sheds new calls where the core does not keep up: they would be answered too late.
-var intake = guard.Intake{Most: inboxMost}
+var intake = guard.Intake{Capacity: inboxMost}
 
 type (
 	callerConn = transport.Conn[*isup.Message]
@@ -78,18 +78,18 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
-	cfg, err := Read(env)
+	cfg, err := ReadConfig(env)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(cfg.Memory * 6 / 10)
-	ln, err := net.Listen("tcp", cfg.Listen)
+	debug.SetMemoryLimit(cfg.MemoryBytes * 6 / 10)
+	ln, err := net.Listen("tcp", cfg.ListenAddr)
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
 	n := newNode(cfg, ln, log)
-	return n.run(hup, term, func() (*Config, error) { return Read(env) })
+	return n.run(hup, term, func() (*Config, error) { return ReadConfig(env) })
 }
 
 func newNode(cfg *Config, ln net.Listener, log *slog.Logger) *Node {
@@ -97,11 +97,11 @@
 		callers: map[interwork.Conn]*callerConn{}, links: map[interwork.Link]*linkConn{},
 		dials: map[interwork.Link]context.CancelFunc{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	room := cfg.Sockets - ownSockets
+	room := cfg.MaxDescriptors - ownSockets
 	callers := room / 2
 	n.most = int64(callers + callers/8) // while the core makes room
-	n.core = interwork.New(interwork.Config{Module: policy.New("brain", cfg.Module), Settings: cfg.Module,
-		Connect: cfg.Connect, Epoch: n.start.Add(-clockStart).UnixNano(), Links: room / 3, Idle: cfg.Idle, Conns: callers,
+	n.core = interwork.New(interwork.Config{Module: policy.New("brain", cfg.ModuleSettings), Settings: cfg.ModuleSettings,
+		Connect: cfg.ConnectTimeout, Epoch: n.start.Add(-clockStart).UnixNano(), Links: room / 3, Idle: cfg.IdleTimeout, Conns: callers,
 		PerConn: perConnMost, Calls: callsMost,
 		Debug: log.Enabled(n.ctx, slog.LevelDebug)}, n.now())
 	return n
@@ -111,12 +111,12 @@
 func (n *Node) now() time.Duration { return clockStart + time.Since(n.start) }
 
 func (n *Node) run(hup, term <-chan os.Signal, again func() (*Config, error)) error {
-	n.log.Info("starting", "name", n.cfg.Name, "listen", n.cfg.Listen, "resolver", n.cfg.Resolver, "sockets", n.cfg.Sockets,
-		"memory", n.cfg.Memory, "exchanges", len(n.cfg.List.Entries()))
-	n.log.Debug("settings", "module", fmt.Sprintf("%+v", n.cfg.Module))
-	n.step(interwork.Listed{Complete: true, Changes: n.cfg.List.Entries()})
-	res := newResolver(n, n.cfg.List)
-	n.wg.Go(func() { res.run(n.cfg.Resolver) })
+	n.log.Info("starting", "name", n.cfg.Name, "listen", n.cfg.ListenAddr, "resolver", n.cfg.ResolverAddr, "sockets", n.cfg.MaxDescriptors,
+		"memory", n.cfg.MemoryBytes, "exchanges", len(n.cfg.ExchangeList.Entries()))
+	n.log.Debug("settings", "module", fmt.Sprintf("%+v", n.cfg.ModuleSettings))
+	n.step(interwork.Listed{Complete: true, Changes: n.cfg.ExchangeList.Entries()})
+	res := newResolver(n, n.cfg.ExchangeList)
+	n.wg.Go(func() { res.run(n.cfg.ResolverAddr) })
 	n.wg.Go(n.accept)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -136,8 +136,8 @@
 				n.log.Error("configuration read again, the old one is kept", "error", err)
 				continue
 			}
-			n.log.Info("configuration read again", "resolver", cfg.Resolver)
-			res.use(cfg.Resolver)
+			n.log.Info("configuration read again", "resolver", cfg.ResolverAddr)
+			res.use(cfg.ResolverAddr)
 		case <-term:
 			n.log.Info("leaving")
 			n.step(interwork.Leave{})
@@ -173,11 +173,11 @@
 	n.ln.Close()
 	var ends []<-chan struct{}
 	for _, c := range n.callers {
-		c.Finish(errLeaving)
+		c.FlushAndClose(errLeaving)
 		ends = append(ends, c.Done())
 	}
 	for _, c := range n.links {
-		c.Finish(errLeaving)
+		c.FlushAndClose(errLeaving)
 		ends = append(ends, c.Done())
 	}
 	late := time.After(flushWithin)
@@ -223,11 +223,11 @@
 		return
 	case ending:
 		if c := n.callers[in.id]; c != nil {
-			c.Finish(errors.New(in.why))
+			c.FlushAndClose(errors.New(in.why))
 		}
 		return
 	case interwork.CallerSays:
-		if c := n.callers[in.Conn]; c != nil && c.Over() && interwork.NewCall(in.Msg) {
+		if c := n.callers[in.Conn]; c != nil && c.IsClosed() && interwork.NewCall(in.Msg) {
 			return // its caller has gone while it waited here
 		}
 	case interwork.CallerDown:
@@ -248,7 +248,7 @@
 		case interwork.Send:
 			switch c := n.links[e.Link]; {
 			case c != nil && c.Send(e.Msg, e.NotAfter):
-			case e.Msg.SetUp():
+			case e.Msg.IsSetUp():
 				n.later(interwork.Unsent{Link: e.Link, Msg: e.Msg})
 			default:
 				n.unsaid++
@@ -259,16 +259,16 @@
 			}
 		case interwork.Fence:
 			if c := n.links[e.Link]; c != nil && e.Shut {
-				c.Fence()
+				c.BlockSetUps()
 			} else if c != nil {
-				c.Unfence()
+				c.UnblockSetUps()
 			}
 		case interwork.Drop:
 			if stop := n.dials[e.Link]; stop != nil {
 				stop()
 			}
 			if c := n.links[e.Link]; c != nil && e.Idle {
-				c.Finish(errors.New(e.Why))
+				c.FlushAndClose(errors.New(e.Why))
 			} else if c != nil {
 				c.Close(errors.New(e.Why))
 			}
@@ -336,7 +336,7 @@
 		n.held.Add(1)
 		e := &callerEdge{n: n, id: id, known: make(chan struct{})}
 		c := transport.Start(nc, transport.Options[*isup.Message]{Reader: e.reader, Outbox: guard.Outbox{Most: outboxMost},
-			Write: writeWithin, Linger: lingerWithin, Now: n.now}, e)
+			WriteTimeout: writeWithin, LingerTimeout: lingerWithin, Now: n.now}, e)
 		select {
 		case n.inbox <- accepted{id: id, c: c, known: e.known}:
 		case <-n.ctx.Done():
@@ -372,7 +372,7 @@
 	e.wait()
 	if interwork.NewCall(m) && intake.Admit(guard.NewCall, len(e.n.inbox)) == guard.Shed {
 		e.n.shed.Add(1)
-		c.Send(interwork.TurnAway(m.Call, e.n.cfg.Module), 0)
+		c.Send(interwork.TurnAway(m.CallID, e.n.cfg.ModuleSettings), 0)
 		return
 	}
 	e.n.put(interwork.CallerSays{Conn: e.id, At: at, Msg: m})
@@ -385,8 +385,8 @@
 	}
 }
 
-func (e *callerEdge) Bad(*callerConn, transport.Skipped) {}
-func (e *callerEdge) Unsent(*callerConn, *isup.Message)  {}
+func (e *callerEdge) Unreadable(*callerConn, transport.RecoverableError) {}
+func (e *callerEdge) Unsent(*callerConn, *isup.Message)                  {}
 func (e *callerEdge) Closed(_ *callerConn, why error) {
 	e.n.held.Add(-1)
 	e.n.log.Debug("caller's connection over", "conn", e.id, "why", why)
@@ -420,7 +420,7 @@
 	}
 	e := &linkEdge{n: n, id: in.id}
 	n.links[in.id] = transport.Start(in.nc, transport.Options[*sip.Message]{Reader: e.reader, Outbox: guard.Outbox{Most: outboxMost},
-		Write: writeWithin, Grace: n.cfg.Module.DrainGrace, Recall: recallWithin, Abort: true, Now: n.now}, e)
+		WriteTimeout: writeWithin, DrainGrace: n.cfg.ModuleSettings.DrainGrace, RecallTimeout: recallWithin, AbortOnClose: true, Now: n.now}, e)
 	n.step(interwork.LinkUp{Link: in.id})
 }
 
@@ -437,7 +437,7 @@
 func (e *linkEdge) Message(_ *linkConn, m *sip.Message) {
 	e.n.put(interwork.LinkSays{Link: e.id, Msg: m})
 }
-func (e *linkEdge) Bad(*linkConn, transport.Skipped) {}
+func (e *linkEdge) Unreadable(*linkConn, transport.RecoverableError) {}
 func (e *linkEdge) Unsent(_ *linkConn, m *sip.Message) {
 	e.n.put(interwork.Unsent{Link: e.id, Msg: m})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -90,7 +90,7 @@
 }
 
 func (x *exchange) say(nc net.Conn, to *sip.Message, status int, head string) {
-	fmt.Fprintf(nc, "SIP/2.0 %d x\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n%sContent-Length: 4\r\n\r\nmade", status, to.CallID, to.Of, head)
+	fmt.Fprintf(nc, "SIP/2.0 %d x\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n%sContent-Length: 4\r\n\r\nmade", status, to.CallID, to.CSeqMethod, head)
 }
 
 func (x *exchange) bye(nc net.Conn, call string) {
@@ -197,12 +197,12 @@
 	b.res = newDNS(t, b.x)
 	b.write(b.res.pc.LocalAddr().String())
 	env := func(k string) string { return map[string]string{EnvConfig: b.file}[k] }
-	cfg, err := Read(env)
+	cfg, err := ReadConfig(env)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := b.node(cfg)
-	go func() { b.ended <- n.run(b.hup, b.term, func() (*Config, error) { return Read(env) }) }()
+	go func() { b.ended <- n.run(b.hup, b.term, func() (*Config, error) { return ReadConfig(env) }) }()
 	t.Cleanup(func() {
 		b.leave()
 	})
@@ -269,9 +269,9 @@
 
 func (p *phone) call(id uint64, patience string) {
 	p.t.Helper()
-	p.say((&isup.Message{Type: isup.SetUp, Call: id}).With(isup.Class, []byte("voice")).With(isup.Patience, []byte(patience)).
-		With(isup.Number, []byte("7f3a9c21e0b4d655")).With(isup.Figures, []byte("dest:1;width:1;via:-1")).
-		With(isup.Description, []byte("offered")))
+	p.say((&isup.Message{Type: isup.SetUp, CallID: id}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte(patience)).
+		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, []byte("dest:1;width:1;via:-1")).
+		Add(isup.ParamDescription, []byte("offered")))
 }
 
 func (p *phone) hear(kind byte) *isup.Message {
@@ -286,8 +286,8 @@
 // ready waits until the node passes a test.
 func (b *bed) ready() *phone {
 	p := b.phone()
-	p.say((&isup.Message{Type: isup.Test, Call: 1}).With(isup.Cause, []byte{0}))
-	if m := p.hear(isup.Tested); m.Cause() != 1 {
+	p.say((&isup.Message{Type: isup.Test, CallID: 1}).Add(isup.ParamCause, []byte{0}))
+	if m := p.hear(isup.TestResult); m.Cause() != 1 {
 		b.t.Fatalf("test: %+v", m)
 	}
 	return p
@@ -308,7 +308,7 @@
 		t.Fatalf("INVITE %+v", in.m)
 	}
 	b.x.say(in.nc, in.m, 200, "")
-	if v, _ := p.hear(isup.Answer).Get(isup.Description); string(v) != "made" {
+	if v, _ := p.hear(isup.Answer).Get(isup.ParamDescription); string(v) != "made" {
 		t.Fatalf("description %q", v)
 	}
 	b.x.await(sip.Ack)
@@ -332,7 +332,7 @@
 	b, p, in := ringing(t, "1000")
 	b.x.say(in.nc, in.m, 486, "Fail-Word: sub\r\n")
 	m := p.hear(isup.Release)
-	if v, _ := m.Get(isup.StayAway); m.Cause() != isup.Congestion || string(v) != "2000" {
+	if v, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(v) != "2000" {
 		t.Fatalf("cause %d, stay away %q", m.Cause(), v)
 	}
 	b.x.await(sip.Ack)
@@ -396,7 +396,7 @@
 
 func TestAGiveUpThatCrossesTheAnswer(t *testing.T) {
 	b, p, in := ringing(t, "3000")
-	p.say((&isup.Message{Type: isup.Release, Call: 7}).With(isup.Cause, []byte{16}))
+	p.say((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{16}))
 	b.x.await(sip.Cancel)
 	b.x.say(in.nc, in.m, 200, "")
 	b.x.await(sip.Ack)
@@ -474,7 +474,7 @@
 	await(t, func() bool { return last.questions() >= 5 }) // the late answers would have come
 	p := b.phone()
 	p.call(7, "3000")
-	b.x.say(b.x.await(sip.Invite).nc, &sip.Message{CallID: "0000000000000007", Of: sip.Invite}, 200, "")
+	b.x.say(b.x.await(sip.Invite).nc, &sip.Message{CallID: "0000000000000007", CSeqMethod: sip.Invite}, 200, "")
 	p.hear(isup.Answer)
 	last.set(3, 1) // its numbers go on
 	b.drained()
@@ -610,7 +610,7 @@
 	if _, err := parse([]byte(good)); err != nil {
 		t.Error(err)
 	}
-	if _, err := Read(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), EnvConfig) {
+	if _, err := ReadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), EnvConfig) {
 		t.Errorf("no variable: %v", err)
 	}
 }
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	g := &gated{b.node(cfg), t, b}
-	g.step(interwork.Listed{Complete: true, Changes: cfg.List.Entries()})
+	g.step(interwork.Listed{Complete: true, Changes: cfg.ExchangeList.Entries()})
 	g.wg.Go(g.accept)
 	t.Cleanup(func() {
 		g.flush()
@@ -119,12 +119,12 @@
 	}
 	p.call(7, "3000")
 	m := p.hear(isup.Release)
-	if after, _ := m.Get(isup.StayAway); m.Cause() != isup.Congestion || string(after) != "2000" {
+	if after, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(after) != "2000" {
 		t.Errorf("cause %d, to stay away %q", m.Cause(), after)
 	}
-	held := (&isup.Message{Type: isup.SetUp, Call: 8}).With(isup.Class, []byte("voice")).With(isup.Patience, []byte("3000")).
-		With(isup.Number, []byte("7f3a9c21e0b4d655")).With(isup.Figures, []byte("dest:1;width:1;via:-1;at:s-1")).
-		With(isup.Description, []byte("offered"))
+	held := (&isup.Message{Type: isup.SetUp, CallID: 8}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte("3000")).
+		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, []byte("dest:1;width:1;via:-1;at:s-1")).
+		Add(isup.ParamDescription, []byte("offered"))
 	p.say(held)
 	g.until(saysSetUp)
 	if g.core.Stats.Adopted != 1 || g.core.Stats.Calls != 0 {
@@ -152,11 +152,11 @@
 	goes := map[string]func(g *gated, p *phone){
 		"closes": func(g *gated, p *phone) {
 			p.nc.Close()
-			await(g.t, func() bool { return g.callers[1] == nil || g.callers[1].Over() })
+			await(g.t, func() bool { return g.callers[1] == nil || g.callers[1].IsClosed() })
 		},
 		"gives up": func(g *gated, p *phone) {
 			before := len(g.inbox)
-			p.say((&isup.Message{Type: isup.Release, Call: 7}).With(isup.Cause, []byte{isup.NormalClearing}))
+			p.say((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{isup.NormalClearing}))
 			g.waiting(before + 1)
 		},
 	}
--- a/internal/node/resolver.go
+++ b/internal/node/resolver.go
@@ -39,7 +39,7 @@
 }
 
 func newResolver(n *Node, list *srvlist.List) *resolver {
-	return &resolver{n: n, list: list, addr: make(chan string, 1), random: rand.New(rand.NewPCG(n.cfg.Module.Seed, 0xd25))}
+	return &resolver{n: n, list: list, addr: make(chan string, 1), random: rand.New(rand.NewPCG(n.cfg.ModuleSettings.Seed, 0xd25))}
 }
 
 // use names another resolver: what the one before still answers is not heard.
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -248,9 +248,9 @@
 		p.on(c, m)
 	}
 }
-func (peer) Bad(*transport.Conn[*signal.Message], transport.Skipped)  {}
-func (peer) Unsent(*transport.Conn[*signal.Message], *signal.Message) {}
-func (peer) Closed(*transport.Conn[*signal.Message], error)           {}
+func (peer) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (peer) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (peer) Closed(*transport.Conn[*signal.Message], error)                          {}
 
 func (in *instant) accept(ln net.Listener, on func(*transport.Conn[*signal.Message], *signal.Message)) {
 	for {
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -24,9 +24,9 @@
 		Module: policy.New(set.Policy, b), Classes: b.Classes, Self: set.Self, Number: set.Number,
 		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.PerPeer, MostRoutes: set.Limits.Exchanges,
 		Connect: set.Peers.Connect, StandingLeft: set.Limits.Leave,
-		Life:    guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
-		Release: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
-		Faults:  guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
+		Life:    guard.Liveness{ProbeAfter: set.Peers.SignAfter, LostAfter: set.Peers.LostAfter},
+		Release: guard.ReleaseRetry{Interval: set.Peers.Release, MaxRequests: set.Peers.Releases},
+		Faults:  guard.FaultLimiter{Burst: set.Limits.Faults, ForgiveEvery: 100 * time.Millisecond},
 		Flows:   flows, Interim: set.Flows.Interim,
 		Traffic: measure.NewLive(now, set.Limits.Measure, patience),
 	}
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -247,5 +247,5 @@
 	return m.Kind == Reply || m.Command == Subtract || m.Command == Notify && m.Term != Root
 }
 
-// SetUp tells whether the message opens a call.
-func (m *Message) SetUp() bool { return m.Kind == Request && m.Command == Add }
+// IsSetUp reports whether the message opens a call.
+func (m *Message) IsSetUp() bool { return m.Kind == Request && m.Command == Add }
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -43,8 +43,8 @@
 	What string
 }
 
-// Skipped marks it as an error after which the reader reads on.
-func (e *SyntaxError) Skipped() {}
+// Recoverable marks it as an error after which the reader reads on.
+func (e *SyntaxError) Recoverable() {}
 
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%d %s", int(e.Code), e.What) }
 
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -23,37 +23,37 @@
 	Notify  = "NOTIFY"
 )
 
-// Most is the length of the longest message, in bytes.
-const Most = 16 << 10
+// MaxMessageBytes is the length of the longest message, in bytes.
+const MaxMessageBytes = 16 << 10
 
 const version = "SIP/2.0"
 
-// Field is one header.
-type Field struct{ Name, Value string }
+// HeaderField is one header.
+type HeaderField struct{ Name, Value string }
 
 // Message is a request (Method is set) or an answer (Status is set).
 type Message struct {
 	Method, URI string
 	Status      int
 	CallID      string
-	Seq         int                  // number and method of CSeq
-	Of          string               // the request that an answer is to, or the request's own method
-	Fields      []Field              // of what is to be sent
-	Head        textproto.MIMEHeader // of what was read
+	CSeq        int                  // number and method of CSeq
+	CSeqMethod  string               // the request that an answer is to, or the request's own method
+	ExtraFields []HeaderField        // of what is to be sent
+	Header      textproto.MIMEHeader // of what was read
 	Body        []byte
 }
 
 // Get returns a header's value of what was read, "" if it is not there. Names match in any case.
-func (m *Message) Get(name string) string { return m.Head.Get(name) }
+func (m *Message) Get(name string) string { return m.Header.Get(name) }
 
-// Put adds a header.
-func (m *Message) Put(name, value string) *Message {
-	m.Fields = append(m.Fields, Field{name, value})
+// Add adds a header.
+func (m *Message) Add(name, value string) *Message {
+	m.ExtraFields = append(m.ExtraFields, HeaderField{name, value})
 	return m
 }
 
-// SetUp tells whether the message opens a call at its receiver.
-func (m *Message) SetUp() bool { return m.Method == Invite }
+// IsSetUp reports whether the message opens a call at its receiver.
+func (m *Message) IsSetUp() bool { return m.Method == Invite }
 
 // Append adds the wire form.
 func (m *Message) Append(b []byte) []byte {
@@ -66,8 +66,8 @@
 	if m.CallID != "" {
 		b = append(append(append(b, "Call-ID: "...), m.CallID...), "\r\n"...)
 	}
-	b = fmt.Appendf(b, "CSeq: %d %s\r\n", m.Seq, m.Of)
-	for _, f := range m.Fields {
+	b = fmt.Appendf(b, "CSeq: %d %s\r\n", m.CSeq, m.CSeqMethod)
+	for _, f := range m.ExtraFields {
 		b = append(append(append(append(b, f.Name...), ": "...), f.Value...), "\r\n"...)
 	}
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(m.Body))
@@ -100,7 +100,7 @@
 // NewReader reads from r. begun, if it is set, is told true when a message has begun and may not
 // be whole yet, and false when it is.
 func NewReader(r io.Reader, begun func(bool)) *Reader {
-	l := &io.LimitedReader{R: r, N: Most}
+	l := &io.LimitedReader{R: r, N: MaxMessageBytes}
 	b := bufio.NewReaderSize(l, 4096)
 	if begun == nil {
 		begun = func(bool) {}
@@ -110,7 +110,7 @@
 
 // Read returns the next message. io.EOF is an end between messages.
 func (r *Reader) Read() (*Message, error) {
-	r.limit.N = max(Most-int64(r.r.Buffered()), 1)
+	r.limit.N = max(MaxMessageBytes-int64(r.r.Buffered()), 1)
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		return m, nil
 	}
 	if r.limit.N <= 0 && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrSyntax, Most)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrSyntax, MaxMessageBytes)
 	}
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -151,18 +151,18 @@
 		return nil, fmt.Errorf("%w: %d headers Content-Length", ErrSyntax, len(length))
 	}
 	n, err := strconv.ParseUint(length[0], 10, 31)
-	if err != nil || n > Most {
+	if err != nil || n > MaxMessageBytes {
 		return nil, fmt.Errorf("%w: Content-Length %.20q", ErrSyntax, length[0])
 	}
 	m.CallID = head.Get("Call-Id")
 	num, of, ok := strings.Cut(head.Get("Cseq"), " ")
-	if m.Seq, err = strconv.Atoi(num); ok && err != nil || !ok && m.Status != 0 {
+	if m.CSeq, err = strconv.Atoi(num); ok && err != nil || !ok && m.Status != 0 {
 		return nil, fmt.Errorf("%w: CSeq %.40q", ErrSyntax, head.Get("Cseq"))
 	}
-	if m.Of = strings.TrimSpace(of); m.Method != "" && m.Of == "" {
-		m.Of = m.Method
+	if m.CSeqMethod = strings.TrimSpace(of); m.Method != "" && m.CSeqMethod == "" {
+		m.CSeqMethod = m.Method
 	}
-	m.Head = head
+	m.Header = head
 	m.Body = make([]byte, n)
 	if _, err = io.ReadFull(r.r, m.Body); err != nil {
 		return nil, err
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// Cause reads the cause of Q.850 out of a header Reason, as in "Q.850;cause=16"; 0 if none is told.
-func Cause(reason string) byte {
+// ParseCause reads the cause of Q.850 out of a header Reason, as in "Q.850;cause=16"; 0 if none is told.
+func ParseCause(reason string) byte {
 	for part := range strings.SplitSeq(reason, ";") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
 			n, err := strconv.ParseUint(v, 10, 7)
@@ -215,5 +215,5 @@
 	return 0
 }
 
-// Reason writes a cause of Q.850 as the value of a header Reason (RFC 3326).
-func Reason(cause byte) string { return "Q.850;cause=" + strconv.Itoa(int(cause)) }
+// FormatReason writes a cause of Q.850 as the value of a header FormatReason (RFC 3326).
+func FormatReason(cause byte) string { return "Q.850;cause=" + strconv.Itoa(int(cause)) }
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -12,8 +12,8 @@
 const okAnswer = "SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nContent-Length: 6\r\n\r\n9d41\r\n"
 
 func TestAnInviteOnTheWire(t *testing.T) {
-	m := &Message{Method: Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: "9b1f03aa5c7e2d41", Seq: 1, Of: Invite, Body: []byte("9d41\r\n")}
-	got := string(m.Put("Call-Kind", "voice").Put("Answer-Within", "1500").Append(nil))
+	m := &Message{Method: Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: "9b1f03aa5c7e2d41", CSeq: 1, CSeqMethod: Invite, Body: []byte("9d41\r\n")}
+	got := string(m.Add("Call-Kind", "voice").Add("Answer-Within", "1500").Append(nil))
 	want := "INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\r\nVia: SIP/2.0/TCP controller\r\nCall-ID: 9b1f03aa5c7e2d41\r\n" +
 		"CSeq: 1 INVITE\r\nCall-Kind: voice\r\nAnswer-Within: 1500\r\nContent-Length: 6\r\n\r\n9d41\r\n"
 	if got != want {
@@ -27,7 +27,7 @@
 	for what, r := range map[string]io.Reader{"whole": strings.NewReader(wire), "single bytes": iotest.OneByteReader(strings.NewReader(wire))} {
 		reader := NewReader(r, nil)
 		a, err := reader.Read()
-		if err != nil || a.Status != 200 || a.Of != Invite || a.CallID != "9b1f03aa5c7e2d41" || string(a.Body) != "9d41\r\n" {
+		if err != nil || a.Status != 200 || a.CSeqMethod != Invite || a.CallID != "9b1f03aa5c7e2d41" || string(a.Body) != "9d41\r\n" {
 			t.Fatalf("%s: %+v, %v", what, a, err)
 		}
 		b, err := reader.Read()
@@ -35,7 +35,7 @@
 			t.Fatalf("%s: %+v, %v", what, b, err)
 		}
 		c, err := reader.Read()
-		if err != nil || c.Method != Bye || Cause(c.Get("Reason")) != 41 {
+		if err != nil || c.Method != Bye || ParseCause(c.Get("Reason")) != 41 {
 			t.Fatalf("%s: %+v, %v", what, c, err)
 		}
 		if _, err := reader.Read(); err != io.EOF {
@@ -79,7 +79,7 @@
 			if err != nil {
 				return
 			}
-			if len(m.Body) > Most || n > len(wire) || (m.Method == "") == (m.Status == 0) {
+			if len(m.Body) > MaxMessageBytes || n > len(wire) || (m.Method == "") == (m.Status == 0) {
 				t.Fatalf("read %+v", m)
 			}
 		}
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -53,7 +53,7 @@
 func TestFinishingDoesNotResetWhatWasWritten(t *testing.T) {
 	a, b := sockets(t)
 	h := &stuck{in: make(chan struct{}), leave: make(chan struct{})}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Linger: 10 * time.Second}, h)
+	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), LingerTimeout: 10 * time.Second}, h)
 	if _, err := b.Write(release(1).Append(nil)); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	}
 	answer := release(2)
 	c.Send(answer, 0)
-	c.Finish(ErrClosed)
+	c.FlushAndClose(ErrClosed)
 	got, err := io.ReadAll(b)
 	if err != nil || string(got) != string(answer.Append(nil)) {
 		t.Errorf("read %q, %v", got, err)
@@ -86,13 +86,13 @@
 			t.Fatal(err)
 		}
 	}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Abort: true, Write: time.Minute}, &keeper{})
+	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), AbortOnClose: true, WriteTimeout: time.Minute}, &keeper{})
 	m := setup(1)
 	m.Term = string(make([]byte, 4000))
 	for range 30 { // more than the peer, which does not read, has room for; all of it fits on the way
 		c.Send(m, time.Hour)
 	}
-	for late := time.Now().Add(5 * time.Second); c.Queued() > 0; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(5 * time.Second); c.QueueLen() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("it was not written")
 		}
@@ -110,7 +110,7 @@
 func TestARecalledSetUpDoesNotRestInABlockedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Write: 2 * time.Second, Recall: 50 * time.Millisecond}, &keeper{})
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second, RecallTimeout: 50 * time.Millisecond}, &keeper{})
 		c.Send(setup(1), time.Hour)
 		synctest.Wait() // in the write
 		time.Sleep(time.Second)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,13 +15,13 @@
 // Message is what a connection carries.
 type Message interface {
 	Append([]byte) []byte // its wire form, behind what is there
-	SetUp() bool          // opens a call: held back by the fence and after its time
+	IsSetUp() bool        // opens a call: held back by the fence and after its time
 }
 
-// Skipped is an error of a reader after which it may read on.
-type Skipped interface {
+// RecoverableError is an error of a reader after which it may read on.
+type RecoverableError interface {
 	error
-	Skipped()
+	Recoverable()
 }
 
 // Options of a connection. Reader must be set; other zero fields take the defaults.
@@ -30,34 +30,34 @@
 	// connection unless they are Skipped.
 	Reader func(net.Conn) func() (M, error)
 	Outbox guard.Outbox
-	// Write bounds one write: a peer that takes nothing for so long is cut off.
-	Write time.Duration
-	// Grace is the drain grace, for writes under way when the fence is shut.
-	Grace time.Duration
-	Tap   *capture.Tap
+	// WriteTimeout bounds one write: a peer that takes nothing for so long is cut off.
+	WriteTimeout time.Duration
+	// DrainGrace is the drain grace, for writes under way when the fence is shut.
+	DrainGrace time.Duration
+	Capture    *capture.Tap
 	// Now is the clock of NotAfter.
 	Now func() time.Duration
-	// Linger is how long Finish waits for the peer's end after its own (half-close); 0 ends both at once.
-	Linger time.Duration
-	// Recall bounds the write under way that a set-up which is called back is part of; 0 leaves it.
-	Recall time.Duration
-	// Abort makes Close discard what the peer has not been given yet.
-	Abort bool
+	// LingerTimeout is how long Finish waits for the peer's end after its own (half-close); 0 ends both at once.
+	LingerTimeout time.Duration
+	// RecallTimeout bounds the write under way that a set-up which is called back is part of; 0 leaves it.
+	RecallTimeout time.Duration
+	// AbortOnClose makes Close discard what the peer has not been given yet.
+	AbortOnClose bool
 }
 
 // Handler is told what happens on a connection. Message, Bad come from the
 // reader's goroutine, Unsent from the writer's; Closed comes once, after all others.
 type Handler[M Message] interface {
 	Message(c *Conn[M], m M)
-	Bad(c *Conn[M], e Skipped)
+	Unreadable(c *Conn[M], e RecoverableError)
 	Unsent(c *Conn[M], m M) // a set-up that was not sent and won't be
 	Closed(c *Conn[M], why error)
 }
 
 // Reasons for which this end closes a connection.
 var (
-	ErrSlow   = errors.New("the peer reads too slowly")
-	ErrClosed = errors.New("closed by this end")
+	ErrSlowPeer = errors.New("the peer reads too slowly")
+	ErrClosed   = errors.New("closed by this end")
 )
 
 type item[M Message] struct {
@@ -74,7 +74,7 @@
 
 	mu      sync.Mutex
 	queue   []item[M]
-	fence   guard.Fence
+	fence   guard.SetUpBlock
 	writing bool // a batch with set-ups is being written
 	hurried bool // and has had its time cut
 	closed  bool
@@ -93,8 +93,8 @@
 	if opt.Outbox.Most <= 0 {
 		opt.Outbox.Most = 4096
 	}
-	if opt.Write <= 0 {
-		opt.Write = 2 * time.Second
+	if opt.WriteTimeout <= 0 {
+		opt.WriteTimeout = 2 * time.Second
 	}
 	if opt.Now == nil {
 		start := time.Now()
@@ -121,7 +121,7 @@
 			c.h.Unsent(c, it.m)
 		}
 	}
-	c.opt.Tap.Closed(why.Error())
+	c.opt.Capture.Closed(why.Error())
 	c.h.Closed(c, why)
 	close(c.done)
 }
@@ -133,14 +133,14 @@
 // set-ups: one that can't leave by then comes back as Unsent. A connection whose
 // queue is full is closed.
 func (c *Conn[M]) Send(m M, notAfter time.Duration) bool {
-	it := item[M]{m, notAfter, m.SetUp()}
+	it := item[M]{m, notAfter, m.IsSetUp()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.closed, c.last, it.setup && c.fence.Shut, c.opt.Outbox.Refuse(it.setup, len(c.queue)):
+	case c.closed, c.last, it.setup && c.fence.Active, c.opt.Outbox.ShouldReject(it.setup, len(c.queue)):
 		return false
-	case c.opt.Outbox.Stuck(len(c.queue)):
-		c.closeLocked(ErrSlow)
+	case c.opt.Outbox.IsFull(len(c.queue)):
+		c.closeLocked(ErrSlowPeer)
 		return false
 	}
 	c.queue = append(c.queue, it)
@@ -162,34 +162,34 @@
 			return true
 		}
 	}
-	if c.writing && !c.closed && !c.hurried && c.opt.Recall > 0 {
+	if c.writing && !c.closed && !c.hurried && c.opt.RecallTimeout > 0 {
 		c.hurried = true
-		_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.Recall)) // fails only on a closed connection
+		_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.RecallTimeout)) // fails only on a closed connection
 	}
 	return false
 }
 
-// Over tells whether the connection has ended, at either end; its handler may not have been told yet.
-func (c *Conn[M]) Over() bool {
+// IsClosed tells whether the connection has ended, at either end; its handler may not have been told yet.
+func (c *Conn[M]) IsClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// Queued is the number of messages waiting to be written.
-func (c *Conn[M]) Queued() int {
+// QueueLen is the number of messages waiting to be written.
+func (c *Conn[M]) QueueLen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue)
 }
 
-// Fence keeps set-ups that have not left from leaving; they come back as Unsent.
-func (c *Conn[M]) Fence() {
+// BlockSetUps keeps set-ups that have not left from leaving; they come back as Unsent.
+func (c *Conn[M]) BlockSetUps() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence = guard.Fence{Shut: true, At: c.opt.Now()}
+	c.fence = guard.SetUpBlock{Active: true, Since: c.opt.Now()}
 	if c.writing && !c.closed {
-		left := c.fence.MustBeWritten(c.opt.Grace) - c.opt.Now()
+		left := c.fence.WriteDeadline(c.opt.DrainGrace) - c.opt.Now()
 		_ = c.nc.SetWriteDeadline(time.Now().Add(left)) // fails only on a closed connection
 	}
 	select {
@@ -198,11 +198,11 @@
 	}
 }
 
-// Unfence lifts the fence.
-func (c *Conn[M]) Unfence() {
+// UnblockSetUps lifts the fence.
+func (c *Conn[M]) UnblockSetUps() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence = guard.Fence{}
+	c.fence = guard.SetUpBlock{}
 }
 
 // Close ends the connection; what is queued is not sent.
@@ -212,10 +212,10 @@
 	c.closeLocked(why)
 }
 
-// Finish ends the connection once what is queued has been written; nothing more is taken. With
+// FlushAndClose ends the connection once what is queued has been written; nothing more is taken. With
 // Options.Linger this end is closed first and the peer's is read to: a socket closed with bytes
 // unread is reset, and the reset may overtake what was written.
-func (c *Conn[M]) Finish(why error) {
+func (c *Conn[M]) FlushAndClose(why error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last = true; c.why == nil {
@@ -234,7 +234,7 @@
 	if c.closed = true; c.why == nil {
 		c.why = why
 	}
-	if l, ok := c.nc.(interface{ SetLinger(sec int) error }); ok && c.opt.Abort && !c.last {
+	if l, ok := c.nc.(interface{ SetLinger(sec int) error }); ok && c.opt.AbortOnClose && !c.last {
 		_ = l.SetLinger(0) // fails only on a closed connection
 	}
 	_ = c.nc.Close() // ends both loops; there is nobody to tell
@@ -248,18 +248,18 @@
 	next := c.opt.Reader(c.nc)
 	for {
 		m, err := next()
-		var bad Skipped
+		var bad RecoverableError
 		switch {
 		case err == nil:
-			if c.opt.Tap != nil {
-				c.opt.Tap.Received(m.Append(nil))
+			if c.opt.Capture != nil {
+				c.opt.Capture.Received(m.Append(nil))
 			}
 			c.h.Message(c, m)
 		case errors.As(err, &bad):
-			if c.opt.Tap != nil {
-				c.opt.Tap.Received([]byte("unreadable: " + bad.Error()))
+			if c.opt.Capture != nil {
+				c.opt.Capture.Received([]byte("unreadable: " + bad.Error()))
 			}
-			c.h.Bad(c, bad)
+			c.h.Unreadable(c, bad)
 		default:
 			c.Close(err)
 			return
@@ -285,7 +285,7 @@
 				break
 			}
 			n++
-			if it.setup && !c.fence.MayLeave(now, it.notAfter) {
+			if it.setup && !c.fence.MaySend(now, it.notAfter) {
 				late = append(late, it)
 				continue
 			}
@@ -298,9 +298,9 @@
 			c.queue = nil
 		}
 		c.writing, c.hurried = setups, false
-		at := c.opt.Tap.Now() // from here on nothing can be recalled
+		at := c.opt.Capture.Now() // from here on nothing can be recalled
 		if len(buf) > 0 {
-			_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.Write)) // fails only on a closed connection
+			_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.WriteTimeout)) // fails only on a closed connection
 		}
 		done, why := c.last && len(taken) == 0, c.why
 		c.mu.Unlock()
@@ -328,10 +328,10 @@
 		c.mu.Lock()
 		c.writing = false
 		c.mu.Unlock()
-		if c.opt.Tap != nil {
+		if c.opt.Capture != nil {
 			from := 0
 			for _, to := range ends {
-				c.opt.Tap.Sent(at, buf[from:to])
+				c.opt.Capture.Sent(at, buf[from:to])
 				from = to
 			}
 		}
@@ -341,10 +341,10 @@
 // linger ends this end of the connection and waits for the peer's.
 func (c *Conn[M]) linger() {
 	half, ok := c.nc.(interface{ CloseWrite() error })
-	if c.opt.Linger <= 0 || !ok || half.CloseWrite() != nil {
+	if c.opt.LingerTimeout <= 0 || !ok || half.CloseWrite() != nil {
 		return
 	}
-	late := time.NewTimer(c.opt.Linger)
+	late := time.NewTimer(c.opt.LingerTimeout)
 	defer late.Stop()
 	for {
 		select {
@@ -361,8 +361,8 @@
 	}
 }
 
-// Key names a connection alike at both ends.
-func Key(nc net.Conn, dialed bool) string {
+// ConnectionKey names a connection alike at both ends.
+func ConnectionKey(nc net.Conn, dialed bool) string {
 	if dialed {
 		return nc.LocalAddr().String() + ">" + nc.RemoteAddr().String()
 	}
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -30,7 +30,7 @@
 	defer k.mu.Unlock()
 	k.got = append(k.got, m)
 }
-func (k *keeper) Bad(_ *Conn[*signal.Message], e Skipped) {
+func (k *keeper) Unreadable(_ *Conn[*signal.Message], e RecoverableError) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.bad = append(k.bad, *e.(*signal.SyntaxError))
@@ -51,7 +51,7 @@
 
 func pipe(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
-	var n memnet.Net
+	var n memnet.Network
 	ln, err := n.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute, Grace: 250 * time.Millisecond}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, k)
 		c.Send(setup(1), time.Hour) // is being written
 		synctest.Wait()
 		taken := 0
@@ -129,11 +129,11 @@
 		if taken != 50 {
 			t.Fatalf("%d set-ups taken, want half of the queue", taken)
 		}
-		if !c.Send(release(1000), 0) || !c.Recall(id(2)) || c.Recall(id(1)) || c.Queued() != 50 {
+		if !c.Send(release(1000), 0) || !c.Recall(id(2)) || c.Recall(id(1)) || c.QueueLen() != 50 {
 			t.Fatal("room for releases, recall of what waits and of nothing else")
 		}
 		began := time.Now()
-		c.Fence()
+		c.BlockSetUps()
 		<-c.Done()
 		if cut := time.Since(began); cut > 250*time.Millisecond {
 			t.Fatalf("the write under way ended after %v", cut)
@@ -149,14 +149,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, WriteTimeout: time.Minute}, k)
 		for i := 0; c.Send(release(uint32(i+1)), 0); i++ {
 			if i > 200 {
 				t.Fatal("takes messages without end")
 			}
 		}
 		<-c.Done()
-		if !errors.Is(k.closed[0], ErrSlow) {
+		if !errors.Is(k.closed[0], ErrSlowPeer) {
 			t.Fatalf("%v", k.closed)
 		}
 		b.Close()
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Write: 2 * time.Second}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second}, k)
 		began := time.Now()
 		c.Send(release(1), 0)
 		<-c.Done()
@@ -187,7 +187,7 @@
 		time.Sleep(time.Second)
 		c.Send(setup(1), 900*time.Millisecond)
 		c.Send(release(2), 0)
-		c.Fence()
+		c.BlockSetUps()
 		if c.Send(setup(3), time.Hour) {
 			t.Fatal("a fenced connection takes set-ups")
 		}
@@ -196,7 +196,7 @@
 		if len(ka.unsent) != 1 || ka.unsent[0] != 1 || len(kb.got) != 1 || kb.got[0].ID != 2 {
 			t.Fatalf("unsent %v, got %v", ka.unsent, kb.got)
 		}
-		c.Unfence()
+		c.UnblockSetUps()
 		c.Send(setup(4), time.Hour)
 		synctest.Wait()
 		if len(kb.got) != 2 {
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -37,7 +37,7 @@
 type keeper struct {
 	addr  string
 	tries int
-	retry guard.Retry
+	retry guard.Backoff
 	over  bool
 }
 
@@ -118,7 +118,7 @@
 // keep starts to keep a link, in place of one at another address.
 func (n *node) keep(p controller.Peer, addr string) {
 	n.hangUp(p)
-	k := &keeper{addr: addr, retry: guard.Retry{Least: n.set.Peers.RetryFrom, Most: n.set.Peers.RetryMost,
+	k := &keeper{addr: addr, retry: guard.Backoff{Min: n.set.Peers.RetryFrom, Max: n.set.Peers.RetryMost,
 		Random: rand.New(rand.NewPCG(n.set.Seed, uint64(n.set.Number)<<32^p.ID))}}
 	n.links[p] = k
 	n.dial(p, k)
@@ -151,7 +151,7 @@
 }
 
 func (n *node) again(p controller.Peer, k *keeper) {
-	n.r.clock.After(k.retry.Gap(k.tries), func() { n.dial(p, k) })
+	n.r.clock.After(k.retry.Delay(k.tries), func() { n.dial(p, k) })
 }
 
 // lost is the end of a connection.
