--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -109,9 +109,9 @@
 	MaxExchanges        int           // exchanges listed
 	LinkTimeout         time.Duration // a set-up waits so long for a link that is down
 	ShutdownGrace       time.Duration // calls that stand may go on so long after Leave
-	Liveness            guard.Life
-	ReleaseRetry        guard.Release
-	FaultLimit          guard.Faults
+	Liveness            guard.Liveness
+	ReleaseRetry        guard.ReleaseRetry
+	FaultLimit          guard.FaultLimiter
 	FlowSink            flow.Sink     // takes a record of each call and attempt; nil for none
 	InterimInterval     time.Duration // a call that stands is told of so often; 0 never
 	TrafficMeter        *measure.Live // measures what own callers offer; nil for none
@@ -270,7 +270,7 @@
 		}
 		faults = &l.life.faults
 	}
-	if !faults.Tolerate(c.now) {
+	if !faults.Allow(c.now) {
 		c.out = append(c.out, Effect{Kind: EffectClose, Peer: p, Text: "too many messages that can't be read"})
 		return
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -69,8 +69,8 @@
 	r := &rig{t: t, now: time.Hour, tx: map[Peer]uint32{}}
 	r.c = New(r.now, Config{Module: m, Classes: testClasses, ExchangeNumber: 0,
 		MaxCalls: 50000, MaxPendingPerCaller: 10000, MaxExchanges: 1000, LinkTimeout: 300 * time.Millisecond, ShutdownGrace: 2 * time.Second,
-		Liveness:     guard.Life{After: time.Second, Lost: 3 * time.Second},
-		ReleaseRetry: guard.Release{Every: time.Second, Tries: 3}, FaultLimit: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
+		Liveness:     guard.Liveness{ProbeAfter: time.Second, LostAfter: 3 * time.Second},
+		ReleaseRetry: guard.ReleaseRetry{Interval: time.Second, MaxRequests: 3}, FaultLimit: guard.FaultLimiter{Burst: 20, ForgiveEvery: 100 * time.Millisecond}})
 	return r
 }
 
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -24,9 +24,9 @@
 		Module: policy.New(set.Policy, b), Classes: b.Classes, ExchangeNumber: set.Self, ControllerNumber: set.Number,
 		MaxCalls: set.Limits.Calls, MaxPendingPerCaller: set.Limits.PerPeer, MaxExchanges: set.Limits.Exchanges,
 		LinkTimeout: set.Peers.Connect, ShutdownGrace: set.Limits.Leave,
-		Liveness:     guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
-		ReleaseRetry: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
-		FaultLimit:   guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
+		Liveness:     guard.Liveness{ProbeAfter: set.Peers.SignAfter, LostAfter: set.Peers.LostAfter},
+		ReleaseRetry: guard.ReleaseRetry{Interval: set.Peers.Release, MaxRequests: set.Peers.Releases},
+		FaultLimit:   guard.FaultLimiter{Burst: set.Limits.Faults, ForgiveEvery: 100 * time.Millisecond},
 		FlowSink:     flows, InterimInterval: set.Flows.Interim,
 		TrafficMeter: measure.NewLive(now, set.Limits.Measure, patience),
 	}
