--- a/cmd/dahliaspindle/flows_test.go
+++ b/cmd/dahliaspindle/flows_test.go
@@ -27,8 +27,8 @@
 	}
 	set := scn.Controller(0, "127.0.0.1:1") // no list: every call is refused
 	set.Listen = listen
-	set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: collector}}, Spool: filepath.Join(dir, "spool"), Replay: 3000,
-		Interval: 200 * time.Millisecond, Confirm: 300 * time.Millisecond}
+	set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: collector}}, SpoolDirectory: filepath.Join(dir, "spool"), ReplayRate: 3000,
+		SummaryInterval: 200 * time.Millisecond, ConfirmAfter: 300 * time.Millisecond}
 	file := filepath.Join(dir, "controller.xml")
 	f, err := os.Create(file)
 	if err != nil {
--- a/cmd/dahliaspindle/live.go
+++ b/cmd/dahliaspindle/live.go
@@ -61,11 +61,11 @@
 	if err := nc.SetDeadline(time.Now().Add(c.Within)); err != nil {
 		return fmt.Errorf("dimension live: %w", err)
 	}
-	ask := &signal.Message{ID: 1, Command: signal.AuditValue, Term: "TRAFFIC"}
+	ask := &signal.Message{ID: 1, Command: signal.AuditValue, Termination: "TRAFFIC"}
 	if _, err := nc.Write(ask.Append(nil)); err != nil {
 		return fmt.Errorf("dimension live: asking %s: %w", c.Address, err)
 	}
-	in := signal.NewReader(nc, signal.Limits{Block: 64 << 10})
+	in := signal.NewReader(nc, signal.Limits{MaxMessageBytes: 64 << 10})
 	var m *signal.Message
 	for m == nil || m.Kind != signal.Reply || m.ID != 1 {
 		if m, err = in.Read(); err != nil {
--- a/cmd/dahliaspindle/plan.go
+++ b/cmd/dahliaspindle/plan.go
@@ -85,7 +85,7 @@
 	if !(scn.Load.Level > 0 && scn.Load.Level <= 10) {
 		return nil, exit{2, errors.New("--load must be above 0, 10 at the most")}
 	}
-	scn.Load.Swing, scn.Fleet.Drift, scn.Troubles = 0, 0, nil // what is planned for is an even hour
+	scn.Load.Swing, scn.Fleet.DriftPeriod, scn.Troubles = 0, 0, nil // what is planned for is an even hour
 	mesh, err := prove.Mesh(scn)
 	if err != nil {
 		return nil, err
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -82,7 +82,7 @@
 	capture.Record
 	file int
 	msg  *signal.Message
-	ends capture.Ends
+	ends capture.Endpoint
 	key  connKey
 }
 
@@ -115,7 +115,7 @@
 	var notes []string
 	for i, f := range files {
 		add := Collect(&all, i)
-		if err := capture.ReadFile(f, add); errors.Is(err, capture.ErrTorn) {
+		if err := capture.ReadFile(f, add); errors.Is(err, capture.ErrTruncated) {
 			notes = append(notes, err.Error())
 		} else if err != nil {
 			return nil, nil, err
@@ -139,7 +139,7 @@
 
 // Collect returns what takes the records of one file, in their order.
 func Collect(all *Records, file int) func(capture.Record) {
-	conns := map[uint64]capture.Ends{}
+	conns := map[uint64]capture.Endpoint{}
 	who := ""
 	return func(r capture.Record) {
 		if r.Kind == capture.Header {
@@ -148,12 +148,12 @@
 		rec := record{Record: r, file: file, key: connKey{file, r.Conn}}
 		switch r.Kind {
 		case capture.Opened:
-			var e capture.Ends
+			var e capture.Endpoint
 			if json.Unmarshal(r.Text, &e) == nil {
 				conns[r.Conn] = e
 			}
 		case capture.Sent, capture.Received:
-			m, err := signal.NewReader(strings.NewReader(string(r.Text)), signal.Limits{Line: 1 << 16, Block: 1 << 20, Fields: 1 << 16}).Read()
+			m, err := signal.NewReader(strings.NewReader(string(r.Text)), signal.Limits{MaxLineBytes: 1 << 16, MaxMessageBytes: 1 << 20, MaxDescriptors: 1 << 16}).Read()
 			if err == nil {
 				rec.msg = m
 			}
@@ -368,16 +368,16 @@
 		j.cases(1)
 		j.report.Calls.Taken++
 		o.taken++
-		c := &call{owner: o, name: m.Term, conn: r.key, at: r.At, out: map[attempt]string{}}
-		if left, err := m.Span("Left"); err == nil {
+		c := &call{owner: o, name: m.Termination, conn: r.key, at: r.At, out: map[attempt]string{}}
+		if left, err := m.Duration("Left"); err == nil {
 			c.due = r.At + int64(left)
 		}
 		o.byTx[key] = c
-		if was := o.byName[m.Term]; was == nil || was.answered != 0 || was.left {
-			o.byName[m.Term] = c
+		if was := o.byName[m.Termination]; was == nil || was.answered != 0 || was.left {
+			o.byName[m.Termination] = c
 		}
 	case signal.Subtract:
-		if c := o.byName[m.Term]; c != nil && c.conn == r.key && c.answered == 0 && !c.left {
+		if c := o.byName[m.Termination]; c != nil && c.conn == r.key && c.answered == 0 && !c.left {
 			c.left, c.leftAt = true, r.At
 			j.report.Calls.Left++
 		}
@@ -388,7 +388,7 @@
 	m := r.msg
 	c := o.byTx[tx{r.key, m.ID}]
 	switch {
-	case c == nil || m.Kind == signal.Request || m.Kind == signal.Fault:
+	case c == nil || m.Kind == signal.Request || m.Kind == signal.ErrorMessage:
 	case m.Kind == signal.Pending:
 		if c.answered != 0 {
 			j.breach(1, r.At, o, c.name, "Pending after the final answer")
@@ -406,7 +406,7 @@
 		if !c.left {
 			j.report.Calls.Answered++
 		}
-		if late := r.At + r.Took - c.due - int64(j.rules.AnswerSlack); c.due > 0 && late > 0 && !c.left {
+		if late := r.At + r.SendDuration - c.due - int64(j.rules.AnswerSlack); c.due > 0 && late > 0 && !c.left {
 			j.breach(1, r.At, o, c.name, fmt.Sprintf("answered %v past the caller's patience and the slack", time.Duration(late)))
 		}
 	}
@@ -417,15 +417,15 @@
 	if m.Kind != signal.Request {
 		return
 	}
-	c := o.byName[m.Term]
+	c := o.byName[m.Termination]
 	switch m.Command {
 	case signal.Add:
 		j.cases(2)
 		j.cases(3)
 		exchange := r.ends.Peer
 		if word, ok := o.drained[exchange]; ok {
-			if late := r.At + r.Took - word - int64(j.rules.DrainGrace); late > 0 {
-				j.breach(3, r.At, o, m.Term, fmt.Sprintf("set up at exchange %d, %v after the grace", exchange, time.Duration(late)))
+			if late := r.At + r.SendDuration - word - int64(j.rules.DrainGrace); late > 0 {
+				j.breach(3, r.At, o, m.Termination, fmt.Sprintf("set up at exchange %d, %v after the grace", exchange, time.Duration(late)))
 			}
 		}
 		j.to[exchange] = append(j.to[exchange], setup{r.At, o})
@@ -433,7 +433,7 @@
 			j.from[from] = append(j.from[from], setup{r.At, o})
 		}
 		if c == nil {
-			j.breach(1, r.At, o, m.Term, "set up without a caller who asked")
+			j.breach(1, r.At, o, m.Termination, "set up without a caller who asked")
 			return
 		}
 		switch {
@@ -473,7 +473,7 @@
 	delete(c.out, a)
 	delete(o.byLink[a.conn], a.tx)
 	if why != "" {
-		c.blocked, c.why = at+int64(j.rules.ReleaseWait), why
+		c.blocked, c.why = at+int64(j.rules.ReleaseTime), why
 	}
 }
 
@@ -566,20 +566,20 @@
 // and a root of that for chance. Work that mostly came from controllers that had
 // not been told of the start is nobody's breach.
 func (j *judge) cold() {
-	w := int64(j.rules.OverloadFor)
+	w := int64(j.rules.OverloadDuration)
 	for i, s := range j.starts {
-		if s.Warm <= 0 || w <= 0 {
+		if s.WarmUpTime <= 0 || w <= 0 {
 			continue
 		}
 		j.cases(4)
-		until := j.began[i] + int64(s.Warm)
+		until := j.began[i] + int64(s.WarmUpTime)
 		for k := i + 1; k < len(j.starts); k++ {
-			if j.starts[k].Exchange == s.Exchange {
+			if j.starts[k].ExchangeID == s.ExchangeID {
 				until = min(until, j.began[k])
 			}
 		}
 		var all []setup
-		for _, group := range [][]setup{j.to[uint64(s.Exchange)], j.from[s.Cell]} {
+		for _, group := range [][]setup{j.to[uint64(s.ExchangeID)], j.from[s.ExchangeNumber]} {
 			for _, u := range group {
 				if u.at >= j.began[i] && u.at <= until {
 					all = append(all, u)
@@ -589,7 +589,7 @@
 		slices.SortStableFunc(all, func(a, b setup) int { return int(a.at - b.at) })
 		first, informed := 0, 0
 		knows := func(u setup) bool {
-			at, ok := u.owner.told[uint64(s.Exchange)][s.Since]
+			at, ok := u.owner.told[uint64(s.ExchangeID)][s.Since]
 			return ok && at <= u.at
 		}
 		for n, u := range all {
@@ -605,7 +605,7 @@
 			budget := j.rules.OverloadFactor * between(s, float64(u.at-w-j.began[i])/1e9, float64(u.at-j.began[i])/1e9)
 			if float64(count) > budget+math.Sqrt(budget)+1 && 3*informed >= 2*count {
 				j.breach(4, u.at, u.owner, "", fmt.Sprintf("exchange %d, started %.1fs before, was sent %d set-ups within %v and could do %.0f",
-					s.Exchange, float64(u.at-j.began[i])/1e9, count, j.rules.OverloadFor, budget/j.rules.OverloadFactor))
+					s.ExchangeID, float64(u.at-j.began[i])/1e9, count, j.rules.OverloadDuration, budget/j.rules.OverloadFactor))
 				break
 			}
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -27,18 +27,18 @@
 	now                       int64
 	w                         *capture.Writer
 	file                      *buffer
-	caller, ex1, ex2, listTap *capture.Tap
+	caller, ex1, ex2, listTap *capture.ConnRecorder
 }
 
 func newTape() *tape {
 	p := &tape{now: 1000 * ms, file: &buffer{}}
 	p.w = capture.NewWriter(p.file, "controller 0", func() int64 { return p.now })
 	p.w.Fact("rules", capture.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-		ReleaseWait: 300 * time.Millisecond, OverloadFactor: 2.5, OverloadFor: 3 * time.Second})
-	p.caller = p.w.Open("a>b", capture.Ends{Owner: "controller 0", Role: "caller"})
-	p.ex1 = p.w.Open("b>c", capture.Ends{Owner: "controller 0", Role: "exchange", Peer: 101, Dialed: true})
-	p.ex2 = p.w.Open("b>d", capture.Ends{Owner: "controller 0", Role: "exchange", Peer: 102, Dialed: true})
-	p.listTap = p.w.Open("b>e", capture.Ends{Owner: "controller 0", Role: "list", Dialed: true})
+		ReleaseTime: 300 * time.Millisecond, OverloadFactor: 2.5, OverloadDuration: 3 * time.Second})
+	p.caller = p.w.Open("a>b", capture.Endpoint{Owner: "controller 0", Role: "caller"})
+	p.ex1 = p.w.Open("b>c", capture.Endpoint{Owner: "controller 0", Role: "exchange", Peer: 101, Dialed: true})
+	p.ex2 = p.w.Open("b>d", capture.Endpoint{Owner: "controller 0", Role: "exchange", Peer: 102, Dialed: true})
+	p.listTap = p.w.Open("b>e", capture.Endpoint{Owner: "controller 0", Role: "list", Dialed: true})
 	return p
 }
 
@@ -70,13 +70,13 @@
 func (p *tape) answers(tx int, call string) {
 	p.caller.Sent(p.caller.Now(), block("Reply=%d Context=1 Add=%s\nError: 510 refused", tx, call))
 }
-func (p *tape) sends(to *capture.Tap, tx int, call string, attempt int) {
+func (p *tape) sends(to *capture.ConnRecorder, tx int, call string, attempt int) {
 	to.Sent(to.Now(), block("Transaction=%d Context=1 Add=%s\nAttempt: %d\nFrom: 0\nDest: 1\nLeft: 4s", tx, call, attempt))
 }
-func (p *tape) refused(by *capture.Tap, tx int, call, note string) {
+func (p *tape) refused(by *capture.ConnRecorder, tx int, call, note string) {
 	by.Received(block("Reply=%d Context=1 Add=%s\nError: 510 %s\nNote: %s", tx, call, note, note))
 }
-func (p *tape) withdraws(from *capture.Tap, tx int, call string, attempt int) {
+func (p *tape) withdraws(from *capture.ConnRecorder, tx int, call string, attempt int) {
 	from.Sent(from.Now(), block("Transaction=%d Context=1 Subtract=%s\nAttempt: %d", tx, call, attempt))
 }
 func (p *tape) word(id int, state string) {
@@ -167,7 +167,7 @@
 			p.answers(1, "a")
 		}},
 		{"cold exchange flooded", 4, "", 0, "exchange 101", func(p *tape) {
-			p.w.Fact("capacity", capture.Capacity{Exchange: 101, Cell: 1, PerS: 10, From: 0.3, Warm: 10 * time.Second, Since: 5})
+			p.w.Fact("capacity", capture.Capacity{ExchangeID: 101, ExchangeNumber: 1, SetUpsPerSecond: 10, InitialShare: 0.3, WarmUpTime: 10 * time.Second, Since: 5})
 			p.word(101, "in")
 			for n := range 60 {
 				p.after(10).asks(n+1, fmt.Sprint("c", n))
@@ -232,7 +232,7 @@
 
 func TestColdFloodByControllersThatWereNotToldIsNobodysBreach(t *testing.T) {
 	p := newTape()
-	p.w.Fact("capacity", capture.Capacity{Exchange: 101, Cell: 1, PerS: 10, From: 0.3, Warm: 10 * time.Second, Since: 5})
+	p.w.Fact("capacity", capture.Capacity{ExchangeID: 101, ExchangeNumber: 1, SetUpsPerSecond: 10, InitialShare: 0.3, WarmUpTime: 10 * time.Second, Since: 5})
 	for n := range 60 {
 		p.after(10).asks(n+1, fmt.Sprint("c", n))
 		p.sends(p.ex1, n+1, fmt.Sprint("c", n), 0)
@@ -270,28 +270,28 @@
 
 func (g *rogue) add(to int, call string, attempt int) {
 	g.tx++
-	m := &signal.Message{ID: g.tx, Context: 1, Command: signal.Add, Term: call}
-	g.links[to].Send(m.PutInt("Attempt", attempt).PutInt("From", 0).PutInt("Dest", 1).PutSpan("Left", time.Second), time.Hour)
+	m := &signal.Message{ID: g.tx, Context: 1, Command: signal.Add, Termination: call}
+	g.links[to].Send(m.PutInt("Attempt", attempt).PutInt("From", 0).PutInt("Dest", 1).PutDuration("Left", time.Second), time.Hour)
 }
 
 func (g *rogue) take(c *transport.Conn[*signal.Message], m *signal.Message) {
-	no := m.Refuse(signal.NoResources, "refused")
+	no := m.NewErrorReply(signal.InsufficientResources, "refused")
 	switch g.rule {
 	case 1:
 		c.Send(no, 0)
 		c.Send(no, 0)
 	case 2:
-		g.add(0, m.Term, 0)
-		g.add(1, m.Term, 1)
+		g.add(0, m.Termination, 0)
+		g.add(1, m.Termination, 1)
 	case 3, 4:
-		g.add(0, m.Term, 0)
+		g.add(0, m.Termination, 0)
 	case 5:
-		g.add(0, m.Term, 0)
+		g.add(0, m.Termination, 0)
 		time.Sleep(10 * time.Millisecond)
 		g.tx++
-		g.links[0].Send((&signal.Message{ID: g.tx, Context: 1, Command: signal.Subtract, Term: m.Term}).PutInt("Attempt", 0), 0)
+		g.links[0].Send((&signal.Message{ID: g.tx, Context: 1, Command: signal.Subtract, Termination: m.Termination}).PutInt("Attempt", 0), 0)
 		time.Sleep(10 * time.Millisecond)
-		g.add(1, m.Term, 1)
+		g.add(1, m.Termination, 1)
 	}
 	if g.rule != 1 {
 		time.Sleep(50 * time.Millisecond)
@@ -321,13 +321,13 @@
 				var n memnet.Net
 				w := capture.NewWriter(file, "controller 0", func() int64 { return time.Now().UnixNano() })
 				w.Fact("rules", capture.Rules{AnswerSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-					ReleaseWait: 300 * time.Millisecond, OverloadFactor: 2.5, OverloadFor: 3 * time.Second})
+					ReleaseTime: 300 * time.Millisecond, OverloadFactor: 2.5, OverloadDuration: 3 * time.Second})
 				if rule == 4 {
-					w.Fact("capacity", capture.Capacity{Exchange: 100, Cell: 1, PerS: 3, From: 0.3, Warm: 10 * time.Second, Since: 5})
+					w.Fact("capacity", capture.Capacity{ExchangeID: 100, ExchangeNumber: 1, SetUpsPerSecond: 3, InitialShare: 0.3, WarmUpTime: 10 * time.Second, Since: 5})
 				}
 				g := &rogue{rule: rule}
 				var conns []*transport.Conn[*signal.Message]
-				pair := func(e capture.Ends, near, far end) (*transport.Conn[*signal.Message], *transport.Conn[*signal.Message]) {
+				pair := func(e capture.Endpoint, near, far end) (*transport.Conn[*signal.Message], *transport.Conn[*signal.Message]) {
 					ln, err := n.Listen()
 					if err != nil {
 						t.Fatal(err)
@@ -340,27 +340,27 @@
 						t.Fatal(err)
 					}
 					<-got
-					x := transport.Start(a, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Tap: w.Open(transport.Key(a, true), e)}, near)
-					y := transport.Start(b, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, far)
+					x := transport.Start(a, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Tap: w.Open(transport.Key(a, true), e)}, near)
+					y := transport.Start(b, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, far)
 					conns = append(conns, x, y)
 					return x, y
 				}
 				for id := range uint64(2) {
-					x, _ := pair(capture.Ends{Owner: "controller 0", Role: "exchange", Peer: 100 + id, Dialed: true}, end{}, end{})
+					x, _ := pair(capture.Endpoint{Owner: "controller 0", Role: "exchange", Peer: 100 + id, Dialed: true}, end{}, end{})
 					g.links = append(g.links, x)
 				}
-				_, list := pair(capture.Ends{Owner: "controller 0", Role: "list", Dialed: true}, end{}, end{})
+				_, list := pair(capture.Endpoint{Owner: "controller 0", Role: "list", Dialed: true}, end{}, end{})
 				state := "in"
 				if rule == 3 {
 					state = "draining"
 				}
-				list.Send((&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).
+				list.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).
 					Put("Exchange", "100 cell=1 state="+state+" since=5 at=x:1"), 0)
 				time.Sleep(300 * time.Millisecond)
-				_, caller := pair(capture.Ends{Owner: "controller 0", Role: "caller"}, end{g.take}, end{})
+				_, caller := pair(capture.Endpoint{Owner: "controller 0", Role: "caller"}, end{g.take}, end{})
 				for i := range 40 {
-					m := &signal.Message{ID: uint32(i + 1), Context: signal.ContextChoose, Command: signal.Add, Term: fmt.Sprint("c", i)}
-					caller.Send(m.PutSpan("Left", 10*time.Second), time.Hour)
+					m := &signal.Message{ID: uint32(i + 1), Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprint("c", i)}
+					caller.Send(m.PutDuration("Left", 10*time.Second), time.Hour)
 				}
 				time.Sleep(8 * time.Second)
 				for _, c := range conns {
--- a/internal/audit/trace.go
+++ b/internal/audit/trace.go
@@ -12,15 +12,15 @@
 // between is the set-ups that a processor can do from a to b seconds after its start.
 func between(c capture.Capacity, a, b float64) float64 {
 	a = max(a, 0)
-	warm := c.Warm.Seconds()
+	warm := c.WarmUpTime.Seconds()
 	sum := func(t float64) float64 { // from the start to t
-		if warm <= 0 || c.From >= 1 {
+		if warm <= 0 || c.InitialShare >= 1 {
 			return t
 		}
 		x := min(t, warm)
-		return c.From*x + (1-c.From)*x*x/(2*warm) + max(t-warm, 0)
+		return c.InitialShare*x + (1-c.InitialShare)*x*x/(2*warm) + max(t-warm, 0)
 	}
-	return c.PerS * (sum(b) - sum(a))
+	return c.SetUpsPerSecond * (sum(b) - sum(a))
 }
 
 // Trace writes all that a capture tells of one call, as a person would read it:
@@ -48,7 +48,7 @@
 			continue
 		case r.msg.Kind == signal.Pending && pending[tx{r.key, r.msg.ID}]:
 			line = told(&r) + "Pending"
-		case mine(r.msg.Term):
+		case mine(r.msg.Termination):
 			if r.msg.Kind == signal.Request && r.msg.Command == signal.Add {
 				pending[tx{r.key, r.msg.ID}] = true
 			}
@@ -85,11 +85,11 @@
 	if m.Kind == signal.Reply {
 		b.WriteString("Reply to ")
 	}
-	fmt.Fprintf(&b, "%s %s", m.Command, m.Term)
+	fmt.Fprintf(&b, "%s %s", m.Command, m.Termination)
 	if m.Code != 0 {
 		fmt.Fprintf(&b, ": error %d %s", m.Code, m.Text)
 	}
-	for _, f := range m.Fields {
+	for _, f := range m.Descriptors {
 		fmt.Fprintf(&b, "; %s %s", f.Name, f.Value)
 	}
 	return b.String()
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -39,17 +39,17 @@
 
 // Record is one line of a capture.
 type Record struct {
-	_    struct{} `cbor:",toarray"`
-	At   int64    // nanoseconds of the machine's monotonic clock
-	Kind Kind
-	Conn uint64 // number of the connection in this file, from 1
-	Took int64  // Sent: nanoseconds until the system had taken it
-	Name string
-	Text []byte
+	_            struct{} `cbor:",toarray"`
+	At           int64    // nanoseconds of the machine's monotonic clock
+	Kind         Kind
+	Conn         uint64 // number of the connection in this file, from 1
+	SendDuration int64  // Sent: nanoseconds until the system had taken it
+	Name         string
+	Text         []byte
 }
 
-// Ends says who holds a connection.
-type Ends struct {
+// Endpoint says who holds a connection.
+type Endpoint struct {
 	Owner  string `json:"owner"`            // who writes this file, such as "controller 3"
 	Role   string `json:"role"`             // what the other end is: caller, exchange, list, controller
 	Peer   uint64 `json:"peer,omitempty"`   // exchange id, with role exchange
@@ -58,22 +58,22 @@
 
 // Rules are the figures by which a capture is judged.
 type Rules struct {
-	AnswerSlack    time.Duration `json:"answer_slack"`
-	DrainGrace     time.Duration `json:"drain_grace"`
-	ReleaseWait    time.Duration `json:"release_wait"`
-	OverloadFactor float64       `json:"overload_factor"`
-	OverloadFor    time.Duration `json:"overload_for"`
+	AnswerSlack      time.Duration `json:"answer_slack"`
+	DrainGrace       time.Duration `json:"drain_grace"`
+	ReleaseTime      time.Duration `json:"release_wait"`
+	OverloadFactor   float64       `json:"overload_factor"`
+	OverloadDuration time.Duration `json:"overload_for"`
 }
 
 // Capacity is what an exchange can do from its start on: set-ups a second when
 // warm, and how it gets there.
 type Capacity struct {
-	Exchange uint32        `json:"exchange"`
-	Cell     int           `json:"cell"`
-	PerS     float64       `json:"per_s"`
-	From     float64       `json:"from"`  // share of it at the start
-	Warm     time.Duration `json:"warm"`  // time until it has all; 0: at once
-	Since    int64         `json:"since"` // as the exchange list tells it
+	ExchangeID      uint32        `json:"exchange"`
+	ExchangeNumber  int           `json:"cell"`
+	SetUpsPerSecond float64       `json:"per_s"`
+	InitialShare    float64       `json:"from"`  // share of it at the start
+	WarmUpTime      time.Duration `json:"warm"`  // time until it has all; 0: at once
+	Since           int64         `json:"since"` // as the exchange list tells it
 }
 
 // Killed says that a controller's process was ended at once.
@@ -83,14 +83,14 @@
 
 // Trouble is one that a scenario made.
 type Trouble struct {
-	Kind  string        `json:"kind"`
-	What  string        `json:"what"`
-	For   time.Duration `json:"for"`
-	Ended bool          `json:"ended,omitempty"`
+	Kind        string        `json:"kind"`
+	Description string        `json:"what"`
+	Duration    time.Duration `json:"for"`
+	Ended       bool          `json:"ended,omitempty"`
 }
 
-// Clock returns the machine's monotonic clock, the same for all its processes.
-func Clock() func() int64 {
+// MonotonicClock returns the machine's monotonic clock, the same for all its processes.
+func MonotonicClock() func() int64 {
 	var ts unix.Timespec
 	start := time.Now()
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	w := NewWriter(f, who, Clock())
+	w := NewWriter(f, who, MonotonicClock())
 	w.stop, w.done = make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(w.done)
@@ -144,8 +144,8 @@
 	return w, nil
 }
 
-// CreateAt starts a file whose times are those of a clock that is handed in.
-func CreateAt(path, who string, clock func() int64) (*Writer, error) {
+// CreateWithClock starts a file whose times are those of a clock that is handed in.
+func CreateWithClock(path, who string, clock func() int64) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -226,28 +226,28 @@
 	return nil
 }
 
-// Tap is one end of one connection. A nil Tap keeps nothing.
-type Tap struct {
+// ConnRecorder is one end of one connection. A nil ConnRecorder keeps nothing.
+type ConnRecorder struct {
 	w    *Writer
 	conn uint64
 }
 
 // Open starts a connection; key is the same at both ends.
-func (w *Writer) Open(key string, e Ends) *Tap {
+func (w *Writer) Open(key string, e Endpoint) *ConnRecorder {
 	if w == nil {
 		return nil
 	}
 	b, _ := json.Marshal(e) // a struct of plain values
 	w.mu.Lock()
 	w.conns++
-	t := &Tap{w, w.conns}
+	t := &ConnRecorder{w, w.conns}
 	w.mu.Unlock()
 	w.put(Record{Kind: Opened, Conn: t.conn, Name: key, Text: b})
 	return t
 }
 
 // Now is the time for Sent, before the message is handed to the system.
-func (t *Tap) Now() int64 {
+func (t *ConnRecorder) Now() int64 {
 	if t == nil {
 		return 0
 	}
@@ -255,28 +255,28 @@
 }
 
 // Sent keeps a message that the system has taken.
-func (t *Tap) Sent(at int64, text []byte) {
+func (t *ConnRecorder) Sent(at int64, text []byte) {
 	if t != nil {
-		t.w.put(Record{At: at, Kind: Sent, Conn: t.conn, Took: t.w.clock() - at, Text: text})
+		t.w.put(Record{At: at, Kind: Sent, Conn: t.conn, SendDuration: t.w.clock() - at, Text: text})
 	}
 }
 
 // Received keeps a message that was read.
-func (t *Tap) Received(text []byte) {
+func (t *ConnRecorder) Received(text []byte) {
 	if t != nil {
 		t.w.put(Record{Kind: Received, Conn: t.conn, Text: text})
 	}
 }
 
 // Closed ends the connection.
-func (t *Tap) Closed(why string) {
+func (t *ConnRecorder) Closed(why string) {
 	if t != nil {
 		t.w.put(Record{Kind: Closed, Conn: t.conn, Text: []byte(why)})
 	}
 }
 
-// ErrTorn says that a file ends within a record, as after a kill: what came before is good.
-var ErrTorn = errors.New("ends within a record")
+// ErrTruncated says that a file ends within a record, as after a kill: what came before is good.
+var ErrTruncated = errors.New("ends within a record")
 
 // ReadFile hands out the records of one file in order.
 func ReadFile(path string, each func(Record)) error {
@@ -301,7 +301,7 @@
 			}
 			return nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			return fmt.Errorf("capture %s: record %d: %w", name, n, ErrTorn)
+			return fmt.Errorf("capture %s: record %d: %w", name, n, ErrTruncated)
 		case err != nil:
 			return fmt.Errorf("capture %s: record %d: %w", name, n, err)
 		case n == 1 && (rec.Kind != Header || string(rec.Text) != Format):
@@ -311,8 +311,8 @@
 	}
 }
 
-// Suffix of the files of a capture directory.
-const Suffix = ".cap"
+// FileSuffix of the files of a capture directory.
+const FileSuffix = ".cap"
 
 // Files lists the files of a capture: a directory's, or the one named.
 func Files(path string) ([]string, error) {
@@ -329,12 +329,12 @@
 	}
 	var files []string
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), Suffix) {
+		if strings.HasSuffix(e.Name(), FileSuffix) {
 			files = append(files, filepath.Join(path, e.Name()))
 		}
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("capture %s: holds no *%s file", path, Suffix)
+		return nil, fmt.Errorf("capture %s: holds no *%s file", path, FileSuffix)
 	}
 	return files, nil
 }
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -78,9 +78,9 @@
 	t.link.out[t.tx] = t
 	c.stats.Held++
 	t.link.held[t] = true
-	m := &signal.Message{ID: t.tx, Context: k.context, Command: signal.Add, Term: k.name, Fields: make([]signal.Field, 0, 9)}
+	m := &signal.Message{ID: t.tx, Context: k.context, Command: signal.Add, Termination: k.name, Descriptors: make([]signal.Field, 0, 9)}
 	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.Self).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
-	m.PutInt("Width", k.width).PutSpan("Left", k.due-c.now)
+	m.PutInt("Width", k.width).PutDuration("Left", k.due-c.now)
 	if k.number != "" {
 		m.Put("Number", k.number)
 	}
@@ -144,7 +144,7 @@
 	delete(t.link.out, t.tx)
 	t.tx = t.link.tx()
 	t.link.out[t.tx] = t
-	m := &signal.Message{ID: t.tx, Context: t.call.context, Command: signal.Subtract, Term: t.call.name}
+	m := &signal.Message{ID: t.tx, Context: t.call.context, Command: signal.Subtract, Termination: t.call.name}
 	m.PutInt("Attempt", t.n)
 	c.out = append(c.out, Effect{Do: Say, Peer: t.link.peer(), Msg: m, Recall: recall})
 	t.timer = c.timers.Set(again, timer{attempt: t})
@@ -226,7 +226,7 @@
 		return
 	}
 	t.stage = carrying
-	m := &signal.Message{Fields: make([]signal.Field, 0, 3)}
+	m := &signal.Message{Descriptors: make([]signal.Field, 0, 3)}
 	m.PutInt("Attempts", k.attempts)
 	if t.link.cell == k.dest {
 		m.Put("Via", "direct")
@@ -249,7 +249,7 @@
 	switch m.Kind {
 	case signal.Pending:
 		return
-	case signal.Fault:
+	case signal.ErrorMessage:
 		c.log(slog.LevelWarn, "", fmt.Sprintf("exchange %d says %d %s", l.id, m.Code, m.Text))
 		return
 	case signal.Request:
@@ -280,16 +280,16 @@
 func (c *Controller) noticed(l *link, m *signal.Message) {
 	switch {
 	case m.Command == signal.ServiceChange:
-		c.say(l.peer(), m.Answer())
+		c.say(l.peer(), m.NewReply())
 	case m.Command != signal.Notify:
-		c.say(l.peer(), m.Refuse(signal.BadCommand, "not a command for a controller"))
-	case m.Term == signal.Root:
-		c.say(l.peer(), m.Answer())
+		c.say(l.peer(), m.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
+	case m.Termination == signal.Root:
+		c.say(l.peer(), m.NewReply())
 		c.reported(m)
 	default:
-		c.say(l.peer(), m.Answer())
+		c.say(l.peer(), m.NewReply())
 		k := c.calls[contextID(m.Context)]
-		if k == nil || k.name != m.Term || k.att == nil || k.att.link != l {
+		if k == nil || k.name != m.Termination || k.att == nil || k.att.link != l {
 			return
 		}
 		o := brain.OK
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -19,7 +19,7 @@
 				ColdFrom: 0.3, ColdFor: 10 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second, MaxAttempts: 6, Cancelling: true,
 				Tick: time.Millisecond}))
 			r.list(0, 1)
-			r.in(Input{What: Command, Peer: exchangeNo(100), Msg: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+			r.in(Input{What: Command, Peer: exchangeNo(100), Msg: (&signal.Message{ID: 9, Command: signal.Notify, Termination: signal.Root}).
 				Put("Group", "1 1000000 1000000")})
 			n := 0
 			up := func() string {
@@ -31,7 +31,7 @@
 				if len(sets) != 1 {
 					b.Fatalf("call %d: %d set-ups", n, len(sets))
 				}
-				r.say(exchangeNo(101), sets[0].Answer())
+				r.say(exchangeNo(101), sets[0].NewReply())
 				return name
 			}
 			for range others {
@@ -40,9 +40,9 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				name := up()
-				out := r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name})
+				out := r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: name})
 				free := said(out, exchangeNo(101), signal.Request, signal.Subtract)
-				r.say(exchangeNo(101), free[0].Answer())
+				r.say(exchangeNo(101), free[0].NewReply())
 			}
 		})
 	}
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -81,7 +81,7 @@
 
 func (c *Controller) fromCaller(cl *caller, m *signal.Message) {
 	switch m.Kind {
-	case signal.Reply, signal.Pending, signal.Fault:
+	case signal.Reply, signal.Pending, signal.ErrorMessage:
 		return // callers answer notifications; nothing waits for it
 	}
 	if m.ID <= cl.last { // ids rise on a connection: this one was used
@@ -90,7 +90,7 @@
 			c.say(cl.peer, &signal.Message{Kind: signal.Pending, ID: m.ID})
 			return
 		}
-		c.say(cl.peer, &signal.Message{Kind: signal.Fault, Code: signal.BadIdentifier,
+		c.say(cl.peer, &signal.Message{Kind: signal.ErrorMessage, Code: signal.BadIdentifier,
 			Text: fmt.Sprintf("transaction %d was used before", m.ID)})
 		return
 	}
@@ -107,9 +107,9 @@
 	case signal.AuditValue:
 		c.say(cl.peer, c.figures(m))
 	case signal.ServiceChange:
-		c.say(cl.peer, m.Answer())
+		c.say(cl.peer, m.NewReply())
 	default:
-		c.say(cl.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.say(cl.peer, m.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 	}
 }
 
@@ -118,27 +118,27 @@
 func (c *Controller) take(cl *caller, m *signal.Message) *signal.Message {
 	switch {
 	case c.leaving:
-		return m.Refuse(signal.NotReady, "going out of service")
-	case cl.calls[m.Term] != nil:
-		return m.Refuse(signal.TermInContext, "the call is there already")
+		return m.NewErrorReply(signal.NotReady, "going out of service")
+	case cl.calls[m.Termination] != nil:
+		return m.NewErrorReply(signal.TerminationInContext, "the call is there already")
 	case len(cl.open) >= c.cfg.MostPerPeer:
-		return m.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(cl.open)))
+		return m.NewErrorReply(signal.TooManyPending, fmt.Sprintf("%d transactions are open", len(cl.open)))
 	case len(c.calls) >= c.cfg.MostCalls:
-		return m.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
+		return m.NewErrorReply(signal.InsufficientResources, fmt.Sprintf("%d calls are held", len(c.calls)))
 	}
 	k, e, err := c.readCall(m)
-	if errors.Is(err, signal.ErrMissing) {
-		return m.Refuse(signal.NoDescriptor, err.Error())
+	if errors.Is(err, signal.ErrMissingDescriptor) {
+		return m.NewErrorReply(signal.MissingDescriptor, err.Error())
 	} else if err != nil {
-		return m.Refuse(signal.BadValue, err.Error())
+		return m.NewErrorReply(signal.BadValue, err.Error())
 	}
 	for c.context++; c.context == 0 || c.context >= signal.ContextChoose || c.calls[contextID(c.context)] != nil; c.context++ {
 	}
 	k.context, k.id = c.context, contextID(c.context)
-	k.name, k.from, k.tx, k.taken = m.Term, cl, m.ID, c.now
+	k.name, k.from, k.tx, k.taken = m.Termination, cl, m.ID, c.now
 	k.due = c.now + e.Left
 	e.ID = k.id
-	cl.open[m.ID], cl.calls[m.Term], c.calls[k.id] = k, k, k
+	cl.open[m.ID], cl.calls[m.Termination], c.calls[k.id] = k, k, k
 	c.stats.Taken++
 	c.stats.Open++
 	c.feed(e)
@@ -161,13 +161,13 @@
 	}
 	k.class, e.Class = class, class
 	var err error
-	if e.Left, err = m.Span("Left"); err != nil {
+	if e.Left, err = m.Duration("Left"); err != nil {
 		return nil, e, err
 	}
 	if e.Dest, err = m.Int("Dest", 0, mostCell); err != nil {
 		return nil, e, err
 	}
-	if e.Width, err = m.IntOr("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
+	if e.Width, err = m.IntOrDefault("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
 		return nil, e, err
 	}
 	if k.number != "" {
@@ -180,7 +180,7 @@
 	if e.Transit = m.Get("Source") != ""; e.Transit {
 		name = "Source"
 	}
-	if e.Through, err = m.IntOr(name, 0, mostCell, -1); err != nil {
+	if e.Through, err = m.IntOrDefault(name, 0, mostCell, -1); err != nil {
 		return nil, e, err
 	}
 	e.Repeat, e.Again = m.Flag("Repeat"), m.Flag("Again")
@@ -194,12 +194,12 @@
 
 // subtract is a caller who hangs up: before the answer, or at the call's end.
 func (c *Controller) subtract(cl *caller, m *signal.Message) {
-	k := cl.calls[m.Term]
+	k := cl.calls[m.Termination]
 	if k == nil {
-		c.say(cl.peer, m.Refuse(signal.NoSuchTerm, "no such call"))
+		c.say(cl.peer, m.NewErrorReply(signal.UnknownTermination, "no such call"))
 		return
 	}
-	r := m.Answer()
+	r := m.NewReply()
 	r.Context = k.context
 	c.say(cl.peer, r)
 	c.hangUp(k)
@@ -213,7 +213,7 @@
 		k.state = over
 		c.callEnded(k, flow.Left)
 		c.feed(brain.CallGone{ID: k.id}) // what is out is called off before the answer is said
-		c.answer(k, &signal.Message{Code: signal.Gone, Text: "the caller left"})
+		c.answer(k, &signal.Message{Code: signal.DoesNotExist, Text: "the caller left"})
 		if k.att == nil || k.att.stage == freed {
 			c.forget(k)
 		}
@@ -231,7 +231,7 @@
 	if k.from == nil {
 		return
 	}
-	r.Kind, r.ID, r.Context, r.Command, r.Term = signal.Reply, k.tx, k.context, signal.Add, k.name
+	r.Kind, r.ID, r.Context, r.Command, r.Termination = signal.Reply, k.tx, k.context, signal.Add, k.name
 	c.say(k.from.peer, r)
 	delete(k.from.open, k.tx)
 	if r.Code != 0 {
@@ -244,8 +244,8 @@
 	if k.from == nil {
 		return
 	}
-	c.say(k.from.peer, &signal.Message{ID: k.from.tx(), Context: k.context, Command: signal.Notify, Term: k.name,
-		Fields: []signal.Field{{Name: "Event", Value: event}}})
+	c.say(k.from.peer, &signal.Message{ID: k.from.tx(), Context: k.context, Command: signal.Notify, Termination: k.name,
+		Descriptors: []signal.Field{{Name: "Event", Value: event}}})
 }
 
 // gone ends all calls of a caller whose connection is gone.
@@ -277,11 +277,11 @@
 
 // figures answers an audit: counts that a person or a load tool may ask for.
 func (c *Controller) figures(m *signal.Message) *signal.Message {
-	if m.Term == trafficTerm {
+	if m.Termination == trafficTerm {
 		return c.traffic(m)
 	}
 	s := c.stats
-	return m.Answer().PutInt("Open", s.Open).PutInt("Standing", s.Standing).PutInt("Held", s.Held).
+	return m.NewReply().PutInt("Open", s.Open).PutInt("Standing", s.Standing).PutInt("Held", s.Held).
 		PutInt("Taken", s.Taken).PutInt("Stood", s.Stood).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
 		PutInt("Left", s.Left).PutInt("Cut", s.Cut).PutInt("Turned", s.Turned).PutInt("NotTaken", s.NotTaken)
 }
@@ -296,11 +296,11 @@
 // pair by pair and class by class, those that offer most first.
 func (c *Controller) traffic(m *signal.Message) *signal.Message {
 	if c.cfg.Traffic == nil {
-		return m.Refuse(signal.BadValue, "traffic is not measured")
+		return m.NewErrorReply(signal.BadValue, "traffic is not measured")
 	}
 	all, from, to := c.cfg.Traffic.Estimates(c.now)
 	slices.SortStableFunc(all, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
-	r := m.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
+	r := m.NewReply().PutDuration("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
 	for _, e := range all[:min(len(all), trafficLines)] {
 		erlang := "unknown"
 		if e.Known {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -274,9 +274,9 @@
 		c.out = append(c.out, Effect{Do: Close, Peer: p, Text: "too many messages that can't be read"})
 		return
 	}
-	m := &signal.Message{Kind: signal.Fault, Code: bad.Code, Text: bad.What}
+	m := &signal.Message{Kind: signal.ErrorMessage, Code: bad.Code, Text: bad.Reason}
 	if bad.ID != 0 && p.Role == Caller && !c.caller(p.ID).openTx(bad.ID) {
-		m = &signal.Message{Kind: signal.Reply, ID: bad.ID, Command: signal.Add, Term: signal.Root, Code: bad.Code, Text: bad.What}
+		m = &signal.Message{Kind: signal.Reply, ID: bad.ID, Command: signal.Add, Termination: signal.Root, Code: bad.Code, Text: bad.Reason}
 		c.caller(p.ID).last = max(c.caller(p.ID).last, bad.ID)
 	}
 	c.say(p, m)
@@ -290,7 +290,7 @@
 	c.leaving = true
 	for _, k := range sorted(c.callers) {
 		c.say(Peer{Caller, k}, &signal.Message{ID: c.callers[k].tx(), Command: signal.ServiceChange,
-			Term: signal.Root, Fields: []signal.Field{{Name: "Method", Value: "graceful"}}})
+			Termination: signal.Root, Descriptors: []signal.Field{{Name: "Method", Value: "graceful"}}})
 	}
 	c.timers.Set(c.now+c.cfg.StandingLeft, timer{stand: true})
 	c.timers.Set(c.now+c.cfg.StandingLeft+stuckAfter, timer{stuck: true})
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -108,13 +108,13 @@
 func from(n uint64) Peer     { return Peer{Caller, n} }
 func exchangeNo(id int) Peer { return Peer{Exchange, uint64(id)} }
 func add(name string) *signal.Message {
-	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: name}).Put("Class", "fetch").
-		PutInt("Dest", 1).Put("Number", "77").PutSpan("Left", 4*time.Second)
+	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: name}).Put("Class", "fetch").
+		PutInt("Dest", 1).Put("Number", "77").PutDuration("Left", 4*time.Second)
 }
 
 // list tells the core of exchanges: number n has the id 100+n, state in, and its links come up.
 func (r *rig) list(cells ...int) {
-	m := &signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}
+	m := &signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}
 	m.PutFlag("Complete", true)
 	for _, n := range cells {
 		m.Put("Exchange", entry(100+n, n, "in"))
@@ -130,14 +130,14 @@
 }
 
 func (r *rig) word(id, cell int, state string) []Effect {
-	return r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+	return r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: (&signal.Message{ID: 9, Command: signal.Notify, Termination: signal.Root}).
 		Put("Exchange", entry(id, cell, state))})
 }
 
 // said picks the messages to a peer of a kind and command.
 func said(out []Effect, p Peer, k signal.Kind, c signal.Command) (all []*signal.Message) {
 	for _, e := range out {
-		if e.Do == Say && e.Peer == p && e.Msg.Kind == k && (e.Msg.Command == c || k == signal.Pending || k == signal.Fault) {
+		if e.Do == Say && e.Peer == p && e.Msg.Kind == k && (e.Msg.Command == c || k == signal.Pending || k == signal.ErrorMessage) {
 			all = append(all, e.Msg)
 		}
 	}
@@ -190,17 +190,17 @@
 		t.Fatalf("%s", set)
 	}
 	r.now += 50 * time.Millisecond
-	out = r.say(exchangeNo(101), set.Answer().Put("Group", "1 9 10"))
+	out = r.say(exchangeNo(101), set.NewReply().Put("Group", "1 9 10"))
 	if ok := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); ok.Code != 0 || ok.Get("Via") != "direct" || ok.Context != set.Context {
 		t.Fatalf("%s", ok)
 	}
-	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
+	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
 	one(t, "reply to the hang-up", said(out, from(1), signal.Reply, signal.Subtract))
 	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
 	if len(m.ended()) != 0 {
 		t.Fatal("the module is told before the exchange has let go")
 	}
-	r.say(exchangeNo(101), free.Answer())
+	r.say(exchangeNo(101), free.NewReply())
 	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OK || !e[0].Final {
 		t.Fatalf("%+v", e)
 	}
@@ -221,8 +221,8 @@
 				t.Fatalf("%d answers to nobody", n)
 			}
 		} else {
-			out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-			if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.Gone {
+			out = r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+			if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.DoesNotExist {
 				t.Fatalf("%s", a)
 			}
 		}
@@ -231,12 +231,12 @@
 			t.Fatalf("%+v", e)
 		}
 		// the answer crosses the withdrawal: it counts as late and moves nothing
-		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 || r.c.Stats().Late != 1 {
+		if out = r.say(exchangeNo(101), set.NewReply()); len(out) != 0 || r.c.Stats().Late != 1 {
 			t.Fatalf("%+v", out)
 		}
 		// the release is asked for again until it is answered
 		free := one(t, "repeat", said(r.pass(1100*time.Millisecond), exchangeNo(101), signal.Request, signal.Subtract))
-		r.say(exchangeNo(101), free.Answer())
+		r.say(exchangeNo(101), free.NewReply())
 		r.empty()
 		for _, e := range r.pass(10 * time.Second) {
 			if e.Do == Say && e.Msg.Command == signal.Add {
@@ -277,7 +277,7 @@
 	if !did(out, Fence, exchangeNo(101)) {
 		t.Fatal("no fence")
 	}
-	if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.NoResources {
+	if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.InsufficientResources {
 		t.Fatalf("%s", a)
 	}
 	r.in(Input{What: Up, Peer: exchangeNo(101)})
@@ -293,7 +293,7 @@
 		outcomes = append(outcomes, e.Outcome)
 	}
 	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.Reset, brain.NoConnect, brain.NoConnect}) {
-		t.Fatalf("%v (%s)", outcomes, sent.Term)
+		t.Fatalf("%v (%s)", outcomes, sent.Termination)
 	}
 	// back in service: the fence is lifted and set-ups leave
 	if !did(r.word(101, 1, "in"), Unfence, exchangeNo(101)) {
@@ -331,7 +331,7 @@
 	out = r.pass(1100 * time.Millisecond)
 	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
 	for range 2 {
-		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 {
+		if out = r.say(exchangeNo(101), set.NewReply()); len(out) != 0 {
 			t.Fatalf("a late answer moves %+v", out)
 		}
 	}
@@ -339,13 +339,13 @@
 		t.Fatalf("%+v", e)
 	}
 	out = r.in(Input{What: Command, Peer: from(1), Msg: again})
-	if f := said(out, from(1), signal.Fault, ""); len(f) != 1 || f[0].Code != signal.BadIdentifier || len(out) != 1 {
+	if f := said(out, from(1), signal.ErrorMessage, ""); len(f) != 1 || f[0].Code != signal.BadIdentifier || len(out) != 1 {
 		t.Fatalf("a closed id again: %+v", out)
 	}
 	if s := r.c.Stats(); s.Late != 2 || s.Doubled != 2 || s.Taken != 1 {
 		t.Fatalf("%+v", s)
 	}
-	if out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); one(t, "reply", said(out, from(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
+	if out = r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: "nobody"}); one(t, "reply", said(out, from(1), signal.Reply, signal.Subtract)).Code != signal.UnknownTermination {
 		t.Fatalf("%+v", out)
 	}
 }
@@ -389,9 +389,9 @@
 		t.Fatalf("%+v", m.told)
 	}
 	one(t, "set-up", said(out, exchangeNo(101), signal.Request, signal.Add))
-	out = r.say(from(7), &signal.Message{Command: signal.Subtract, Term: "c3-1/3.0"})
+	out = r.say(from(7), &signal.Message{Command: signal.Subtract, Termination: "c3-1/3.0"})
 	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	r.say(exchangeNo(101), free.Answer())
+	r.say(exchangeNo(101), free.NewReply())
 	r.empty()
 }
 
@@ -400,7 +400,7 @@
 	r.list(0, 1)
 	closed := 0
 	for n := range 100 {
-		out := r.in(Input{What: Garbled, Peer: from(5), Bad: signal.SyntaxError{ID: uint32(n), Code: signal.BadCommand, What: "no command"}})
+		out := r.in(Input{What: Garbled, Peer: from(5), Bad: signal.SyntaxError{ID: uint32(n), Code: signal.UnknownCommand, Reason: "no command"}})
 		switch {
 		case did(out, Close, from(5)):
 			closed++
@@ -412,7 +412,7 @@
 		t.Fatalf("closed %d times", closed)
 	}
 	// others are heard all the while
-	if r.say(from(6), &signal.Message{Command: signal.AuditValue, Term: signal.Root}); len(r.out) != 1 {
+	if r.say(from(6), &signal.Message{Command: signal.AuditValue, Termination: signal.Root}); len(r.out) != 1 {
 		t.Fatalf("%+v", r.out)
 	}
 }
@@ -421,7 +421,7 @@
 // transit not at all; without a measurement it says so.
 func TestTrafficIsTold(t *testing.T) {
 	r := newRig(t, &script{on: sendTo(101, 3*time.Second)})
-	ask := &signal.Message{Command: signal.AuditValue, Term: trafficTerm}
+	ask := &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}
 	if a := one(t, "answer", said(r.say(from(1), ask), from(1), signal.Reply, signal.AuditValue)); a.Code != signal.BadValue {
 		t.Fatalf("%s", a)
 	}
@@ -429,20 +429,20 @@
 	r.list(0, 1)
 	for i := range 61 { // a call each 10 s that stands for 5: half an erlang
 		m := add(fmt.Sprint("c", i))
-		m.Fields[2].Value = fmt.Sprint(1000 + i)
+		m.Descriptors[2].Value = fmt.Sprint(1000 + i)
 		set := one(t, "set-up", said(r.say(from(1), m), exchangeNo(101), signal.Request, signal.Add))
-		r.say(exchangeNo(101), set.Answer())
+		r.say(exchangeNo(101), set.NewReply())
 		r.pass(5 * time.Second)
-		sub := one(t, "release", said(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: m.Term}), exchangeNo(101), signal.Request, signal.Subtract))
-		r.say(exchangeNo(101), sub.Answer())
+		sub := one(t, "release", said(r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: m.Termination}), exchangeNo(101), signal.Request, signal.Subtract))
+		r.say(exchangeNo(101), sub.NewReply())
 		r.pass(5 * time.Second)
 		for _, e := range r.out { // signs of life keep the links up
 			if e.Do == Say && e.Msg.Command == signal.AuditValue && e.Msg.Kind == signal.Request {
-				r.say(e.Peer, e.Msg.Answer())
+				r.say(e.Peer, e.Msg.NewReply())
 			}
 		}
 	}
-	a := one(t, "answer", said(r.say(from(1), &signal.Message{Command: signal.AuditValue, Term: trafficTerm}), from(1), signal.Reply, signal.AuditValue))
+	a := one(t, "answer", said(r.say(from(1), &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}), from(1), signal.Reply, signal.AuditValue))
 	var dest, tries, first, lost int
 	var class string
 	var erlang, low, high float64
@@ -460,7 +460,7 @@
 	for n := range 10000 {
 		r.say(from(1), add(fmt.Sprint("c", n)))
 	}
-	if a := one(t, "refusal", said(r.say(from(1), add("more")), from(1), signal.Reply, signal.Add)); a.Code != signal.TooManyOpen || a.Get("Taken") != "no" {
+	if a := one(t, "refusal", said(r.say(from(1), add("more")), from(1), signal.Reply, signal.Add)); a.Code != signal.TooManyPending || a.Get("Taken") != "no" {
 		t.Fatalf("%s", a)
 	}
 	if s := r.c.Stats(); s.Taken != 10000 || s.NotTaken != 1 {
@@ -475,11 +475,11 @@
 	m := &script{}
 	r := newRig(t, m)
 	cases := map[string]*signal.Message{
-		"Class":  {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
-		"Left":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
-		"Dest":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
+		"Class":  {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
+		"Left":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
+		"Dest":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
 		"Width":  add("a").Put("Width", "0"),
-		"Number": {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
+		"Number": {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
 		"Source": add("a").Put("Source", "x"),
 	}
 	for place, a := range cases {
@@ -502,21 +502,21 @@
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
 	r.in(Input{What: Down, Peer: Peer{Role: List}})
-	r.say(exchangeNo(101), set.Answer()) // the last list stays in force
+	r.say(exchangeNo(101), set.NewReply()) // the last list stays in force
 	r.in(Input{What: Up, Peer: Peer{Role: List}})
-	w := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
+	w := (&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Complete", "yes").
 		Put("Exchange", entry(200, 0, "in")).Put("Exchange", entry(201, 1, "in"))
 	out = r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: w})
 	if !did(out, Dial, exchangeNo(201)) || !did(out, Fence, exchangeNo(101)) || did(out, HangUp, exchangeNo(101)) {
 		t.Fatalf("%+v", out)
 	}
 	// the call that stands at the old one ends there; then its link is dropped
-	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-	out = r.say(exchangeNo(101), one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract)).Answer())
+	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+	out = r.say(exchangeNo(101), one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract)).NewReply())
 	if !did(out, HangUp, exchangeNo(101)) || r.c.links[101] != nil {
 		t.Fatal("the old link is kept")
 	}
-	bad := (&signal.Message{ID: 2, Command: signal.Notify, Term: signal.Root}).Put("Exchange", "7 cell=x")
+	bad := (&signal.Message{ID: 2, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", "7 cell=x")
 	if a := one(t, "error", said(r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: bad}), Peer{Role: List}, signal.Reply, signal.Notify)); a.Code != signal.BadValue {
 		t.Fatalf("%s", a)
 	}
@@ -540,20 +540,20 @@
 	r := newRig(t, m)
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("stands")), exchangeNo(101), signal.Request, signal.Add))
-	r.say(exchangeNo(101), set.Answer())
+	r.say(exchangeNo(101), set.NewReply())
 	out := one(t, "set-up", said(r.say(from(1), add("out")), exchangeNo(101), signal.Request, signal.Add))
 	r.in(Input{What: Leave})
 	if a := one(t, "refusal", said(r.say(from(1), add("new")), from(1), signal.Reply, signal.Add)); a.Code != signal.NotReady || a.Get("Taken") != "no" {
 		t.Fatalf("%s", a)
 	}
-	r.say(exchangeNo(101), out.Refuse(signal.NoResources, "").Put("Note", "processor-full"))
+	r.say(exchangeNo(101), out.NewErrorReply(signal.InsufficientResources, "").Put("Note", "processor-full"))
 	all := r.pass(2100 * time.Millisecond)
 	n := one(t, "notice", said(all, from(1), signal.Request, signal.Notify))
 	if n.Get("Event") != "cut" {
 		t.Fatalf("%s", n)
 	}
 	free := one(t, "release", said(all, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
+	if !did(r.say(exchangeNo(101), free.NewReply()), Left, Peer{}) {
 		t.Fatal("does not leave")
 	}
 	r.empty()
@@ -574,11 +574,11 @@
 	set := one(t, "set-up", said(r.say(from(1), add("late")), exchangeNo(101), signal.Request, signal.Add))
 	r.in(Input{What: Leave})
 	r.pass(2500 * time.Millisecond)
-	r.say(exchangeNo(101), set.Answer())
+	r.say(exchangeNo(101), set.NewReply())
 	out := r.pass(300 * time.Millisecond)
 	one(t, "notice", said(out, from(1), signal.Request, signal.Notify))
 	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
+	if !did(r.say(exchangeNo(101), free.NewReply()), Left, Peer{}) {
 		t.Fatal("does not leave")
 	}
 	r.empty()
@@ -619,7 +619,7 @@
 		t.Fatalf("%s", a)
 	}
 	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	r.say(exchangeNo(101), free.Answer())
+	r.say(exchangeNo(101), free.NewReply())
 	if e := m.ended(); len(e) != 1 || !e[0].Final {
 		t.Fatalf("told %+v, want one end", e)
 	}
@@ -632,9 +632,9 @@
 	r := newRig(t, m)
 	r.list(0, 1)
 	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	r.say(exchangeNo(101), set.Answer())
+	r.say(exchangeNo(101), set.NewReply())
 	out := r.in(Input{What: Down, Peer: exchangeNo(101)})
-	if n := one(t, "notice", said(out, from(1), signal.Request, signal.Notify)); n.Get("Event") != "cut" || n.Term != "a" {
+	if n := one(t, "notice", said(out, from(1), signal.Request, signal.Notify)); n.Get("Event") != "cut" || n.Termination != "a" {
 		t.Fatalf("%s", n)
 	}
 	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.Reset || !e[0].Final {
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -33,9 +33,9 @@
 		if k := c.openCall(a.ID); k != nil {
 			c.stats.Refused++
 			c.callEnded(k, flow.Refused)
-			m := &signal.Message{Code: signal.NoResources, Text: "refused"}
+			m := &signal.Message{Code: signal.InsufficientResources, Text: "refused"}
 			if a.Backoff > 0 {
-				m.PutSpan("Backoff", a.Backoff)
+				m.PutDuration("Backoff", a.Backoff)
 			}
 			c.finish(k, m)
 		}
@@ -130,9 +130,9 @@
 		return n.outcome
 	}
 	switch m.Code {
-	case signal.NotReady, signal.Unavailable, signal.TooManyOpen, signal.InService:
+	case signal.NotReady, signal.Unavailable, signal.TooManyPending, signal.ServiceStateChanging:
 		return brain.NoConnect
-	case signal.NoResources:
+	case signal.InsufficientResources:
 		return brain.Full
 	}
 	return brain.Failed
@@ -142,7 +142,7 @@
 const waitMost = time.Minute
 
 func note(m *signal.Message) (brain.Note, time.Duration) {
-	wait, err := m.Span("Wait")
+	wait, err := m.Duration("Wait")
 	if err != nil {
 		wait = 0
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -66,7 +66,7 @@
 	li.up, li.heard, li.asked = true, c.now, 0
 	li.round++
 	li.txs++
-	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Term: signal.Root}
+	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Termination: signal.Root}
 	m.Put("Method", "restart").PutInt("Controller", c.cfg.Number).PutInt("From", c.cfg.Self)
 	c.say(p, m)
 	li.txs++
@@ -74,7 +74,7 @@
 	if p.Role == List {
 		events = "list"
 	}
-	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
+	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Termination: signal.Root}).Put("Events", events))
 	c.look(li)
 	if p.Role == Exchange {
 		l := c.links[p.ID]
@@ -144,7 +144,7 @@
 	if ask {
 		li.asked = c.now
 		li.txs++
-		c.say(li.peer, &signal.Message{ID: li.txs, Command: signal.AuditValue, Term: signal.Root})
+		c.say(li.peer, &signal.Message{ID: li.txs, Command: signal.AuditValue, Termination: signal.Root})
 	}
 	c.timers.Set(again, timer{link: li, round: li.round})
 }
@@ -167,16 +167,16 @@
 		return
 	}
 	if m.Command != signal.Notify {
-		c.say(c.listUp.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.say(c.listUp.peer, m.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 		return
 	}
 	word, addrs, err := c.readList(m)
 	if err != nil {
 		c.log(slog.LevelError, "", "the exchange list: "+err.Error())
-		c.say(c.listUp.peer, m.Refuse(signal.BadValue, err.Error()))
+		c.say(c.listUp.peer, m.NewErrorReply(signal.BadValue, err.Error()))
 		return
 	}
-	c.say(c.listUp.peer, m.Answer())
+	c.say(c.listUp.peer, m.NewReply())
 	named := map[uint64]bool{}
 	for i, e := range word.Entries {
 		named[uint64(e.ID)] = true
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -51,30 +51,30 @@
 		m := e.Msg
 		switch {
 		case e.Peer.Role == Caller && m.Kind == signal.Reply && m.Command == signal.Add:
-			if w.answered[m.Term]++; w.answered[m.Term] > 1 {
-				w.t.Fatalf("call %s is answered twice", m.Term)
+			if w.answered[m.Termination]++; w.answered[m.Termination] > 1 {
+				w.t.Fatalf("call %s is answered twice", m.Termination)
 			}
-			w.stands[m.Term] = m.Code == 0
+			w.stands[m.Termination] = m.Code == 0
 		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Add:
 			switch {
-			case w.answered[m.Term] > 0 || w.left[m.Term]:
-				w.t.Fatalf("call %s is sent after its end", m.Term)
-			case w.out[m.Term] != 0:
-				w.t.Fatalf("call %s has two attempts out", m.Term)
+			case w.answered[m.Termination] > 0 || w.left[m.Termination]:
+				w.t.Fatalf("call %s is sent after its end", m.Termination)
+			case w.out[m.Termination] != 0:
+				w.t.Fatalf("call %s has two attempts out", m.Termination)
 			case w.fenced[id]:
-				w.t.Fatalf("call %s is sent to %d, which drains", m.Term, id)
+				w.t.Fatalf("call %s is sent to %d, which drains", m.Termination, id)
 			case !w.up[id]:
-				w.t.Fatalf("call %s is sent over a link that is down", m.Term)
-			case w.r.now < w.blocked[m.Term]:
-				w.t.Fatalf("call %s is sent %v before the release time", m.Term, w.blocked[m.Term]-w.r.now)
+				w.t.Fatalf("call %s is sent over a link that is down", m.Termination)
+			case w.r.now < w.blocked[m.Termination]:
+				w.t.Fatalf("call %s is sent %v before the release time", m.Termination, w.blocked[m.Termination]-w.r.now)
 			case e.NotAfter <= w.r.now:
-				w.t.Fatalf("call %s is sent with no time", m.Term)
+				w.t.Fatalf("call %s is sent with no time", m.Termination)
 			}
-			w.out[m.Term] = id
+			w.out[m.Termination] = id
 			w.adds[id][m.ID] = m
 		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Subtract:
-			if w.out[m.Term] == id {
-				w.end(m.Term, true)
+			if w.out[m.Termination] == id {
+				w.end(m.Termination, true)
 			}
 			w.subs[id] = append(w.subs[id], m)
 		}
@@ -94,8 +94,8 @@
 	}
 	w.up[id] = false
 	for _, m := range w.adds[id] {
-		if w.out[m.Term] == id {
-			w.end(m.Term, true)
+		if w.out[m.Termination] == id {
+			w.end(m.Termination, true)
 		}
 	}
 	w.adds[id], w.subs[id] = map[uint32]*signal.Message{}, nil
@@ -122,7 +122,7 @@
 			w.up[id], w.adds[id] = true, map[uint32]*signal.Message{}
 		}
 		groups := func(free ...int) {
-			m := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
+			m := &signal.Message{ID: 50, Command: signal.Notify, Termination: signal.Root}
 			for i, f := range free {
 				m.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
 			}
@@ -136,9 +136,9 @@
 			case 0, 1, 2:
 				name := fmt.Sprint("c", len(calls))
 				calls = append(calls, name)
-				m := &signal.Message{Command: signal.Add, Term: name}
+				m := &signal.Message{Command: signal.Add, Termination: name}
 				m.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
-				m.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
+				m.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutDuration("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
 				if rapid.Bool().Draw(t, "transit") {
 					m.PutInt("Source", 9)
 				}
@@ -147,7 +147,7 @@
 				if len(calls) > 0 {
 					name := rapid.SampledFrom(calls).Draw(t, "hangs up")
 					w.left[name] = true
-					w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+					w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 				}
 			case 4, 5:
 				w.answerOne(t, id, rapid.SampledFrom(append(notes, "", "", "", "")).Draw(t, "note"))
@@ -155,7 +155,7 @@
 				if n := len(w.subs[id]); n > 0 {
 					m := w.subs[id][n-1]
 					w.subs[id] = w.subs[id][:n-1]
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.NewReply()}))
 				}
 			case 7:
 				if w.up[id] {
@@ -180,7 +180,7 @@
 			}
 			if w.stands[name] && !w.left[name] {
 				w.left[name] = true
-				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 			}
 		}
 		for round := 0; r.c.Stats().Held > 0; round++ {
@@ -189,7 +189,7 @@
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
 				for _, m := range w.subs[id] {
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.NewReply()}))
 				}
 				w.subs[id] = nil
 			}
@@ -242,13 +242,13 @@
 		return
 	}
 	delete(w.adds[id], oldest.ID)
-	a := oldest.Answer()
+	a := oldest.NewReply()
 	if note != "" {
-		a = oldest.Refuse(signal.NoResources, note).Put("Note", note)
+		a = oldest.NewErrorReply(signal.InsufficientResources, note).Put("Note", note)
 	}
-	if w.out[oldest.Term] == id {
-		if w.end(oldest.Term, note == "cut"); note == "" {
-			delete(w.blocked, oldest.Term)
+	if w.out[oldest.Termination] == id {
+		if w.end(oldest.Termination, note == "cut"); note == "" {
+			delete(w.blocked, oldest.Termination)
 		}
 	}
 	w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: a}))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	dialer := net.Dialer{Timeout: set.Peers.Dial}
+	dialer := net.Dialer{Timeout: set.Peers.DialTimeout}
 	var sink flow.Sink
 	var exporter *export.Exporter
 	if len(set.Flows.Collectors) > 0 {
@@ -174,7 +174,7 @@
 func (d *Daemon) Serve(ctx context.Context) {
 	// The edges outlive ctx until the core has left.
 	edges, stop := context.WithCancel(context.WithoutCancel(ctx))
-	d.keep(edges, controller.Peer{Role: controller.List}, d.set.List)
+	d.keep(edges, controller.Peer{Role: controller.List}, d.set.ListAddress)
 	d.wg.Go(func() { d.accept() })
 	loop := make(chan struct{})
 	go func() {
@@ -310,9 +310,9 @@
 	return nil
 }
 
-func (d *Daemon) options(tap *capture.Tap) transport.Options[*signal.Message] {
-	return transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{Line: d.set.Limits.Line, Block: d.set.Limits.Block}),
-		Outbox: guard.Outbox{Most: d.set.Limits.Outbox}, Write: d.set.Peers.Write, Grace: d.set.Rules.DrainGrace,
+func (d *Daemon) options(tap *capture.ConnRecorder) transport.Options[*signal.Message] {
+	return transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{MaxLineBytes: d.set.Limits.LineBytes, MaxMessageBytes: d.set.Limits.MessageBytes}),
+		Outbox: guard.Outbox{Most: d.set.Limits.Outbox}, Write: d.set.Peers.WriteTimeout, Grace: d.set.Rules.DrainGrace,
 		Tap: tap, Now: d.now}
 }
 
@@ -343,7 +343,7 @@
 		d.inbox.put(guard.Answer, controller.Input{What: controller.Up, Peer: p})
 		up := make(chan struct{})
 		close(up)
-		tap := d.capture.Open(transport.Key(nc, false), capture.Ends{Owner: Owner(d.set.Number), Role: "caller"})
+		tap := d.capture.Open(transport.Key(nc, false), capture.Endpoint{Owner: Owner(d.set.Number), Role: "caller"})
 		d.mu.Lock()
 		d.callers[id] = transport.Start(nc, d.options(tap), &edge{d, p, up})
 		d.mu.Unlock()
@@ -363,7 +363,7 @@
 		return
 	}
 	if m.Kind == signal.Request && m.Command == signal.Add { // shed: it was not taken
-		c.Send(m.Refuse(signal.NoResources, "the controller can't keep up").Put("Taken", "no"), 0)
+		c.Send(m.NewErrorReply(signal.InsufficientResources, "the controller can't keep up").Put("Taken", "no"), 0)
 	}
 }
 
@@ -454,14 +454,14 @@
 func (k *keeper) run(ctx context.Context, addr string) {
 	d := k.d
 	// jitter only: no decision rests on these numbers
-	retry := guard.Retry{Least: d.set.Peers.RetryFrom, Most: d.set.Peers.RetryMost,
+	retry := guard.Retry{Least: d.set.Peers.MinRetryDelay, Most: d.set.Peers.MaxRetryDelay,
 		Random: rand.New(rand.NewPCG(d.set.Seed, uint64(d.set.Number)<<32^k.peer.ID))}
 	for n := 1; ctx.Err() == nil; n++ {
 		nc, err := d.net.Dial(ctx, addr)
 		if err == nil {
 			began := time.Now()
 			k.hold(ctx, nc)
-			if time.Since(began) > d.set.Peers.RetryMost {
+			if time.Since(began) > d.set.Peers.MaxRetryDelay {
 				n = 1
 			}
 		} else if ctx.Err() == nil {
@@ -477,7 +477,7 @@
 // hold serves one connection until it is over.
 func (k *keeper) hold(ctx context.Context, nc net.Conn) {
 	d := k.d
-	tap := d.capture.Open(transport.Key(nc, true), capture.Ends{Owner: Owner(d.set.Number), Role: k.peer.Role.String(),
+	tap := d.capture.Open(transport.Key(nc, true), capture.Endpoint{Owner: Owner(d.set.Number), Role: k.peer.Role.String(),
 		Peer: k.peer.ID, Dialed: true})
 	up := make(chan struct{})
 	k.mu.Lock()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -34,7 +34,7 @@
 			s := *scenario(t, "bad-day")
 			// ample circuits and quiet processors: what slows the others is the stalled one
 			s.Seed, s.Length, s.Troubles, s.Fleet.Exchanges, s.Load.Level = seed, 32*time.Second, troubles, 5, 0.6
-			s.Fleet.Spare, s.Fleet.Missed, s.Fleet.Drift, s.Load.Swing = 3, 0, 0, 0
+			s.Fleet.SpareFactor, s.Fleet.ForecastError, s.Fleet.DriftPeriod, s.Load.Swing = 3, 0, 0, 0
 			d := &day{scn: &s, policy: "brain"}
 			r, res := d.play(t)
 			kept(t, r, res, d)
@@ -49,7 +49,7 @@
 			})
 			return took
 		}
-		with = append(with, play(settings.Trouble{Kind: "stalled-reader", At: time.Second, For: 30 * time.Second, Size: 0.01})...)
+		with = append(with, play(settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})...)
 		without = append(without, play()...)
 	}
 	p99 := func(all []time.Duration) time.Duration {
@@ -90,7 +90,7 @@
 	scn := scenario(t, "bad-day")
 	set := scn.Controller(0, "127.0.0.1:1") // nobody listens there
 	set.Listen = "127.0.0.1:0"
-	set.Defaults()
+	set.SetDefaults()
 	ctx, stop := context.WithCancel(t.Context())
 	var log syncBuffer
 	ended := make(chan error, 1)
@@ -127,15 +127,15 @@
 		}
 	}
 	say("Transaction=1 Context=$ Add=a\nClass: fetch\nDest: 1\nLeft: 3s")
-	if m := hear(); m.ID != 1 || m.Code != signal.NoResources || m.Get("Verdict") == "" {
+	if m := hear(); m.ID != 1 || m.Code != signal.InsufficientResources || m.Get("Verdict") == "" {
 		t.Fatalf("%s", m)
 	}
 	say("Transaction=2 Context=$ Frob=a")
-	if m := hear(); m.ID != 2 || m.Code != signal.BadCommand {
+	if m := hear(); m.ID != 2 || m.Code != signal.UnknownCommand {
 		t.Fatalf("%s", m)
 	}
 	say("nonsense")
-	if m := hear(); m.Kind != signal.Fault || m.Code != signal.BadSyntax {
+	if m := hear(); m.Kind != signal.ErrorMessage || m.Code != signal.BadSyntax {
 		t.Fatalf("%s", m)
 	}
 	say("Transaction=3 Context=- AuditValue=ROOT")
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -68,7 +68,7 @@
 		for cell := range d.scn.Fleet.Exchanges {
 			set := d.scn.Controller(cell, wd.ListAddr())
 			set.Policy = d.policy
-			set.Defaults()
+			set.SetDefaults()
 			if d.change != nil {
 				d.change(set)
 			}
--- a/internal/daemon/flows.go
+++ b/internal/daemon/flows.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg := export.Config{Copies: f.Mode == "copies", Ring: f.Ring, Queue: f.Queue, Replay: f.Replay, Interval: f.Interval,
-		Confirm: f.Confirm, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
+	cfg := export.Config{Copies: f.Mode == "copies", Ring: f.RingCapacity, Queue: f.QueueCapacity, Replay: f.ReplayRate, Interval: f.SummaryInterval,
+		Confirm: f.ConfirmAfter, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
 	var classes []string
 	for _, c := range set.Classes {
 		classes = append(classes, c.Name)
@@ -40,12 +40,12 @@
 		}
 		cfg.Collectors = append(cfg.Collectors, export.Collector{Address: c.Address, Transport: c.Transport, Protocol: p, MTU: c.MTU})
 		if c.Transport == "tls" {
-			if dialers[c.Address], err = export.NewTLS(c.CA, c.Cert, c.Key, c.Name, log); err != nil {
+			if dialers[c.Address], err = export.NewTLS(c.CA, c.Cert, c.Key, c.ServerName, log); err != nil {
 				return nil, fmt.Errorf("flows: collector %s: %w", c.Address, err)
 			}
 		}
 	}
-	dialer := net.Dialer{Timeout: set.Peers.Dial}
+	dialer := net.Dialer{Timeout: set.Peers.DialTimeout}
 	cfg.Dial = func(ctx context.Context, c export.Collector) (net.Conn, error) {
 		if t := dialers[c.Address]; t != nil {
 			return t.Dial(ctx, &dialer, c.Address)
@@ -57,18 +57,18 @@
 		return dialer.DialContext(ctx, network, c.Address)
 	}
 	codec := flow.NewCodec(uint32(set.Number), uint64(time.Now().UnixMilli()), classes, key)
-	if f.Spool != "" {
+	if f.SpoolDirectory != "" {
 		lanes := 1
 		if cfg.Copies {
 			lanes = len(f.Collectors)
 		}
 		for i := range lanes {
-			dir, err := spool.MakeDir(filepath.Join(f.Spool, fmt.Sprint("lane-", i)))
+			dir, err := spool.MakeDir(filepath.Join(f.SpoolDirectory, fmt.Sprint("lane-", i)))
 			if err != nil {
 				return nil, err
 			}
-			s, err := spool.Open(dir, spool.Config{Most: f.SpoolMost, Segment: min(max(f.SpoolMost/16, 64<<10), 8<<20),
-				Age: f.SpoolAge, Sync: time.Second}, codec)
+			s, err := spool.Open(dir, spool.Config{Most: f.MaxSpoolBytes, Segment: min(max(f.MaxSpoolBytes/16, 64<<10), 8<<20),
+				Age: f.MaxSpoolAge, Sync: time.Second}, codec)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -78,7 +78,7 @@
 // kindOf tells what the loss of an input would cost.
 func kindOf(in controller.Input) guard.Kind {
 	switch {
-	case in.What != controller.Command || in.Msg.Ends():
+	case in.What != controller.Command || in.Msg.FreesResources():
 		return guard.Answer
 	case in.Peer.Role == controller.Caller && in.Msg.Command == signal.Add:
 		return guard.NewCall
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -59,12 +59,12 @@
 		m    signal.Message
 		want guard.Kind
 	}{
-		{caller, signal.Message{Command: signal.Add, Term: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Answer},
-		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.Word},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.Word},
+		{caller, signal.Message{Command: signal.Add, Termination: "a"}, guard.NewCall},
+		{caller, signal.Message{Command: signal.Subtract, Termination: "a"}, guard.Answer},
+		{caller, signal.Message{Command: signal.AuditValue, Termination: signal.Root}, guard.Word},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Termination: "a"}, guard.Answer},
+		{exchange, signal.Message{Command: signal.Notify, Termination: "a"}, guard.Answer},
+		{exchange, signal.Message{Command: signal.Notify, Termination: signal.Root}, guard.Word},
 	} {
 		if got := kindOf(controller.Input{What: controller.Command, Peer: c.p, Msg: &c.m}); got != c.want {
 			t.Errorf("%s of a %s: %d, want %d", &c.m, c.p.Role, got, c.want)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -77,7 +77,7 @@
 func Run(ctx context.Context, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := capture.Create(filepath.Join(o.Dir, "stand-ins"+capture.Suffix), "stand-ins")
+	w, err := capture.Create(filepath.Join(o.Dir, "stand-ins"+capture.FileSuffix), "stand-ins")
 	if err != nil {
 		return nil, err
 	}
@@ -214,10 +214,10 @@
 	set := f.o.Scenario.Controller(cell, f.list)
 	set.Seed += uint64(p.runs) << 32
 	set.Listen, set.Policy = "fd:3", f.o.Policy
-	set.Capture.File = base + capture.Suffix
+	set.Capture.File = base + capture.FileSuffix
 	if f.collector != "" {
-		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collector}}, Interval: 2 * time.Second,
-			Confirm: 5 * time.Second, Spool: filepath.Join(f.o.Dir, fmt.Sprint("spool-", cell))}
+		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collector}}, SummaryInterval: 2 * time.Second,
+			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.o.Dir, fmt.Sprint("spool-", cell))}
 	}
 	out, err := os.Create(base + ".xml")
 	if err != nil {
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -18,8 +18,8 @@
 	lives := map[string]int{}
 	day, err := virtual.Run(o.Scenario, virtual.Options{Policy: o.Policy, Capture: func(who string, now func() int64) *capture.Writer {
 		lives[who]++
-		name := fmt.Sprintf("%s.%d%s", strings.ReplaceAll(who, " ", "-"), lives[who], capture.Suffix)
-		w, err := capture.CreateAt(filepath.Join(o.Dir, name), who, now)
+		name := fmt.Sprintf("%s.%d%s", strings.ReplaceAll(who, " ", "-"), lives[who], capture.FileSuffix)
+		w, err := capture.CreateWithClock(filepath.Join(o.Dir, name), who, now)
 		failed = errors.Join(failed, err)
 		return w
 	}})
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %v", n, err)
 		}
-		switch e.What {
+		switch e.Type {
 		case "Clock":
 			if open {
 				return fmt.Errorf("line %d: Clock within a batch", n)
@@ -63,7 +63,7 @@
 				return fmt.Errorf("line %d: End without Clock", n)
 			}
 			open = false
-			if err := h.out.Encode(wire.Action{What: "Finished"}); err != nil {
+			if err := h.out.Encode(wire.Action{Type: "Finished"}); err != nil {
 				return err
 			}
 			if err := w.Flush(); err != nil {
@@ -72,23 +72,23 @@
 			continue
 		}
 		if !open {
-			return fmt.Errorf("line %d: %s outside a batch", n, e.What)
+			return fmt.Errorf("line %d: %s outside a batch", n, e.Type)
 		}
 		if err := h.event(e); err != nil {
-			return fmt.Errorf("line %d: %s: %v", n, e.What, err)
+			return fmt.Errorf("line %d: %s: %v", n, e.Type, err)
 		}
 	}
 }
 
 func (h *host) event(e *wire.Event) error {
-	if e.What == "Ledger" {
-		rows, err := ledger(*e.Rows)
-		h.sheets[*e.Sheet] = rows
+	if e.Type == "Ledger" {
+		rows, err := ledger(*e.ListEntries)
+		h.sheets[*e.ListNumber] = rows
 		return err
 	}
 	id := *e.Controller
-	if e.What == "Launch" {
-		inst, err := launch(*e.Entropy, e.Settings)
+	if e.Type == "Launch" {
+		inst, err := launch(*e.Seed, e.Settings)
 		h.instances[id] = inst
 		return err
 	}
@@ -96,7 +96,7 @@
 	if inst == nil {
 		return fmt.Errorf("field controller: no instance %d", id)
 	}
-	if e.What == "Killed" {
+	if e.Type == "Killed" {
 		delete(h.instances, id)
 		return nil
 	}
@@ -112,18 +112,18 @@
 	return nil
 }
 
-func ledger(rows []wire.Row) ([]brain.Exchange, error) {
+func ledger(rows []wire.ListEntry) ([]brain.Exchange, error) {
 	states := map[string]brain.State{"IN": brain.In, "LAME": brain.Draining, "OUT": brain.Out}
 	var list []brain.Exchange
 	for i, r := range rows {
-		if r.Exchange == nil || r.Cell == nil || r.State == nil {
+		if r.Exchange == nil || r.ExchangeNumber == nil || r.State == nil {
 			return nil, fmt.Errorf("field rows: entry %d lacks exchange, cell or stage_state", i)
 		}
 		st, ok := states[*r.State]
 		if !ok {
 			return nil, fmt.Errorf("field stage_state: unknown state %q", *r.State)
 		}
-		list = append(list, brain.Exchange{ID: *r.Exchange, Cell: *r.Cell, State: st, Since: time.Duration(r.Since)})
+		list = append(list, brain.Exchange{ID: *r.Exchange, Cell: *r.ExchangeNumber, State: st, Since: time.Duration(r.Since)})
 	}
 	return list, nil
 }
@@ -142,58 +142,58 @@
 }
 
 func (h *host) translate(inst *instance, e *wire.Event) (brain.Event, error) {
-	switch e.What {
+	switch e.Type {
 	case "Discovery":
-		if *e.How == "unavailable" {
+		if *e.UpdateKind == "unavailable" {
 			return nil, nil
 		}
-		if e.Sheet == nil {
+		if e.ListNumber == nil {
 			return nil, errors.New("field sheet is missing")
 		}
-		rows, ok := h.sheets[*e.Sheet]
+		rows, ok := h.sheets[*e.ListNumber]
 		if !ok {
-			return nil, fmt.Errorf("field sheet: no list %d", *e.Sheet)
+			return nil, fmt.Errorf("field sheet: no list %d", *e.ListNumber)
 		}
-		switch *e.How {
+		switch *e.UpdateKind {
 		case "update", "replace", "restored":
-			return brain.Exchanges{Complete: *e.How != "update", Entries: rows}, nil
+			return brain.Exchanges{Complete: *e.UpdateKind != "update", Entries: rows}, nil
 		}
-		return nil, fmt.Errorf("field how: unknown kind %q", *e.How)
+		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
-		class, ok := inst.classes[*e.Priority]
+		class, ok := inst.classes[*e.Class]
 		if !ok {
-			return nil, fmt.Errorf("field priority: unknown class %q", *e.Priority)
+			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		c := brain.Call{ID: *e.Job, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Dest),
-			Width: inst.widths[class], Through: -1, Transit: e.Transit, Repeat: e.Resent, Again: e.Again}
-		if e.Object != nil {
-			c.Number, c.Numbered = *e.Object, true
+		c := brain.Call{ID: *e.CallID, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Destination),
+			Width: inst.widths[class], Through: -1, Transit: e.Transit, Repeat: e.Retry, Again: e.AfterCut}
+		if e.CalledNumber != nil {
+			c.Number, c.Numbered = *e.CalledNumber, true
 		}
-		if e.Slots != nil {
-			c.Width = int(*e.Slots)
+		if e.Circuits != nil {
+			c.Width = int(*e.Circuits)
 		}
 		if e.Through != nil {
 			c.Through = int(*e.Through)
 		}
 		return c, nil
 	case "Hangup":
-		return brain.CallGone{ID: *e.Job}, nil
+		return brain.CallGone{ID: *e.CallID}, nil
 	case "Bell":
-		return brain.Alarm{Token: *e.Nonce}, nil
+		return brain.Alarm{Token: *e.Token}, nil
 	case "PeerData":
-		return brain.Peer{From: *e.By, Data: []byte(*e.Payload)}, nil
+		return brain.Peer{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Reason == 200, Asked: span(e.CostTime) > 0,
-			After: span(e.CostTime), Report: report(e.Load)}, nil
+		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Status == 200, Asked: span(e.Elapsed) > 0,
+			After: span(e.Elapsed), Report: report(e.Load)}, nil
 	case "Started":
-		return brain.Standing{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, After: span(e.CostTime)}, nil
+		return brain.Standing{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, After: span(e.Elapsed)}, nil
 	case "Reply":
-		oc, ok := outcomes[*e.Reason]
+		oc, ok := outcomes[*e.Status]
 		if !ok {
-			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Reason)
+			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.Ended{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, Outcome: oc,
-			After: span(e.CostTime), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
+		ended := brain.Ended{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, Outcome: oc,
+			After: span(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
 		if e.Note > 16 && e.Note%16 == int(brain.ProcFull) {
 			ended.Note, ended.Wait = brain.ProcFull, time.Duration(e.Note/16)*time.Millisecond
 		}
@@ -212,7 +212,7 @@
 	return time.Duration(*ns)
 }
 
-func report(l wire.Load) brain.Report {
+func report(l wire.LoadReport) brain.Report {
 	var r brain.Report
 	free, okFree := l.Get("idle")
 	size, okSize := l.Get("circuits")
@@ -225,22 +225,22 @@
 	w := wire.Action{Controller: &id}
 	switch a := a.(type) {
 	case brain.Send:
-		w.What, w.Job, w.Exchange, w.AllowFor = "Send", a.ID, &a.Exchange, int64(a.Timeout)
+		w.Type, w.CallID, w.Exchange, w.Timeout = "Send", a.ID, &a.Exchange, int64(a.Timeout)
 	case brain.Refuse:
-		w.What, w.Job, w.Backoff = "PushBack", a.ID, int64(a.Backoff)
+		w.Type, w.CallID, w.Backoff = "PushBack", a.ID, int64(a.Backoff)
 	case brain.GiveUp:
-		w.What, w.Job = "GiveUp", a.ID
+		w.Type, w.CallID = "GiveUp", a.ID
 	case brain.Cancel:
-		w.What, w.Job, w.Trial = "StopAttempt", a.ID, &a.Attempt
+		w.Type, w.CallID, w.Attempt = "StopAttempt", a.ID, &a.Attempt
 	case brain.Wake:
 		ns := int64(a.After)
-		w.What, w.Nonce, w.Delay = "SetAlarm", &a.Token, &ns
+		w.Type, w.Token, w.Delay = "SetAlarm", &a.Token, &ns
 	case brain.Verdict:
 		if !a.Log {
 			return nil
 		}
-		w.What = "SayLog"
-		w.Words = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
+		w.Type = "SayLog"
+		w.Text = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
 			a.ID, a.Class, a.Reason, a.Scope, a.Cell, a.Nth)
 	default:
 		return fmt.Errorf("no wire form for %T", a)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -114,7 +114,7 @@
 				return nil, fmt.Errorf("load: %w", err)
 			}
 			c := &client{r: r, open: map[uint32]began{}}
-			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}, Write: time.Minute}, c)
+			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}, Write: time.Minute}, c)
 			r.clients = append(r.clients, c)
 		}
 	}
@@ -155,13 +155,13 @@
 			time.Sleep(wait)
 		}
 		c := r.clients[n%len(r.clients)]
-		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: fmt.Sprintf("load-%d-%d", r.o.Seed, n)}
+		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.o.Seed, n)}
 		m.Put("Class", r.o.Classes[r.rnd.IntN(len(r.o.Classes))]).PutInt("Dest", r.o.Dests[r.rnd.IntN(len(r.o.Dests))])
-		m.Put("Number", fmt.Sprint(r.rnd.Uint64N(1<<40))).PutSpan("Left", r.o.Patience)
+		m.Put("Number", fmt.Sprint(r.rnd.Uint64N(1<<40))).PutDuration("Left", r.o.Patience)
 		c.mu.Lock()
 		c.tx++
 		m.ID = c.tx
-		c.open[m.ID] = began{due, m.Term, time.Duration(r.rnd.ExpFloat64() * float64(r.o.Holding))}
+		c.open[m.ID] = began{due, m.Termination, time.Duration(r.rnd.ExpFloat64() * float64(r.o.Holding))}
 		sent := c.conn.Send(m, time.Hour)
 		if !sent {
 			delete(c.open, m.ID)
@@ -193,7 +193,7 @@
 // Message takes a controller's word.
 func (c *client) Message(conn *transport.Conn[*signal.Message], m *signal.Message) {
 	if m.Kind == signal.Request {
-		conn.Send(m.Answer(), 0)
+		conn.Send(m.NewReply(), 0)
 		return
 	}
 	if m.Kind != signal.Reply || m.Command != signal.Add {
@@ -212,7 +212,7 @@
 		end = stood
 	case m.Get("Taken") == "no":
 		end = notTaken
-	case m.Code == signal.NoResources:
+	case m.Code == signal.InsufficientResources:
 		end = refused
 	}
 	c.r.book(end, time.Since(b.due))
@@ -223,7 +223,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.tx++
-		conn.Send(&signal.Message{ID: c.tx, Command: signal.Subtract, Term: b.name}, 0)
+		conn.Send(&signal.Message{ID: c.tx, Command: signal.Subtract, Termination: b.name}, 0)
 	}
 	if b.holding <= 0 {
 		release()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -31,16 +31,16 @@
 		}
 		switch s.n % 3 {
 		case 0:
-			s.opened[m.Term] = true
-			time.AfterFunc(d, func() { c.Send(m.Answer(), 0) })
+			s.opened[m.Termination] = true
+			time.AfterFunc(d, func() { c.Send(m.NewReply(), 0) })
 		case 1:
-			time.AfterFunc(d, func() { c.Send(m.Refuse(signal.NoResources, "refused"), 0) })
+			time.AfterFunc(d, func() { c.Send(m.NewErrorReply(signal.InsufficientResources, "refused"), 0) })
 		}
 	case signal.Subtract:
-		if !s.opened[m.Term] {
-			s.t.Errorf("released %s, which did not stand", m.Term)
+		if !s.opened[m.Termination] {
+			s.t.Errorf("released %s, which did not stand", m.Termination)
 		}
-		delete(s.opened, m.Term)
+		delete(s.opened, m.Termination)
 	}
 }
 func (*server) Bad(*transport.Conn[*signal.Message], transport.Skipped)  {}
@@ -58,7 +58,7 @@
 		go func() {
 			nc, err := ln.Accept()
 			if err == nil {
-				transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, s)
+				transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, s)
 			}
 		}()
 		r, err := Run(t.Context(), Options{To: []string{ln.Addr().String()}, Rate: 300, For: 3 * time.Second, Classes: []string{"x"},
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("limits: %d sockets and %d MB: at least 64 and 16 are needed", f.Limits.Sockets, f.Limits.Memory)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Resolver: f.Resolver, Sockets: f.Limits.Sockets,
-		Memory: f.Limits.Memory << 20, Connect: time.Duration(f.Settings.Limits.Connect), Idle: time.Duration(f.Settings.Limits.Idle)}
+		Memory: f.Limits.Memory << 20, Connect: time.Duration(f.Settings.Limits.ConnectTimeout), Idle: time.Duration(f.Settings.Limits.IdleTimeout)}
 	if c.Module, err = f.Settings.Module(seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -41,14 +41,14 @@
 	}
 	n := scn.Fleet.Exchanges
 	share, seconds := 0.0, 0.0
-	m := &network.Mesh{Tandems: tandems * min(scn.Callers.Redials+1, 2), Reserve: network.Reserve{Base: base, Span: span, Dear: true},
-		Wait: float64(scn.Callers.Redials+1)*waitMean + float64(scn.Callers.Redials)*scn.Callers.RedialAfter.Seconds()}
+	m := &network.Mesh{Tandems: tandems * min(scn.Callers.MaxRedials+1, 2), Reserve: network.Reserve{Base: base, Span: span, Dear: true},
+		Wait: float64(scn.Callers.MaxRedials+1)*waitMean + float64(scn.Callers.MaxRedials)*scn.Callers.MeanRedialDelay.Seconds()}
 	for _, c := range scn.Classes {
-		m.Classes = append(m.Classes, network.Class{Name: c.Name, Width: c.Circuits, Holding: c.Holding.Seconds(), Worth: c.Worth})
+		m.Classes = append(m.Classes, network.Class{Name: c.Name, Width: c.Circuits, Holding: c.HoldingTime.Seconds(), Worth: c.Worth})
 		share += c.Share
-		seconds += c.Share * c.Holding.Seconds() * float64(c.Circuits)
+		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 	}
-	m.Proc = &network.Processors{Look: scn.Processor.Look, Follow: scn.Processor.Follow, Queue: scn.Processor.Queue.Seconds()}
+	m.Proc = &network.Processors{Look: scn.Processor.ExamineWork, Follow: scn.Processor.FollowUpWork, Queue: scn.Processor.MaxQueueWait.Seconds()}
 	traffic := s.Traffic()
 	for i := range n {
 		m.Circuits = append(m.Circuits, make([]int, n))
@@ -57,7 +57,7 @@
 		for j := range n {
 			all := make([]float64, len(scn.Classes))
 			for c, cl := range scn.Classes {
-				all[c] = traffic[i][j] * cl.Share * cl.Holding.Seconds() / seconds
+				all[c] = traffic[i][j] * cl.Share * cl.HoldingTime.Seconds() / seconds
 			}
 			m.Offered[i][j] = all
 		}
@@ -107,7 +107,7 @@
 func Simulate(ctx context.Context, scn *settings.Scenario, circuits [][]int, seeds int) (*Observed, error) {
 	longest := time.Duration(0)
 	for _, c := range scn.Classes {
-		longest = max(longest, c.Holding)
+		longest = max(longest, c.HoldingTime)
 	}
 	from := warmUp * longest
 	if from >= scn.Length {
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -72,7 +72,7 @@
 // was offered.
 func TestKnownTrafficIsRecovered(t *testing.T) {
 	scn := quiet(t, 1.15)
-	scn.Rules.MarksRepeat = false // redials are to be told from first tries by their numbers
+	scn.Rules.CallersMarkRetries = false // redials are to be told from first tries by their numbers
 	scn.Length = 50 * time.Minute
 	scn.Troubles = []settings.Trouble{{Kind: "controllers-restart", At: 25 * time.Minute, Size: 0.15}}
 	m, err := Mesh(scn)
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	if want := scn.Fleet.Erlang * float64(scn.Fleet.Exchanges); math.Abs(all-want) > 1e-6*want {
+	if want := scn.Fleet.ErlangPerExchange * float64(scn.Fleet.Exchanges); math.Abs(all-want) > 1e-6*want {
 		t.Errorf("%v circuits are asked for, the scenario says %v", all, want)
 	}
 	scn.Length = 7 * time.Minute
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -147,11 +147,11 @@
 
 // controller starts one on settings of its own.
 func (o Options) controller(ctx context.Context, name, list, collector string) (string, func(), error) {
-	set := &settings.Controller{Controllers: 4, Seed: 1, Listen: "fd:3", List: list,
-		Classes: []settings.Class{{Name: "call", Worth: 1, LateWorth: 0.1, Aim: time.Second, Patience: 9 * time.Second,
-			Holding: 200 * time.Millisecond, Circuits: 1}},
-		Rules: settings.Rules{Release: 300 * time.Millisecond, DrainGrace: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
-			ColdFrom: 0.3, ColdFor: 10 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second, Attempts: 6},
+	set := &settings.Controller{Controllers: 4, Seed: 1, Listen: "fd:3", ListAddress: list,
+		Classes: []settings.Class{{Name: "call", Worth: 1, LateWorth: 0.1, SetUpTarget: time.Second, Patience: 9 * time.Second,
+			HoldingTime: 200 * time.Millisecond, Circuits: 1}},
+		Rules: settings.Rules{ReleaseTime: 300 * time.Millisecond, DrainGrace: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
+			ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadFactor: 2.5, OverloadDuration: 3 * time.Second, MaxAttempts: 6},
 		Log: settings.Log{Format: "json", Level: "warn"}}
 	if collector != "" {
 		set.Flows.Collectors = []settings.Collector{{Address: collector}}
@@ -218,9 +218,9 @@
 		in.exch[cell] = ln
 		lines = append(lines, signal.Field{Name: "Exchange", Value: fmt.Sprintf("%d cell=%d state=in since=0 at=%s", 100+cell, cell, ln.Addr())})
 		go in.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
-			c.Send(m.Answer(), 0)
+			c.Send(m.NewReply(), 0)
 			if m.Command == signal.Modify && cell == 0 {
-				c.Send((&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Group", fmt.Sprint("1 ", manyCircuits, " ", manyCircuits)).
+				c.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Group", fmt.Sprint("1 ", manyCircuits, " ", manyCircuits)).
 					Put("Group", fmt.Sprint("2 ", manyCircuits, " ", manyCircuits)).Put("Group", fmt.Sprint("3 ", manyCircuits, " ", manyCircuits)), 0)
 			}
 		})
@@ -231,9 +231,9 @@
 	}
 	in.list = ln
 	go in.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
-		c.Send(m.Answer(), 0)
+		c.Send(m.NewReply(), 0)
 		if m.Command == signal.Modify {
-			c.Send(&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root, Fields: lines}, 0)
+			c.Send(&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root, Descriptors: lines}, 0)
 		}
 	})
 	return in, nil
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}}, peer{on})
+		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}}, peer{on})
 		in.mu.Lock()
 		in.conns = append(in.conns, c)
 		in.mu.Unlock()
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,20 +12,22 @@
 	"time"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
-	File string
-	Line int
-	Path string // element, and attribute behind @
-	What string
+// ValidationError is one thing that is wrong with a file.
+type ValidationError struct {
+	File   string
+	Line   int
+	Path   string // element, and attribute behind @
+	Reason string
 }
 
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.What) }
+func (f ValidationError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Reason)
+}
 
-// Faults is all that is wrong with a file, in its order.
-type Faults []Fault
+// ValidationErrors is all that is wrong with a file, in its order.
+type ValidationErrors []ValidationError
 
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -54,13 +56,13 @@
 		}
 		if err != nil {
 			line, _ := d.InputPos()
-			return nil, Faults{{file, line, "(document)", err.Error()}}
+			return nil, ValidationErrors{{file, line, "(document)", err.Error()}}
 		}
 		switch t := t.(type) {
 		case xml.StartElement:
 			line, _ := d.InputPos()
 			if len(stack) > 64 {
-				return nil, Faults{{file, line, t.Name.Local, "elements nest too deeply"}}
+				return nil, ValidationErrors{{file, line, t.Name.Local, "elements nest too deeply"}}
 			}
 			n := &node{name: t.Name.Local, line: line, attrs: t.Copy().Attr}
 			if len(stack) > 0 {
@@ -79,7 +81,7 @@
 		}
 	}
 	if root == nil {
-		return nil, Faults{{file, 1, "(document)", "holds no element"}}
+		return nil, ValidationErrors{{file, 1, "(document)", "holds no element"}}
 	}
 	return root, nil
 }
@@ -89,12 +91,12 @@
 // without ",omitempty" must be there.
 type reader struct {
 	file   string
-	faults Faults
+	faults ValidationErrors
 	lines  map[any]int // where each element stood, by the address of its struct
 }
 
 func (r *reader) fault(n *node, path, what string) {
-	r.faults = append(r.faults, Fault{r.file, n.line, path, what})
+	r.faults = append(r.faults, ValidationError{r.file, n.line, path, what})
 }
 
 func (r *reader) fill(n *node, path string, v reflect.Value) {
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -27,30 +27,30 @@
 
 // Fleet is the exchanges and their groups.
 type Fleet struct {
-	Exchanges int           `xml:"exchanges,attr"`
-	Regions   int           `xml:"regions,attr"`
-	Near      time.Duration `xml:"near,attr"`               // one way within a region
-	Far       time.Duration `xml:"far,attr"`                // one way between regions
-	Erlang    float64       `xml:"erlang,attr"`             // circuits that one exchange's calls keep busy at load 1
-	Spread    float64       `xml:"spread,attr"`             // how much pairs differ, as a coefficient of variation
-	Missed    float64       `xml:"missed,attr"`             // how much traffic differs from the plan, the same
-	Spare     float64       `xml:"spare,attr"`              // circuits beyond the planned load, in square roots of it
-	Unlinked  float64       `xml:"unlinked,attr,omitempty"` // share of the pairs without a group, the thinnest
-	Drift     time.Duration `xml:"drift,attr,omitempty"`    // where calls go moves so often; 0: never
+	Exchanges         int           `xml:"exchanges,attr"`
+	Regions           int           `xml:"regions,attr"`
+	IntraRegionDelay  time.Duration `xml:"near,attr"`               // one way within a region
+	InterRegionDelay  time.Duration `xml:"far,attr"`                // one way between regions
+	ErlangPerExchange float64       `xml:"erlang,attr"`             // circuits that one exchange's calls keep busy at load 1
+	PairVariation     float64       `xml:"spread,attr"`             // how much pairs differ, as a coefficient of variation
+	ForecastError     float64       `xml:"missed,attr"`             // how much traffic differs from the plan, the same
+	SpareFactor       float64       `xml:"spare,attr"`              // circuits beyond the planned load, in square roots of it
+	UnlinkedShare     float64       `xml:"unlinked,attr,omitempty"` // share of the pairs without a group, the thinnest
+	DriftPeriod       time.Duration `xml:"drift,attr,omitempty"`    // where calls go moves so often; 0: never
 }
 
 // Processor is each exchange's processor: one line, work is time on it.
 type Processor struct {
-	Use         float64       `xml:"use,attr"`              // busy at load 1, all calls direct
-	Queue       time.Duration `xml:"queue,attr"`            // longer waits turn set-ups away
-	Look        float64       `xml:"look,attr"`             // work in set-ups, also for one refused
-	Reject      float64       `xml:"reject,attr"`           // of turning a set-up away
-	Follow      float64       `xml:"follow,attr"`           // of an answer, and of a release
-	Repeat      float64       `xml:"repeat,attr,omitempty"` // of a set-up sent again
-	Resend      time.Duration `xml:"resend,attr,omitempty"` // a waiting set-up is sent again after this; 0: never
-	FinishFirst bool          `xml:"finish-first,attr,omitempty"`
-	GivesWait   bool          `xml:"gives-wait,attr,omitempty"`
-	Reduce      bool          `xml:"reduce,attr,omitempty"` // answers carry a hold-back share
+	Utilization      float64       `xml:"use,attr"`              // busy at load 1, all calls direct
+	MaxQueueWait     time.Duration `xml:"queue,attr"`            // longer waits turn set-ups away
+	ExamineWork      float64       `xml:"look,attr"`             // work in set-ups, also for one refused
+	RejectWork       float64       `xml:"reject,attr"`           // of turning a set-up away
+	FollowUpWork     float64       `xml:"follow,attr"`           // of an answer, and of a release
+	ResendWork       float64       `xml:"repeat,attr,omitempty"` // of a set-up sent again
+	ResendAfter      time.Duration `xml:"resend,attr,omitempty"` // a waiting set-up is sent again after this; 0: never
+	FinishFirst      bool          `xml:"finish-first,attr,omitempty"`
+	ReportsWait      bool          `xml:"gives-wait,attr,omitempty"`
+	ReportsReduction bool          `xml:"reduce,attr,omitempty"` // answers carry a hold-back share
 }
 
 // Load is how many calls come.
@@ -61,33 +61,33 @@
 
 // Callers are the subscribers.
 type Callers struct {
-	Connections int           `xml:"connections,attr"` // from the subscribers to one controller
-	Redials     int           `xml:"redials,attr"`
-	RedialAfter time.Duration `xml:"redial-after,attr"`        // mean
-	TryShare    float64       `xml:"try-share,attr"`           // a try is given up after this share of the patience
-	Impatient   float64       `xml:"impatient,attr,omitempty"` // share that leave at some earlier moment
-	Honour      float64       `xml:"honour,attr,omitempty"`    // share that heed a hint when to come back
+	Connections     int           `xml:"connections,attr"` // from the subscribers to one controller
+	MaxRedials      int           `xml:"redials,attr"`
+	MeanRedialDelay time.Duration `xml:"redial-after,attr"`        // mean
+	AttemptShare    float64       `xml:"try-share,attr"`           // a try is given up after this share of the patience
+	ImpatientShare  float64       `xml:"impatient,attr,omitempty"` // share that leave at some earlier moment
+	HonourShare     float64       `xml:"honour,attr,omitempty"`    // share that heed a hint when to come back
 }
 
 // ListWord is how the exchange list tells of changes.
 type ListWord struct {
-	Notice time.Duration `xml:"notice,attr"`           // late by so much, on average
-	Advice time.Duration `xml:"advice,attr,omitempty"` // age of the centre's advice in calls; 0: none
+	MeanDelay time.Duration `xml:"notice,attr"`           // late by so much, on average
+	AdviceAge time.Duration `xml:"advice,attr,omitempty"` // age of the centre's advice in calls; 0: none
 }
 
 // Trouble is one that befalls the fleet.
 type Trouble struct {
-	Kind string        `xml:"kind,attr"`
-	At   time.Duration `xml:"at,attr"`
-	For  time.Duration `xml:"for,attr,omitempty"`
-	Size float64       `xml:"size,attr,omitempty"` // a share or a factor, by kind
+	Kind     string        `xml:"kind,attr"`
+	At       time.Duration `xml:"at,attr"`
+	Duration time.Duration `xml:"for,attr,omitempty"`
+	Size     float64       `xml:"size,attr,omitempty"` // a share or a factor, by kind
 }
 
 // Controller is the settings of one of its controllers.
 func (s *Scenario) Controller(cell int, list string) *Controller {
 	c := &Controller{Self: cell, Number: cell, Controllers: s.Fleet.Exchanges, Seed: s.Seed*1000 + uint64(cell),
-		List: list, Classes: s.Classes, Rules: s.Rules, Log: Log{Format: "json"}}
-	c.Rules.ResendAfter = s.Processor.Resend
+		ListAddress: list, Classes: s.Classes, Rules: s.Rules, Log: Log{Format: "json"}}
+	c.Rules.ResendAfter = s.Processor.ResendAfter
 	return c
 }
 
@@ -130,8 +130,8 @@
 	}
 	k, at := kinds[i], fmt.Sprintf("trouble[%s at %v]", t.Kind, t.At)
 	r.check(t, t.At >= 0 && t.At < length, at+"@at", "is not within the day")
-	r.check(t, t.For >= 0, at+"@for", "is negative")
-	r.check(t, !k.long || t.For > 0, at+"@for", "must be above 0")
+	r.check(t, t.Duration >= 0, at+"@for", "is negative")
+	r.check(t, !k.long || t.Duration > 0, at+"@for", "must be above 0")
 	r.check(t, k.size == "" || t.Size >= k.least && t.Size <= k.most, at+"@size",
 		fmt.Sprintf("(%s) must be from %g to %g", k.size, k.least, k.most))
 }
@@ -168,30 +168,30 @@
 	f := &s.Fleet
 	r.check(f, f.Exchanges >= 3 && f.Exchanges <= 1000, "fleet@exchanges", "must be from 3 to 1000")
 	r.check(f, f.Regions >= 1 && f.Regions <= f.Exchanges, "fleet@regions", "must be from 1 to the exchanges")
-	r.check(f, f.Near >= 0 && f.Far >= 0, "fleet@near", "delays can't be negative")
-	r.check(f, f.Erlang > 0 && f.Erlang <= 10000, "fleet@erlang", "must be above 0, 10000 at the most")
-	for name, v := range map[string]float64{"spread": f.Spread, "missed": f.Missed, "spare": f.Spare} {
+	r.check(f, f.IntraRegionDelay >= 0 && f.InterRegionDelay >= 0, "fleet@near", "delays can't be negative")
+	r.check(f, f.ErlangPerExchange > 0 && f.ErlangPerExchange <= 10000, "fleet@erlang", "must be above 0, 10000 at the most")
+	for name, v := range map[string]float64{"spread": f.PairVariation, "missed": f.ForecastError, "spare": f.SpareFactor} {
 		r.check(f, v >= 0 && v <= 10, "fleet@"+name, "must be from 0 to 10")
 	}
-	r.check(f, f.Unlinked >= 0 && f.Unlinked <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
-	r.check(f, f.Drift >= 0, "fleet@drift", "is negative")
+	r.check(f, f.UnlinkedShare >= 0 && f.UnlinkedShare <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
+	r.check(f, f.DriftPeriod >= 0, "fleet@drift", "is negative")
 	p := &s.Processor
-	r.check(p, p.Use > 0 && p.Use < 2, "processor@use", "must be above 0 and below 2")
-	r.check(p, p.Queue > 0, "processor@queue", "must be above 0")
-	for name, v := range map[string]float64{"look": p.Look, "reject": p.Reject, "follow": p.Follow, "repeat": p.Repeat} {
+	r.check(p, p.Utilization > 0 && p.Utilization < 2, "processor@use", "must be above 0 and below 2")
+	r.check(p, p.MaxQueueWait > 0, "processor@queue", "must be above 0")
+	for name, v := range map[string]float64{"look": p.ExamineWork, "reject": p.RejectWork, "follow": p.FollowUpWork, "repeat": p.ResendWork} {
 		r.check(p, v >= 0 && v <= 10, "processor@"+name, "must be from 0 to 10")
 	}
-	r.check(p, p.Resend >= 0, "processor@resend", "is negative")
+	r.check(p, p.ResendAfter >= 0, "processor@resend", "is negative")
 	r.check(&s.Load, s.Load.Level > 0 && s.Load.Level <= 10, "load@level", "must be above 0, 10 at the most")
 	r.check(&s.Load, s.Load.Swing >= 0 && s.Load.Swing < 1, "load@swing", "must be from 0, below 1")
 	c := &s.Callers
 	r.check(c, c.Connections > 0 && c.Connections <= 100, "callers@connections", "must be from 1 to 100")
-	r.check(c, c.Redials >= 0 && c.Redials <= 20, "callers@redials", "must be from 0 to 20")
-	r.check(c, c.RedialAfter > 0, "callers@redial-after", "must be above 0")
-	r.check(c, c.TryShare > 0 && c.TryShare <= 1, "callers@try-share", "must be above 0, 1 at the most")
-	r.check(c, c.Impatient >= 0 && c.Impatient <= 1, "callers@impatient", "must be from 0 to 1")
-	r.check(c, c.Honour >= 0 && c.Honour <= 1, "callers@honour", "must be from 0 to 1")
-	r.check(&s.List, s.List.Notice >= 0 && s.List.Advice >= 0, "list@notice", "is negative")
+	r.check(c, c.MaxRedials >= 0 && c.MaxRedials <= 20, "callers@redials", "must be from 0 to 20")
+	r.check(c, c.MeanRedialDelay > 0, "callers@redial-after", "must be above 0")
+	r.check(c, c.AttemptShare > 0 && c.AttemptShare <= 1, "callers@try-share", "must be above 0, 1 at the most")
+	r.check(c, c.ImpatientShare >= 0 && c.ImpatientShare <= 1, "callers@impatient", "must be from 0 to 1")
+	r.check(c, c.HonourShare >= 0 && c.HonourShare <= 1, "callers@honour", "must be from 0 to 1")
+	r.check(&s.List, s.List.MeanDelay >= 0 && s.List.AdviceAge >= 0, "list@notice", "is negative")
 	for i := range s.Troubles {
 		r.trouble(&s.Troubles[i], s.Length)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,7 +27,7 @@
 	Controllers int    `xml:"controllers,attr"` // how many there are
 	Seed        uint64 `xml:"seed,attr"`
 	Listen      string `xml:"listen,attr"` // host:port, or fd:N for a listener passed on by the parent
-	List        string `xml:"list,attr"`   // host:port of the exchange list
+	ListAddress string `xml:"list,attr"`   // host:port of the exchange list
 
 	Classes []Class `xml:"class"`
 	Rules   Rules   `xml:"rules"`
@@ -41,58 +41,58 @@
 
 // Class is one class of calls.
 type Class struct {
-	Name      string        `xml:"name,attr"`
-	Worth     float64       `xml:"worth,attr"`           // of a call that stands in time
-	LateWorth float64       `xml:"late-worth,attr"`      // share of it when it stands late
-	Aim       time.Duration `xml:"aim,attr"`             // wanted to stand within
-	Patience  time.Duration `xml:"patience,attr"`        // of the caller, over all tries
-	Holding   time.Duration `xml:"holding,attr"`         // mean holding time
-	Circuits  int           `xml:"circuits,attr"`        // taken on each group
-	Share     float64       `xml:"share,attr,omitempty"` // of all calls; scenarios only
+	Name        string        `xml:"name,attr"`
+	Worth       float64       `xml:"worth,attr"`           // of a call that stands in time
+	LateWorth   float64       `xml:"late-worth,attr"`      // share of it when it stands late
+	SetUpTarget time.Duration `xml:"aim,attr"`             // wanted to stand within
+	Patience    time.Duration `xml:"patience,attr"`        // of the caller, over all tries
+	HoldingTime time.Duration `xml:"holding,attr"`         // mean holding time
+	Circuits    int           `xml:"circuits,attr"`        // taken on each group
+	Share       float64       `xml:"share,attr,omitempty"` // of all calls; scenarios only
 }
 
 // Rules are the figures of the network's rules.
 type Rules struct {
-	Release        time.Duration `xml:"release,attr"`         // no resend within this after an unclear end
-	DrainGrace     time.Duration `xml:"drain-grace,attr"`     // nothing new to a draining exchange after this
-	AnswerSlack    time.Duration `xml:"answer-slack,attr"`    // a final answer may come so late
-	ColdFrom       float64       `xml:"cold-from,attr"`       // share of its capacity that a started processor has
-	ColdFor        time.Duration `xml:"cold-for,attr"`        // and until it has all
-	OverloadFactor float64       `xml:"overload-factor,attr"` // sent this multiple of what it can do ...
-	OverloadFor    time.Duration `xml:"overload-for,attr"`    // ... for so long, a cold one falls over
-	Attempts       int           `xml:"attempts,attr"`        // for one call, at the most
-	ResendAfter    time.Duration `xml:"resend-after,attr,omitempty"`
-	BackoffMost    time.Duration `xml:"backoff-most,attr,omitempty"` // longest hint that callers honour; 0: none
-	MarksRepeat    bool          `xml:"marks-repeat,attr,omitempty"` // callers mark further tries
-	Advice         bool          `xml:"advice,attr,omitempty"`       // calls carry a centre's advice
+	ReleaseTime        time.Duration `xml:"release,attr"`         // no resend within this after an unclear end
+	DrainGrace         time.Duration `xml:"drain-grace,attr"`     // nothing new to a draining exchange after this
+	AnswerSlack        time.Duration `xml:"answer-slack,attr"`    // a final answer may come so late
+	ColdCapacity       float64       `xml:"cold-from,attr"`       // share of its capacity that a started processor has
+	ColdDuration       time.Duration `xml:"cold-for,attr"`        // and until it has all
+	OverloadFactor     float64       `xml:"overload-factor,attr"` // sent this multiple of what it can do ...
+	OverloadDuration   time.Duration `xml:"overload-for,attr"`    // ... for so long, a cold one falls over
+	MaxAttempts        int           `xml:"attempts,attr"`        // for one call, at the most
+	ResendAfter        time.Duration `xml:"resend-after,attr,omitempty"`
+	MaxBackoff         time.Duration `xml:"backoff-most,attr,omitempty"` // longest hint that callers honour; 0: none
+	CallersMarkRetries bool          `xml:"marks-repeat,attr,omitempty"` // callers mark further tries
+	RouteAdvice        bool          `xml:"advice,attr,omitempty"`       // calls carry a centre's advice
 }
 
 // Limits bound what a controller holds.
 type Limits struct {
-	Calls       int           `xml:"calls,attr,omitempty"`       // open and standing
-	PerPeer     int           `xml:"per-peer,attr,omitempty"`    // open transactions of one connection
-	Connections int           `xml:"connections,attr,omitempty"` // of callers
-	Exchanges   int           `xml:"exchanges,attr,omitempty"`
-	Inbox       int           `xml:"inbox,attr,omitempty"`   // messages waiting for the core
-	Outbox      int           `xml:"outbox,attr,omitempty"`  // messages waiting for one peer
-	Line        int           `xml:"line,attr,omitempty"`    // bytes
-	Block       int           `xml:"block,attr,omitempty"`   // bytes of one message
-	Faults      int           `xml:"faults,attr,omitempty"`  // unreadable messages of one peer in a row
-	Leave       time.Duration `xml:"leave,attr,omitempty"`   // standing calls may go on so long when it ends
-	Measure     time.Duration `xml:"measure,attr,omitempty"` // offered traffic is told of the last so long
+	Calls               int           `xml:"calls,attr,omitempty"`       // open and standing
+	TransactionsPerPeer int           `xml:"per-peer,attr,omitempty"`    // open transactions of one connection
+	Connections         int           `xml:"connections,attr,omitempty"` // of callers
+	Exchanges           int           `xml:"exchanges,attr,omitempty"`
+	Inbox               int           `xml:"inbox,attr,omitempty"`   // messages waiting for the core
+	Outbox              int           `xml:"outbox,attr,omitempty"`  // messages waiting for one peer
+	LineBytes           int           `xml:"line,attr,omitempty"`    // bytes
+	MessageBytes        int           `xml:"block,attr,omitempty"`   // bytes of one message
+	UnreadableMessages  int           `xml:"faults,attr,omitempty"`  // unreadable messages of one peer in a row
+	ShutdownGrace       time.Duration `xml:"leave,attr,omitempty"`   // standing calls may go on so long when it ends
+	MeasurementPeriod   time.Duration `xml:"measure,attr,omitempty"` // offered traffic is told of the last so long
 }
 
 // Peers are the figures of the kept links.
 type Peers struct {
-	Connect   time.Duration `xml:"connect,attr,omitempty"`    // a set-up waits so long for a link
-	Dial      time.Duration `xml:"dial,attr,omitempty"`       // one try to connect
-	Write     time.Duration `xml:"write,attr,omitempty"`      // one write
-	SignAfter time.Duration `xml:"sign-after,attr,omitempty"` // silence after which a sign of life is asked for
-	LostAfter time.Duration `xml:"lost-after,attr,omitempty"` // and after which the peer is lost
-	RetryFrom time.Duration `xml:"retry-from,attr,omitempty"` // gap between tries to connect
-	RetryMost time.Duration `xml:"retry-most,attr,omitempty"`
-	Release   time.Duration `xml:"release,attr,omitempty"` // a release is asked for again after this
-	Releases  int           `xml:"releases,attr,omitempty"`
+	ConnectWait        time.Duration `xml:"connect,attr,omitempty"`    // a set-up waits so long for a link
+	DialTimeout        time.Duration `xml:"dial,attr,omitempty"`       // one try to connect
+	WriteTimeout       time.Duration `xml:"write,attr,omitempty"`      // one write
+	ProbeAfter         time.Duration `xml:"sign-after,attr,omitempty"` // silence after which a sign of life is asked for
+	LostAfter          time.Duration `xml:"lost-after,attr,omitempty"` // and after which the peer is lost
+	MinRetryDelay      time.Duration `xml:"retry-from,attr,omitempty"` // gap between tries to connect
+	MaxRetryDelay      time.Duration `xml:"retry-most,attr,omitempty"`
+	ReleaseRetryAfter  time.Duration `xml:"release,attr,omitempty"` // a release is asked for again after this
+	MaxReleaseAttempts int           `xml:"releases,attr,omitempty"`
 }
 
 // Log says how and what is logged.
@@ -109,30 +109,30 @@
 // Flows says where flow records of calls and attempts go; without a collector
 // there are none.
 type Flows struct {
-	Collectors []Collector   `xml:"collector,omitempty"`
-	Mode       string        `xml:"mode,attr,omitempty"`     // failover or copies
-	KeyFile    string        `xml:"key-file,attr,omitempty"` // called numbers are hashed with its bytes; else with a key of this life
-	Interim    time.Duration `xml:"interim,attr,omitempty"`  // a call that stands is told of so often; 0: never
-	Interval   time.Duration `xml:"interval,attr,omitempty"` // of sums and counts
-	Confirm    time.Duration `xml:"confirm,attr,omitempty"`  // what was written is made sure of after this
-	Queue      int           `xml:"queue,attr,omitempty"`    // records that wait in memory
-	Ring       int           `xml:"ring,attr,omitempty"`     // records between the call path and the exporter
-	Replay     float64       `xml:"replay,attr,omitempty"`   // records a second from the spool
-	Spool      string        `xml:"spool,attr,omitempty"`    // directory; none: records wait in memory only
-	SpoolMost  int64         `xml:"spool-most,attr,omitempty"`
-	SpoolAge   time.Duration `xml:"spool-age,attr,omitempty"`
+	Collectors      []Collector   `xml:"collector,omitempty"`
+	Mode            string        `xml:"mode,attr,omitempty"`     // failover or copies
+	KeyFile         string        `xml:"key-file,attr,omitempty"` // called numbers are hashed with its bytes; else with a key of this life
+	InterimInterval time.Duration `xml:"interim,attr,omitempty"`  // a call that stands is told of so often; 0: never
+	SummaryInterval time.Duration `xml:"interval,attr,omitempty"` // of sums and counts
+	ConfirmAfter    time.Duration `xml:"confirm,attr,omitempty"`  // what was written is made sure of after this
+	QueueCapacity   int           `xml:"queue,attr,omitempty"`    // records that wait in memory
+	RingCapacity    int           `xml:"ring,attr,omitempty"`     // records between the call path and the exporter
+	ReplayRate      float64       `xml:"replay,attr,omitempty"`   // records a second from the spool
+	SpoolDirectory  string        `xml:"spool,attr,omitempty"`    // directory; none: records wait in memory only
+	MaxSpoolBytes   int64         `xml:"spool-most,attr,omitempty"`
+	MaxSpoolAge     time.Duration `xml:"spool-age,attr,omitempty"`
 }
 
 // Collector is one that takes flow records.
 type Collector struct {
-	Address   string `xml:"address,attr"`
-	Transport string `xml:"transport,attr,omitempty"` // tcp, tls or udp
-	Protocol  string `xml:"protocol,attr,omitempty"`  // ipfix or netflow9, which goes over udp only
-	MTU       int    `xml:"mtu,attr,omitempty"`       // bytes of a datagram
-	CA        string `xml:"ca,attr,omitempty"`        // with tls: PEM files
-	Cert      string `xml:"cert,attr,omitempty"`
-	Key       string `xml:"key,attr,omitempty"`
-	Name      string `xml:"name,attr,omitempty"` // in the collector's certificate; else the address's host
+	Address    string `xml:"address,attr"`
+	Transport  string `xml:"transport,attr,omitempty"` // tcp, tls or udp
+	Protocol   string `xml:"protocol,attr,omitempty"`  // ipfix or netflow9, which goes over udp only
+	MTU        int    `xml:"mtu,attr,omitempty"`       // bytes of a datagram
+	CA         string `xml:"ca,attr,omitempty"`        // with tls: PEM files
+	Cert       string `xml:"cert,attr,omitempty"`
+	Key        string `xml:"key,attr,omitempty"`
+	ServerName string `xml:"name,attr,omitempty"` // in the collector's certificate; else the address's host
 }
 
 func def[T comparable](v *T, d T) {
@@ -142,34 +142,34 @@
 	}
 }
 
-// Defaults fills in what a file leaves open.
-func (c *Controller) Defaults() {
+// SetDefaults fills in what a file leaves open.
+func (c *Controller) SetDefaults() {
 	def(&c.Limits.Calls, 200000)
-	def(&c.Limits.PerPeer, 10000)
+	def(&c.Limits.TransactionsPerPeer, 10000)
 	def(&c.Limits.Connections, 1000)
 	def(&c.Limits.Exchanges, 4096)
 	def(&c.Limits.Inbox, 16384)
 	def(&c.Limits.Outbox, 16384)
-	def(&c.Limits.Line, 1024)
-	def(&c.Limits.Block, 16<<10)
-	def(&c.Limits.Faults, 100)
-	def(&c.Limits.Leave, 2*time.Second)
-	def(&c.Limits.Measure, 15*time.Minute)
-	def(&c.Peers.Connect, 300*time.Millisecond)
-	def(&c.Peers.Dial, time.Second)
-	def(&c.Peers.Write, 2*time.Second)
-	def(&c.Peers.SignAfter, time.Second)
+	def(&c.Limits.LineBytes, 1024)
+	def(&c.Limits.MessageBytes, 16<<10)
+	def(&c.Limits.UnreadableMessages, 100)
+	def(&c.Limits.ShutdownGrace, 2*time.Second)
+	def(&c.Limits.MeasurementPeriod, 15*time.Minute)
+	def(&c.Peers.ConnectWait, 300*time.Millisecond)
+	def(&c.Peers.DialTimeout, time.Second)
+	def(&c.Peers.WriteTimeout, 2*time.Second)
+	def(&c.Peers.ProbeAfter, time.Second)
 	def(&c.Peers.LostAfter, 3*time.Second)
-	def(&c.Peers.RetryFrom, 50*time.Millisecond)
-	def(&c.Peers.RetryMost, 2*time.Second)
-	def(&c.Peers.Release, time.Second)
-	def(&c.Peers.Releases, 4)
+	def(&c.Peers.MinRetryDelay, 50*time.Millisecond)
+	def(&c.Peers.MaxRetryDelay, 2*time.Second)
+	def(&c.Peers.ReleaseRetryAfter, time.Second)
+	def(&c.Peers.MaxReleaseAttempts, 4)
 	def(&c.Log.Format, "text")
 	def(&c.Log.Level, "info")
 	def(&c.Policy, "brain")
 	def(&c.Flows.Mode, "failover")
-	def(&c.Flows.SpoolMost, 256<<20)
-	def(&c.Flows.SpoolAge, 72*time.Hour)
+	def(&c.Flows.MaxSpoolBytes, 256<<20)
+	def(&c.Flows.MaxSpoolAge, 72*time.Hour)
 	for i := range c.Flows.Collectors {
 		f := &c.Flows.Collectors[i]
 		def(&f.Transport, "tcp")
@@ -188,28 +188,28 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Defaults()
+	c.SetDefaults()
 	r.check(c, c.Self >= 0, "@self", "is negative")
 	r.check(c, c.Number >= 0 && c.Number < c.Controllers, "@number", "is not below controllers")
 	r.check(c, c.Listen != "", "@listen", "is empty")
-	r.check(c, c.List != "", "@list", "is empty")
+	r.check(c, c.ListAddress != "", "@list", "is empty")
 	r.check(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("is none of %v", Policies))
 	r.classes(c.Classes)
 	r.rules(&c.Rules)
-	for name, v := range map[string]int{"calls": c.Limits.Calls, "per-peer": c.Limits.PerPeer, "connections": c.Limits.Connections,
-		"exchanges": c.Limits.Exchanges, "inbox": c.Limits.Inbox, "outbox": c.Limits.Outbox, "line": c.Limits.Line,
-		"block": c.Limits.Block, "faults": c.Limits.Faults} {
+	for name, v := range map[string]int{"calls": c.Limits.Calls, "per-peer": c.Limits.TransactionsPerPeer, "connections": c.Limits.Connections,
+		"exchanges": c.Limits.Exchanges, "inbox": c.Limits.Inbox, "outbox": c.Limits.Outbox, "line": c.Limits.LineBytes,
+		"block": c.Limits.MessageBytes, "faults": c.Limits.UnreadableMessages} {
 		r.check(&c.Limits, v > 0, "@"+name, "must be above 0")
 	}
-	r.check(&c.Limits, c.Limits.Measure > 0, "@measure", "must be above 0")
+	r.check(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be above 0")
 	r.check(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox hold 16 at the least")
 	p := &c.Peers
-	for name, d := range map[string]time.Duration{"connect": p.Connect, "dial": p.Dial, "write": p.Write, "sign-after": p.SignAfter,
-		"lost-after": p.LostAfter, "retry-from": p.RetryFrom, "retry-most": p.RetryMost, "release": p.Release} {
+	for name, d := range map[string]time.Duration{"connect": p.ConnectWait, "dial": p.DialTimeout, "write": p.WriteTimeout, "sign-after": p.ProbeAfter,
+		"lost-after": p.LostAfter, "retry-from": p.MinRetryDelay, "retry-most": p.MaxRetryDelay, "release": p.ReleaseRetryAfter} {
 		r.check(p, d > 0, "@"+name, "must be above 0")
 	}
-	r.check(p, p.LostAfter > p.SignAfter, "@lost-after", "must be above sign-after")
-	r.check(p, p.Releases > 0, "@releases", "must be above 0")
+	r.check(p, p.LostAfter > p.ProbeAfter, "@lost-after", "must be above sign-after")
+	r.check(p, p.MaxReleaseAttempts > 0, "@releases", "must be above 0")
 	r.check(&c.Log, slices.Contains([]string{"text", "json"}, c.Log.Format), "@format", "is neither text nor json")
 	r.check(&c.Log, slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "@level", "is none of debug, info, warn, error")
 	r.flows(&c.Flows)
@@ -218,8 +218,8 @@
 
 func (r *reader) flows(f *Flows) {
 	r.check(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("is none of %v", FlowModes))
-	for name, v := range map[string]float64{"interim": float64(f.Interim), "interval": float64(f.Interval), "confirm": float64(f.Confirm),
-		"queue": float64(f.Queue), "ring": float64(f.Ring), "replay": f.Replay, "spool-most": float64(f.SpoolMost), "spool-age": float64(f.SpoolAge)} {
+	for name, v := range map[string]float64{"interim": float64(f.InterimInterval), "interval": float64(f.SummaryInterval), "confirm": float64(f.ConfirmAfter),
+		"queue": float64(f.QueueCapacity), "ring": float64(f.RingCapacity), "replay": f.ReplayRate, "spool-most": float64(f.MaxSpoolBytes), "spool-age": float64(f.MaxSpoolAge)} {
 		r.check(f, v >= 0, "flows@"+name, "is negative")
 	}
 	for i := range f.Collectors {
@@ -257,7 +257,7 @@
 		return nil, err
 	}
 	if n.name != root {
-		return nil, Faults{{file, n.line, n.name, fmt.Sprintf("the root element must be %s", root)}}
+		return nil, ValidationErrors{{file, n.line, n.name, fmt.Sprintf("the root element must be %s", root)}}
 	}
 	r := &reader{file: file, lines: map[any]int{}}
 	r.fill(n, root, reflect.ValueOf(v).Elem())
@@ -268,17 +268,17 @@
 	if ok {
 		return
 	}
-	if slices.ContainsFunc(r.faults, func(f Fault) bool { return f.Path == path }) {
+	if slices.ContainsFunc(r.faults, func(f ValidationError) bool { return f.Path == path }) {
 		return
 	}
-	r.faults = append(r.faults, Fault{r.file, r.lines[at], path, what})
+	r.faults = append(r.faults, ValidationError{r.file, r.lines[at], path, what})
 }
 
 func (r *reader) err() error {
 	if len(r.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b Fault) int {
+	slices.SortStableFunc(r.faults, func(a, b ValidationError) int {
 		if a.Line != b.Line {
 			return a.Line - b.Line
 		}
@@ -296,20 +296,20 @@
 		names[c.Name] = true
 		r.check(c, c.Worth > 0, at+"@worth", "must be above 0")
 		r.check(c, c.LateWorth >= 0 && c.LateWorth <= 1, at+"@late-worth", "must be from 0 to 1")
-		r.check(c, c.Aim > 0, at+"@aim", "must be above 0")
-		r.check(c, c.Patience >= c.Aim, at+"@patience", "is below the aim")
-		r.check(c, c.Holding > 0, at+"@holding", "must be above 0")
+		r.check(c, c.SetUpTarget > 0, at+"@aim", "must be above 0")
+		r.check(c, c.Patience >= c.SetUpTarget, at+"@patience", "is below the aim")
+		r.check(c, c.HoldingTime > 0, at+"@holding", "must be above 0")
 		r.check(c, c.Circuits > 0 && c.Circuits <= 1024, at+"@circuits", "must be from 1 to 1024")
 		r.check(c, c.Share >= 0, at+"@share", "is negative")
 	}
 }
 
 func (r *reader) rules(u *Rules) {
-	for name, d := range map[string]time.Duration{"release": u.Release, "drain-grace": u.DrainGrace, "cold-for": u.ColdFor,
-		"overload-for": u.OverloadFor, "answer-slack": u.AnswerSlack, "resend-after": u.ResendAfter, "backoff-most": u.BackoffMost} {
+	for name, d := range map[string]time.Duration{"release": u.ReleaseTime, "drain-grace": u.DrainGrace, "cold-for": u.ColdDuration,
+		"overload-for": u.OverloadDuration, "answer-slack": u.AnswerSlack, "resend-after": u.ResendAfter, "backoff-most": u.MaxBackoff} {
 		r.check(u, d >= 0, "rules@"+name, "is negative")
 	}
-	r.check(u, u.ColdFrom > 0 && u.ColdFrom <= 1, "rules@cold-from", "must be above 0, 1 at the most")
+	r.check(u, u.ColdCapacity > 0 && u.ColdCapacity <= 1, "rules@cold-from", "must be above 0, 1 at the most")
 	r.check(u, u.OverloadFactor >= 1, "rules@overload-factor", "must be 1 or more")
-	r.check(u, u.Attempts > 0, "rules@attempts", "must be above 0")
+	r.check(u, u.MaxAttempts > 0, "rules@attempts", "must be above 0")
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -60,12 +60,12 @@
 			i := strings.Index(text, c.from)
 			text = text[:i] + c.to + text[i+len(c.from):]
 			_, err := ParseScenario("f.xml", strings.NewReader(text))
-			var all Faults
+			var all ValidationErrors
 			if !errors.As(err, &all) {
 				t.Fatalf("%v", err)
 			}
 			for _, f := range all {
-				if strings.Contains(f.Path, c.path) && strings.Contains(f.What, c.what) {
+				if strings.Contains(f.Path, c.path) && strings.Contains(f.Reason, c.what) {
 					if f.Line < 1 || f.Line > strings.Count(text, "\n")+1 {
 						t.Errorf("line %d", f.Line)
 					}
@@ -79,7 +79,7 @@
 
 func TestEveryFaultIsTold(t *testing.T) {
 	_, err := ParseScenario("f.xml", strings.NewReader("<scenario>\n<load level=\"x\"/>\n<nothing/>\n</scenario>"))
-	var all Faults
+	var all ValidationErrors
 	if !errors.As(err, &all) || len(all) < 8 {
 		t.Fatalf("%v", err)
 	}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -22,27 +22,27 @@
 	}
 	return controller.Config{
 		Module: policy.New(set.Policy, b), Classes: b.Classes, Self: set.Self, Number: set.Number,
-		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.PerPeer, MostRoutes: set.Limits.Exchanges,
-		Connect: set.Peers.Connect, StandingLeft: set.Limits.Leave,
-		Life:    guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
-		Release: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
-		Faults:  guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
-		Flows:   flows, Interim: set.Flows.Interim,
-		Traffic: measure.NewLive(now, set.Limits.Measure, patience),
+		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.TransactionsPerPeer, MostRoutes: set.Limits.Exchanges,
+		Connect: set.Peers.ConnectWait, StandingLeft: set.Limits.ShutdownGrace,
+		Life:    guard.Life{After: set.Peers.ProbeAfter, Lost: set.Peers.LostAfter},
+		Release: guard.Release{Every: set.Peers.ReleaseRetryAfter, Tries: set.Peers.MaxReleaseAttempts},
+		Faults:  guard.Faults{Most: set.Limits.UnreadableMessages, Each: 100 * time.Millisecond},
+		Flows:   flows, Interim: set.Flows.InterimInterval,
+		Traffic: measure.NewLive(now, set.Limits.MeasurementPeriod, patience),
 	}
 }
 
 // Module is what the decision module starts with, from the settings.
 func Module(set *settings.Controller) brain.Settings {
 	b := brain.Settings{Seed: set.Seed, Self: set.Self, Me: set.Number, Controllers: set.Controllers,
-		ReleaseWait: set.Rules.Release, ResendAfter: set.Rules.ResendAfter, DrainGrace: set.Rules.DrainGrace,
-		AnswerSlack: set.Rules.AnswerSlack, ColdFrom: set.Rules.ColdFrom, ColdFor: set.Rules.ColdFor,
-		OverloadFactor: set.Rules.OverloadFactor, OverloadFor: set.Rules.OverloadFor, MaxAttempts: set.Rules.Attempts,
-		BackoffMax: set.Rules.BackoffMost, Backoff: set.Rules.BackoffMost > 0, Cancelling: true,
-		Advice: set.Rules.Advice, MarksRepeat: set.Rules.MarksRepeat, Tick: time.Millisecond}
+		ReleaseWait: set.Rules.ReleaseTime, ResendAfter: set.Rules.ResendAfter, DrainGrace: set.Rules.DrainGrace,
+		AnswerSlack: set.Rules.AnswerSlack, ColdFrom: set.Rules.ColdCapacity, ColdFor: set.Rules.ColdDuration,
+		OverloadFactor: set.Rules.OverloadFactor, OverloadFor: set.Rules.OverloadDuration, MaxAttempts: set.Rules.MaxAttempts,
+		BackoffMax: set.Rules.MaxBackoff, Backoff: set.Rules.MaxBackoff > 0, Cancelling: true,
+		Advice: set.Rules.RouteAdvice, MarksRepeat: set.Rules.CallersMarkRetries, Tick: time.Millisecond}
 	for _, c := range set.Classes {
-		b.Classes = append(b.Classes, brain.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: c.Aim,
-			GiveUp: c.Patience, Holding: c.Holding, Width: c.Circuits})
+		b.Classes = append(b.Classes, brain.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: c.SetUpTarget,
+			GiveUp: c.Patience, Holding: c.HoldingTime, Width: c.Circuits})
 	}
 	return b
 }
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -16,10 +16,10 @@
 type Kind uint8
 
 const (
-	Request Kind = iota // Transaction=ID: a command
-	Reply               // Reply=ID: its one final answer
-	Pending             // Pending=ID: received, the final answer comes later
-	Fault               // Error=CODE: says what was wrong with something that has no usable id
+	Request      Kind = iota // Transaction=ID: a command
+	Reply                    // Reply=ID: its one final answer
+	Pending                  // Pending=ID: received, the final answer comes later
+	ErrorMessage             // Error=CODE: says what was wrong with something that has no usable id
 )
 
 // Command is the verb of a transaction (H.248.1, clause 7.2).
@@ -51,23 +51,23 @@
 
 // The codes in use, with the words of docs/protocol.md.
 const (
-	BadSyntax      Code = 400 // syntax error in message
-	BadTransaction Code = 403 // syntax error in transaction request
-	BadIdentifier  Code = 410 // incorrect identifier
-	NoSuchContext  Code = 411 // the transaction refers to an unknown context
-	NoSuchTerm     Code = 430 // unknown termination
-	TermInContext  Code = 433 // termination is already in a context
-	BadCommand     Code = 443 // unsupported or unknown command
-	NoDescriptor   Code = 441 // missing descriptor
-	BadValue       Code = 449 // unsupported or unknown parameter value
-	NotReady       Code = 502 // not ready
-	Unavailable    Code = 503 // service unavailable
-	TooManyOpen    Code = 506 // number of transactions pending exceeded
-	NoResources    Code = 510 // insufficient resources
-	InService      Code = 521 // termination is changing its service state
-	TempFailure    Code = 530 // temporary network failure
-	TooLarge       Code = 533 // message exceeds the maximum size
-	Gone           Code = 581 // does not exist
+	BadSyntax             Code = 400 // syntax error in message
+	BadTransaction        Code = 403 // syntax error in transaction request
+	BadIdentifier         Code = 410 // incorrect identifier
+	UnknownContext        Code = 411 // the transaction refers to an unknown context
+	UnknownTermination    Code = 430 // unknown termination
+	TerminationInContext  Code = 433 // termination is already in a context
+	UnknownCommand        Code = 443 // unsupported or unknown command
+	MissingDescriptor     Code = 441 // missing descriptor
+	BadValue              Code = 449 // unsupported or unknown parameter value
+	NotReady              Code = 502 // not ready
+	Unavailable           Code = 503 // service unavailable
+	TooManyPending        Code = 506 // number of transactions pending exceeded
+	InsufficientResources Code = 510 // insufficient resources
+	ServiceStateChanging  Code = 521 // termination is changing its service state
+	TemporaryFailure      Code = 530 // temporary network failure
+	MessageTooLarge       Code = 533 // message exceeds the maximum size
+	DoesNotExist          Code = 581 // does not exist
 )
 
 // Field is one descriptor: a name, and its value on one line.
@@ -75,21 +75,21 @@
 
 // Message is one block of the language.
 type Message struct {
-	Kind    Kind
-	ID      uint32 // of the transaction, from 1; 0 with Fault
-	Context uint32
-	Command Command
-	Term    string // termination: a call id, or Root
-	Code    Code   // with Fault, and in a Reply that is an error; 0 else
-	Text    string // to Code
-	Fields  []Field
+	Kind        Kind
+	ID          uint32 // of the transaction, from 1; 0 with Fault
+	Context     uint32
+	Command     Command
+	Termination string // termination: a call id, or Root
+	Code        Code   // with Fault, and in a Reply that is an error; 0 else
+	Text        string // to Code
+	Descriptors []Field
 }
 
 // Get returns the first descriptor of a name, "" if there is none.
 func (m *Message) Get(name string) string {
-	for i := range m.Fields {
-		if m.Fields[i].Name == name {
-			return m.Fields[i].Value
+	for i := range m.Descriptors {
+		if m.Descriptors[i].Name == name {
+			return m.Descriptors[i].Value
 		}
 	}
 	return ""
@@ -98,7 +98,7 @@
 // All returns every value of a descriptor, in order.
 func (m *Message) All(name string) []string {
 	var all []string
-	for _, f := range m.Fields {
+	for _, f := range m.Descriptors {
 		if f.Name == name {
 			all = append(all, f.Value)
 		}
@@ -108,15 +108,15 @@
 
 // Put adds a descriptor.
 func (m *Message) Put(name, value string) *Message {
-	m.Fields = append(m.Fields, Field{name, value})
+	m.Descriptors = append(m.Descriptors, Field{name, value})
 	return m
 }
 
 // PutInt adds a descriptor with a whole number.
 func (m *Message) PutInt(name string, v int) *Message { return m.Put(name, strconv.Itoa(v)) }
 
-// PutSpan adds a descriptor with a duration.
-func (m *Message) PutSpan(name string, d time.Duration) *Message { return m.Put(name, d.String()) }
+// PutDuration adds a descriptor with a duration.
+func (m *Message) PutDuration(name string, d time.Duration) *Message { return m.Put(name, d.String()) }
 
 // PutFlag adds a descriptor with the value yes, or none.
 func (m *Message) PutFlag(name string, set bool) *Message {
@@ -126,14 +126,14 @@
 	return m
 }
 
-// ErrMissing says that a descriptor is not there.
-var ErrMissing = errors.New("is missing")
+// ErrMissingDescriptor says that a descriptor is not there.
+var ErrMissingDescriptor = errors.New("is missing")
 
 // Int reads a whole number between least and most.
 func (m *Message) Int(name string, least, most int) (int, error) {
 	s := m.Get(name)
 	if s == "" {
-		return 0, fmt.Errorf("%s %w", name, ErrMissing)
+		return 0, fmt.Errorf("%s %w", name, ErrMissingDescriptor)
 	}
 	v, err := strconv.Atoi(s)
 	if err != nil || v < least || v > most {
@@ -142,19 +142,19 @@
 	return v, nil
 }
 
-// IntOr reads a whole number, or returns what stands for none; a bad one is an error.
-func (m *Message) IntOr(name string, least, most, none int) (int, error) {
+// IntOrDefault reads a whole number, or returns what stands for none; a bad one is an error.
+func (m *Message) IntOrDefault(name string, least, most, none int) (int, error) {
 	if m.Get(name) == "" {
 		return none, nil
 	}
 	return m.Int(name, least, most)
 }
 
-// Span reads a duration that is not negative.
-func (m *Message) Span(name string) (time.Duration, error) {
+// Duration reads a duration that is not negative.
+func (m *Message) Duration(name string) (time.Duration, error) {
 	s := m.Get(name)
 	if s == "" {
-		return 0, fmt.Errorf("%s %w", name, ErrMissing)
+		return 0, fmt.Errorf("%s %w", name, ErrMissingDescriptor)
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
@@ -166,14 +166,14 @@
 // Flag tells whether a descriptor has the value yes.
 func (m *Message) Flag(name string) bool { return m.Get(name) == "yes" }
 
-// Answer starts the reply to a request, with its ids.
-func (m *Message) Answer() *Message {
-	return &Message{Kind: Reply, ID: m.ID, Context: m.Context, Command: m.Command, Term: m.Term}
+// NewReply starts the reply to a request, with its ids.
+func (m *Message) NewReply() *Message {
+	return &Message{Kind: Reply, ID: m.ID, Context: m.Context, Command: m.Command, Termination: m.Termination}
 }
 
-// Refuse is the reply to a request that says an error.
-func (m *Message) Refuse(c Code, text string) *Message {
-	r := m.Answer()
+// NewErrorReply is the reply to a request that says an error.
+func (m *Message) NewErrorReply(c Code, text string) *Message {
+	r := m.NewReply()
 	r.Code, r.Text = c, text
 	return r
 }
@@ -182,7 +182,7 @@
 // framing (line ends, control characters) are replaced by spaces.
 func (m *Message) Append(b []byte) []byte {
 	switch m.Kind {
-	case Fault:
+	case ErrorMessage:
 		b = append(b, "Error="...)
 		b = strconv.AppendInt(b, int64(m.Code), 10)
 		b = append(b, ' ')
@@ -210,7 +210,7 @@
 	b = append(b, ' ')
 	b = append(b, m.Command...)
 	b = append(b, '=')
-	b = appendClean(b, m.Term)
+	b = appendClean(b, m.Termination)
 	b = append(b, "\r\n"...)
 	if m.Code != 0 {
 		b = append(b, "Error: "...)
@@ -219,7 +219,7 @@
 		b = appendClean(b, m.Text)
 		b = append(b, "\r\n"...)
 	}
-	for _, f := range m.Fields {
+	for _, f := range m.Descriptors {
 		b = appendClean(b, f.Name)
 		b = append(b, ": "...)
 		b = appendClean(b, f.Value)
@@ -241,10 +241,10 @@
 
 func (m *Message) String() string { return strings.TrimRight(string(m.Append(nil)), "\r\n") }
 
-// Ends tells whether the message ends something that is counted: a reply, a
+// FreesResources tells whether the message ends something that is counted: a reply, a
 // release, or the end of a call.
-func (m *Message) Ends() bool {
-	return m.Kind == Reply || m.Command == Subtract || m.Command == Notify && m.Term != Root
+func (m *Message) FreesResources() bool {
+	return m.Kind == Reply || m.Command == Subtract || m.Command == Notify && m.Termination != Root
 }
 
 // SetUp tells whether the message opens a call.
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -14,23 +14,23 @@
 
 // Limits bound what one message may be. A zero field takes the default.
 type Limits struct {
-	Line   int // bytes of one line
-	Block  int // bytes of one message
-	Fields int // descriptors of one message
+	MaxLineBytes    int // bytes of one line
+	MaxMessageBytes int // bytes of one message
+	MaxDescriptors  int // descriptors of one message
 }
 
 // DefaultLimits are far above what the commands need.
-var DefaultLimits = Limits{Line: 1024, Block: 16 << 10, Fields: 128}
+var DefaultLimits = Limits{MaxLineBytes: 1024, MaxMessageBytes: 16 << 10, MaxDescriptors: 128}
 
 func (l Limits) orDefault() Limits {
-	if l.Line <= 0 {
-		l.Line = DefaultLimits.Line
+	if l.MaxLineBytes <= 0 {
+		l.MaxLineBytes = DefaultLimits.MaxLineBytes
 	}
-	if l.Block <= 0 {
-		l.Block = DefaultLimits.Block
+	if l.MaxMessageBytes <= 0 {
+		l.MaxMessageBytes = DefaultLimits.MaxMessageBytes
 	}
-	if l.Fields <= 0 {
-		l.Fields = DefaultLimits.Fields
+	if l.MaxDescriptors <= 0 {
+		l.MaxDescriptors = DefaultLimits.MaxDescriptors
 	}
 	return l
 }
@@ -38,15 +38,15 @@
 // SyntaxError is a message that can't be read while its framing holds: the
 // next one can be. ID is the transaction's where that much could be read.
 type SyntaxError struct {
-	ID   uint32
-	Code Code
-	What string
+	ID     uint32
+	Code   Code
+	Reason string
 }
 
 // Skipped marks it as an error after which the reader reads on.
 func (e *SyntaxError) Skipped() {}
 
-func (e *SyntaxError) Error() string { return fmt.Sprintf("%d %s", int(e.Code), e.What) }
+func (e *SyntaxError) Error() string { return fmt.Sprintf("%d %s", int(e.Code), e.Reason) }
 
 // ErrFraming says that no next message can be found: the connection is to be closed.
 var ErrFraming = errors.New("framing lost")
@@ -79,7 +79,7 @@
 func (r *Reader) Read() (*Message, error) {
 	// Bytes are counted as they are taken from the stream, so up to a buffer
 	// more than the block may be taken: the check by lines below is exact.
-	r.budget.N = int64(r.limit.Block + buffer)
+	r.budget.N = int64(r.limit.MaxMessageBytes + buffer)
 	m := &Message{}
 	size, fields := 0, 0
 	var bad *SyntaxError
@@ -107,20 +107,20 @@
 		size += len(line) + 2
 		switch {
 		case bad != nil: // read on to the end of the block
-		case len(line) > r.limit.Line:
-			bad = &SyntaxError{m.ID, TooLarge, fmt.Sprintf("a line of over %d bytes", r.limit.Line)}
-		case size > r.limit.Block:
-			bad = &SyntaxError{m.ID, TooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.Block)}
+		case len(line) > r.limit.MaxLineBytes:
+			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a line of over %d bytes", r.limit.MaxLineBytes)}
+		case size > r.limit.MaxMessageBytes:
+			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.MaxMessageBytes)}
 		case first:
 			bad = m.head(line)
 		default:
-			if fields++; fields > r.limit.Fields {
-				bad = &SyntaxError{m.ID, TooLarge, fmt.Sprintf("over %d descriptors", r.limit.Fields)}
+			if fields++; fields > r.limit.MaxDescriptors {
+				bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("over %d descriptors", r.limit.MaxDescriptors)}
 				break
 			}
 			bad = m.field(line)
 		}
-		if size > r.limit.Block*(1+skipBlocks) {
+		if size > r.limit.MaxMessageBytes*(1+skipBlocks) {
 			return nil, fmt.Errorf("%w: a message of over %d bytes", ErrFraming, size)
 		}
 	}
@@ -128,18 +128,18 @@
 
 // skip reads over the rest of a block that is too large, up to a bound.
 func (r *Reader) skip(id uint32, bad *SyntaxError) error {
-	r.budget.N = int64(r.limit.Block * skipBlocks)
+	r.budget.N = int64(r.limit.MaxMessageBytes * skipBlocks)
 	for {
 		part, err := r.text.R.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if r.budget.N <= 0 {
-				return fmt.Errorf("%w: no end of a message within %d bytes", ErrFraming, r.limit.Block*skipBlocks)
+				return fmt.Errorf("%w: no end of a message within %d bytes", ErrFraming, r.limit.MaxMessageBytes*skipBlocks)
 			}
 			return err
 		}
 		if err == nil && len(bytes.TrimRight(part, "\r\n")) == 0 {
 			if bad == nil {
-				bad = &SyntaxError{id, TooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.Block)}
+				bad = &SyntaxError{id, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.MaxMessageBytes)}
 			}
 			return bad
 		}
@@ -160,7 +160,7 @@
 	case "Pending":
 		m.Kind = Pending
 	case "Error":
-		m.Kind = Fault
+		m.Kind = ErrorMessage
 		code, err := strconv.ParseUint(value, 10, 16)
 		if err != nil || code == 0 {
 			return &SyntaxError{0, BadSyntax, "Error without a code"}
@@ -193,28 +193,28 @@
 	default:
 		c, err := strconv.ParseUint(value, 10, 32)
 		if err != nil || c == 0 || uint32(c) >= ContextChoose {
-			return &SyntaxError{m.ID, NoSuchContext, fmt.Sprintf("%.40q is no context", value)}
+			return &SyntaxError{m.ID, UnknownContext, fmt.Sprintf("%.40q is no context", value)}
 		}
 		m.Context = uint32(c)
 	}
 	name, value, _ = strings.Cut(rest, "=")
 	command, ok := commands[name]
 	if !ok {
-		return &SyntaxError{m.ID, BadCommand, fmt.Sprintf("%.40q is no command", name)}
+		return &SyntaxError{m.ID, UnknownCommand, fmt.Sprintf("%.40q is no command", name)}
 	}
-	if value == "" || len(value) > MaxTerm {
-		return &SyntaxError{m.ID, BadIdentifier, "a termination has 1 to " + strconv.Itoa(MaxTerm) + " bytes"}
+	if value == "" || len(value) > MaxTerminationBytes {
+		return &SyntaxError{m.ID, BadIdentifier, "a termination has 1 to " + strconv.Itoa(MaxTerminationBytes) + " bytes"}
 	}
-	m.Command, m.Term = command, value
+	m.Command, m.Termination = command, value
 	return nil
 }
 
-// MaxTerm is the longest name of a termination, in bytes.
-const MaxTerm = 64
+// MaxTerminationBytes is the longest name of a termination, in bytes.
+const MaxTerminationBytes = 64
 
 func (m *Message) field(line string) *SyntaxError {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || name == "" || m.Kind == Pending || m.Kind == Fault {
+	if !ok || name == "" || m.Kind == Pending || m.Kind == ErrorMessage {
 		return &SyntaxError{m.ID, BadTransaction, fmt.Sprintf("%.40q is no descriptor", line)}
 	}
 	if strings.IndexFunc(line, control) >= 0 {
@@ -230,16 +230,16 @@
 		m.Code, m.Text = Code(code), rest
 		return nil
 	}
-	if m.Fields == nil {
-		m.Fields = make([]Field, 0, 8)
+	if m.Descriptors == nil {
+		m.Descriptors = make([]Field, 0, 8)
 	}
-	m.Fields = append(m.Fields, Field{name, value})
+	m.Descriptors = append(m.Descriptors, Field{name, value})
 	return nil
 }
 
 func control(c rune) bool { return c < ' ' || c == 0x7f }
 
-// Reading makes readers within limits, one for each connection.
-func Reading(l Limits) func(net.Conn) func() (*Message, error) {
+// NewReadFunc makes readers within limits, one for each connection.
+func NewReadFunc(l Limits) func(net.Conn) func() (*Message, error) {
 	return func(nc net.Conn) func() (*Message, error) { return NewReader(nc, l).Read }
 }
--- a/internal/signal/signal_test.go
+++ b/internal/signal/signal_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestReadsAndRefuses(t *testing.T) {
-	long := strings.Repeat("x", DefaultLimits.Line+1)
+	long := strings.Repeat("x", DefaultLimits.MaxLineBytes+1)
 	cases := []struct {
 		name, in string
 		id       uint32
@@ -30,15 +30,15 @@
 		{"id 0", "Transaction=0 Context=- Add=x\r\n\r\n", 0, BadTransaction},
 		{"id too large", "Transaction=4294967296 Context=- Add=x\r\n\r\n", 0, BadTransaction},
 		{"no context", "Transaction=4 Add=x\r\n\r\n", 4, BadTransaction},
-		{"bad context", "Transaction=4 Context=0 Add=x\r\n\r\n", 4, NoSuchContext},
-		{"unknown command", "Transaction=4 Context=- Move=x\r\n\r\n", 4, BadCommand},
+		{"bad context", "Transaction=4 Context=0 Add=x\r\n\r\n", 4, UnknownContext},
+		{"unknown command", "Transaction=4 Context=- Move=x\r\n\r\n", 4, UnknownCommand},
 		{"no termination", "Transaction=4 Context=- Add=\r\n\r\n", 4, BadIdentifier},
 		{"long termination", "Transaction=4 Context=- Add=" + strings.Repeat("y", 65) + "\r\n\r\n", 4, BadIdentifier},
 		{"no colon", "Transaction=4 Context=- Add=x\r\nClass\r\n\r\n", 4, BadTransaction},
 		{"control character", "Transaction=4 Context=- Add=x\r\nClass: a\x00b\r\n\r\n", 4, BadTransaction},
-		{"long line", "Transaction=4 Context=- Add=x\r\nClass: " + long + "\r\n\r\n", 4, TooLarge},
-		{"many descriptors", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: b\r\n", 129) + "\r\n", 4, TooLarge},
-		{"large block", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: "+long[:900]+"\r\n", 40) + "\r\n", 4, TooLarge},
+		{"long line", "Transaction=4 Context=- Add=x\r\nClass: " + long + "\r\n\r\n", 4, MessageTooLarge},
+		{"many descriptors", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: b\r\n", 129) + "\r\n", 4, MessageTooLarge},
+		{"large block", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: "+long[:900]+"\r\n", 40) + "\r\n", 4, MessageTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,8 +94,8 @@
 	word := rapid.StringMatching(`[A-Za-z0-9/._-]{1,20}`)
 	value := rapid.StringMatching(`[!-~]([ -~]{0,40}[!-~])?`)
 	return rapid.Custom(func(t *rapid.T) *Message {
-		m := &Message{Kind: rapid.SampledFrom([]Kind{Request, Reply, Pending, Fault}).Draw(t, "kind")}
-		if m.Kind == Fault {
+		m := &Message{Kind: rapid.SampledFrom([]Kind{Request, Reply, Pending, ErrorMessage}).Draw(t, "kind")}
+		if m.Kind == ErrorMessage {
 			m.Code, m.Text = Code(rapid.IntRange(1, 999).Draw(t, "code")), value.Draw(t, "text")
 			return m
 		}
@@ -105,7 +105,7 @@
 		}
 		m.Context = rapid.OneOf(rapid.Just(ContextNull), rapid.Just(ContextChoose), rapid.Uint32Range(1, 1<<31)).Draw(t, "context")
 		m.Command = rapid.SampledFrom([]Command{Add, Modify, Subtract, Notify, ServiceChange, AuditValue}).Draw(t, "command")
-		m.Term = word.Draw(t, "term")
+		m.Termination = word.Draw(t, "term")
 		if m.Kind == Reply && rapid.Bool().Draw(t, "failed") {
 			m.Code, m.Text = Code(rapid.IntRange(1, 999).Draw(t, "code")), value.Draw(t, "text")
 		}
@@ -139,18 +139,18 @@
 }
 
 func TestValuesNameThePlace(t *testing.T) {
-	m := (&Message{}).PutInt("Dest", 7).PutSpan("Left", 3*time.Second).Put("Bad", "x")
+	m := (&Message{}).PutInt("Dest", 7).PutDuration("Left", 3*time.Second).Put("Bad", "x")
 	if v, err := m.Int("Dest", 0, 10); v != 7 || err != nil {
 		t.Error(v, err)
 	}
-	if d, err := m.Span("Left"); d != 3*time.Second || err != nil {
+	if d, err := m.Duration("Left"); d != 3*time.Second || err != nil {
 		t.Error(d, err)
 	}
 	for _, name := range []string{"Bad", "None"} {
 		if _, err := m.Int(name, 0, 10); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if _, err := m.Span(name); err == nil || !strings.Contains(err.Error(), name) {
+		if _, err := m.Duration(name); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -166,7 +166,7 @@
 	f.Add([]byte("Transaction=9 Context=7 Notify=ROOT\r\nGroup: 12 3 4\r\nGroup\r\n\r\n"))
 	f.Add(bytes.Repeat([]byte("A"), 9000))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r := NewReader(bytes.NewReader(in), Limits{Line: 64, Block: 256, Fields: 4})
+		r := NewReader(bytes.NewReader(in), Limits{MaxLineBytes: 64, MaxMessageBytes: 256, MaxDescriptors: 4})
 		for n := 0; ; n++ {
 			m, err := r.Read()
 			var bad *SyntaxError
@@ -179,7 +179,7 @@
 			if m == nil {
 				continue
 			}
-			again, err := NewReader(bytes.NewReader(m.Append(nil)), Limits{Line: 100, Block: 512, Fields: 5}).Read()
+			again, err := NewReader(bytes.NewReader(m.Append(nil)), Limits{MaxLineBytes: 100, MaxMessageBytes: 512, MaxDescriptors: 5}).Read()
 			if err != nil || again.String() != m.String() {
 				t.Fatalf("%q reads back as %q, %v", m, again, err)
 			}
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -241,32 +241,32 @@
 	case signal.ServiceChange:
 		cell, err := m.Int("From", 0, 1<<20)
 		if err != nil {
-			c.Send(m.Refuse(signal.BadValue, err.Error()))
+			c.Send(m.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
 		if c.cell = cell; cell == x.Cell {
 			x.own = c
 		}
-		c.Send(m.Answer().Put("Since", fmt.Sprint(x.Since.Milliseconds())))
+		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.Since.Milliseconds())))
 	case signal.Modify:
-		c.Send(m.Answer())
+		c.Send(m.NewReply())
 		if c.circuits = m.Get("Events") == "circuits" && c.cell == x.Cell; c.circuits {
 			f.report(x, nil)
 		}
 	case signal.AuditValue:
-		c.Send(m.Answer().PutSpan("Wait", x.proc.wait()))
+		c.Send(m.NewReply().PutDuration("Wait", x.proc.wait()))
 	case signal.Add:
 		f.setUp(c, m)
 	case signal.Subtract:
 		l := c.legs[legKey{m.Context, m.Get("Attempt")}]
 		if l == nil {
-			c.Send(m.Answer()) // it is released, as was asked
+			c.Send(m.NewReply()) // it is released, as was asked
 			return
 		}
 		l.add = 0 // the release answers it
-		f.releaseWork(l, func() { c.Send(m.Answer()) })
+		f.releaseWork(l, func() { c.Send(m.NewReply()) })
 	default:
-		c.Send(m.Refuse(signal.BadCommand, "not a command for an exchange"))
+		c.Send(m.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
 	}
 }
 
@@ -287,25 +287,25 @@
 	key := legKey{m.Context, m.Get("Attempt")}
 	dest, err := m.Int("Dest", 0, 1<<20)
 	width, err2 := m.Int("Width", 1, 1024)
-	left, err3 := m.Span("Left")
+	left, err3 := m.Duration("Left")
 	switch {
 	case err != nil || err2 != nil || err3 != nil || c.cell < 0:
-		c.Send(m.Refuse(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, err2, err3)))
+		c.Send(m.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, err2, err3)))
 		return
 	case c.legs[key] != nil:
-		c.Send(m.Refuse(signal.TermInContext, "this attempt is there already"))
+		c.Send(m.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
 	near, g := f.cells[c.cell], f.group(c.cell, x.Cell)
-	l := &leg{conn: c, key: key, name: m.Term, add: m.ID, near: near, far: x, group: g, width: width, msg: m, dest: dest,
+	l := &leg{conn: c, key: key, name: m.Termination, add: m.ID, near: near, far: x, group: g, width: width, msg: m, dest: dest,
 		due: f.s.Now() + left}
 	switch {
 	case near == nil || !near.Up:
-		f.reply(l, "own-processor", signal.TempFailure)
+		f.reply(l, "own-processor", signal.TemporaryFailure)
 		return
 	case g == nil || g.Free < width:
 		f.Counts.NoCircuit++
-		f.reply(l, "no-circuit", signal.NoResources)
+		f.reply(l, "no-circuit", signal.InsufficientResources)
 		return
 	}
 	f.change(g, -width)
@@ -403,8 +403,8 @@
 		return
 	}
 	c.onward[c.tx], c.carried[l.onward] = l, l
-	m := &signal.Message{ID: c.tx, Context: signal.ContextChoose, Command: signal.Add, Term: l.onward}
-	m.Put("Class", l.msg.Get("Class")).PutInt("Dest", l.dest).PutInt("Width", l.width).PutSpan("Left", left)
+	m := &signal.Message{ID: c.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: l.onward}
+	m.Put("Class", l.msg.Get("Class")).PutInt("Dest", l.dest).PutInt("Width", l.width).PutDuration("Left", left)
 	m.PutInt("Source", l.near.Cell).PutFlag("Again", l.msg.Flag("Again"))
 	if n := l.msg.Get("Number"); n != "" {
 		m.Put("Number", n)
@@ -433,14 +433,14 @@
 		}
 		f.fail(l, note, false)
 	case m.Kind == signal.Request && m.Command == signal.Notify:
-		c.Send(m.Answer())
-		if l := c.carried[m.Term]; l != nil {
+		c.Send(m.NewReply())
+		if l := c.carried[m.Termination]; l != nil {
 			delete(c.carried, l.onward)
 			l.onward = ""
 			f.cut(l)
 		}
 	case m.Kind == signal.Request:
-		c.Send(m.Answer())
+		c.Send(m.NewReply())
 	}
 }
 
@@ -450,12 +450,12 @@
 		return
 	}
 	l.add = 0
-	r := l.msg.Answer()
+	r := l.msg.NewReply()
 	if note != "" {
 		r.Code, r.Text = code, note
 		r.Put("Note", note)
 		if note == "processor-full" && f.fig.GivesWait {
-			r.PutSpan("Wait", max(l.far.proc.wait()-f.fig.Queue, 10*time.Millisecond).Round(time.Millisecond))
+			r.PutDuration("Wait", max(l.far.proc.wait()-f.fig.Queue, 10*time.Millisecond).Round(time.Millisecond))
 		}
 	}
 	if g := l.group; g != nil {
@@ -481,9 +481,9 @@
 		f.Counts.TurnedBack++
 	}
 	f.end(l)
-	code := signal.NoResources
+	code := signal.InsufficientResources
 	if note == "cut" {
-		code = signal.TempFailure
+		code = signal.TemporaryFailure
 	}
 	f.reply(l, note, code)
 }
@@ -497,11 +497,11 @@
 	told := l.stands && !l.conn.closed
 	f.end(l)
 	if !told {
-		f.reply(l, "cut", signal.TempFailure)
+		f.reply(l, "cut", signal.TemporaryFailure)
 		return
 	}
 	l.conn.tx++
-	l.conn.Send((&signal.Message{ID: l.conn.tx, Context: l.key.context, Command: signal.Notify, Term: l.name}).
+	l.conn.Send((&signal.Message{ID: l.conn.tx, Context: l.key.context, Command: signal.Notify, Termination: l.name}).
 		Put("Event", "cut").Put("Attempt", l.key.attempt))
 }
 
@@ -519,7 +519,7 @@
 	if c := l.far.transit; c != nil && l.onward != "" {
 		delete(c.carried, l.onward)
 		c.tx++
-		c.Send(&signal.Message{ID: c.tx, Context: signal.ContextNull, Command: signal.Subtract, Term: l.onward})
+		c.Send(&signal.Message{ID: c.tx, Context: signal.ContextNull, Command: signal.Subtract, Termination: l.onward})
 		l.onward = ""
 	}
 }
@@ -578,12 +578,12 @@
 		if cell == x.Cell || some != nil && !some[cell] {
 			continue
 		}
-		if m == nil || len(m.Fields) >= reportLines {
+		if m == nil || len(m.Descriptors) >= reportLines {
 			if m != nil {
 				c.Send(m)
 			}
 			c.tx++
-			m = &signal.Message{ID: c.tx, Command: signal.Notify, Term: signal.Root}
+			m = &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
 		}
 		free, size := 0, 0
 		if g := f.group(x.Cell, cell); g != nil {
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -74,7 +74,7 @@
 				return
 			}
 			c.tx++
-			c.Send((&signal.Message{ID: c.tx, Command: signal.Notify, Term: signal.Root}).Put("Exchange", e.line()))
+			c.Send((&signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", e.line()))
 		})
 	}
 }
@@ -105,14 +105,14 @@
 	if m.Kind != signal.Request {
 		return
 	}
-	c.Send(m.Answer())
+	c.Send(m.NewReply())
 	if m.Command != signal.Modify || m.Get("Events") != "list" || c.subscribed {
 		return
 	}
 	c.subscribed = true
 	for i := 0; i == 0 || i < len(l.entries); i += entriesAPage {
 		c.tx++
-		n := &signal.Message{ID: c.tx, Command: signal.Notify, Term: signal.Root}
+		n := &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
 		n.PutFlag("Complete", i == 0)
 		for _, e := range l.entries[i:min(i+entriesAPage, len(l.entries))] {
 			n.Put("Exchange", e.line())
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -89,7 +89,7 @@
 		w.Crowd.Dial(from, w.hotDest, HotNumber)
 		return
 	}
-	x := w.rnd.Float64() * w.scn.Fleet.Erlang
+	x := w.rnd.Float64() * w.scn.Fleet.ErlangPerExchange
 	for j, v := range w.weights[from] {
 		if x -= v; x < 0 && j != from {
 			w.Crowd.Dial(from, j, "")
--- a/internal/standin/scene/scene.go
+++ b/internal/standin/scene/scene.go
@@ -126,14 +126,14 @@
 	s := w.scn
 	f, p := s.Fleet, s.Processor
 	w.edge.Fact("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-		ReleaseWait: s.Rules.Release, OverloadFactor: s.Rules.OverloadFactor, OverloadFor: s.Rules.OverloadFor})
-	w.Fleet = exchange.New(w.s, w.rnd, exchange.Figures{Near: f.Near, Far: f.Far, Queue: p.Queue, Look: p.Look, Reject: p.Reject,
-		Follow: p.Follow, Repeat: p.Repeat, Resend: p.Resend, FinishFirst: p.FinishFirst, GivesWait: p.GivesWait,
-		Reduce: p.Reduce, ColdFrom: s.Rules.ColdFrom, ColdFor: s.Rules.ColdFor})
+		ReleaseTime: s.Rules.ReleaseTime, OverloadFactor: s.Rules.OverloadFactor, OverloadDuration: s.Rules.OverloadDuration})
+	w.Fleet = exchange.New(w.s, w.rnd, exchange.Figures{Near: f.IntraRegionDelay, Far: f.InterRegionDelay, Queue: p.MaxQueueWait, Look: p.ExamineWork, Reject: p.RejectWork,
+		Follow: p.FollowUpWork, Repeat: p.ResendWork, Resend: p.ResendAfter, FinishFirst: p.FinishFirst, GivesWait: p.ReportsWait,
+		Reduce: p.ReportsReduction, ColdFrom: s.Rules.ColdCapacity, ColdFor: s.Rules.ColdDuration})
 	w.Fleet.Started = func(x *exchange.Exchange) {
-		c := capture.Capacity{Exchange: x.ID, Cell: x.Cell, PerS: x.PerSecond(), From: 1, Since: x.Since.Milliseconds()}
+		c := capture.Capacity{ExchangeID: x.ID, ExchangeNumber: x.Cell, SetUpsPerSecond: x.PerSecond(), InitialShare: 1, Since: x.Since.Milliseconds()}
 		if x.Since > 0 {
-			c.From, c.Warm = s.Rules.ColdFrom, s.Rules.ColdFor
+			c.InitialShare, c.WarmUpTime = s.Rules.ColdCapacity, s.Rules.ColdDuration
 		}
 		w.edge.Fact("capacity", c)
 	}
@@ -141,25 +141,25 @@
 	var classes []subscriber.Class
 	for _, c := range s.Classes {
 		share += c.Share
-		seconds += c.Share * c.Holding.Seconds() * float64(c.Circuits)
+		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 		classes = append(classes, subscriber.Class{Name: c.Name, Share: c.Share, Worth: c.Worth, LateWorth: c.LateWorth,
-			Aim: c.Aim, Patience: c.Patience, Holding: c.Holding})
+			Aim: c.SetUpTarget, Patience: c.Patience, Holding: c.HoldingTime})
 	}
-	each := f.Erlang / (seconds / share) // calls a second that one exchange's callers make
+	each := f.ErlangPerExchange / (seconds / share) // calls a second that one exchange's callers make
 	w.rate = each * float64(f.Exchanges)
-	work := time.Duration(p.Use / (each * (2 + p.Look + 4*p.Follow)) * float64(time.Second))
+	work := time.Duration(p.Utilization / (each * (2 + p.ExamineWork + 4*p.FollowUpWork)) * float64(time.Second))
 	w.draw(f)
 	h := s.Callers
-	w.Crowd = subscriber.New(w.s, w.rnd, classes, subscriber.Habits{Redials: h.Redials, RedialAfter: h.RedialAfter,
-		TryShare: h.TryShare, Impatient: h.Impatient, Honour: h.Honour, MarksRepeat: s.Rules.MarksRepeat})
-	w.List = exlist.New(w.s, w.rnd, s.List.Notice)
+	w.Crowd = subscriber.New(w.s, w.rnd, classes, subscriber.Habits{Redials: h.MaxRedials, RedialAfter: h.MeanRedialDelay,
+		TryShare: h.AttemptShare, Impatient: h.ImpatientShare, Honour: h.HonourShare, MarksRepeat: s.Rules.CallersMarkRetries})
+	w.List = exlist.New(w.s, w.rnd, s.List.MeanDelay)
 	w.nextID = w.rnd.Uint32N(1<<20) + 1<<20
 	for cell := range f.Exchanges {
 		if _, err := w.add(cell, cell%f.Regions, work, false); err != nil {
 			return err
 		}
 	}
-	if s.Rules.Advice && s.List.Advice > 0 {
+	if s.Rules.RouteAdvice && s.List.AdviceAge > 0 {
 		w.Crowd.Advice = w.advice()
 	}
 	return nil
@@ -174,12 +174,12 @@
 		sum := 0.0
 		for j := range plan[i] {
 			if i != j {
-				plan[i][j] = lognormal(w.rnd, f.Spread)
+				plan[i][j] = lognormal(w.rnd, f.PairVariation)
 				sum += plan[i][j]
 			}
 		}
 		for j := range plan[i] {
-			plan[i][j] *= f.Erlang / sum
+			plan[i][j] *= f.ErlangPerExchange / sum
 		}
 	}
 	type pair struct {
@@ -195,24 +195,24 @@
 	thin := slices.Clone(pairs)
 	slices.SortStableFunc(thin, func(x, y pair) int { return int(math.Copysign(1, x.load-y.load)) })
 	without := map[[2]int]bool{}
-	for _, p := range thin[:int(f.Unlinked*float64(len(thin)))] {
+	for _, p := range thin[:int(f.UnlinkedShare*float64(len(thin)))] {
 		without[[2]int{p.a, p.b}] = true
 	}
 	for _, p := range pairs {
 		if !without[[2]int{p.a, p.b}] {
-			load := p.load / (1 - f.Unlinked) // room for those without a group
-			w.Fleet.Link(p.a, p.b, max(int(math.Ceil(load+f.Spare*math.Sqrt(load))), 2))
+			load := p.load / (1 - f.UnlinkedShare) // room for those without a group
+			w.Fleet.Link(p.a, p.b, max(int(math.Ceil(load+f.SpareFactor*math.Sqrt(load))), 2))
 		}
 	}
 	w.weights = plan
-	w.drift(f.Missed)
-	if f.Drift > 0 {
+	w.drift(f.ForecastError)
+	if f.DriftPeriod > 0 {
 		var again func()
 		again = func() {
-			w.drift(f.Missed / 2)
-			w.s.After(f.Drift, again)
+			w.drift(f.ForecastError / 2)
+			w.s.After(f.DriftPeriod, again)
 		}
-		w.s.After(f.Drift, again)
+		w.s.After(f.DriftPeriod, again)
 	}
 }
 
@@ -252,7 +252,7 @@
 				best[[2]int{a, b}] = at
 			}
 		}
-		w.s.After(w.scn.List.Advice, look)
+		w.s.After(w.scn.List.AdviceAge, look)
 	}
 	look()
 	return func(from, dest int) int {
--- a/internal/standin/scene/trouble.go
+++ b/internal/standin/scene/trouble.go
@@ -40,14 +40,14 @@
 func (w *Scene) trouble(t settings.Trouble) {
 	what, end := w.befall(t)
 	now := w.s.Now() - w.began
-	w.seen = append(w.seen, Seen{Trouble: t, What: what, From: now, To: now + max(t.For, time.Second)})
-	w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, What: what, For: t.For})
+	w.seen = append(w.seen, Seen{Trouble: t, What: what, From: now, To: now + max(t.Duration, time.Second)})
+	w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, Description: what, Duration: t.Duration})
 	if end == nil {
 		return
 	}
-	w.s.After(t.For, func() {
+	w.s.After(t.Duration, func() {
 		end()
-		w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, What: what, Ended: true})
+		w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, Description: what, Ended: true})
 	})
 }
 
@@ -88,7 +88,7 @@
 		return names(hs), func() { each(hs, func(h *Host) { h.Hung = false }) }
 	case "pauses":
 		hs := w.some(t.Size)
-		until := w.s.Now() + t.For
+		until := w.s.Now() + t.Duration
 		var again func()
 		again = func() {
 			each(hs, func(h *Host) { h.Pause(w.s.Now() + 300*time.Millisecond) })
@@ -106,7 +106,7 @@
 		hs := w.some(0.5)
 		for i := range 10 {
 			factor := 1 + (t.Size-1)*float64(i+1)/10
-			w.s.After(t.For*time.Duration(i)/10, func() { each(hs, func(h *Host) { h.Slow(factor) }) })
+			w.s.After(t.Duration*time.Duration(i)/10, func() { each(hs, func(h *Host) { h.Slow(factor) }) })
 		}
 		return names(hs), func() { each(hs, func(h *Host) { h.Slow(1) }) }
 	case "answers-lost":
@@ -124,7 +124,7 @@
 		return fmt.Sprintf("%d calls", n), nil
 	case "deploy":
 		hs := w.some(t.Size)
-		gap := t.For / time.Duration(len(hs))
+		gap := t.Duration / time.Duration(len(hs))
 		for i, h := range hs {
 			w.s.After(gap*time.Duration(i), func() { w.replace(h) })
 		}
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -196,8 +196,8 @@
 	t := &try{call: call, conn: conn, line: l, tx: conn.tx, name: fmt.Sprintf("c%d-%d", call.From, c.names), number: number,
 		began: now, first: first}
 	call.Tries++
-	m := &signal.Message{ID: t.tx, Context: signal.ContextChoose, Command: signal.Add, Term: t.name}
-	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutSpan("Left", left)
+	m := &signal.Message{ID: t.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
+	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
 	m.PutFlag("Repeat", c.habits.MarksRepeat && call.Tries > 1 && !again).PutFlag("Again", again)
 	if c.Advice != nil {
 		m.PutInt("Advice", c.Advice(call.From, call.Dest))
@@ -222,7 +222,7 @@
 
 func (c *Crowd) hangUp(t *try) {
 	t.conn.tx++
-	t.conn.Send(&signal.Message{ID: t.conn.tx, Command: signal.Subtract, Term: t.name})
+	t.conn.Send(&signal.Message{ID: t.conn.tx, Command: signal.Subtract, Termination: t.name})
 }
 
 // Message takes a message from a controller.
@@ -238,15 +238,15 @@
 			c.stands(t)
 			return
 		}
-		back, _ := m.Span("Backoff")
+		back, _ := m.Duration("Backoff")
 		end := Refused
 		if m.Code == signal.Unavailable {
 			end = Failed
 		}
 		c.ended(t, end, back)
 	case m.Kind == signal.Request && m.Command == signal.Notify:
-		conn.Send(m.Answer())
-		if t := conn.names[m.Term]; t != nil && t.stands {
+		conn.Send(m.NewReply())
+		if t := conn.names[m.Termination]; t != nil && t.stands {
 			if m.Get("Event") == "cut" {
 				c.cut(t)
 			} else {
@@ -254,7 +254,7 @@
 			}
 		}
 	case m.Kind == signal.Request:
-		conn.Send(m.Answer())
+		conn.Send(m.NewReply())
 	}
 }
 
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -87,7 +87,7 @@
 
 func (h *handler) Bad(c *transport.Conn[*signal.Message], s transport.Skipped) {
 	e := s.(*signal.SyntaxError)
-	c.Send(&signal.Message{Kind: signal.Fault, Code: e.Code, Text: e.What}, 0)
+	c.Send(&signal.Message{Kind: signal.ErrorMessage, Code: e.Code, Text: e.Reason}, 0)
 }
 
 func (h *handler) Unsent(*transport.Conn[*signal.Message], *signal.Message) {}
@@ -98,8 +98,8 @@
 
 // serve starts a stand-in's end of a connection.
 func (w *World) serve(nc net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
-	tap := w.capture.Open(transport.Key(nc, dialed), capture.Ends{Owner: owner, Role: role, Dialed: dialed})
-	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 16}, Write: time.Minute, Tap: tap, Now: w.loop.clock},
+	tap := w.capture.Open(transport.Key(nc, dialed), capture.Endpoint{Owner: owner, Role: role, Dialed: dialed})
+	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 16}, Write: time.Minute, Tap: tap, Now: w.loop.clock},
 		&handler{w, message, closed})
 }
 
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -53,7 +53,7 @@
 func TestFinishingDoesNotResetWhatWasWritten(t *testing.T) {
 	a, b := sockets(t)
 	h := &stuck{in: make(chan struct{}), leave: make(chan struct{})}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Linger: 10 * time.Second}, h)
+	c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Linger: 10 * time.Second}, h)
 	if _, err := b.Write(release(1).Append(nil)); err != nil {
 		t.Fatal(err)
 	}
@@ -86,9 +86,9 @@
 			t.Fatal(err)
 		}
 	}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Abort: true, Write: time.Minute}, &keeper{})
+	c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Abort: true, Write: time.Minute}, &keeper{})
 	m := setup(1)
-	m.Term = string(make([]byte, 4000))
+	m.Termination = string(make([]byte, 4000))
 	for range 30 { // more than the peer, which does not read, has room for; all of it fits on the way
 		c.Send(m, time.Hour)
 	}
@@ -110,7 +110,7 @@
 func TestARecalledSetUpDoesNotRestInABlockedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Write: 2 * time.Second, Recall: 50 * time.Millisecond}, &keeper{})
+		c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Write: 2 * time.Second, Recall: 50 * time.Millisecond}, &keeper{})
 		c.Send(setup(1), time.Hour)
 		synctest.Wait() // in the write
 		time.Sleep(time.Second)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -34,7 +34,7 @@
 	Write time.Duration
 	// Grace is the drain grace, for writes under way when the fence is shut.
 	Grace time.Duration
-	Tap   *capture.Tap
+	Tap   *capture.ConnRecorder
 	// Now is the clock of NotAfter.
 	Now func() time.Duration
 	// Linger is how long Finish waits for the peer's end after its own (half-close); 0 ends both at once.
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -69,7 +69,7 @@
 }
 
 func setup(id uint32) *signal.Message {
-	return &signal.Message{ID: id, Context: 1, Command: signal.Add, Term: fmt.Sprint("c", id)}
+	return &signal.Message{ID: id, Context: 1, Command: signal.Add, Termination: fmt.Sprint("c", id)}
 }
 
 func id(n uint32) func(*signal.Message) bool {
@@ -77,14 +77,14 @@
 }
 
 func release(id uint32) *signal.Message {
-	return &signal.Message{ID: id, Context: 1, Command: signal.Subtract, Term: fmt.Sprint("c", id)}
+	return &signal.Message{ID: id, Context: 1, Command: signal.Subtract, Termination: fmt.Sprint("c", id)}
 }
 
 func TestMessagesPassInOrderBothWays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		ka, kb := &keeper{}, &keeper{}
-		ca, cb := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, ka), Start(b, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, kb)
+		ca, cb := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, ka), Start(b, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, kb)
 		for i := range uint32(500) {
 			ca.Send(release(i+1), 0)
 			cb.Send(setup(i+1), time.Hour)
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute, Grace: 250 * time.Millisecond}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute, Grace: 250 * time.Millisecond}, k)
 		c.Send(setup(1), time.Hour) // is being written
 		synctest.Wait()
 		taken := 0
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, Write: time.Minute}, k)
 		for i := 0; c.Send(release(uint32(i+1)), 0); i++ {
 			if i > 200 {
 				t.Fatal("takes messages without end")
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Write: 2 * time.Second}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Write: 2 * time.Second}, k)
 		began := time.Now()
 		c.Send(release(1), 0)
 		<-c.Done()
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		ka, kb := &keeper{}, &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, ka)
+		c := Start(a, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, ka)
 		time.Sleep(time.Second)
 		c.Send(setup(1), 900*time.Millisecond)
 		c.Send(release(2), 0)
@@ -191,7 +191,7 @@
 		if c.Send(setup(3), time.Hour) {
 			t.Fatal("a fenced connection takes set-ups")
 		}
-		peer := Start(b, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, kb)
+		peer := Start(b, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, kb)
 		synctest.Wait()
 		if len(ka.unsent) != 1 || ka.unsent[0] != 1 || len(kb.got) != 1 || kb.got[0].ID != 2 {
 			t.Fatalf("unsent %v, got %v", ka.unsent, kb.got)
@@ -217,7 +217,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(slivers{a}, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, k)
+		c := Start(slivers{a}, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, k)
 		for _, text := range []string{"Transaction=7 Context=- Add", "=x\r\nDest: 1\r", "\n\r\nrubbish\r\n\r\nPending=8\r\n\r\n"} {
 			if _, err := b.Write([]byte(text)); err != nil {
 				t.Fatal(err)
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -46,7 +46,7 @@
 	set.Policy = r.opt.Policy
 	r.starts[cell]++
 	set.Seed += r.starts[cell] << 32
-	set.Defaults()
+	set.SetDefaults()
 	n := &node{r: r, cell: cell, set: set, wires: map[controller.Peer]*wire{}, links: map[controller.Peer]*keeper{}, capture: w}
 	n.core = controller.New(r.clock.now, setup.Core(r.clock.now, set, sink))
 	n.keep(controller.Peer{Role: controller.List}, "list")
@@ -118,7 +118,7 @@
 // keep starts to keep a link, in place of one at another address.
 func (n *node) keep(p controller.Peer, addr string) {
 	n.hangUp(p)
-	k := &keeper{addr: addr, retry: guard.Retry{Least: n.set.Peers.RetryFrom, Most: n.set.Peers.RetryMost,
+	k := &keeper{addr: addr, retry: guard.Retry{Least: n.set.Peers.MinRetryDelay, Most: n.set.Peers.MaxRetryDelay,
 		Random: rand.New(rand.NewPCG(n.set.Seed, uint64(n.set.Number)<<32^p.ID))}}
 	n.links[p] = k
 	n.dial(p, k)
@@ -187,7 +187,7 @@
 
 // junk hands over what can't be read.
 func (n *node) junk(p controller.Peer, text string) {
-	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{Line: n.set.Limits.Line, Block: n.set.Limits.Block}).Read()
+	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.set.Limits.LineBytes, MaxMessageBytes: n.set.Limits.MessageBytes}).Read()
 	if err == nil {
 		n.step(controller.Input{What: controller.Command, Peer: p, Msg: m})
 		return
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -160,8 +160,8 @@
 	w := &wire{r: r, n: n, peer: p, near: true, far: true, door: d}
 	if r.capture != nil {
 		key := fmt.Sprint("wire ", r.conns)
-		w.nearTap = n.capture.Open(key, capture.Ends{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
-		w.farTap = r.capture.Open(key, capture.Ends{Owner: far, Role: "controller", Dialed: !dialed})
+		w.nearTap = n.capture.Open(key, capture.Endpoint{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
+		w.farTap = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
 	}
 	return w
 }
--- a/internal/virtual/stall_test.go
+++ b/internal/virtual/stall_test.go
@@ -40,7 +40,7 @@
 func TestStalledReaderOnALoadedFleet(t *testing.T) {
 	var with, without []time.Duration
 	for seed := uint64(1); seed <= 16; seed++ {
-		w, hit := took(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, For: 30 * time.Second, Size: 0.01})
+		w, hit := took(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
 		o, _ := took(t, seed, 0.8, hit)
 		with, without = append(with, w...), append(without, o...)
 	}
--- a/internal/virtual/wire.go
+++ b/internal/virtual/wire.go
@@ -20,8 +20,8 @@
 	near    bool                  // the controller's end is open
 	far     bool                  // the stand-in's end is open
 	held    []*signal.Message     // read by nobody: the stand-in's reader stalls
-	nearTap *capture.Tap
-	farTap  *capture.Tap
+	nearTap *capture.ConnRecorder
+	farTap  *capture.ConnRecorder
 	faulty  bool // the door's faults hit it
 }
 
