--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -78,7 +78,7 @@
 // kindOf tells what the loss of an input would cost.
 func kindOf(in controller.Input) guard.Kind {
 	switch {
-	case in.Kind != controller.InputMessage || in.Message.Ends():
+	case in.Kind != controller.InputMessage || in.Message.FreesResources():
 		return guard.Completion
 	case in.Peer.Role == controller.RoleCaller && in.Message.Command == signal.Add:
 		return guard.NewCall
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -59,12 +59,12 @@
 		m    signal.Message
 		want guard.Kind
 	}{
-		{caller, signal.Message{Command: signal.Add, Term: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Completion},
-		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.StatusUpdate},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Completion},
-		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Completion},
-		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.StatusUpdate},
+		{caller, signal.Message{Command: signal.Add, Termination: "a"}, guard.NewCall},
+		{caller, signal.Message{Command: signal.Subtract, Termination: "a"}, guard.Completion},
+		{caller, signal.Message{Command: signal.AuditValue, Termination: signal.Root}, guard.StatusUpdate},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: signal.Root}, guard.StatusUpdate},
 	} {
 		if got := kindOf(controller.Input{Kind: controller.InputMessage, Peer: c.p, Message: &c.m}); got != c.want {
 			t.Errorf("%s of a %s: %d, want %d", &c.m, c.p.Role, got, c.want)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("limits: %d sockets and %d MB: at least 64 and 16 are needed", f.Limits.Sockets, f.Limits.Memory)
 	}
 	c := &Config{Name: f.Name, ListenAddr: f.Listen, ResolverAddr: f.Resolver, MaxDescriptors: f.Limits.Sockets,
-		MemoryBytes: f.Limits.Memory << 20, ConnectTimeout: time.Duration(f.Settings.Limits.Connect), IdleTimeout: time.Duration(f.Settings.Limits.Idle)}
+		MemoryBytes: f.Limits.Memory << 20, ConnectTimeout: time.Duration(f.Settings.Limits.ConnectTimeout), IdleTimeout: time.Duration(f.Settings.Limits.IdleTimeout)}
 	if c.ModuleSettings, err = f.Settings.Module(seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
