--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -23,7 +23,7 @@
 	open   map[uint32]*call // unanswered Adds by transaction
 	calls  map[string]*call // unanswered and standing calls by their name
 	txs    uint32           // own transactions towards it
-	faults guard.Faults
+	faults guard.FaultLimiter
 }
 
 func (cl *caller) openTx(id uint32) bool { return cl.open[id] != nil }
@@ -36,7 +36,7 @@
 func (c *Controller) caller(id uint64) *caller {
 	cl := c.callers[id]
 	if cl == nil {
-		cl = &caller{peer: Peer{Caller, id}, open: map[uint32]*call{}, calls: map[string]*call{}, faults: c.cfg.Faults}
+		cl = &caller{peer: Peer{RoleCaller, id}, open: map[uint32]*call{}, calls: map[string]*call{}, faults: c.cfg.FaultLimit}
 		c.callers[id] = cl
 	}
 	return cl
@@ -81,25 +81,25 @@
 
 func (c *Controller) fromCaller(cl *caller, m *signal.Message) {
 	switch m.Kind {
-	case signal.Reply, signal.Pending, signal.Fault:
+	case signal.Reply, signal.Pending, signal.ErrorMessage:
 		return // callers answer notifications; nothing waits for it
 	}
 	if m.ID <= cl.last { // ids rise on a connection: this one was used
-		c.stats.Doubled++
+		c.stats.DuplicateIDs++
 		if cl.openTx(m.ID) {
 			c.say(cl.peer, &signal.Message{Kind: signal.Pending, ID: m.ID})
 			return
 		}
-		c.say(cl.peer, &signal.Message{Kind: signal.Fault, Code: signal.BadIdentifier,
+		c.say(cl.peer, &signal.Message{Kind: signal.ErrorMessage, Code: signal.BadIdentifier,
 			Text: fmt.Sprintf("transaction %d was used before", m.ID)})
 		return
 	}
 	cl.last = m.ID
 	switch m.Command {
 	case signal.Add:
-		c.stats.Asked++
+		c.stats.AddsReceived++
 		if refusal := c.take(cl, m); refusal != nil {
-			c.stats.NotTaken++
+			c.stats.AddsRejected++
 			c.say(cl.peer, refusal.Put("Taken", "no"))
 		}
 	case signal.Subtract:
@@ -107,9 +107,9 @@
 	case signal.AuditValue:
 		c.say(cl.peer, c.figures(m))
 	case signal.ServiceChange:
-		c.say(cl.peer, m.Answer())
+		c.say(cl.peer, m.NewReply())
 	default:
-		c.say(cl.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.say(cl.peer, m.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 	}
 }
 
@@ -118,29 +118,29 @@
 func (c *Controller) take(cl *caller, m *signal.Message) *signal.Message {
 	switch {
 	case c.leaving:
-		return m.Refuse(signal.NotReady, "going out of service")
-	case cl.calls[m.Term] != nil:
-		return m.Refuse(signal.TermInContext, "the call is there already")
-	case len(cl.open) >= c.cfg.MostPerPeer:
-		return m.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(cl.open)))
-	case len(c.calls) >= c.cfg.MostCalls:
-		return m.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
+		return m.NewErrorReply(signal.NotReady, "going out of service")
+	case cl.calls[m.Termination] != nil:
+		return m.NewErrorReply(signal.TerminationInContext, "the call is there already")
+	case len(cl.open) >= c.cfg.MaxPendingPerCaller:
+		return m.NewErrorReply(signal.TooManyPending, fmt.Sprintf("%d transactions are open", len(cl.open)))
+	case len(c.calls) >= c.cfg.MaxCalls:
+		return m.NewErrorReply(signal.InsufficientResources, fmt.Sprintf("%d calls are held", len(c.calls)))
 	}
 	k, e, err := c.readCall(m)
-	if errors.Is(err, signal.ErrMissing) {
-		return m.Refuse(signal.NoDescriptor, err.Error())
+	if errors.Is(err, signal.ErrMissingDescriptor) {
+		return m.NewErrorReply(signal.MissingDescriptor, err.Error())
 	} else if err != nil {
-		return m.Refuse(signal.BadValue, err.Error())
+		return m.NewErrorReply(signal.BadValue, err.Error())
 	}
 	for c.context++; c.context == 0 || c.context >= signal.ContextChoose || c.calls[contextID(c.context)] != nil; c.context++ {
 	}
 	k.context, k.id = c.context, contextID(c.context)
-	k.name, k.from, k.tx, k.taken = m.Term, cl, m.ID, c.now
-	k.due = c.now + e.Left
+	k.name, k.from, k.tx, k.taken = m.Termination, cl, m.ID, c.now
+	k.due = c.now + e.Remaining
 	e.ID = k.id
-	cl.open[m.ID], cl.calls[m.Term], c.calls[k.id] = k, k, k
-	c.stats.Taken++
-	c.stats.Open++
+	cl.open[m.ID], cl.calls[m.Termination], c.calls[k.id] = k, k, k
+	c.stats.Accepted++
+	c.stats.Pending++
 	c.feed(e)
 	return nil
 }
@@ -154,52 +154,52 @@
 )
 
 func (c *Controller) readCall(m *signal.Message) (*call, brain.Call, error) {
-	k, e := &call{number: m.Get("Number")}, brain.Call{Through: -1}
+	k, e := &call{number: m.Get("Number")}, brain.Call{Via: -1}
 	class, ok := c.classes[m.Get("Class")]
 	if !ok {
 		return nil, e, fmt.Errorf("descriptor Class: %.40q is not one of this network's", m.Get("Class"))
 	}
 	k.class, e.Class = class, class
 	var err error
-	if e.Left, err = m.Span("Left"); err != nil {
+	if e.Remaining, err = m.Duration("Left"); err != nil {
 		return nil, e, err
 	}
-	if e.Dest, err = m.Int("Dest", 0, mostCell); err != nil {
+	if e.Destination, err = m.Int("Dest", 0, mostCell); err != nil {
 		return nil, e, err
 	}
-	if e.Width, err = m.IntOr("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
+	if e.Width, err = m.IntOrDefault("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
 		return nil, e, err
 	}
 	if k.number != "" {
-		if e.Number, err = strconv.ParseUint(k.number, 10, 53); err != nil {
+		if e.CalledNumber, err = strconv.ParseUint(k.number, 10, 53); err != nil {
 			return nil, e, fmt.Errorf("descriptor Number: %.40q is not a number below 2^53", k.number)
 		}
-		e.Numbered = true
+		e.HasCalledNumber = true
 	}
 	name := "Advice" // the tandem with most room, or for a call in transit where it comes from
 	if e.Transit = m.Get("Source") != ""; e.Transit {
 		name = "Source"
 	}
-	if e.Through, err = m.IntOr(name, 0, mostCell, -1); err != nil {
+	if e.Via, err = m.IntOrDefault(name, 0, mostCell, -1); err != nil {
 		return nil, e, err
 	}
-	e.Repeat, e.Again = m.Flag("Repeat"), m.Flag("Again")
-	k.width, k.dest, k.transit, k.again = e.Width, e.Dest, e.Transit, e.Again
-	k.called, k.repeat, k.source = e.Number, e.Repeat || e.Again, c.cfg.Self
+	e.Repeat, e.Reconnect = m.Flag("Repeat"), m.Flag("Again")
+	k.width, k.dest, k.transit, k.again = e.Width, e.Destination, e.Transit, e.Reconnect
+	k.called, k.repeat, k.source = e.CalledNumber, e.Repeat || e.Reconnect, c.cfg.ExchangeNumber
 	if e.Transit {
-		k.source = e.Through
+		k.source = e.Via
 	}
 	return k, e, nil
 }
 
 // subtract is a caller who hangs up: before the answer, or at the call's end.
 func (c *Controller) subtract(cl *caller, m *signal.Message) {
-	k := cl.calls[m.Term]
+	k := cl.calls[m.Termination]
 	if k == nil {
-		c.say(cl.peer, m.Refuse(signal.NoSuchTerm, "no such call"))
+		c.say(cl.peer, m.NewErrorReply(signal.UnknownTermination, "no such call"))
 		return
 	}
-	r := m.Answer()
+	r := m.NewReply()
 	r.Context = k.context
 	c.say(cl.peer, r)
 	c.hangUp(k)
@@ -209,29 +209,29 @@
 func (c *Controller) hangUp(k *call) {
 	switch k.state {
 	case open:
-		c.stats.Left++
+		c.stats.Abandoned++
 		k.state = over
 		c.callEnded(k, flow.Left)
-		c.feed(brain.CallGone{ID: k.id}) // what is out is called off before the answer is said
-		c.answer(k, &signal.Message{Code: signal.Gone, Text: "the caller left"})
+		c.feed(brain.CallAbandoned{CallID: k.id}) // what is out is called off before the answer is said
+		c.answer(k, &signal.Message{Code: signal.DoesNotExist, Text: "the caller left"})
 		if k.att == nil || k.att.stage == freed {
 			c.forget(k)
 		}
 	case standing:
 		c.stats.Ended++
 		c.callEnded(k, flow.Ended)
-		c.release(k, brain.OK)
+		c.release(k, brain.OutcomeCompleted)
 	}
 }
 
 // answer gives the call its one final answer, if its caller is still there.
 func (c *Controller) answer(k *call, r *signal.Message) {
 	k.state = over
-	c.stats.Open--
+	c.stats.Pending--
 	if k.from == nil {
 		return
 	}
-	r.Kind, r.ID, r.Context, r.Command, r.Term = signal.Reply, k.tx, k.context, signal.Add, k.name
+	r.Kind, r.ID, r.Context, r.Command, r.Termination = signal.Reply, k.tx, k.context, signal.Add, k.name
 	c.say(k.from.peer, r)
 	delete(k.from.open, k.tx)
 	if r.Code != 0 {
@@ -244,8 +244,8 @@
 	if k.from == nil {
 		return
 	}
-	c.say(k.from.peer, &signal.Message{ID: k.from.tx(), Context: k.context, Command: signal.Notify, Term: k.name,
-		Fields: []signal.Field{{Name: "Event", Value: event}}})
+	c.say(k.from.peer, &signal.Message{ID: k.from.tx(), Context: k.context, Command: signal.Notify, Termination: k.name,
+		Descriptors: []signal.Field{{Name: "Event", Value: event}}})
 }
 
 // gone ends all calls of a caller whose connection is gone.
@@ -277,13 +277,13 @@
 
 // figures answers an audit: counts that a person or a load tool may ask for.
 func (c *Controller) figures(m *signal.Message) *signal.Message {
-	if m.Term == trafficTerm {
+	if m.Termination == trafficTerm {
 		return c.traffic(m)
 	}
 	s := c.stats
-	return m.Answer().PutInt("Open", s.Open).PutInt("Standing", s.Standing).PutInt("Held", s.Held).
-		PutInt("Taken", s.Taken).PutInt("Stood", s.Stood).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
-		PutInt("Left", s.Left).PutInt("Cut", s.Cut).PutInt("Turned", s.Turned).PutInt("NotTaken", s.NotTaken)
+	return m.NewReply().PutInt("Open", s.Pending).PutInt("Standing", s.Established).PutInt("Held", s.HeldAttempts).
+		PutInt("Taken", s.Accepted).PutInt("Stood", s.Answered).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
+		PutInt("Left", s.Abandoned).PutInt("Cut", s.Cut).PutInt("Turned", s.Shed).PutInt("NotTaken", s.AddsRejected)
 }
 
 // trafficTerm names what is offered, in an audit.
@@ -295,12 +295,12 @@
 // traffic tells what own callers offer: the last whole span of the measurement,
 // pair by pair and class by class, those that offer most first.
 func (c *Controller) traffic(m *signal.Message) *signal.Message {
-	if c.cfg.Traffic == nil {
-		return m.Refuse(signal.BadValue, "traffic is not measured")
+	if c.cfg.TrafficMeter == nil {
+		return m.NewErrorReply(signal.BadValue, "traffic is not measured")
 	}
-	all, from, to := c.cfg.Traffic.Estimates(c.now)
+	all, from, to := c.cfg.TrafficMeter.Estimates(c.now)
 	slices.SortStableFunc(all, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
-	r := m.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
+	r := m.NewReply().PutDuration("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
 	for _, e := range all[:min(len(all), trafficLines)] {
 		erlang := "unknown"
 		if e.Known {
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -12,8 +12,8 @@
 func (c *Controller) callEnded(k *call, o flow.Outcome) {
 	c.callRecord(k, flow.Call, o)
 	*c.counts.At(&c.rec)++
-	if r := &c.rec; c.cfg.Traffic != nil && r.Route != flow.Transit {
-		c.cfg.Traffic.Add(c.now, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Class: r.Class, Circuits: k.width, Number: r.Number,
+	if r := &c.rec; c.cfg.TrafficMeter != nil && r.Route != flow.Transit {
+		c.cfg.TrafficMeter.Add(c.now, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Class: r.Class, Circuits: k.width, Number: r.Number,
 			Repeat: r.Repeat, Lost: o != flow.Ended && o != flow.Cut, Cut: o == flow.Cut, Stood: r.Stood})
 	}
 	c.put()
@@ -27,14 +27,14 @@
 	c.callRecord(k, flow.Interim, flow.Stands)
 	*c.counts.At(&c.rec)++
 	c.put()
-	c.timers.Set(c.now+c.cfg.Interim, timer{interim: k})
+	c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
 }
 
 func (c *Controller) callRecord(k *call, kind flow.Kind, o flow.Outcome) {
 	c.rec = flow.Record{Kind: kind, Outcome: o, Class: uint8(k.class), Context: k.context, Number: k.called,
 		Start: k.taken, SetUp: c.now - k.taken, Source: int32(k.source), Dest: int32(k.dest), Via: -1, Circuits: uint16(k.width),
 		N: uint8(min(k.attempts, 255)), Tandems: uint8(min(k.tandems, 255)), Repeat: k.repeat,
-		Reason: string(k.verdict.Reason), Scope: string(k.verdict.Scope), Where: int32(k.verdict.Cell)}
+		Reason: string(k.verdict.Reason), Scope: string(k.verdict.Scope), Where: int32(k.verdict.ExchangeNumber)}
 	if k.stood > 0 {
 		c.rec.SetUp, c.rec.Stood = k.stood-k.taken, c.now-k.stood
 		if k.att != nil && k.att.link != nil {
@@ -55,8 +55,8 @@
 }
 
 // ends maps the module's outcomes, by their number.
-var ends = [...]flow.Outcome{brain.OK: flow.Done, brain.Failed: flow.Error, brain.Full: flow.Full, brain.TimedOut: flow.TimedOut,
-	brain.NoConnect: flow.NoConnect, brain.Reset: flow.Reset, brain.Cancelled: flow.Cancelled, brain.Moot: flow.Moot}
+var ends = [...]flow.Outcome{brain.OutcomeCompleted: flow.Done, brain.OutcomeFailed: flow.Error, brain.OutcomeRejected: flow.Full, brain.OutcomeTimedOut: flow.TimedOut,
+	brain.OutcomeUnreachable: flow.NoConnect, brain.OutcomeReset: flow.Reset, brain.OutcomeCancelled: flow.Cancelled, brain.OutcomeNotSent: flow.Moot}
 
 // attemptEnded counts an attempt at its end, as the module is told of it.
 func (c *Controller) attemptEnded(t *attempt, o brain.Outcome, r *signal.Message) {
@@ -80,10 +80,10 @@
 
 // put numbers the record and hands it on.
 func (c *Controller) put() {
-	if c.cfg.Flows == nil {
+	if c.cfg.FlowSink == nil {
 		return
 	}
 	c.records++
 	c.rec.Seq = c.records
-	c.cfg.Flows.Put(&c.rec)
+	c.cfg.FlowSink.Put(&c.rec)
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -23,7 +23,7 @@
 	round        int // connections so far
 	heard, asked time.Duration
 	txs          uint32
-	faults       guard.Faults
+	faults       guard.FaultLimiter
 }
 
 // link is the kept connection to one exchange of the list.
@@ -50,13 +50,13 @@
 func (c *Controller) up(p Peer) {
 	var li *life
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		c.caller(p.ID)
 		return
-	case List:
+	case RoleExchangeList:
 		li = &c.listUp
-		li.peer, li.faults = p, c.cfg.Faults
-	case Exchange:
+		li.peer, li.faults = p, c.cfg.FaultLimit
+	case RoleExchange:
 		l := c.links[p.ID]
 		if l == nil {
 			return
@@ -66,17 +66,17 @@
 	li.up, li.heard, li.asked = true, c.now, 0
 	li.round++
 	li.txs++
-	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Term: signal.Root}
-	m.Put("Method", "restart").PutInt("Controller", c.cfg.Number).PutInt("From", c.cfg.Self)
+	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Termination: signal.Root}
+	m.Put("Method", "restart").PutInt("Controller", c.cfg.ControllerNumber).PutInt("From", c.cfg.ExchangeNumber)
 	c.say(p, m)
 	li.txs++
 	events := "circuits"
-	if p.Role == List {
+	if p.Role == RoleExchangeList {
 		events = "list"
 	}
-	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
+	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Termination: signal.Root}).Put("Events", events))
 	c.look(li)
-	if p.Role == Exchange {
+	if p.Role == RoleExchange {
 		l := c.links[p.ID]
 		waiting := l.waiting
 		l.waiting = nil
@@ -90,12 +90,12 @@
 // down ends what was out on a connection: each attempt once.
 func (c *Controller) down(p Peer) {
 	switch p.Role {
-	case Caller:
+	case RoleCaller:
 		c.gone(p.ID)
-	case List:
+	case RoleExchangeList:
 		c.listUp.up = false
 		c.log(slog.LevelWarn, "", "the exchange list is out of reach; the last one stays in force")
-	case Exchange:
+	case RoleExchange:
 		l := c.links[p.ID]
 		if l == nil {
 			return
@@ -112,7 +112,7 @@
 		for _, t := range all {
 			switch t.stage {
 			case sent:
-				c.end(t, brain.Reset, signal.Message{})
+				c.end(t, brain.OutcomeReset, signal.Message{})
 			case freeing: // the exchange frees what came over a broken link
 				c.end(t, t.outcome, signal.Message{})
 			case carrying:
@@ -123,7 +123,7 @@
 				if k.from != nil {
 					delete(k.from.calls, k.name)
 				}
-				c.end(t, brain.Reset, signal.Message{})
+				c.end(t, brain.OutcomeReset, signal.Message{})
 			}
 		}
 		c.drop(l)
@@ -136,15 +136,15 @@
 	if !li.up {
 		return
 	}
-	ask, lost, again := c.cfg.Life.Check(c.now, li.heard, li.asked)
+	ask, lost, again := c.cfg.Liveness.Check(c.now, li.heard, li.asked)
 	if lost {
-		c.out = append(c.out, Effect{Do: Close, Peer: li.peer, Text: "no sign of life"})
+		c.out = append(c.out, Effect{Kind: EffectClose, Peer: li.peer, Text: "no sign of life"})
 		return
 	}
 	if ask {
 		li.asked = c.now
 		li.txs++
-		c.say(li.peer, &signal.Message{ID: li.txs, Command: signal.AuditValue, Term: signal.Root})
+		c.say(li.peer, &signal.Message{ID: li.txs, Command: signal.AuditValue, Termination: signal.Root})
 	}
 	c.timers.Set(again, timer{link: li, round: li.round})
 }
@@ -152,7 +152,7 @@
 // drop forgets a link that is out of the list and holds nothing.
 func (c *Controller) drop(l *link) {
 	if l.gone && c.links[l.id] == l && len(l.held) == 0 && len(l.waiting) == 0 {
-		c.out = append(c.out, Effect{Do: HangUp, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectDisconnect, Peer: l.peer()})
 		l.life.up = false
 		delete(c.links, l.id)
 	}
@@ -167,16 +167,16 @@
 		return
 	}
 	if m.Command != signal.Notify {
-		c.say(c.listUp.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.say(c.listUp.peer, m.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 		return
 	}
 	word, addrs, err := c.readList(m)
 	if err != nil {
 		c.log(slog.LevelError, "", "the exchange list: "+err.Error())
-		c.say(c.listUp.peer, m.Refuse(signal.BadValue, err.Error()))
+		c.say(c.listUp.peer, m.NewErrorReply(signal.BadValue, err.Error()))
 		return
 	}
-	c.say(c.listUp.peer, m.Answer())
+	c.say(c.listUp.peer, m.NewReply())
 	named := map[uint64]bool{}
 	for i, e := range word.Entries {
 		named[uint64(e.ID)] = true
@@ -193,7 +193,7 @@
 	for _, cell := range sorted(c.circuits) { // circuits told before the list was
 		if id, ok := c.cells[cell]; ok && named[id] {
 			r := c.circuits[cell]
-			r.Exchange = uint32(id)
+			r.ExchangeID = uint32(id)
 			c.feed(r)
 		}
 	}
@@ -203,7 +203,7 @@
 func (c *Controller) listedExchange(e brain.Exchange, addr string) {
 	id := uint64(e.ID)
 	l := c.links[id]
-	if e.State == brain.Out {
+	if e.State == brain.OutOfService {
 		if l != nil {
 			c.shut(l, true)
 		}
@@ -211,22 +211,22 @@
 	}
 	if l == nil {
 		l = &link{id: id, out: map[uint32]*attempt{}, held: map[*attempt]bool{},
-			life: life{peer: Peer{Exchange, id}, faults: c.cfg.Faults}}
+			life: life{peer: Peer{RoleExchange, id}, faults: c.cfg.FaultLimit}}
 		c.links[id] = l
 	}
 	if l.addr != addr {
 		l.addr = addr
-		c.out = append(c.out, Effect{Do: Dial, Peer: l.peer(), Addr: addr})
+		c.out = append(c.out, Effect{Kind: EffectConnect, Peer: l.peer(), Address: addr})
 	}
-	l.cell, l.gone = e.Cell, false
+	l.cell, l.gone = e.Number, false
 	if e.State == brain.Draining {
 		c.shut(l, false)
 		return
 	}
-	c.cells[e.Cell] = id
+	c.cells[e.Number] = id
 	if l.fenced {
 		l.fenced = false
-		c.out = append(c.out, Effect{Do: Unfence, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectUnblock, Peer: l.peer()})
 	}
 }
 
@@ -235,23 +235,23 @@
 func (c *Controller) shut(l *link, gone bool) {
 	if !l.fenced {
 		l.fenced = true
-		c.out = append(c.out, Effect{Do: Fence, Peer: l.peer()})
+		c.out = append(c.out, Effect{Kind: EffectBlock, Peer: l.peer()})
 	}
 	l.gone = l.gone || gone
 	waiting := l.waiting
 	l.waiting = nil
 	for _, t := range waiting {
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	}
 	c.drop(l)
 }
 
-var states = map[string]brain.State{"in": brain.In, "draining": brain.Draining, "out": brain.Out}
+var states = map[string]brain.ExchangeState{"in": brain.InService, "draining": brain.Draining, "out": brain.OutOfService}
 
 // readList reads "Exchange: ID cell=N state=in since=MS at=ADDR" lines.
-func (c *Controller) readList(m *signal.Message) (brain.Exchanges, []string, error) {
-	word := brain.Exchanges{Complete: m.Flag("Complete")}
+func (c *Controller) readList(m *signal.Message) (brain.ExchangeListUpdate, []string, error) {
+	word := brain.ExchangeListUpdate{Complete: m.Flag("Complete")}
 	var addrs []string
 	for _, line := range m.All("Exchange") {
 		f := strings.Fields(line)
@@ -262,7 +262,7 @@
 		if err != nil {
 			return word, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", f[0])
 		}
-		e, addr := brain.Exchange{ID: uint32(id), Cell: -1, State: -1}, ""
+		e, addr := brain.Exchange{ID: uint32(id), Number: -1, State: -1}, ""
 		for _, p := range f[1:] {
 			name, v, _ := strings.Cut(p, "=")
 			switch name {
@@ -271,7 +271,7 @@
 				if err != nil {
 					return word, nil, fmt.Errorf("descriptor Exchange %d: cell: %.40q", id, v)
 				}
-				e.Cell = int(n)
+				e.Number = int(n)
 			case "state":
 				s, ok := states[v]
 				if !ok {
@@ -283,18 +283,18 @@
 				if err != nil || n < 0 || n > math.MaxInt64/int64(time.Millisecond) {
 					return word, nil, fmt.Errorf("descriptor Exchange %d: since: %.40q", id, v)
 				}
-				e.Since = time.Duration(n) * time.Millisecond
+				e.StartedAt = time.Duration(n) * time.Millisecond
 			case "at":
 				addr = v
 			}
 		}
-		if e.Cell < 0 || e.State < 0 || addr == "" && e.State != brain.Out {
+		if e.Number < 0 || e.State < 0 || addr == "" && e.State != brain.OutOfService {
 			return word, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
 		}
 		word.Entries, addrs = append(word.Entries, e), append(addrs, addr)
 	}
-	if len(word.Entries) > c.cfg.MostRoutes {
-		return word, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(word.Entries), c.cfg.MostRoutes)
+	if len(word.Entries) > c.cfg.MaxExchanges {
+		return word, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(word.Entries), c.cfg.MaxExchanges)
 	}
 	return word, addrs, nil
 }
@@ -306,10 +306,10 @@
 		if !ok {
 			continue
 		}
-		r := brain.Circuits{OK: true, Report: brain.Report{Known: true, Free: free, Size: size}}
+		r := brain.GroupStatus{OK: true, Report: brain.StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}}
 		c.circuits[cell] = r
 		if id, ok := c.cells[cell]; ok {
-			r.Exchange = uint32(id)
+			r.ExchangeID = uint32(id)
 			c.feed(r)
 		}
 	}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -35,46 +35,46 @@
 func (w *watcher) see(out []Effect) {
 	for _, e := range out {
 		id := e.Peer.ID
-		switch e.Do {
-		case Fence:
+		switch e.Kind {
+		case EffectBlock:
 			w.fenced[id] = true
-		case Unfence:
+		case EffectUnblock:
 			w.fenced[id] = false
-		case Close:
-			if e.Peer.Role == Exchange {
+		case EffectClose:
+			if e.Peer.Role == RoleExchange {
 				w.down(id)
 			}
 		}
-		if e.Do != Say {
+		if e.Kind != EffectSend {
 			continue
 		}
-		m := e.Msg
+		m := e.Message
 		switch {
-		case e.Peer.Role == Caller && m.Kind == signal.Reply && m.Command == signal.Add:
-			if w.answered[m.Term]++; w.answered[m.Term] > 1 {
-				w.t.Fatalf("call %s is answered twice", m.Term)
+		case e.Peer.Role == RoleCaller && m.Kind == signal.Reply && m.Command == signal.Add:
+			if w.answered[m.Termination]++; w.answered[m.Termination] > 1 {
+				w.t.Fatalf("call %s is answered twice", m.Termination)
 			}
-			w.stands[m.Term] = m.Code == 0
-		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Add:
+			w.stands[m.Termination] = m.Code == 0
+		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Add:
 			switch {
-			case w.answered[m.Term] > 0 || w.left[m.Term]:
-				w.t.Fatalf("call %s is sent after its end", m.Term)
-			case w.out[m.Term] != 0:
-				w.t.Fatalf("call %s has two attempts out", m.Term)
+			case w.answered[m.Termination] > 0 || w.left[m.Termination]:
+				w.t.Fatalf("call %s is sent after its end", m.Termination)
+			case w.out[m.Termination] != 0:
+				w.t.Fatalf("call %s has two attempts out", m.Termination)
 			case w.fenced[id]:
-				w.t.Fatalf("call %s is sent to %d, which drains", m.Term, id)
+				w.t.Fatalf("call %s is sent to %d, which drains", m.Termination, id)
 			case !w.up[id]:
-				w.t.Fatalf("call %s is sent over a link that is down", m.Term)
-			case w.r.now < w.blocked[m.Term]:
-				w.t.Fatalf("call %s is sent %v before the release time", m.Term, w.blocked[m.Term]-w.r.now)
-			case e.NotAfter <= w.r.now:
-				w.t.Fatalf("call %s is sent with no time", m.Term)
+				w.t.Fatalf("call %s is sent over a link that is down", m.Termination)
+			case w.r.now < w.blocked[m.Termination]:
+				w.t.Fatalf("call %s is sent %v before the release time", m.Termination, w.blocked[m.Termination]-w.r.now)
+			case e.Deadline <= w.r.now:
+				w.t.Fatalf("call %s is sent with no time", m.Termination)
 			}
-			w.out[m.Term] = id
+			w.out[m.Termination] = id
 			w.adds[id][m.ID] = m
-		case e.Peer.Role == Exchange && m.Kind == signal.Request && m.Command == signal.Subtract:
-			if w.out[m.Term] == id {
-				w.end(m.Term, true)
+		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Subtract:
+			if w.out[m.Termination] == id {
+				w.end(m.Termination, true)
 			}
 			w.subs[id] = append(w.subs[id], m)
 		}
@@ -94,12 +94,12 @@
 	}
 	w.up[id] = false
 	for _, m := range w.adds[id] {
-		if w.out[m.Term] == id {
-			w.end(m.Term, true)
+		if w.out[m.Termination] == id {
+			w.end(m.Termination, true)
 		}
 	}
 	w.adds[id], w.subs[id] = map[uint32]*signal.Message{}, nil
-	w.see(w.r.in(Input{What: Down, Peer: Peer{Exchange, id}}))
+	w.see(w.r.in(Input{Kind: InputDisconnected, Peer: Peer{RoleExchange, id}}))
 }
 
 // TestRulesWhateverHappens plays random callers, exchanges, links and lists to
@@ -113,7 +113,7 @@
 			MaxAttempts: 6, Cancelling: true, Tick: time.Millisecond}
 		r := newRig(t, brain.New(set))
 		sink := &tally{}
-		r.c.cfg.Flows = sink
+		r.c.cfg.FlowSink = sink
 		w := &watcher{t: t, r: r, answered: map[string]int{}, left: map[string]bool{}, out: map[string]uint64{},
 			adds: map[uint64]map[uint32]*signal.Message{}, subs: map[uint64][]*signal.Message{}, stands: map[string]bool{},
 			blocked: map[string]time.Duration{}, fenced: map[uint64]bool{}, up: map[uint64]bool{}}
@@ -122,11 +122,11 @@
 			w.up[id], w.adds[id] = true, map[uint32]*signal.Message{}
 		}
 		groups := func(free ...int) {
-			m := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
+			m := &signal.Message{ID: 50, Command: signal.Notify, Termination: signal.Root}
 			for i, f := range free {
 				m.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
 			}
-			w.see(r.in(Input{What: Command, Peer: exchangeNo(100), Msg: m}))
+			w.see(r.in(Input{Kind: InputMessage, Peer: exchangeNo(100), Message: m}))
 		}
 		groups(20, 20, 20)
 		var calls []string
@@ -136,9 +136,9 @@
 			case 0, 1, 2:
 				name := fmt.Sprint("c", len(calls))
 				calls = append(calls, name)
-				m := &signal.Message{Command: signal.Add, Term: name}
+				m := &signal.Message{Command: signal.Add, Termination: name}
 				m.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
-				m.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
+				m.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutDuration("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
 				if rapid.Bool().Draw(t, "transit") {
 					m.PutInt("Source", 9)
 				}
@@ -147,7 +147,7 @@
 				if len(calls) > 0 {
 					name := rapid.SampledFrom(calls).Draw(t, "hangs up")
 					w.left[name] = true
-					w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+					w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 				}
 			case 4, 5:
 				w.answerOne(t, id, rapid.SampledFrom(append(notes, "", "", "", "")).Draw(t, "note"))
@@ -155,14 +155,14 @@
 				if n := len(w.subs[id]); n > 0 {
 					m := w.subs[id][n-1]
 					w.subs[id] = w.subs[id][:n-1]
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.NewReply()}))
 				}
 			case 7:
 				if w.up[id] {
 					w.down(id)
 				} else {
 					w.up[id] = true
-					w.see(r.in(Input{What: Up, Peer: Peer{Exchange, id}}))
+					w.see(r.in(Input{Kind: InputConnected, Peer: Peer{RoleExchange, id}}))
 				}
 			case 8:
 				state := rapid.SampledFrom([]string{"in", "draining"}).Draw(t, "state")
@@ -180,16 +180,16 @@
 			}
 			if w.stands[name] && !w.left[name] {
 				w.left[name] = true
-				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 			}
 		}
-		for round := 0; r.c.Stats().Held > 0; round++ {
+		for round := 0; r.c.Stats().HeldAttempts > 0; round++ {
 			if round > 100 {
-				t.Fatalf("%d attempts are never released", r.c.Stats().Held)
+				t.Fatalf("%d attempts are never released", r.c.Stats().HeldAttempts)
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
 				for _, m := range w.subs[id] {
-					w.see(r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: m.Answer()}))
+					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.NewReply()}))
 				}
 				w.subs[id] = nil
 			}
@@ -201,8 +201,8 @@
 		if got := flow.Counts(*sink); got != *r.c.Counts() {
 			t.Fatalf("told %v, counted %v", got, *r.c.Counts())
 		}
-		if s, n := r.c.Stats(), r.c.Counts(); uint64(s.Taken) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Taken != len(calls) {
-			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Taken, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
+		if s, n := r.c.Stats(), r.c.Counts(); uint64(s.Accepted) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Accepted != len(calls) {
+			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Accepted, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
 		}
 	})
 }
@@ -213,19 +213,19 @@
 	for w.r.now < until {
 		for _, id := range []uint64{100, 101, 102, 103} {
 			if w.up[id] {
-				w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
+				w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
 			}
 		}
 		step := min(until-w.r.now, 500*time.Millisecond)
 		for end := w.r.now + step; ; {
-			at, ok := w.r.c.Next()
+			at, ok := w.r.c.NextDeadline()
 			if !ok || at > end {
 				w.r.now = end
-				w.see(w.r.in(Input{What: Clock}))
+				w.see(w.r.in(Input{Kind: InputTimer}))
 				break
 			}
 			w.r.now = max(w.r.now, at)
-			w.see(w.r.in(Input{What: Clock}))
+			w.see(w.r.in(Input{Kind: InputTimer}))
 		}
 	}
 }
@@ -242,17 +242,17 @@
 		return
 	}
 	delete(w.adds[id], oldest.ID)
-	a := oldest.Answer()
+	a := oldest.NewReply()
 	if note != "" {
-		a = oldest.Refuse(signal.NoResources, note).Put("Note", note)
+		a = oldest.NewErrorReply(signal.InsufficientResources, note).Put("Note", note)
 	}
-	if w.out[oldest.Term] == id {
-		if w.end(oldest.Term, note == "cut"); note == "" {
-			delete(w.blocked, oldest.Term)
+	if w.out[oldest.Termination] == id {
+		if w.end(oldest.Termination, note == "cut"); note == "" {
+			delete(w.blocked, oldest.Termination)
 		}
 	}
-	w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: a}))
+	w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
 	if rapid.Bool().Draw(t, "twice") {
-		w.see(w.r.in(Input{What: Command, Peer: Peer{Exchange, id}, Msg: a}))
+		w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
 	}
 }
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -22,7 +22,7 @@
 }
 
 func newInbox(most int) *inbox {
-	b := &inbox{intake: guard.Intake{Most: most}, wake: make(chan struct{}, 1)}
+	b := &inbox{intake: guard.Intake{Capacity: most}, wake: make(chan struct{}, 1)}
 	b.room.L = &b.mu
 	return b
 }
@@ -61,7 +61,7 @@
 	clear(b.spare)
 	b.items, b.spare = b.spare[:0], got
 	if b.turned > 0 {
-		got = append(got, controller.Input{What: controller.Turned, N: b.turned})
+		got = append(got, controller.Input{Kind: controller.InputShed, Count: b.turned})
 		b.turned = 0
 	}
 	b.room.Broadcast()
@@ -78,10 +78,10 @@
 // kindOf tells what the loss of an input would cost.
 func kindOf(in controller.Input) guard.Kind {
 	switch {
-	case in.What != controller.Command || in.Msg.Ends():
-		return guard.Answer
-	case in.Peer.Role == controller.Caller && in.Msg.Command == signal.Add:
+	case in.Kind != controller.InputMessage || in.Message.FreesResources():
+		return guard.Completion
+	case in.Peer.Role == controller.RoleCaller && in.Message.Command == signal.Add:
 		return guard.NewCall
 	}
-	return guard.Word
+	return guard.StatusUpdate
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %v", n, err)
 		}
-		switch e.What {
+		switch e.Type {
 		case "Clock":
 			if open {
 				return fmt.Errorf("line %d: Clock within a batch", n)
@@ -63,7 +63,7 @@
 				return fmt.Errorf("line %d: End without Clock", n)
 			}
 			open = false
-			if err := h.out.Encode(wire.Action{What: "Finished"}); err != nil {
+			if err := h.out.Encode(wire.Action{Type: "Finished"}); err != nil {
 				return err
 			}
 			if err := w.Flush(); err != nil {
@@ -72,23 +72,23 @@
 			continue
 		}
 		if !open {
-			return fmt.Errorf("line %d: %s outside a batch", n, e.What)
+			return fmt.Errorf("line %d: %s outside a batch", n, e.Type)
 		}
 		if err := h.event(e); err != nil {
-			return fmt.Errorf("line %d: %s: %v", n, e.What, err)
+			return fmt.Errorf("line %d: %s: %v", n, e.Type, err)
 		}
 	}
 }
 
 func (h *host) event(e *wire.Event) error {
-	if e.What == "Ledger" {
-		rows, err := ledger(*e.Rows)
-		h.sheets[*e.Sheet] = rows
+	if e.Type == "Ledger" {
+		rows, err := ledger(*e.ListEntries)
+		h.sheets[*e.ListNumber] = rows
 		return err
 	}
 	id := *e.Controller
-	if e.What == "Launch" {
-		inst, err := launch(*e.Entropy, e.Settings)
+	if e.Type == "Launch" {
+		inst, err := launch(*e.Seed, e.Settings)
 		h.instances[id] = inst
 		return err
 	}
@@ -96,7 +96,7 @@
 	if inst == nil {
 		return fmt.Errorf("field controller: no instance %d", id)
 	}
-	if e.What == "Killed" {
+	if e.Type == "Killed" {
 		delete(h.instances, id)
 		return nil
 	}
@@ -112,18 +112,18 @@
 	return nil
 }
 
-func ledger(rows []wire.Row) ([]brain.Exchange, error) {
-	states := map[string]brain.State{"IN": brain.In, "LAME": brain.Draining, "OUT": brain.Out}
+func ledger(rows []wire.ListEntry) ([]brain.Exchange, error) {
+	states := map[string]brain.ExchangeState{"IN": brain.InService, "LAME": brain.Draining, "OUT": brain.OutOfService}
 	var list []brain.Exchange
 	for i, r := range rows {
-		if r.Exchange == nil || r.Cell == nil || r.State == nil {
+		if r.Exchange == nil || r.ExchangeNumber == nil || r.State == nil {
 			return nil, fmt.Errorf("field rows: entry %d lacks exchange, cell or stage_state", i)
 		}
 		st, ok := states[*r.State]
 		if !ok {
 			return nil, fmt.Errorf("field stage_state: unknown state %q", *r.State)
 		}
-		list = append(list, brain.Exchange{ID: *r.Exchange, Cell: *r.Cell, State: st, Since: time.Duration(r.Since)})
+		list = append(list, brain.Exchange{ID: *r.Exchange, Number: *r.ExchangeNumber, State: st, StartedAt: time.Duration(r.Since)})
 	}
 	return list, nil
 }
@@ -142,68 +142,68 @@
 }
 
 func (h *host) translate(inst *instance, e *wire.Event) (brain.Event, error) {
-	switch e.What {
+	switch e.Type {
 	case "Discovery":
-		if *e.How == "unavailable" {
+		if *e.UpdateKind == "unavailable" {
 			return nil, nil
 		}
-		if e.Sheet == nil {
+		if e.ListNumber == nil {
 			return nil, errors.New("field sheet is missing")
 		}
-		rows, ok := h.sheets[*e.Sheet]
+		rows, ok := h.sheets[*e.ListNumber]
 		if !ok {
-			return nil, fmt.Errorf("field sheet: no list %d", *e.Sheet)
+			return nil, fmt.Errorf("field sheet: no list %d", *e.ListNumber)
 		}
-		switch *e.How {
+		switch *e.UpdateKind {
 		case "update", "replace", "restored":
-			return brain.Exchanges{Complete: *e.How != "update", Entries: rows}, nil
+			return brain.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: rows}, nil
 		}
-		return nil, fmt.Errorf("field how: unknown kind %q", *e.How)
+		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
-		class, ok := inst.classes[*e.Priority]
+		class, ok := inst.classes[*e.Class]
 		if !ok {
-			return nil, fmt.Errorf("field priority: unknown class %q", *e.Priority)
+			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		c := brain.Call{ID: *e.Job, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Dest),
-			Width: inst.widths[class], Through: -1, Transit: e.Transit, Repeat: e.Resent, Again: e.Again}
-		if e.Object != nil {
-			c.Number, c.Numbered = *e.Object, true
+		c := brain.Call{ID: *e.CallID, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Destination),
+			Width: inst.widths[class], Via: -1, Transit: e.Transit, Repeat: e.Retry, Reconnect: e.AfterCut}
+		if e.CalledNumber != nil {
+			c.CalledNumber, c.HasCalledNumber = *e.CalledNumber, true
 		}
-		if e.Slots != nil {
-			c.Width = int(*e.Slots)
+		if e.Circuits != nil {
+			c.Width = int(*e.Circuits)
 		}
 		if e.Through != nil {
-			c.Through = int(*e.Through)
+			c.Via = int(*e.Through)
 		}
 		return c, nil
 	case "Hangup":
-		return brain.CallGone{ID: *e.Job}, nil
+		return brain.CallAbandoned{CallID: *e.CallID}, nil
 	case "Bell":
-		return brain.Alarm{Token: *e.Nonce}, nil
+		return brain.TimerExpired{Token: *e.Token}, nil
 	case "PeerData":
-		return brain.Peer{From: *e.By, Data: []byte(*e.Payload)}, nil
+		return brain.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Reason == 200, Asked: span(e.CostTime) > 0,
-			After: span(e.CostTime), Report: report(e.Load)}, nil
+		return brain.GroupStatus{ExchangeID: *e.Exchange, OK: *e.Status == 200, ProbeReply: span(e.Elapsed) > 0,
+			Elapsed: span(e.Elapsed), Report: report(e.Load)}, nil
 	case "Started":
-		return brain.Standing{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, After: span(e.CostTime)}, nil
+		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Elapsed: span(e.Elapsed)}, nil
 	case "Reply":
-		oc, ok := outcomes[*e.Reason]
+		oc, ok := outcomes[*e.Status]
 		if !ok {
-			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Reason)
+			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.Ended{ID: *e.Job, Attempt: *e.Trial, Exchange: *e.Exchange, Outcome: oc,
-			After: span(e.CostTime), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
-		if e.Note > 16 && e.Note%16 == int(brain.ProcFull) {
-			ended.Note, ended.Wait = brain.ProcFull, time.Duration(e.Note/16)*time.Millisecond
+		ended := brain.AttemptEnded{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Outcome: oc,
+			Elapsed: span(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
+		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
+			ended.Note, ended.RetryAfter = brain.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
 		}
 		return ended, nil
 	}
 	return nil, nil
 }
 
-var outcomes = map[int]brain.Outcome{200: brain.OK, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
-	502: brain.NoConnect, 598: brain.Reset, 499: brain.Cancelled, 410: brain.Moot}
+var outcomes = map[int]brain.Outcome{200: brain.OutcomeCompleted, 500: brain.OutcomeFailed, 503: brain.OutcomeRejected, 504: brain.OutcomeTimedOut,
+	502: brain.OutcomeUnreachable, 598: brain.OutcomeReset, 499: brain.OutcomeCancelled, 410: brain.OutcomeNotSent}
 
 func span(ns *int64) time.Duration {
 	if ns == nil {
@@ -212,36 +212,36 @@
 	return time.Duration(*ns)
 }
 
-func report(l wire.Load) brain.Report {
-	var r brain.Report
+func report(l wire.LoadReport) brain.StatusReport {
+	var r brain.StatusReport
 	free, okFree := l.Get("idle")
 	size, okSize := l.Get("circuits")
-	r.Known, r.Free, r.Size = okFree && okSize, int(free), int(size)
-	r.Eps, r.HasEps = l.Get("reduce")
+	r.CircuitsKnown, r.FreeCircuits, r.GroupSize = okFree && okSize, int(free), int(size)
+	r.Reduction, r.HasReduction = l.Get("reduce")
 	return r
 }
 
 func (h *host) say(id int, inst *instance, a brain.Action) error {
 	w := wire.Action{Controller: &id}
 	switch a := a.(type) {
-	case brain.Send:
-		w.What, w.Job, w.Exchange, w.AllowFor = "Send", a.ID, &a.Exchange, int64(a.Timeout)
-	case brain.Refuse:
-		w.What, w.Job, w.Backoff = "PushBack", a.ID, int64(a.Backoff)
-	case brain.GiveUp:
-		w.What, w.Job = "GiveUp", a.ID
-	case brain.Cancel:
-		w.What, w.Job, w.Trial = "StopAttempt", a.ID, &a.Attempt
-	case brain.Wake:
-		ns := int64(a.After)
-		w.What, w.Nonce, w.Delay = "SetAlarm", &a.Token, &ns
+	case brain.StartAttempt:
+		w.Type, w.CallID, w.Exchange, w.Timeout = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
+	case brain.RefuseCall:
+		w.Type, w.CallID, w.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
+	case brain.FailCall:
+		w.Type, w.CallID = "GiveUp", a.CallID
+	case brain.CancelAttempt:
+		w.Type, w.CallID, w.Attempt = "StopAttempt", a.CallID, &a.Attempt
+	case brain.SetTimer:
+		ns := int64(a.Delay)
+		w.Type, w.Token, w.Delay = "SetAlarm", &a.Token, &ns
 	case brain.Verdict:
 		if !a.Log {
 			return nil
 		}
-		w.What = "SayLog"
-		w.Words = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
-			a.ID, a.Class, a.Reason, a.Scope, a.Cell, a.Nth)
+		w.Type = "SayLog"
+		w.Text = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
+			a.CallID, a.Class, a.Reason, a.Scope, a.ExchangeNumber, a.Count)
 	default:
 		return fmt.Errorf("no wire form for %T", a)
 	}
--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -28,8 +28,8 @@
 
 // startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
 // link is up; otherwise the attempt waits, and a link is dialed unless a dial is in progress already.
-func (c *Core) startAttempt(call *activeCall, send brain.Send) {
-	peer := c.peersByID[send.Exchange]
+func (c *Core) startAttempt(call *activeCall, send brain.StartAttempt) {
+	peer := c.peersByID[send.ExchangeID]
 	attempt := &callAttempt{
 		call:      call,
 		number:    call.attempts,
@@ -40,10 +40,10 @@
 	call.attempts++
 	c.attempts[call.id] = attempt
 	c.Stats.Attempts++
-	if peer == nil || peer.State != brain.In {
-		attempt.peer = &peerExchange{id: send.Exchange, removed: true}
+	if peer == nil || peer.State != brain.InService {
+		attempt.peer = &peerExchange{id: send.ExchangeID, removed: true}
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.NoConnect})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		return
 	}
 	attempt.timer = c.timers.Set(attempt.deadline, timerEvent{attempt: attempt})
@@ -65,19 +65,19 @@
 // so answers to several attempts at one exchange can only be told apart by their link.
 func (call *activeCall) newInvite(timeLeft time.Duration) *sip.Message {
 	msg := &sip.Message{
-		Method: sip.Invite,
-		URI:    "sip:" + call.number + "@net",
-		CallID: call.callID,
-		Seq:    1,
-		Of:     sip.Invite,
-		Body:   call.description,
+		Method:     sip.Invite,
+		URI:        "sip:" + call.number + "@net",
+		CallID:     call.callID,
+		CSeq:       1,
+		CSeqMethod: sip.Invite,
+		Body:       call.description,
 	}
-	return msg.Put("Call-Kind", call.class).Put("Answer-Within", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
+	return msg.Add("Call-Kind", call.class).Add("Answer-Within", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 }
 
 // fitsMessageSize reports whether the INVITE of the call stays within the maximum message size.
 func (c *Core) fitsMessageSize(call *activeCall) bool {
-	return len(call.newInvite(time.Hour).Append(nil)) <= sip.Most
+	return len(call.newInvite(time.Hour).Append(nil)) <= sip.MaxMessageBytes
 }
 
 // sendSetUp sends the INVITE of an attempt on a link.
@@ -110,15 +110,15 @@
 	link := attempt.link
 	c.removeAttempt(attempt)
 	if link == nil {
-		if outcome == brain.TimedOut {
-			outcome = brain.NoConnect
+		if outcome == brain.OutcomeTimedOut {
+			outcome = brain.OutcomeUnreachable
 		}
 	} else {
 		c.recordEnding(attempt.call.id, callEnding{withdrawnPeer: attempt.peer, withdrawnLink: link})
 		c.emit(WithdrawSetUp{link.id, attempt.call.callID, &sip.Message{Method: sip.Cancel, URI: "sip:" + attempt.call.number + "@net",
-			CallID: attempt.call.callID, Seq: 1, Of: sip.Cancel}})
+			CallID: attempt.call.callID, CSeq: 1, CSeqMethod: sip.Cancel}})
 	}
-	c.reportEnded(attempt, brain.Ended{Outcome: outcome})
+	c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
 }
 
 // handleAttemptTimeout withdraws an attempt that was not answered in time. Its link is used for new
@@ -126,7 +126,7 @@
 func (c *Core) handleAttemptTimeout(attempt *callAttempt) {
 	c.Stats.TimedOut++
 	link := attempt.link
-	c.withdrawAttempt(attempt, brain.TimedOut)
+	c.withdrawAttempt(attempt, brain.OutcomeTimedOut)
 	if link != nil && link.up {
 		link.suspect = true
 		c.sendPing(link)
@@ -139,7 +139,7 @@
 	id, err := strconv.ParseUint(in.Msg.CallID, 16, 64)
 	if attempt := c.attempts[id]; err == nil && attempt != nil && attempt.invite == in.Msg {
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.Moot})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
 	}
 }
 
@@ -153,7 +153,7 @@
 	msg := in.Msg
 	link.lastHeardAt, link.peer.lastHeardAt = c.now, c.now
 	if msg.Status != 0 {
-		switch msg.Of {
+		switch msg.CSeqMethod {
 		case sip.Invite:
 			if msg.Status >= 200 {
 				c.handleFinalResponse(link, msg)
@@ -165,12 +165,12 @@
 	}
 	switch msg.Method {
 	case sip.Bye:
-		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, Seq: msg.Seq, Of: sip.Bye}, 1 << 62})
+		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, CSeq: msg.CSeq, CSeqMethod: sip.Bye}, 1 << 62})
 		c.handlePeerRelease(link.peer, msg)
 	case sip.Notify:
 		c.handleNotify(link.peer, msg)
 	case sip.Options:
-		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, Seq: msg.Seq, Of: sip.Options}, 1 << 62})
+		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, CSeq: msg.CSeq, CSeqMethod: sip.Options}, 1 << 62})
 	default:
 		c.Stats.Stray++
 	}
@@ -179,25 +179,25 @@
 // sendAck acknowledges a final response to an INVITE.
 func (c *Core) sendAck(link *peerLink, msg *sip.Message) {
 	c.emit(SendToExchange{link.id, &sip.Message{
-		Method: sip.Ack,
-		URI:    "sip:" + msg.CallID + "@net",
-		CallID: msg.CallID,
-		Seq:    msg.Seq,
-		Of:     sip.Ack,
+		Method:     sip.Ack,
+		URI:        "sip:" + msg.CallID + "@net",
+		CallID:     msg.CallID,
+		CSeq:       msg.CSeq,
+		CSeqMethod: sip.Ack,
 	}, 1 << 62})
 }
 
 // outcomeByStatus maps the final responses to INVITE that tell how an attempt ended. Any other failure
 // status counts as Failed.
-var outcomeByStatus = map[int]brain.Outcome{503: brain.Full, 480: brain.Moot, 504: brain.Reset, 408: brain.TimedOut}
+var outcomeByStatus = map[int]brain.Outcome{503: brain.OutcomeRejected, 480: brain.OutcomeNotSent, 504: brain.OutcomeReset, 408: brain.OutcomeTimedOut}
 
 // noteByFailWord maps the values of the Fail-Word header field to the notes of the module.
 var noteByFailWord = map[string]brain.Note{
-	"atb":  brain.NoCircuit,
-	"rtb":  brain.TurnedBack,
-	"racc": brain.DestProcFull,
-	"acc":  brain.ProcFull,
-	"sub":  brain.LinesBusy,
+	"atb":  brain.NoteNoCircuit,
+	"rtb":  brain.NoteCrankback,
+	"racc": brain.NoteOnwardProcessorFull,
+	"acc":  brain.NoteProcessorFull,
+	"sub":  brain.NoteLinesBusy,
 }
 
 // handleFinalResponse handles a final response to an INVITE.
@@ -216,18 +216,18 @@
 	call := attempt.call
 	c.log(slog.LevelDebug, "answer", "call", msg.CallID, "status", msg.Status, "link", link.id, "after", c.now-attempt.startedAt)
 	if msg.Status >= 300 {
-		ended := brain.Ended{
-			Outcome: brain.Failed,
+		ended := brain.AttemptEnded{
+			Outcome: brain.OutcomeFailed,
 			Note:    noteByFailWord[msg.Get("Fail-Word")],
 			Report:  c.parseReport(link.peer, msg),
 		}
 		if outcome, ok := outcomeByStatus[msg.Status]; ok {
 			ended.Outcome = outcome
 		}
-		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == brain.ProcFull {
-			ended.Wait = time.Duration(max(ms, 0)) * time.Millisecond
+		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == brain.NoteProcessorFull {
+			ended.RetryAfter = time.Duration(max(ms, 0)) * time.Millisecond
 		}
-		if ended.Outcome == brain.Reset {
+		if ended.Outcome == brain.OutcomeReset {
 			c.Stats.Cut++
 		}
 		c.removeAttempt(attempt)
@@ -237,21 +237,21 @@
 	c.removeAttempt(attempt)
 	if c.calls[id] != call { // abandoned in the meantime
 		c.sendBye(link, byeRequest{id, call.callID, isup.NormalClearing})
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.Cancelled})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeCancelled})
 		return
 	}
 	c.Stats.Answered++
-	c.emit(SendToCaller{call.conn.id, (&isup.Message{Type: isup.Answer, Call: id}).With(isup.Description, msg.Body)})
+	c.emit(SendToCaller{call.conn.id, (&isup.Message{Type: isup.Answer, CallID: id}).Add(isup.ParamDescription, msg.Body)})
 	c.pending--
 	call.conn.pending--
 	call.conn.established++
 	call.established, call.establishedAt, call.peer, call.description = true, c.now, link.peer, nil
 	link.peer.calls[id] = call
-	c.notifyModule(brain.Standing{
-		ID:       call.callID,
-		Attempt:  attempt.number,
-		Exchange: link.peer.id,
-		After:    c.now - attempt.startedAt,
+	c.notifyModule(brain.CallEstablished{
+		CallID:     call.callID,
+		Attempt:    attempt.number,
+		ExchangeID: link.peer.id,
+		Elapsed:    c.now - attempt.startedAt,
 	})
 }
 
@@ -263,7 +263,8 @@
 	ending, known := c.recentEndings[id]
 	call := c.calls[id]
 	c.log(slog.LevelDebug, "late", "call", msg.CallID, "status", msg.Status, "link", link.id, "known", known,
-		"ghost", ending.withdrawnPeer != nil, "ago", c.now-ending.endedAt, "open", call != nil && !call.established, "standing", call != nil && call.established)
+		"ghost", ending.withdrawnPeer != nil, "ago", c.now-ending.endedAt,
+		"open", call != nil && !call.established, "standing", call != nil && call.established)
 	if !known && call == nil {
 		c.Stats.Stray++ // the call is unknown or ended long ago
 		return
@@ -280,10 +281,10 @@
 	if err != nil {
 		return
 	}
-	cause := sip.Cause(msg.Get("Reason"))
-	outcome := brain.Reset
+	cause := sip.ParseCause(msg.Get("Reason"))
+	outcome := brain.OutcomeReset
 	if cause == isup.NormalClearing {
-		outcome = brain.OK
+		outcome = brain.OutcomeCompleted
 	}
 	c.log(slog.LevelDebug, "release", "call", msg.CallID, "exchange", peer.Name, "cause", cause)
 	switch call, attempt := c.calls[id], c.attempts[id]; {
@@ -295,10 +296,10 @@
 		c.removeAttempt(attempt)
 		c.recordEnding(id, callEnding{cause: cause})
 		c.sendFinalAnswer(call, newRelease(id, cause))
-		c.reportEnded(attempt, brain.Ended{Outcome: outcome})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
 	case attempt != nil && attempt.peer == peer && attempt.link != nil: // abandoned in the meantime
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.Reset})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeReset})
 	case call == nil:
 		if ending, known := c.recentEndings[id]; !known || ending.withdrawnPeer != nil {
 			c.recordEnding(id, callEnding{cause: cause})
@@ -329,13 +330,13 @@
 	if call.adopted {
 		return
 	}
-	c.notifyModule(brain.Ended{
-		ID:       call.callID,
-		Attempt:  call.attempts - 1,
-		Exchange: call.peer.id,
-		Outcome:  outcome,
-		After:    c.now - call.establishedAt,
-		Final:    true,
+	c.notifyModule(brain.AttemptEnded{
+		CallID:     call.callID,
+		Attempt:    call.attempts - 1,
+		ExchangeID: call.peer.id,
+		Outcome:    outcome,
+		Elapsed:    c.now - call.establishedAt,
+		Final:      true,
 	})
 }
 
@@ -343,27 +344,27 @@
 // sends it on every link; only changes are passed on.
 func (c *Core) handleNotify(peer *peerExchange, msg *sip.Message) {
 	report := c.parseReport(peer, msg)
-	if !report.Known || report == peer.lastReport {
+	if !report.CircuitsKnown || report == peer.lastReport {
 		return
 	}
 	peer.lastReport = report
-	c.notifyModule(brain.Circuits{Exchange: peer.id, OK: true, Report: report})
+	c.notifyModule(brain.GroupStatus{ExchangeID: peer.id, OK: true, Report: report})
 }
 
 // parseReport reads the state of the trunk group towards the exchange from a message. The report is
 // known only if both the free and the total number of circuits are given.
-func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report brain.Report) {
+func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report brain.StatusReport) {
 	var hasFree, hasSize bool
 	for part := range strings.SplitSeq(msg.Get("Link-State"), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch n, err := strconv.ParseFloat(value, 64); {
 		case err != nil || n < 0 || n > 1<<20:
 		case name == "idle":
-			report.Free, hasFree = int(n), true
+			report.FreeCircuits, hasFree = int(n), true
 		case name == "circuits":
-			report.Size, hasSize = int(n), true
+			report.GroupSize, hasSize = int(n), true
 		}
 	}
-	report.Known = hasFree && hasSize
+	report.CircuitsKnown = hasFree && hasSize
 	return report
 }
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -127,7 +127,7 @@
 	conn := c.conns[in.Conn]
 	if conn == nil {
 		if IsNewCall(in.Msg) { // read before the connection was closed, handled after the close was decided
-			c.rejectCall(in.Conn, in.Msg.Call)
+			c.rejectCall(in.Conn, in.Msg.CallID)
 		}
 		return
 	}
@@ -138,8 +138,8 @@
 	case isup.Release:
 		c.handleCallerRelease(conn, in.Msg)
 	case isup.Test:
-		c.emit(SendToCaller{conn.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
-	case isup.Progress, isup.Released, isup.Tested:
+		c.emit(SendToCaller{conn.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
+	case isup.Progress, isup.ReleaseComplete, isup.TestResult:
 	default:
 		c.Stats.Invalid++
 		c.closeConn(conn, fmt.Sprintf("unexpected message type %d", in.Msg.Type))
@@ -148,7 +148,7 @@
 
 // newRelease returns a release of a call with a cause.
 func newRelease(id uint64, cause byte) *isup.Message {
-	return (&isup.Message{Type: isup.Release, Call: id}).With(isup.Cause, []byte{cause})
+	return (&isup.Message{Type: isup.Release, CallID: id}).Add(isup.ParamCause, []byte{cause})
 }
 
 // newCongestionRelease returns a release that allows a retry, after the backoff if it is positive. The
@@ -156,7 +156,7 @@
 func newCongestionRelease(id uint64, backoff time.Duration) *isup.Message {
 	msg := newRelease(id, isup.Congestion)
 	if backoff > 0 {
-		msg.With(isup.StayAway, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
+		msg.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
 	}
 	return msg
 }
@@ -164,7 +164,7 @@
 // IsNewCall reports whether a message is the set-up of a new call, which may be rejected before it
 // reaches the core. The set-up of an established call (one with an "at" figure) expects no answer.
 func IsNewCall(msg *isup.Message) bool {
-	figures, _ := msg.Get(isup.Figures)
+	figures, _ := msg.Get(isup.ParamRouting)
 	return msg.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
@@ -197,39 +197,39 @@
 		value, _ := msg.Get(code)
 		return string(value)
 	}
-	class, ok := c.classIndexes[text(isup.Class)]
+	class, ok := c.classIndexes[text(isup.ParamClass)]
 	if !ok {
-		return request, fmt.Errorf("unknown class %.40q", text(isup.Class))
+		return request, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
 	}
-	request.class, request.Class = text(isup.Class), class
-	millis, err := strconv.ParseUint(text(isup.Patience), 10, 22)
+	request.class, request.Class = text(isup.ParamClass), class
+	millis, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
 	if err != nil {
 		return request, fmt.Errorf("invalid patience: %w", err)
 	}
-	request.Left = time.Duration(millis) * time.Millisecond
-	request.number = text(isup.Number)
-	if request.Number, err = strconv.ParseUint(request.number, 16, 64); err != nil || len(request.number) != 16 {
+	request.Remaining = time.Duration(millis) * time.Millisecond
+	request.number = text(isup.ParamNumber)
+	if request.CalledNumber, err = strconv.ParseUint(request.number, 16, 64); err != nil || len(request.number) != 16 {
 		return request, fmt.Errorf("invalid number %.40q", request.number)
 	}
-	request.Numbered = true
-	switch value := text(isup.Retry); value {
+	request.HasCalledNumber = true
+	switch value := text(isup.ParamRetry); value {
 	case "1":
 		request.Repeat = true
 	case "", "0":
 	default:
 		return request, fmt.Errorf("invalid retry mark %.40q", value)
 	}
-	request.description, ok = msg.Get(isup.Description)
+	request.description, ok = msg.Get(isup.ParamDescription)
 	if !ok {
 		return request, fmt.Errorf("missing description")
 	}
-	return request, c.parseFigures(&request, text(isup.Figures))
+	return request, c.parseFigures(&request, text(isup.ParamRouting))
 }
 
 // parseFigures parses the figures of a set-up ("name:value" pairs separated by semicolons) into request.
 // Unknown figures are ignored.
 func (c *Core) parseFigures(request *setUpRequest, text string) error {
-	request.Through = -1
+	request.Via = -1
 	var hasDest, hasWidth, hasVia bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
@@ -246,26 +246,26 @@
 		}
 		switch name {
 		case "dest":
-			hasDest, request.Dest = true, int(n)
+			hasDest, request.Destination = true, int(n)
 		case "width":
 			hasWidth, request.Width = true, int(n)
 		case "via":
-			hasVia, request.Through = true, int(n)
+			hasVia, request.Via = true, int(n)
 		case "transit":
 			request.Transit = n == 1
 		case "again":
-			request.Again = n == 1
+			request.Reconnect = n == 1
 		}
 		if (name == "transit" || name == "again") && n != 0 && n != 1 {
 			return fmt.Errorf("figure %.20q out of range in %.80q", name, text)
 		}
 	}
 	switch {
-	case !hasDest || !c.isKnownDestination(request.Dest) || request.Dest == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
+	case !hasDest || !c.isKnownDestination(request.Destination) || request.Destination == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
 		return fmt.Errorf("missing or unknown destination in %.80q", text)
 	case !hasWidth || request.Width < 1 || request.Width > c.maxWidth:
 		return fmt.Errorf("missing or invalid width in %.80q", text)
-	case request.Through < -1 || request.Transit && !hasVia:
+	case request.Via < -1 || request.Transit && !hasVia:
 		return fmt.Errorf("missing or invalid via in %.80q", text)
 	}
 	return nil
@@ -273,7 +273,7 @@
 
 // handleSetUp adopts, rejects or starts a call. A call that is started is passed to the module.
 func (c *Core) handleSetUp(conn *callerConn, in CallerMessage) {
-	id := in.Msg.Call
+	id := in.Msg.CallID
 	existing := c.calls[id]
 	request, err := c.parseSetUp(in.Msg)
 	switch {
@@ -318,7 +318,7 @@
 	c.pending++
 	conn.pending++
 	request.ID = call.callID
-	request.Left -= max(c.now-in.ReceivedAt, 0)
+	request.Remaining -= max(c.now-in.ReceivedAt, 0)
 	c.notifyModule(request.Call)
 }
 
@@ -365,7 +365,7 @@
 // handleCallerRelease handles the release of a caller: it ends an established call, on whatever
 // connection it arrives, or abandons a pending one on its own connection.
 func (c *Core) handleCallerRelease(conn *callerConn, msg *isup.Message) {
-	call := c.calls[msg.Call]
+	call := c.calls[msg.CallID]
 	if call == nil {
 		return
 	}
@@ -373,8 +373,8 @@
 		"out", c.attempts[call.id] != nil, "cause", msg.Cause())
 	if call.established {
 		c.releaseAtPeer(call.peer, call.id, call.callID, isup.NormalClearing)
-		c.endEstablishedCall(call, brain.Cancelled, isup.NormalClearing, true)
-		c.emit(SendToCaller{conn.id, &isup.Message{Type: isup.Released, Call: msg.Call}})
+		c.endEstablishedCall(call, brain.OutcomeCancelled, isup.NormalClearing, true)
+		c.emit(SendToCaller{conn.id, &isup.Message{Type: isup.ReleaseComplete, CallID: msg.CallID}})
 		return
 	}
 	if call.conn == conn {
@@ -386,9 +386,9 @@
 func (c *Core) abandonCall(call *activeCall) {
 	c.Stats.Gone++
 	c.removePending(call)
-	c.notifyModule(brain.CallGone{ID: call.callID})
+	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
 	if attempt := c.attempts[call.id]; attempt != nil { // the module does not cancel where cancelling is disabled
-		c.withdrawAttempt(attempt, brain.Cancelled)
+		c.withdrawAttempt(attempt, brain.OutcomeCancelled)
 	}
 }
 
@@ -404,7 +404,7 @@
 func (c *Core) sendFinalAnswer(call *activeCall, msg *isup.Message) {
 	c.removePending(call)
 	if attempt := c.attempts[call.id]; attempt != nil {
-		c.withdrawAttempt(attempt, brain.TimedOut) // before the answer, after which no set-up may be sent
+		c.withdrawAttempt(attempt, brain.OutcomeTimedOut) // before the answer, after which no set-up may be sent
 	}
 	c.emit(SendToCaller{call.conn.id, msg})
 }
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -31,7 +31,7 @@
 	if got := h.sentToCaller(1, 7); got != "9 12/16" {
 		t.Errorf("the caller was told %q", got)
 	}
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OK || !ends[0].Final {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 }
@@ -40,21 +40,21 @@
 	for _, test := range []struct {
 		status int
 		head   []string
-		want   brain.Ended
+		want   brain.AttemptEnded
 	}{
-		{503, []string{"Fail-Word", "rtb"}, brain.Ended{Outcome: brain.Full, Note: brain.TurnedBack}},
-		{503, []string{"Fail-Word", "racc"}, brain.Ended{Outcome: brain.Full, Note: brain.DestProcFull}},
-		{503, []string{"Fail-Word", "acc", "Proc-Wait", "120"}, brain.Ended{Outcome: brain.Full, Note: brain.ProcFull, Wait: 120 * time.Millisecond}},
-		{480, []string{"Fail-Word", "atb"}, brain.Ended{Outcome: brain.Moot, Note: brain.NoCircuit}},
-		{480, []string{"Fail-Word", "acc"}, brain.Ended{Outcome: brain.Moot, Note: brain.ProcFull}},
-		{486, []string{"Fail-Word", "sub"}, brain.Ended{Outcome: brain.Failed, Note: brain.LinesBusy}},
-		{500, nil, brain.Ended{Outcome: brain.Failed}},
-		{504, nil, brain.Ended{Outcome: brain.Reset}},
+		{503, []string{"Fail-Word", "rtb"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteCrankback}},
+		{503, []string{"Fail-Word", "racc"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteOnwardProcessorFull}},
+		{503, []string{"Fail-Word", "acc", "Proc-Wait", "120"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteProcessorFull, RetryAfter: 120 * time.Millisecond}},
+		{480, []string{"Fail-Word", "atb"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteNoCircuit}},
+		{480, []string{"Fail-Word", "acc"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteProcessorFull}},
+		{486, []string{"Fail-Word", "sub"}, brain.AttemptEnded{Outcome: brain.OutcomeFailed, Note: brain.NoteLinesBusy}},
+		{500, nil, brain.AttemptEnded{Outcome: brain.OutcomeFailed}},
+		{504, nil, brain.AttemptEnded{Outcome: brain.OutcomeReset}},
 	} {
 		module, h, sent := newHarnessWithPendingCall(t, 1)
 		h.handle(LinkMessage{sent.Link, newResponse(7, test.status, test.head...)})
 		ends := module.endedEvents()
-		if len(ends) != 1 || ends[0].Outcome != test.want.Outcome || ends[0].Note != test.want.Note || ends[0].Wait != test.want.Wait || ends[0].Final {
+		if len(ends) != 1 || ends[0].Outcome != test.want.Outcome || ends[0].Note != test.want.Note || ends[0].RetryAfter != test.want.RetryAfter || ends[0].Final {
 			t.Errorf("%d %v: the module was told %+v", test.status, test.head, ends)
 		}
 		if h.countSent(sip.Ack, 7) != 1 {
@@ -73,7 +73,7 @@
 	h.handle(LinkMessage{sent.Link, newResponse(7, 503)})
 	for _, e := range h.effects {
 		if e, ok := e.(SendToCaller); ok {
-			if value, _ := e.Msg.Get(isup.StayAway); string(value) != "2" {
+			if value, _ := e.Msg.Get(isup.ParamRetryAfter); string(value) != "2" {
 				t.Errorf("stay away %q, want 2", value)
 			}
 		}
@@ -86,8 +86,8 @@
 	_, h, first := newHarnessWithPendingCall(t, 2)
 	h.handle(LinkMessage{first.Link, newResponse(7, 480, "Fail-Word", "atb")})
 	second, _ := h.lastSent(sip.Invite, 7)
-	if h.countSent(sip.Invite, 7) != 2 || second.Msg.Seq != 1 {
-		t.Fatalf("%d attempts, CSeq %d", h.countSent(sip.Invite, 7), second.Msg.Seq)
+	if h.countSent(sip.Invite, 7) != 2 || second.Msg.CSeq != 1 {
+		t.Fatalf("%d attempts, CSeq %d", h.countSent(sip.Invite, 7), second.Msg.CSeq)
 	}
 	h.handle(LinkMessage{second.Link, newResponse(7, 200)})
 	if got := h.sentToCaller(1, 7); got != "9" {
@@ -98,7 +98,7 @@
 func TestALateAnswerIsHungUpAndTheFurtherAttemptIsNotTakenForIt(t *testing.T) {
 	module, h, first := newHarnessWithPendingCall(t, 2)
 	h.advance(time.Second)
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.TimedOut {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeTimedOut {
 		t.Fatalf("ends %+v", ends)
 	}
 	second, _ := h.lastSent(sip.Invite, 7)
@@ -122,7 +122,7 @@
 	if h.sentToCaller(1, 7) != "" || h.countWithdrawn(7) != 1 || h.countSent(sip.Ack, 7) != 1 || h.countSent(sip.Bye, 7) != 1 {
 		t.Errorf("said %q, %d withdrawn, %d ACK, %d BYE", h.sentToCaller(1, 7), h.countWithdrawn(7), h.countSent(sip.Ack, 7), h.countSent(sip.Bye, 7))
 	}
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Cancelled || !ends[0].Final {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCancelled || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	h.handleCallerMessage(2, newSetUp(8, 1))
@@ -137,19 +137,19 @@
 	h := newHarness(t, module)
 	h.handleCallerMessage(1, newSetUp(7, 1))
 	for _, msg := range []*isup.Message{
-		replaceParam(newSetUp(100, 1), isup.Class, "nobody"), replaceParam(newSetUp(101, 1), isup.Patience, "-5"),
-		replaceParam(newSetUp(102, 1), isup.Patience, "NaN"), replaceParam(newSetUp(103, 1), isup.Number, "7f3a9c21e0b4d65"),
-		replaceParam(newSetUp(104, 1), isup.Number, "7f3a9c21 HTTP/1"), replaceParam(newSetUp(105, 1), isup.Figures, "dest:9;width:1;via:-1"),
-		replaceParam(newSetUp(106, 1), isup.Figures, "dest:0;width:1;via:-1"), replaceParam(newSetUp(107, 1), isup.Figures, "dest:1;width:0;via:-1"),
-		replaceParam(newSetUp(108, 1), isup.Figures, "dest:1;width:3;via:-1"), replaceParam(newSetUp(109, 1), isup.Figures, "dest:1;width:1e9;via:-1"),
-		replaceParam(newSetUp(110, 1), isup.Figures, "dest:1;width:1;via:-2"), replaceParam(newSetUp(111, 1), isup.Figures, "nonsense"),
-		replaceParam(newSetUp(112, 1), isup.Figures, ""), newSetUp(113, 1).With(isup.Retry, []byte("x")),
-		replaceParam(newSetUp(116, 1), isup.Figures, "dest:1;width:1;via:2;transit:7"), {Type: isup.SetUp, Call: 114},
-		replaceParam(newSetUp(115, 1), isup.Description, string(make([]byte, sip.Most-100))),
+		replaceParam(newSetUp(100, 1), isup.ParamClass, "nobody"), replaceParam(newSetUp(101, 1), isup.ParamPatience, "-5"),
+		replaceParam(newSetUp(102, 1), isup.ParamPatience, "NaN"), replaceParam(newSetUp(103, 1), isup.ParamNumber, "7f3a9c21e0b4d65"),
+		replaceParam(newSetUp(104, 1), isup.ParamNumber, "7f3a9c21 HTTP/1"), replaceParam(newSetUp(105, 1), isup.ParamRouting, "dest:9;width:1;via:-1"),
+		replaceParam(newSetUp(106, 1), isup.ParamRouting, "dest:0;width:1;via:-1"), replaceParam(newSetUp(107, 1), isup.ParamRouting, "dest:1;width:0;via:-1"),
+		replaceParam(newSetUp(108, 1), isup.ParamRouting, "dest:1;width:3;via:-1"), replaceParam(newSetUp(109, 1), isup.ParamRouting, "dest:1;width:1e9;via:-1"),
+		replaceParam(newSetUp(110, 1), isup.ParamRouting, "dest:1;width:1;via:-2"), replaceParam(newSetUp(111, 1), isup.ParamRouting, "nonsense"),
+		replaceParam(newSetUp(112, 1), isup.ParamRouting, ""), newSetUp(113, 1).Add(isup.ParamRetry, []byte("x")),
+		replaceParam(newSetUp(116, 1), isup.ParamRouting, "dest:1;width:1;via:2;transit:7"), {Type: isup.SetUp, CallID: 114},
+		replaceParam(newSetUp(115, 1), isup.ParamDescription, string(make([]byte, sip.MaxMessageBytes-100))),
 	} {
 		h.handleCallerMessage(2, msg)
-		if got := h.sentToCaller(2, msg.Call); got != "12/100" {
-			t.Errorf("set-up %d was told %q", msg.Call, got)
+		if got := h.sentToCaller(2, msg.CallID); got != "12/100" {
+			t.Errorf("set-up %d was told %q", msg.CallID, got)
 		}
 	}
 	h.handleCallerMessage(2, newSetUp(7, 1)) // the id of another's open call
@@ -173,7 +173,7 @@
 func TestACallToAnExchangeThatIsOffTheListIsTheModules(t *testing.T) {
 	h := newHarness(t, nil)
 	gone := testEntry(3)
-	gone.State = brain.Out
+	gone.State = brain.OutOfService
 	h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{gone}})
 	h.handleCallerMessage(1, newSetUp(7, 3))
 	h.handleCallerMessage(1, newSetUp(8, 99))
@@ -194,7 +194,7 @@
 	h.handleCallerMessage(1, newSetUp(7, 1))
 	adoption := newSetUp(8, 1)
 	for i := range adoption.Params {
-		if adoption.Params[i].Code == isup.Figures {
+		if adoption.Params[i].Code == isup.ParamRouting {
 			adoption.Params[i].Value = []byte("dest:1;width:1;via:-1;at:s-1")
 		}
 	}
@@ -217,7 +217,7 @@
 func TestAnAdoptedCallIsReleasedWhereItWasNamedLast(t *testing.T) {
 	h := newHarness(t, newDirectModule(1))
 	adoption := func(id uint64, x string) *isup.Message {
-		return replaceParam(newSetUp(id, 1), isup.Figures, "dest:1;width:1;via:-1;at:"+x)
+		return replaceParam(newSetUp(id, 1), isup.ParamRouting, "dest:1;width:1;via:-1;at:"+x)
 	}
 	h.handleCallerMessage(1, adoption(7, "s-1"))
 	h.handleCallerMessage(1, adoption(7, "s-1"))
@@ -248,7 +248,7 @@
 	if h.countSent(sip.Bye, 7) != 0 || len(h.core.calls) != 1 {
 		t.Fatal("the call ended with a connection")
 	}
-	h.handleCallerMessage(2, replaceParam(newSetUp(7, 1), isup.Figures, "dest:1;width:1;via:-1;at:s-1"))
+	h.handleCallerMessage(2, replaceParam(newSetUp(7, 1), isup.ParamRouting, "dest:1;width:1;via:-1;at:s-1"))
 	h.handle(LinkMessage{h.firstLinkUp(1), newBye(7, 16)})
 	if got := h.sentToCaller(2, 7); got != "12/16" {
 		t.Errorf("said %q", got)
@@ -269,7 +269,7 @@
 	module, h, sent := newHarnessWithPendingCall(t, 1)
 	h.addLink(1)
 	h.handle(LinkDown{Link: sent.Link})
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Reset {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset {
 		t.Fatalf("ends %+v", ends)
 	}
 	if h.countSent(sip.Bye, 7) != 1 {
@@ -285,7 +285,7 @@
 		h.handle(LinkDown{Link: dial.Link, Refused: true})
 	}
 	h.pendingDials = nil
-	if ends := module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.NoConnect || h.countSent(sip.Invite, 8) != 0 {
+	if ends := module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeUnreachable || h.countSent(sip.Invite, 8) != 0 {
 		t.Errorf("ends %+v", ends)
 	}
 }
@@ -294,7 +294,7 @@
 	for name, trigger := range map[string]func(h *testHarness){
 		"gone from the list": func(h *testHarness) {
 			entry := testEntry(1)
-			entry.State = brain.Out
+			entry.State = brain.OutOfService
 			h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
 		},
 		"started again": func(h *testHarness) {
@@ -338,7 +338,7 @@
 		if got := h.sentToCaller(1, 7); got != "9 12/41" {
 			t.Errorf("%s: the caller was told %q", name, got)
 		}
-		if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Reset || !ends[0].Final {
+		if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset || !ends[0].Final {
 			t.Errorf("%s: the module was told %+v", name, ends)
 		}
 	}
@@ -357,7 +357,7 @@
 	entry := testEntry(1)
 	entry.State = brain.Draining
 	h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Moot {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeNotSent {
 		t.Errorf("ends %+v", ends)
 	}
 	h.completeDials()
@@ -380,7 +380,7 @@
 		h.now += 50 * time.Millisecond
 		h.handle(Tick{})
 	}
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.Reset || ends[0].After > pingDelayPending+pingTimeout+2*maintenanceInterval {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeReset || ends[0].Elapsed > pingDelayPending+pingTimeout+2*maintenanceInterval {
 		t.Errorf("ends %+v", ends)
 	}
 }
@@ -444,7 +444,7 @@
 func TestSilentConnectionsAreClosedAndTheOldestMakeRoom(t *testing.T) {
 	h := newHarness(t, newDirectModule(1))
 	h.establishCall(1, 7)
-	h.handleCallerMessage(2, &isup.Message{Type: isup.Test, Call: 1})
+	h.handleCallerMessage(2, &isup.Message{Type: isup.Test, CallID: 1})
 	for conn := ConnID(3); conn <= 9; conn++ {
 		h.now += time.Millisecond
 		h.handle(CallerConnected{conn})
@@ -488,7 +488,7 @@
 		h.effects = nil
 		h.advance(100 * time.Millisecond)
 		h.handle(CallerDisconnected{conn})
-		entry.State = brain.Out
+		entry.State = brain.OutOfService
 		h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
 	}
 	h.advance(time.Minute)
@@ -514,7 +514,7 @@
 	if got := h.sentToCaller(1, 7); got != "12/16" || h.countSent(sip.Invite, 7) != 1 {
 		t.Errorf("said %q after %d attempts", got, h.countSent(sip.Invite, 7))
 	}
-	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OK || !ends[0].Final {
+	if ends := module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted || !ends[0].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	h.handleCallerMessage(1, newSetUp(8, 1))
@@ -524,7 +524,7 @@
 	if h.sentToCaller(1, 8) != "12/41" || h.countSent(sip.Invite, 8) != 1 {
 		t.Errorf("said %q after %d attempts", h.sentToCaller(1, 8), h.countSent(sip.Invite, 8))
 	}
-	if ends := module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.Reset || !ends[1].Final {
+	if ends := module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeReset || !ends[1].Final {
 		t.Errorf("the module was told %+v", ends)
 	}
 	h.handle(LinkMessage{sent.Link, newResponse(8, 200)})
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -229,7 +229,7 @@
 			inFlight += len(link.pending)
 		}
 		c.log(slog.LevelDebug, "exchange", "name", peer.Name, "cell", peer.Number, "state", peer.State,
-			"free", peer.lastReport.Free, "size", peer.lastReport.Size, "links", len(peer.links), "up", upCount, "out", inFlight,
+			"free", peer.lastReport.FreeCircuits, "size", peer.lastReport.GroupSize, "links", len(peer.links), "up", upCount, "out", inFlight,
 			"waiting", len(peer.waiting), "standing", len(peer.calls), "fails", peer.connectFailures, "heard", c.now-peer.lastHeardAt)
 	}
 }
@@ -243,9 +243,9 @@
 	now           time.Duration
 	timers        *wheel.Wheel[timerEvent]
 	effects       []Effect
-	module        policy.Feed
+	module        policy.Dispatcher
 	random        *rand.Rand // jitter of the intervals between connection attempts
-	retry         guard.Retry
+	retry         guard.Backoff
 
 	conns      map[ConnID]*callerConn
 	connsByAge []*callerConn // oldest first; closed ones are removed by maintenance
@@ -283,7 +283,7 @@
 func New(cfg Config, now time.Duration) *Core {
 	c := &Core{
 		cfg:           cfg,
-		module:        policy.Feed{Module: cfg.Module},
+		module:        policy.Dispatcher{Module: cfg.Module},
 		classIndexes:  map[string]int{},
 		now:           now,
 		timers:        wheel.New[timerEvent](now),
@@ -297,7 +297,7 @@
 		recentEndings: map[uint64]callEnding{},
 		random:        rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7)),
 	}
-	c.retry = guard.Retry{Least: minConnectRetry, Most: maxConnectRetry, Random: c.random}
+	c.retry = guard.Backoff{Min: minConnectRetry, Max: maxConnectRetry, Random: c.random}
 	for i, class := range cfg.Settings.Classes {
 		c.classIndexes[class.Name] = i
 		c.maxWidth = max(c.maxWidth, class.Width)
@@ -352,7 +352,7 @@
 	case event.attempt != nil:
 		c.handleAttemptTimeout(event.attempt)
 	default:
-		c.notifyModule(brain.Alarm{Token: event.token})
+		c.notifyModule(brain.TimerExpired{Token: event.token})
 	}
 }
 
@@ -413,7 +413,7 @@
 // answerAtShutdown answers a call that is still pending at the end of the grace period: failed, or refused
 // if no attempt was made.
 func (c *Core) answerAtShutdown(call *activeCall) {
-	c.notifyModule(brain.CallGone{ID: call.callID})
+	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
 	if call.attempts > 0 {
 		c.Stats.Failed++
 		c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
--- a/internal/interwork/links_test.go
+++ b/internal/interwork/links_test.go
@@ -79,7 +79,7 @@
 		t.Errorf("%d closed as idle, %d resets, %d links", idleCloses, resets, len(h.core.peersByName["s-2"].links))
 	}
 	h.handle(LinkMessage{h.firstLinkUp(1), newBye(7, 16)})
-	if ends := h.module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OK {
+	if ends := h.module.endedEvents(); len(ends) != 1 || ends[0].Outcome != brain.OutcomeCompleted {
 		t.Errorf("%+v", ends)
 	}
 }
@@ -186,7 +186,7 @@
 		t.Errorf("ends %+v", ends)
 	}
 	h.handle(Unsent{Link: second.Link, Msg: second.Msg})
-	if ends := h.module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.Moot {
+	if ends := h.module.endedEvents(); len(ends) != 2 || ends[1].Outcome != brain.OutcomeNotSent {
 		t.Errorf("ends %+v", ends)
 	}
 }
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -9,41 +9,41 @@
 )
 
 // notifyModule passes an event to the routing module and carries out the actions it returns.
-func (c *Core) notifyModule(event brain.Event) { c.module.Give(c.now, event, c.applyAction) }
+func (c *Core) notifyModule(event brain.Event) { c.module.Dispatch(c.now, event, c.applyAction) }
 
 // applyAction carries out one action of the routing module. Actions on calls that are not pending any
 // more are ignored.
 func (c *Core) applyAction(action brain.Action) {
 	switch action := action.(type) {
-	case brain.Send:
-		if call := c.pendingCall(action.ID); call != nil && c.attempts[call.id] == nil {
+	case brain.StartAttempt:
+		if call := c.pendingCall(action.CallID); call != nil && c.attempts[call.id] == nil {
 			c.startAttempt(call, action)
 		}
-	case brain.Refuse:
-		if call := c.pendingCall(action.ID); call != nil {
+	case brain.RefuseCall:
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Refused++
-			c.sendFinalAnswer(call, newCongestionRelease(call.id, action.Backoff))
+			c.sendFinalAnswer(call, newCongestionRelease(call.id, action.RetryAfter))
 		}
-	case brain.GiveUp:
-		if call := c.pendingCall(action.ID); call != nil {
+	case brain.FailCall:
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Failed++
 			c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
 		}
-	case brain.Cancel:
-		if id, err := strconv.ParseUint(action.ID, 16, 64); err == nil {
+	case brain.CancelAttempt:
+		if id, err := strconv.ParseUint(action.CallID, 16, 64); err == nil {
 			if attempt := c.attempts[id]; attempt != nil && attempt.number == action.Attempt {
-				c.withdrawAttempt(attempt, brain.Cancelled)
+				c.withdrawAttempt(attempt, brain.OutcomeCancelled)
 			}
 		}
-	case brain.Wake:
-		c.timers.Set(c.now+action.After, timerEvent{token: action.Token})
+	case brain.SetTimer:
+		c.timers.Set(c.now+action.Delay, timerEvent{token: action.Token})
 	case brain.Verdict:
 		level := slog.LevelDebug
 		if action.Log {
 			level = slog.LevelInfo
 		}
 		if c.cfg.LogAllVerdicts || action.Log {
-			c.log(level, "verdict", "call", action.ID, "reason", action.Reason, "scope", action.Scope, "cell", action.Cell, "nth", action.Nth)
+			c.log(level, "verdict", "call", action.CallID, "reason", action.Reason, "scope", action.Scope, "cell", action.ExchangeNumber, "nth", action.Count)
 		}
 	}
 }
@@ -61,11 +61,11 @@
 }
 
 // reportEnded reports the end of an attempt to the module.
-func (c *Core) reportEnded(attempt *callAttempt, ended brain.Ended) {
+func (c *Core) reportEnded(attempt *callAttempt, ended brain.AttemptEnded) {
 	call := attempt.call
-	ended.ID, ended.Attempt, ended.Exchange, ended.After = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
+	ended.CallID, ended.Attempt, ended.ExchangeID, ended.Elapsed = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
 	ended.Final = c.calls[call.id] != call || call.established
 	c.log(slog.LevelDebug, "ended", "call", call.callID, "nth", attempt.number, "outcome", ended.Outcome, "note", ended.Note,
-		"final", ended.Final, "after", ended.After)
+		"final", ended.Final, "after", ended.Elapsed)
 	c.notifyModule(ended)
 }
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -22,7 +22,7 @@
 	calls       map[uint64]*activeCall // established at this exchange
 	pendingByes []byeRequest           // to be sent once a link is up
 	removed     bool
-	lastReport  brain.Report // last known state of the trunk group
+	lastReport  brain.StatusReport // last known state of the trunk group
 
 	lastHeardAt     time.Duration // last message or connect
 	exclusiveUntil  time.Duration // until then set-ups do not share links
@@ -74,7 +74,7 @@
 	for _, entry := range in.Changes {
 		peer := c.peersByName[entry.Name]
 		if peer == nil {
-			if entry.State == brain.Out {
+			if entry.State == brain.OutOfService {
 				continue
 			}
 			c.lastPeerID++
@@ -87,12 +87,12 @@
 		peer.Entry = entry
 		c.log(slog.LevelInfo, "exchange", "name", entry.Name, "cell", entry.Number, "state", entry.State,
 			"born", entry.StartUnixMilli, "addr", entry.Addr)
-		exchanges = append(exchanges, brain.Exchange{ID: peer.id, Cell: entry.Number, State: entry.State, Since: c.clockTime(entry.StartUnixMilli)})
+		exchanges = append(exchanges, brain.Exchange{ID: peer.id, Number: entry.Number, State: entry.State, StartedAt: c.clockTime(entry.StartUnixMilli)})
 		c.applyEntryChange(peer, previous)
 	}
-	c.notifyModule(brain.Exchanges{Complete: in.Complete, Entries: exchanges})
+	c.notifyModule(brain.ExchangeListUpdate{Complete: in.Complete, Entries: exchanges})
 	for _, entry := range in.Changes { // after the module has been notified
-		if peer := c.peersByName[entry.Name]; peer != nil && entry.State == brain.Out {
+		if peer := c.peersByName[entry.Name]; peer != nil && entry.State == brain.OutOfService {
 			c.removePeer(peer)
 		} else if peer != nil {
 			c.maintainLinks(peer)
@@ -112,17 +112,17 @@
 		}
 		peer.connectFailures, peer.retryAt, peer.refusingSince, peer.lastHeardAt = 0, 0, 0, c.now
 	}
-	if (peer.State == brain.In) != (previous.State == brain.In) {
+	if (peer.State == brain.InService) != (previous.State == brain.InService) {
 		for _, link := range peer.links {
-			c.emit(HoldSetUps{link.id, peer.State != brain.In})
+			c.emit(HoldSetUps{link.id, peer.State != brain.InService})
 		}
 	}
-	if peer.State == brain.In {
+	if peer.State == brain.InService {
 		return
 	}
 	for _, attempt := range slices.Clone(peer.waiting) { // the exchange takes no new calls
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.Moot})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
 	}
 }
 
@@ -153,7 +153,7 @@
 			ended++
 			c.Stats.Forgotten++
 			c.releaseAtPeer(peer, call.id, call.callID, isup.TemporaryFailure)
-			c.endEstablishedCall(call, brain.Reset, isup.TemporaryFailure, false)
+			c.endEstablishedCall(call, brain.OutcomeReset, isup.TemporaryFailure, false)
 		}
 	}
 	if ended > 0 {
@@ -200,7 +200,7 @@
 		wanted = busyCount + 1
 	}
 	wanted = min(wanted, c.maxLinksPerPeer())
-	if peer.State != brain.In {
+	if peer.State != brain.InService {
 		wanted = 1
 	}
 	if peer.connectFailures > 0 {
@@ -287,11 +287,11 @@
 	link.pingSentAt = c.now
 	c.Stats.Tests++
 	c.emit(SendToExchange{link.id, &sip.Message{
-		Method: sip.Options,
-		URI:    "sip:ping@net",
-		CallID: fmt.Sprintf("%016x", uint64(link.id)),
-		Seq:    1,
-		Of:     sip.Options,
+		Method:     sip.Options,
+		URI:        "sip:ping@net",
+		CallID:     fmt.Sprintf("%016x", uint64(link.id)),
+		CSeq:       1,
+		CSeqMethod: sip.Options,
 	}, 1 << 62})
 }
 
@@ -314,7 +314,7 @@
 	peer := link.peer
 	link.up, link.lastHeardAt, link.lastUsedAt = true, c.now, c.now
 	peer.lastHeardAt, peer.connectFailures, peer.refusingSince, peer.retryAt = c.now, 0, 0, 0
-	if peer.State != brain.In {
+	if peer.State != brain.InService {
 		c.emit(HoldSetUps{link.id, true})
 	}
 	byes := peer.pendingByes
@@ -341,7 +341,7 @@
 	c.removeLink(link)
 	if !wasUp {
 		peer.connectFailures++
-		peer.retryAt = c.now + c.retry.Gap(peer.connectFailures)
+		peer.retryAt = c.now + c.retry.Delay(peer.connectFailures)
 		switch {
 		case !in.Refused:
 			peer.refusingSince = 0
@@ -354,7 +354,7 @@
 		for _, attempt := range slices.Clone(peer.waiting) {
 			c.Stats.NoConnect++
 			c.removeAttempt(attempt)
-			c.reportEnded(attempt, brain.Ended{Outcome: brain.NoConnect})
+			c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		}
 	}
 	c.maintainLinks(peer)
@@ -386,7 +386,7 @@
 		c.Stats.Resets++
 		c.releaseAtPeer(link.peer, attempt.call.id, attempt.call.callID, isup.TemporaryFailure)
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.Ended{Outcome: brain.Reset})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeReset})
 	}
 }
 
@@ -424,11 +424,11 @@
 // sendBye sends a BYE on a link.
 func (c *Core) sendBye(link *peerLink, bye byeRequest) {
 	msg := &sip.Message{
-		Method: sip.Bye,
-		URI:    "sip:" + bye.callID + "@net",
-		CallID: bye.callID,
-		Seq:    2,
-		Of:     sip.Bye,
+		Method:     sip.Bye,
+		URI:        "sip:" + bye.callID + "@net",
+		CallID:     bye.callID,
+		CSeq:       2,
+		CSeqMethod: sip.Bye,
 	}
-	c.emit(SendToExchange{link.id, msg.Put("Reason", sip.Reason(bye.cause)), 1 << 62})
+	c.emit(SendToExchange{link.id, msg.Add("Reason", sip.FormatReason(bye.cause)), 1 << 62})
 }
--- a/internal/interwork/rig_test.go
+++ b/internal/interwork/rig_test.go
@@ -30,9 +30,9 @@
 }
 
 // endedEvents are the endedEvents of attempts that the module was told.
-func (m *scriptedModule) endedEvents() (out []brain.Ended) {
+func (m *scriptedModule) endedEvents() (out []brain.AttemptEnded) {
 	for _, e := range m.events {
-		if e, ok := e.(brain.Ended); ok {
+		if e, ok := e.(brain.AttemptEnded); ok {
 			out = append(out, e)
 		}
 	}
@@ -70,7 +70,7 @@
 	h.handle(ExchangeListUpdate{Complete: true, Changes: []srvlist.Entry{testEntry(0), testEntry(1), testEntry(2), testEntry(3)}})
 	h.completeDials()
 	for n := 1; n <= 3; n++ {
-		h.handle(LinkMessage{h.firstLinkUp(n), &sip.Message{Method: sip.Notify, Of: sip.Notify, Head: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
+		h.handle(LinkMessage{h.firstLinkUp(n), &sip.Message{Method: sip.Notify, CSeqMethod: sip.Notify, Header: map[string][]string{"Link-State": {"idle:20;circuits:20"}}}})
 	}
 	h.handle(CallerConnected{1})
 	h.handle(CallerConnected{2})
@@ -111,7 +111,7 @@
 		h.completeDials()
 		for _, link := range h.allLinks() {
 			if link.pingSentAt > 0 {
-				h.handle(LinkMessage{link.id, &sip.Message{Status: 200, Of: sip.Options}})
+				h.handle(LinkMessage{link.id, &sip.Message{Status: 200, CSeqMethod: sip.Options}})
 			}
 		}
 	}
@@ -145,9 +145,9 @@
 }
 
 func newSetUp(id uint64, dest int) *isup.Message {
-	return (&isup.Message{Type: isup.SetUp, Call: id}).With(isup.Class, []byte("voice")).With(isup.Patience, []byte("1500")).
-		With(isup.Number, []byte("7f3a9c21e0b4d655")).With(isup.Figures, fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)).
-		With(isup.Description, []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"))
+	return (&isup.Message{Type: isup.SetUp, CallID: id}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte("1500")).
+		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, fmt.Appendf(nil, "dest:%d;width:1;via:-1", dest)).
+		Add(isup.ParamDescription, []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"))
 }
 
 // replaceParam replaces a parameter.
@@ -189,7 +189,7 @@
 func (h *testHarness) sentToCaller(conn ConnID, id uint64) string {
 	var out []string
 	for _, e := range h.effects {
-		if sent, matches := e.(SendToCaller); matches && sent.Conn == conn && sent.Msg.Call == id {
+		if sent, matches := e.(SendToCaller); matches && sent.Conn == conn && sent.Msg.CallID == id {
 			text := fmt.Sprint(sent.Msg.Type)
 			if sent.Msg.Type == isup.Release {
 				text += fmt.Sprint("/", sent.Msg.Cause())
@@ -219,15 +219,15 @@
 }
 
 func newResponse(id uint64, status int, head ...string) *sip.Message {
-	msg := &sip.Message{Status: status, CallID: callID(id), Seq: 1, Of: sip.Invite, Body: []byte("made by the exchange"), Head: map[string][]string{}}
+	msg := &sip.Message{Status: status, CallID: callID(id), CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("made by the exchange"), Header: map[string][]string{}}
 	for i := 0; i < len(head); i += 2 {
-		msg.Head[head[i]] = []string{head[i+1]}
+		msg.Header[head[i]] = []string{head[i+1]}
 	}
 	return msg
 }
 
 func newBye(id uint64, cause byte) *sip.Message {
-	return &sip.Message{Method: sip.Bye, CallID: callID(id), Seq: 1, Of: sip.Bye, Head: map[string][]string{"Reason": {sip.Reason(cause)}}}
+	return &sip.Message{Method: sip.Bye, CallID: callID(id), CSeq: 1, CSeqMethod: sip.Bye, Header: map[string][]string{"Reason": {sip.FormatReason(cause)}}}
 }
 
 // establishCall sets a call up over exchange 1.
@@ -251,23 +251,23 @@
 	attempts, calls := map[string]int{}, map[string]brain.Call{}
 	send := func(id string) []brain.Action {
 		attempts[id]++
-		return []brain.Action{brain.Send{ID: id, Exchange: uint32(calls[id].Dest + 1), Timeout: time.Second}}
+		return []brain.Action{brain.StartAttempt{CallID: id, ExchangeID: uint32(calls[id].Destination + 1), Timeout: time.Second}}
 	}
 	m.respond = func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
 			calls[e.ID] = e
 			return send(e.ID)
-		case brain.CallGone:
-			return []brain.Action{brain.Cancel{ID: e.ID, Attempt: attempts[e.ID] - 1}}
-		case brain.Ended:
+		case brain.CallAbandoned:
+			return []brain.Action{brain.CancelAttempt{CallID: e.CallID, Attempt: attempts[e.CallID] - 1}}
+		case brain.AttemptEnded:
 			if e.Final {
 				return nil
 			}
-			if attempts[e.ID] < times {
-				return send(e.ID)
+			if attempts[e.CallID] < times {
+				return send(e.CallID)
 			}
-			return []brain.Action{brain.Refuse{ID: e.ID, Backoff: 1500 * time.Microsecond}}
+			return []brain.Action{brain.RefuseCall{CallID: e.CallID, RetryAfter: 1500 * time.Microsecond}}
 		}
 		return nil
 	}
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
 	}
 	for _, n := range r.nodes {
-		n.step(controller.Input{What: controller.Leave})
+		n.step(controller.Input{Kind: controller.InputShutdown})
 	}
 	left := r.clock.Run(r.clock.now+leaveWithin, func() bool {
 		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.left })
@@ -160,15 +160,15 @@
 	w := &wire{r: r, n: n, peer: p, near: true, far: true, door: d}
 	if r.capture != nil {
 		key := fmt.Sprint("wire ", r.conns)
-		w.nearTap = n.capture.Open(key, capture.Ends{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
-		w.farTap = r.capture.Open(key, capture.Ends{Owner: far, Role: "controller", Dialed: !dialed})
+		w.nearTap = n.capture.Open(key, capture.Endpoint{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
+		w.farTap = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
 	}
 	return w
 }
 
 // answer is a controller's call at a door; nil if nobody opens.
 func (r *Runner) answer(n *node, p controller.Peer, addr string) *wire {
-	if p.Role == controller.List {
+	if p.Role == controller.RoleExchangeList {
 		if r.away {
 			return nil
 		}
