--- a/internal/srvlist/srvlist.go
+++ b/internal/srvlist/srvlist.go
@@ -1,6 +1,7 @@
-// Package srvlist follows the exchange list of a platform's resolver: what the configuration
-// names at the start, then whole lists as DNS answers (RFC 1035, SRV as in RFC 2782), folded to
-// what has changed. It has no socket and no clock.
+// Package srvlist maintains the exchange list of the platform. The list starts with the exchanges in the
+// configuration and is updated from the answers of the platform's resolver, each of which holds the whole
+// list as DNS records (RFC 1035, SRV as in RFC 2782). Updates are returned as the entries that changed.
+// The package has no socket and no clock.
 package srvlist
 
 import (
@@ -17,40 +18,47 @@
 	"dahliaspindle/brain"
 )
 
-// Service is the name that is asked for.
+// Service is the DNS name under which the exchanges are listed.
 const Service = "_work._tcp.fleet.local."
 
-// MaxAnswerBytes is the size of the longest answer, in bytes.
+// MaxAnswerBytes is the maximum size of an answer in bytes.
 const MaxAnswerBytes = 8 << 10
 
-// Entry is one exchange.
+// Entry is one exchange of the list.
 type Entry struct {
 	Name, Addr     string
-	Number         int
+	Number         int // stable number of the exchange
 	State          brain.ExchangeState
-	StartUnixMilli int64 // Unix milliseconds of a late start, or 0
+	StartUnixMilli int64 // start of the exchange if it was not there from the beginning, else 0
 }
 
-// List is the list as last told.
+// List is the latest accepted exchange list.
 type List struct {
 	serial          uint64
-	entries         []Entry // by name; none that are gone
-	latestQuery     uint64  // the last question whose answer held this list
-	olderAnswers    int     // answers in a row to later ones that were older, none of them than the one before
-	lastOlderSerial uint64  // the number of the last of them
-	lastOlderQuery  uint64  // and its question
+	entries         []Entry // sorted by name, without exchanges that left
+	latestQuery     uint64  // number of the latest query that was answered with this list
+	olderAnswers    int     // consecutive answers to later queries with a serial below this list's, none below the one before
+	lastOlderSerial uint64  // serial of the last such answer
+	lastOlderQuery  uint64  // query of that answer
 }
 
-// maxOlderAnswers is how many such answers speak against the number held. Numbers begin anew with each
-// start of a controller; an answer of before, kept somewhere on the way, carries a high one.
-const maxOlderAnswers = 4
+// olderAnswersToAccept is the number of consecutive answers with an older serial after which the last of
+// them is accepted. Serials restart with each start of a controller, so an answer from before the
+// restart that was cached on the way carries a high one, which must not block the list for good.
+const olderAnswersToAccept = 4
 
-// Serial is the number of the last event that the list holds.
+// Serial returns the serial of the list: the number of the last event that it includes.
 func (l *List) Serial() uint64 { return l.serial }
 
-var stateByHealth = map[string]brain.ExchangeState{"active": brain.InService, "leaving": brain.Draining, "left": brain.OutOfService}
+// stateByHealth maps the values of "health" in the configuration to states.
+var stateByHealth = map[string]brain.ExchangeState{
+	"active":  brain.InService,
+	"leaving": brain.Draining,
+	"left":    brain.OutOfService,
+}
 
-// ParseKnown starts a list from the events in a configuration. The error names the place.
+// ParseKnown returns the list that results from the events in a configuration. An error names the entry
+// and host that it concerns.
 func ParseKnown(raw []byte) (*List, error) {
 	var known struct {
 		Pos     uint64
@@ -70,168 +78,175 @@
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	l := &List{serial: known.Pos}
-	for i, ev := range known.Entries {
-		if ev.Hosts == nil {
+	for i, event := range known.Entries {
+		if event.Hosts == nil {
 			continue
 		}
-		if i == 0 || ev.Hosts.Whole {
+		if i == 0 || event.Hosts.Whole {
 			l.entries = nil
 		}
-		for j, h := range ev.Hosts.Hosts {
-			state, ok := stateByHealth[h.Health]
-			if !ok || h.Host == "" || h.Block == nil {
-				return nil, fmt.Errorf("known: entry %d, host %d: no id, no block or unknown state %q", i, j, h.Health)
+		for j, host := range event.Hosts.Hosts {
+			state, ok := stateByHealth[host.Health]
+			if !ok || host.Host == "" || host.Block == nil {
+				return nil, fmt.Errorf("known: entry %d, host %d: missing host or block, or unknown health %q", i, j, host.Health)
 			}
-			if _, _, err := net.SplitHostPort(h.Dial); err != nil {
-				return nil, fmt.Errorf("known: entry %d, host %d: address: %w", i, j, err)
+			if _, _, err := net.SplitHostPort(host.Dial); err != nil {
+				return nil, fmt.Errorf("known: entry %d, host %d: invalid dial address: %w", i, j, err)
 			}
-			l.apply(Entry{h.Host, h.Dial, *h.Block, state, h.Born})
+			l.apply(Entry{host.Host, host.Dial, *host.Block, state, host.Born})
 		}
 	}
 	return l, nil
 }
 
+// find returns the index at which the entry with the given name is or would be inserted.
 func (l *List) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(l.entries, name, func(e Entry, n string) int { return strings.Compare(e.Name, n) })
+	return slices.BinarySearchFunc(l.entries, name, func(entry Entry, target string) int {
+		return strings.Compare(entry.Name, target)
+	})
 }
 
-// apply takes one entry over; true if that changes the list.
-func (l *List) apply(e Entry) bool {
-	i, there := l.find(e.Name)
+// apply inserts, replaces or, if its state is OutOfService, deletes one entry. It reports whether the
+// list changed.
+func (l *List) apply(entry Entry) bool {
+	i, listed := l.find(entry.Name)
 	switch {
-	case e.State == brain.OutOfService && there:
+	case entry.State == brain.OutOfService && listed:
 		l.entries = slices.Delete(l.entries, i, i+1)
-	case e.State == brain.OutOfService || there && l.entries[i] == e:
+	case entry.State == brain.OutOfService || listed && l.entries[i] == entry:
 		return false
-	case there:
-		l.entries[i] = e
+	case listed:
+		l.entries[i] = entry
 	default:
-		l.entries = slices.Insert(l.entries, i, e)
+		l.entries = slices.Insert(l.entries, i, entry)
 	}
 	return true
 }
 
-// Entries are all that are listed, by name.
+// Entries returns a copy of all entries, sorted by name.
 func (l *List) Entries() []Entry { return slices.Clone(l.entries) }
 
-// NewQuery is the question under an id.
+// NewQuery returns a packed query for the exchange list with the given message ID.
 func NewQuery(id uint16) ([]byte, error) {
-	m := new(dns.Msg)
-	m.SetQuestion(Service, dns.TypeSRV)
-	m.Id, m.RecursionDesired = id, false
-	return m.Pack()
+	msg := new(dns.Msg)
+	msg.SetQuestion(Service, dns.TypeSRV)
+	msg.Id, msg.RecursionDesired = id, false
+	return msg.Pack()
 }
 
-// ErrStale says that an answer is of before what the list holds.
-var ErrStale = errors.New("an older list")
+// ErrStale is wrapped by the error for an answer whose serial is older than the list's.
+var ErrStale = errors.New("stale list")
 
-// ApplyAnswer folds an answer to the nth question in and returns what has changed, what is gone first.
-// The question's id is the last 16 bits of n. An answer that is not whole, not to the question or
-// older changes nothing; answers may come in another order than the questions went out.
-func (l *List) ApplyAnswer(n uint64, packet []byte) ([]Entry, error) {
-	id := uint16(n)
-	var m dns.Msg
-	if err := m.Unpack(packet); err != nil {
-		return nil, fmt.Errorf("resolver's answer: %w", err)
+// ApplyAnswer updates the list with an answer and returns the entries that changed: first those that left,
+// with state OutOfService, then those that are new or different. The query is identified by its number,
+// whose last 16 bits are its message ID. An answer that is malformed, incomplete, stale or to another
+// query changes no entry. Answers may arrive in another order than the queries were sent.
+func (l *List) ApplyAnswer(query uint64, packet []byte) ([]Entry, error) {
+	id := uint16(query)
+	var msg dns.Msg
+	if err := msg.Unpack(packet); err != nil {
+		return nil, fmt.Errorf("resolver answer: %w", err)
 	}
 	switch {
-	case m.Id != id || !m.Response:
-		return nil, fmt.Errorf("resolver's answer: to question %d, not %d", m.Id, id)
-	case m.Rcode != dns.RcodeSuccess:
-		return nil, fmt.Errorf("resolver's answer: %s", dns.RcodeToString[m.Rcode])
-	case m.Truncated:
-		return nil, errors.New("resolver's answer: cut short")
+	case msg.Id != id || !msg.Response:
+		return nil, fmt.Errorf("resolver answer: message id %d or type does not match query %d", msg.Id, id)
+	case msg.Rcode != dns.RcodeSuccess:
+		return nil, fmt.Errorf("resolver answer: %s", dns.RcodeToString[msg.Rcode])
+	case msg.Truncated:
+		return nil, errors.New("resolver answer: truncated")
 	}
 	serial, found := uint64(0), false
-	for _, rr := range m.Ns {
+	for _, rr := range msg.Ns {
 		if soa, ok := rr.(*dns.SOA); ok {
 			serial, found = uint64(soa.Serial), true
 		}
 	}
 	if !found {
-		return nil, errors.New("resolver's answer: no serial")
+		return nil, errors.New("resolver answer: missing SOA record")
 	}
-	list, err := parseEntries(&m)
+	listed, err := parseEntries(&msg)
 	if err != nil {
-		return nil, fmt.Errorf("resolver's answer: %w", err)
+		return nil, fmt.Errorf("resolver answer: %w", err)
 	}
 	if serial < l.serial {
-		switch { // an answer that was overtaken says nothing against the list
-		case n <= max(l.latestQuery, l.lastOlderQuery):
+		switch { // an answer that a later one overtook does not count against the list
+		case query <= max(l.latestQuery, l.lastOlderQuery):
 		case serial < l.lastOlderSerial:
-			l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery = 1, serial, n
+			l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery = 1, serial, query
 		default:
-			l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery = l.olderAnswers+1, serial, n
+			l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery = l.olderAnswers+1, serial, query
 		}
-		if l.olderAnswers < maxOlderAnswers {
-			return nil, fmt.Errorf("resolver's answer: %w: %d after %d", ErrStale, serial, l.serial)
+		if l.olderAnswers < olderAnswersToAccept {
+			return nil, fmt.Errorf("resolver answer: %w: serial %d, already at %d", ErrStale, serial, l.serial)
 		}
 	}
-	l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery, l.latestQuery = 0, 0, 0, max(l.latestQuery, n)
+	l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery, l.latestQuery = 0, 0, 0, max(l.latestQuery, query)
 	if serial == l.serial {
 		return nil, nil
 	}
 	var changes []Entry
-	for _, old := range l.Entries() {
-		if !slices.ContainsFunc(list, func(e Entry) bool { return e.Name == old.Name }) {
-			old.State = brain.OutOfService
-			l.apply(old)
-			changes = append(changes, old)
+	for _, previous := range l.Entries() {
+		if !slices.ContainsFunc(listed, func(entry Entry) bool { return entry.Name == previous.Name }) {
+			previous.State = brain.OutOfService
+			l.apply(previous)
+			changes = append(changes, previous)
 		}
 	}
-	for _, e := range list {
-		if l.apply(e) {
-			changes = append(changes, e)
+	for _, entry := range listed {
+		if l.apply(entry) {
+			changes = append(changes, entry)
 		}
 	}
 	l.serial = serial
 	return changes, nil
 }
 
-func parseEntries(m *dns.Msg) ([]Entry, error) {
-	addr, text := map[string]string{}, map[string][]string{}
-	for _, rr := range slices.Concat(m.Answer, m.Extra) {
+// parseEntries returns the entries of an answer: one for each SRV record, with its A and TXT records.
+func parseEntries(msg *dns.Msg) ([]Entry, error) {
+	addrByTarget, textByTarget := map[string]string{}, map[string][]string{}
+	for _, rr := range slices.Concat(msg.Answer, msg.Extra) {
 		name := strings.ToLower(rr.Header().Name)
 		switch rr := rr.(type) {
 		case *dns.A:
-			addr[name] = rr.A.String()
+			addrByTarget[name] = rr.A.String()
 		case *dns.TXT:
-			text[name] = rr.Txt
+			textByTarget[name] = rr.Txt
 		}
 	}
-	var list []Entry
-	for _, rr := range m.Answer {
+	var entries []Entry
+	for _, rr := range msg.Answer {
 		srv, ok := rr.(*dns.SRV)
 		if !ok {
 			continue
 		}
 		target := strings.ToLower(srv.Target)
 		name, _, _ := strings.Cut(target, ".")
-		a, txt := addr[target], text[target]
-		if a == "" || txt == nil || name == "" {
-			return nil, fmt.Errorf("%s lacks its address or text", target)
+		ip, txt := addrByTarget[target], textByTarget[target]
+		if ip == "" || txt == nil || name == "" {
+			return nil, fmt.Errorf("%s: missing address or TXT record", target)
 		}
-		e := Entry{Name: name, Addr: net.JoinHostPort(a, strconv.Itoa(int(srv.Port)))}
+		entry := Entry{Name: name, Addr: net.JoinHostPort(ip, strconv.Itoa(int(srv.Port)))}
 		if srv.Priority != 0 {
-			e.State = brain.Draining
+			entry.State = brain.Draining
 		}
-		cell, err := strconv.Atoi(txtValue(txt, "cell"))
+		number, err := strconv.Atoi(txtValue(txt, "cell"))
 		if err != nil {
 			return nil, fmt.Errorf("%s: cell: %w", target, err)
 		}
-		if e.StartUnixMilli, err = strconv.ParseInt(txtValue(txt, "started"), 10, 64); err != nil {
+		if entry.StartUnixMilli, err = strconv.ParseInt(txtValue(txt, "started"), 10, 64); err != nil {
 			return nil, fmt.Errorf("%s: started: %w", target, err)
 		}
-		e.Number = cell
-		list = append(list, e)
+		entry.Number = number
+		entries = append(entries, entry)
 	}
-	return list, nil
+	return entries, nil
 }
 
+// txtValue returns the value of a "key=value" string of a TXT record, or "" if there is none.
 func txtValue(txt []string, key string) string {
-	for _, t := range txt {
-		if v, ok := strings.CutPrefix(t, key+"="); ok {
-			return v
+	for _, pair := range txt {
+		if value, ok := strings.CutPrefix(pair, key+"="); ok {
+			return value
 		}
 	}
 	return ""
