--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -28,20 +28,20 @@
 
 // startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
 // link is up; otherwise the attempt waits, and a link is dialed unless a dial is in progress already.
-func (c *Core) startAttempt(call *activeCall, send brain.StartAttempt) {
-	peer := c.peersByID[send.ExchangeID]
+func (c *Core) startAttempt(call *activeCall, action brain.StartAttempt) {
+	peer := c.peersByID[action.ExchangeID]
 	attempt := &callAttempt{
 		call:      call,
 		number:    call.attempts,
 		peer:      peer,
 		startedAt: c.now,
-		deadline:  c.now + send.Timeout,
+		deadline:  c.now + action.Timeout,
 	}
 	call.attempts++
 	c.attempts[call.id] = attempt
 	c.Stats.Attempts++
 	if peer == nil || peer.State != brain.InService {
-		attempt.peer = &peerExchange{id: send.ExchangeID, removed: true}
+		attempt.peer = &peerExchange{id: action.ExchangeID, removed: true}
 		c.removeAttempt(attempt)
 		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		return
@@ -105,7 +105,7 @@
 }
 
 // withdrawAttempt cancels an attempt and reports its outcome. An attempt that was never sent cannot have
-// timed out at the exchange: it is reported as NoConnect.
+// timed out at the exchange: it is reported as OutcomeUnreachable.
 func (c *Core) withdrawAttempt(attempt *callAttempt, outcome brain.Outcome) {
 	link := attempt.link
 	c.removeAttempt(attempt)
@@ -188,8 +188,13 @@
 }
 
 // outcomeByStatus maps the final responses to INVITE that tell how an attempt ended. Any other failure
-// status counts as Failed.
-var outcomeByStatus = map[int]brain.Outcome{503: brain.OutcomeRejected, 480: brain.OutcomeNotSent, 504: brain.OutcomeReset, 408: brain.OutcomeTimedOut}
+// status counts as OutcomeFailed.
+var outcomeByStatus = map[int]brain.Outcome{
+	503: brain.OutcomeRejected,
+	480: brain.OutcomeNotSent,
+	504: brain.OutcomeReset,
+	408: brain.OutcomeTimedOut,
+}
 
 // noteByFailWord maps the values of the Fail-Word header field to the notes of the module.
 var noteByFailWord = map[string]brain.Note{
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -162,10 +162,10 @@
 }
 
 // IsNewCall reports whether a message is the set-up of a new call, which may be rejected before it
-// reaches the core. The set-up of an established call (one with an "at" figure) expects no answer.
+// reaches the core. The set-up of an established call (one whose routing has an "at" value) expects no answer.
 func IsNewCall(msg *isup.Message) bool {
-	figures, _ := msg.Get(isup.ParamRouting)
-	return msg.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
+	routing, _ := msg.Get(isup.ParamRouting)
+	return msg.Type == isup.SetUp && !strings.Contains(string(routing), "at:")
 }
 
 // NewRejection returns the answer to a set-up that is not accepted: a release with cause congestion, and
@@ -223,18 +223,18 @@
 	if !ok {
 		return request, fmt.Errorf("missing description")
 	}
-	return request, c.parseFigures(&request, text(isup.ParamRouting))
+	return request, c.parseRouting(&request, text(isup.ParamRouting))
 }
 
-// parseFigures parses the figures of a set-up ("name:value" pairs separated by semicolons) into request.
-// Unknown figures are ignored.
-func (c *Core) parseFigures(request *setUpRequest, text string) error {
+// parseRouting parses the routing parameter of a set-up ("name:value" pairs separated by semicolons) into request.
+// Unknown names are ignored.
+func (c *Core) parseRouting(request *setUpRequest, text string) error {
 	request.Via = -1
 	var hasDest, hasWidth, hasVia bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
 		if !ok {
-			return fmt.Errorf("malformed figures %.80q", text)
+			return fmt.Errorf("malformed routing %.80q", text)
 		}
 		if name == "at" {
 			request.peerName = value
@@ -242,7 +242,7 @@
 		}
 		n, err := strconv.ParseInt(value, 10, 32)
 		if err != nil {
-			return fmt.Errorf("invalid figure %.20q: %w", name, err)
+			return fmt.Errorf("invalid routing value %.20q: %w", name, err)
 		}
 		switch name {
 		case "dest":
@@ -257,7 +257,7 @@
 			request.Reconnect = n == 1
 		}
 		if (name == "transit" || name == "again") && n != 0 && n != 1 {
-			return fmt.Errorf("figure %.20q out of range in %.80q", name, text)
+			return fmt.Errorf("routing value %.20q out of range in %.80q", name, text)
 		}
 	}
 	switch {
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -195,13 +195,19 @@
 	killExtraTime   = 700 * time.Millisecond
 )
 
-// Stats counts what the core did. Events that exceed a limit are counted separately. The field names are
-// written to the log.
+// Stats counts what the core did. Its field names are written to the log.
+//
+// Calls are the set-ups passed to the module, Again those marked as retries, Invalid the protocol errors of
+// callers. Gone counts the calls that callers abandoned, Adopted the established calls taken over,
+// Forgotten the calls ended with their exchange. Resets counts the attempts lost with their link, Cut those
+// that an exchange reported as reset; Late counts the answers that match no attempt in flight, Stray the messages
+// that are unexpected or belong to no known call.
+// Tests are the pings sent, TestsLost those not answered in time.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Gone, Invalid, Again, Adopted    int
 	Attempts, Resets, TimedOut, NoConnect, Late, Stray, Cut, Forgotten int
 	Tests, TestsLost, ConnsShut                                        int
-	Unsaid, ByesShed                                                   int // releases that could not be delivered to the caller; BYEs dropped beyond maxPendingByes
+	Unsaid, ByesShed                                                   int // undeliverable releases to callers, dropped BYEs
 }
 
 // timerEvent tells what a timer was set for: maintenance, the deadline of an attempt or, if attempt is
@@ -386,7 +392,7 @@
 }
 
 // advanceShutdown carries out a graceful shutdown. It closes the listener and waits for the pending and
-// established calls, because no other process would tell their callers that the calls are over. At the
+// established calls, because no other process would report the end of these calls to their callers. At the
 // end of the grace period the calls that are still pending get a final answer.
 func (c *Core) advanceShutdown() {
 	if !c.listenerClosed {
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -43,7 +43,8 @@
 			level = slog.LevelInfo
 		}
 		if c.cfg.LogAllVerdicts || action.Log {
-			c.log(level, "verdict", "call", action.CallID, "reason", action.Reason, "scope", action.Scope, "cell", action.ExchangeNumber, "nth", action.Count)
+			c.log(level, "verdict", "call", action.CallID, "reason", action.Reason, "scope", action.Scope,
+				"cell", action.ExchangeNumber, "nth", action.Count)
 		}
 	}
 }
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -87,7 +87,12 @@
 		peer.Entry = entry
 		c.log(slog.LevelInfo, "exchange", "name", entry.Name, "cell", entry.Number, "state", entry.State,
 			"born", entry.StartUnixMilli, "addr", entry.Addr)
-		exchanges = append(exchanges, brain.Exchange{ID: peer.id, Number: entry.Number, State: entry.State, StartedAt: c.clockTime(entry.StartUnixMilli)})
+		exchanges = append(exchanges, brain.Exchange{
+			ID:        peer.id,
+			Number:    entry.Number,
+			State:     entry.State,
+			StartedAt: c.clockTime(entry.StartUnixMilli),
+		})
 		c.applyEntryChange(peer, previous)
 	}
 	c.notifyModule(brain.ExchangeListUpdate{Complete: in.Complete, Entries: exchanges})
@@ -142,7 +147,8 @@
 // counts as known. Whether the exchange can be reached now is decided by the module: an exchange that is
 // off the list for a while is no error of the caller, who may retry.
 func (c *Core) isKnownDestination(number int) bool {
-	return number >= 0 && (c.listedNumbers[number] || len(c.listedNumbers) == 0 || !c.cfg.Settings.Pools && number < c.cfg.Settings.Controllers)
+	return number >= 0 && (c.listedNumbers[number] || len(c.listedNumbers) == 0 ||
+		!c.cfg.Settings.Pools && number < c.cfg.Settings.Controllers)
 }
 
 // endCallsBefore ends the calls that were established at an exchange before a time.
--- a/internal/srvlist/srvlist_test.go
+++ b/internal/srvlist/srvlist_test.go
@@ -171,7 +171,8 @@
 	if list.Serial() != 50 || len(list.Entries()) != 1 {
 		t.Errorf("list is %+v at serial %d", list.Entries(), list.Serial())
 	}
-	if got, err := list.ApplyAnswer(19, newAnswerPacket(t, 19, 51, nil, entryB)); err != nil || len(got) != 2 { // a late answer may have a newer serial
+	// A late answer may have a newer serial.
+	if got, err := list.ApplyAnswer(19, newAnswerPacket(t, 19, 51, nil, entryB)); err != nil || len(got) != 2 {
 		t.Errorf("changes %+v, error %v", got, err)
 	}
 }
