--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -12,334 +12,371 @@
 	"dahliaspindle/internal/wheel"
 )
 
-type stage uint8
+// attemptStage is the stage of an attempt.
+type attemptStage uint8
 
 const (
-	queued   stage = iota // waits for its link
-	sent                  // the Add is out
-	carrying              // the call stands on it
-	freeing               // withdrawn or released: the Subtract is out
-	freed
+	stageQueued      attemptStage = iota // waits for its link to be connected
+	stageSent                            // the Add was sent, no reply yet
+	stageEstablished                     // the call is established on it
+	stageReleasing                       // the Subtract was sent, no reply yet
+	stageReleased                        // the exchange holds nothing for it
 )
 
-// attempt is one set-up at an exchange, until the exchange has let go of it.
+// attempt is one set-up of a call at an exchange, until the exchange has released it.
 type attempt struct {
-	call    *call
-	n       int
-	to      uint32 // exchange
-	link    *link  // nil if there is none
-	tx      uint32 // of the Add, later of the last Subtract
-	add     uint32
-	began   time.Duration
-	till    time.Duration // its time-out
-	timer   wheel.Handle
-	stage   stage
-	tries   int           // Subtracts sent
-	outcome brain.Outcome // with freeing: what the module is told when it is freed
-	told    bool          // the module has been told of its end
+	call             *call
+	number           int
+	exchangeID       uint32
+	link             *exchangeLink // nil if the exchange has no link
+	transaction      uint32        // of the Add, later of the last Subtract
+	setUpTransaction uint32        // of the Add
+	startedAt        time.Duration
+	deadline         time.Duration // for the reply to the Add
+	timer            wheel.Handle
+	stage            attemptStage
+	releaseRequests  int           // number of Subtracts sent
+	outcome          brain.Outcome // in stageReleasing: reported to the routing module once released
+	reported         bool          // the outcome was reported to the routing module
 }
 
-// send carries out the module's Send.
-func (c *Controller) send(a brain.Send) {
-	k := c.calls[a.ID]
-	if k == nil || k.state != open || k.att != nil && !k.att.told {
-		// the module names a call that is over or has an attempt out: told, not obeyed
-		c.log(slog.LevelError, a.ID, "the module sends a call that can't be sent")
-		if k != nil && k.state == open {
+// startAttempt carries out a Send of the routing module.
+func (c *Controller) startAttempt(send brain.Send) {
+	call := c.calls[send.ID]
+	if call == nil || call.state != statePending || call.attempt != nil && !call.attempt.reported {
+		// The call has ended or has an attempt in flight: logged, not sent.
+		c.log(slog.LevelError, send.ID, "the routing module sent a call that has ended or has an attempt in flight")
+		if call != nil && call.state == statePending {
 			return
 		}
-		c.feed(brain.Ended{ID: a.ID, Exchange: a.Exchange, Outcome: brain.Moot, Final: true})
+		c.notifyModule(brain.Ended{ID: send.ID, Exchange: send.Exchange, Outcome: brain.Moot, Final: true})
 		return
 	}
 	c.stats.Attempts++
-	t := &attempt{call: k, n: k.attempts, to: a.Exchange, link: c.links[uint64(a.Exchange)], began: c.now, till: c.now + a.Timeout}
-	k.attempts++
-	k.att = t
-	if t.link != nil && t.link.cell != k.dest {
-		k.tandems++
+	attempt := &attempt{
+		call:       call,
+		number:     call.attempts,
+		exchangeID: send.Exchange,
+		link:       c.links[uint64(send.Exchange)],
+		startedAt:  c.now,
+		deadline:   c.now + send.Timeout,
+	}
+	call.attempts++
+	call.attempt = attempt
+	if attempt.link != nil && attempt.link.number != call.destination {
+		call.tandemAttempts++
 	}
 	switch {
-	case t.link == nil || t.link.fenced:
-		c.end(t, brain.NoConnect, signal.Message{})
-	case t.link.life.up:
-		c.post(t)
+	case attempt.link == nil || attempt.link.blocked:
+		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+	case attempt.link.state.connected:
+		c.sendSetUp(attempt)
 	default:
-		t.link.waiting = append(t.link.waiting, t)
-		t.timer = c.timers.Set(min(t.till, c.now+c.cfg.LinkTimeout), timer{attempt: t})
+		attempt.link.queued = append(attempt.link.queued, attempt)
+		attempt.timer = c.timers.Set(min(attempt.deadline, c.now+c.config.LinkTimeout), timer{attempt: attempt})
 	}
 }
 
-// post puts the set-up on its link.
-func (c *Controller) post(t *attempt) {
-	k := t.call
-	t.stage = sent
-	t.tx = t.link.tx()
-	t.add = t.tx
-	t.link.out[t.tx] = t
+// sendSetUp sends the Add of an attempt on its link.
+func (c *Controller) sendSetUp(attempt *attempt) {
+	call := attempt.call
+	attempt.stage = stageSent
+	attempt.transaction = attempt.link.nextTransaction()
+	attempt.setUpTransaction = attempt.transaction
+	attempt.link.pending[attempt.transaction] = attempt
 	c.stats.HeldAttempts++
-	t.link.held[t] = true
-	m := &signal.Message{ID: t.tx, Context: k.context, Command: signal.Add, Term: k.name, Fields: make([]signal.Field, 0, 9)}
-	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.ExchangeNumber).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
-	m.PutInt("Width", k.width).PutSpan("Left", k.due-c.now)
-	if k.number != "" {
-		m.Put("Number", k.number)
+	attempt.link.held[attempt] = true
+	msg := &signal.Message{
+		ID:      attempt.transaction,
+		Context: call.context,
+		Command: signal.Add,
+		Term:    call.name,
+		Fields:  make([]signal.Field, 0, 9),
+	}
+	msg.PutInt("Attempt", attempt.number).PutInt("From", c.config.ExchangeNumber).PutInt("Dest", call.destination).Put("Class", c.config.Classes[call.class].Name)
+	msg.PutInt("Width", call.circuits).PutSpan("Left", call.deadline-c.now)
+	if call.number != "" {
+		msg.Put("Number", call.number)
 	}
-	m.PutFlag("Transit", k.transit).PutFlag("Again", k.again)
-	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, Deadline: t.till, Call: k.name})
-	t.timer = c.timers.Set(t.till, timer{attempt: t})
+	msg.PutFlag("Transit", call.transit).PutFlag("Again", call.again)
+	c.effects = append(c.effects, Effect{
+		Kind:     EffectSend,
+		Peer:     attempt.link.peer(),
+		Message:  msg,
+		Deadline: attempt.deadline,
+		Call:     call.name,
+	})
+	attempt.timer = c.timers.Set(attempt.deadline, timer{attempt: attempt})
 }
 
-// attemptDue is the end of an attempt's time: for a link, for an answer, or for
-// the exchange's word that it has let go.
-func (c *Controller) attemptDue(t *attempt) {
-	switch t.stage {
-	case queued:
-		t.link.waiting = without(t.link.waiting, t)
+// attemptTimerExpired handles the end of an attempt's wait for a link, for the
+// reply to its set-up, or for the reply to its release.
+func (c *Controller) attemptTimerExpired(attempt *attempt) {
+	switch attempt.stage {
+	case stageQueued:
+		attempt.link.queued = removeAttempt(attempt.link.queued, attempt)
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
-	case sent:
+		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+	case stageSent:
 		c.stats.TimedOut++
-		c.withdraw(t, brain.TimedOut)
-	case freeing:
-		at, lost := c.cfg.ReleaseRetry.Next(c.now, t.tries)
+		c.withdrawAttempt(attempt, brain.TimedOut)
+	case stageReleasing:
+		retryAt, lost := c.config.ReleaseRetry.Next(c.now, attempt.releaseRequests)
 		if lost {
-			c.log(slog.LevelWarn, t.call.name, fmt.Sprintf("exchange %d does not answer releases", t.link.id))
-			c.out = append(c.out, Effect{Kind: EffectClose, Peer: t.link.peer(), Text: "releases are not answered"})
-			return // its Down frees what it holds
+			c.log(slog.LevelWarn, attempt.call.name, fmt.Sprintf("exchange %d does not answer releases", attempt.link.id))
+			c.effects = append(c.effects, Effect{Kind: EffectClose, Peer: attempt.link.peer(), Text: "releases are not answered"})
+			return // InputDisconnected then ends the attempts on the link
 		}
 		c.stats.ReleaseRetries++
-		c.askRelease(t, at, 0)
+		c.sendRelease(attempt, retryAt, 0)
 	}
 }
 
-// withdraw calls an attempt off: the exchange is asked to let go, and the
-// module told the outcome at once.
-func (c *Controller) withdraw(t *attempt, o brain.Outcome) {
-	switch t.stage {
-	case queued:
-		t.link.waiting = without(t.link.waiting, t)
-		c.end(t, o, signal.Message{})
+// withdrawAttempt releases an attempt that is not established and reports the
+// outcome to the routing module at once.
+func (c *Controller) withdrawAttempt(attempt *attempt, outcome brain.Outcome) {
+	switch attempt.stage {
+	case stageQueued:
+		attempt.link.queued = removeAttempt(attempt.link.queued, attempt)
+		c.finishAttempt(attempt, outcome, signal.Message{})
 		return
-	case sent:
+	case stageSent:
 	default:
 		return
 	}
-	delete(t.link.out, t.tx)
-	c.free(t, t.add) // before the module is told: it may send again at once
-	c.tell(t, o, signal.Message{})
+	delete(attempt.link.pending, attempt.transaction)
+	// Released before the report: the routing module may send the call again at once.
+	c.startRelease(attempt, attempt.setUpTransaction)
+	c.reportOutcome(attempt, outcome, signal.Message{})
 }
 
-// free sends the Subtract of an attempt and repeats it until it is answered. A
-// set-up named by recall is taken back instead, if it has not left.
-func (c *Controller) free(t *attempt, recall uint32) {
-	t.stage = freeing
+// startRelease sends the Subtract of an attempt and repeats it until it is
+// answered. If the set-up with transaction recall has not been sent yet, it is
+// recalled instead; 0 recalls nothing.
+func (c *Controller) startRelease(attempt *attempt, recall uint32) {
+	attempt.stage = stageReleasing
 	c.stats.Releases++
-	at, _ := c.cfg.ReleaseRetry.Next(c.now, 1)
-	c.askRelease(t, at, recall)
+	retryAt, _ := c.config.ReleaseRetry.Next(c.now, 1)
+	c.sendRelease(attempt, retryAt, recall)
 }
 
-func (c *Controller) askRelease(t *attempt, again time.Duration, recall uint32) {
-	t.tries++
-	c.timers.Stop(t.timer)
-	delete(t.link.out, t.tx)
-	t.tx = t.link.tx()
-	t.link.out[t.tx] = t
-	m := &signal.Message{ID: t.tx, Context: t.call.context, Command: signal.Subtract, Term: t.call.name}
-	m.PutInt("Attempt", t.n)
-	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, RecallID: recall})
-	t.timer = c.timers.Set(again, timer{attempt: t})
+// sendRelease sends a Subtract and sets the time of its repetition.
+func (c *Controller) sendRelease(attempt *attempt, retryAt time.Duration, recall uint32) {
+	attempt.releaseRequests++
+	c.timers.Stop(attempt.timer)
+	delete(attempt.link.pending, attempt.transaction)
+	attempt.transaction = attempt.link.nextTransaction()
+	attempt.link.pending[attempt.transaction] = attempt
+	msg := &signal.Message{
+		ID:      attempt.transaction,
+		Context: attempt.call.context,
+		Command: signal.Subtract,
+		Term:    attempt.call.name,
+	}
+	msg.PutInt("Attempt", attempt.number)
+	c.effects = append(c.effects, Effect{Kind: EffectSend, Peer: attempt.link.peer(), Message: msg, RecallID: recall})
+	attempt.timer = c.timers.Set(retryAt, timer{attempt: attempt})
 }
 
-// end takes an attempt that holds nothing any more out of all tables and tells the module.
-func (c *Controller) end(t *attempt, o brain.Outcome, r signal.Message) {
-	c.timers.Stop(t.timer)
-	if t.stage != queued && t.stage != freed {
-		delete(t.link.out, t.tx)
-		delete(t.link.held, t)
+// finishAttempt removes an attempt for which the exchange holds nothing any more,
+// and reports its outcome to the routing module.
+func (c *Controller) finishAttempt(attempt *attempt, outcome brain.Outcome, reply signal.Message) {
+	c.timers.Stop(attempt.timer)
+	if attempt.stage != stageQueued && attempt.stage != stageReleased {
+		delete(attempt.link.pending, attempt.transaction)
+		delete(attempt.link.held, attempt)
 		c.stats.HeldAttempts--
 	}
-	t.stage = freed
-	c.tell(t, o, r)
-	if t.call.state == over && (t.call.att == t || t.call.att == nil) {
-		c.forget(t.call)
+	attempt.stage = stageReleased
+	c.reportOutcome(attempt, outcome, reply)
+	if attempt.call.state == stateEnded && (attempt.call.attempt == attempt || attempt.call.attempt == nil) {
+		c.removeCall(attempt.call)
 	}
-	if t.link != nil {
-		c.drop(t.link)
+	if attempt.link != nil {
+		c.dropIfUnused(attempt.link)
 	}
 }
 
-// tell brings the module the outcome of an attempt, once.
-func (c *Controller) tell(t *attempt, o brain.Outcome, r signal.Message) {
-	if t.told {
+// reportOutcome reports the outcome of an attempt to the routing module, once.
+func (c *Controller) reportOutcome(attempt *attempt, outcome brain.Outcome, reply signal.Message) {
+	if attempt.reported {
 		return
 	}
-	t.told = true
-	k := t.call
-	stood := t.stage == carrying || k.state == standing && k.att == t
-	if stood {
+	attempt.reported = true
+	call := attempt.call
+	established := attempt.stage == stageEstablished || call.state == stateEstablished && call.attempt == attempt
+	if established {
 		c.stats.Established--
-		k.state = over
+		call.state = stateEnded
+	}
+	event := brain.Ended{
+		ID:       call.id,
+		Attempt:  attempt.number,
+		Exchange: attempt.exchangeID,
+		Outcome:  outcome,
+		After:    c.now - attempt.startedAt,
+		Final:    call.state == stateEnded,
 	}
-	e := brain.Ended{ID: k.id, Attempt: t.n, Exchange: t.to, Outcome: o, After: c.now - t.began, Final: k.state == over}
-	c.attemptEnded(t, e.Outcome, &r)
-	k.cause = ""
-	if r.Kind == signal.Reply {
-		e.Note, e.Wait = note(&r)
-		e.Report = c.report(&r)
-		k.cause = r.Get("Note")
+	c.recordAttemptEnd(attempt, event.Outcome, &reply)
+	call.failureNote = ""
+	if reply.Kind == signal.Reply {
+		event.Note, event.Wait = processorNote(&reply)
+		event.Report = c.parseReport(&reply)
+		call.failureNote = reply.Get("Note")
 	}
-	if !stood && k.state == open {
-		k.att = nil
+	if !established && call.state == statePending {
+		call.attempt = nil
 	}
-	switch o {
+	switch outcome {
 	case brain.Reset:
 		c.stats.Reset++
 	case brain.Cancelled:
 		c.stats.Cancelled++
 	}
-	c.feed(e)
+	c.notifyModule(event)
 }
 
-// release ends a call that stands: the exchange is asked to let go, the module
-// is told when it has.
-func (c *Controller) release(k *call, o brain.Outcome) {
-	t := k.att
-	k.state = over
+// releaseCall ends an established call. The outcome is reported to the routing
+// module when the exchange has confirmed the release.
+func (c *Controller) releaseCall(call *call, outcome brain.Outcome) {
+	attempt := call.attempt
+	call.state = stateEnded
 	c.stats.Established--
-	if k.from != nil {
-		delete(k.from.calls, k.name)
+	if call.caller != nil {
+		delete(call.caller.calls, call.name)
 	}
-	t.outcome = o
-	c.free(t, 0)
+	attempt.outcome = outcome
+	c.startRelease(attempt, 0)
 }
 
-// stands books that an exchange has set the call up.
-func (c *Controller) stands(t *attempt, r *signal.Message) {
-	k := t.call
-	delete(t.link.out, t.tx)
-	c.timers.Stop(t.timer)
-	if k.state != open { // its caller left and the module did not call it off
-		t.told = true
-		c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
-		t.told, t.outcome = false, brain.OK
-		c.free(t, 0)
+// callEstablished records that an exchange has set up the call, and answers its caller.
+func (c *Controller) callEstablished(attempt *attempt, reply *signal.Message) {
+	call := attempt.call
+	delete(attempt.link.pending, attempt.transaction)
+	c.timers.Stop(attempt.timer)
+	if call.state != statePending { // the caller left, and the routing module did not cancel the attempt
+		attempt.reported = true
+		c.notifyModule(brain.Standing{ID: call.id, Attempt: attempt.number, Exchange: attempt.exchangeID, After: c.now - attempt.startedAt})
+		attempt.reported, attempt.outcome = false, brain.OK
+		c.startRelease(attempt, 0)
 		return
 	}
-	t.stage = carrying
-	m := &signal.Message{Fields: make([]signal.Field, 0, 3)}
-	m.PutInt("Attempts", k.attempts)
-	if t.link.cell == k.dest {
-		m.Put("Via", "direct")
+	attempt.stage = stageEstablished
+	msg := &signal.Message{Fields: make([]signal.Field, 0, 3)}
+	msg.PutInt("Attempts", call.attempts)
+	if attempt.link.number == call.destination {
+		msg.Put("Via", "direct")
 	} else {
-		m.Put("Via", strconv.Itoa(t.link.cell))
+		msg.Put("Via", strconv.Itoa(attempt.link.number))
 	}
-	c.answer(k, m)
-	k.state = standing
-	k.stood = c.now
+	c.sendFinalReply(call, msg)
+	call.state = stateEstablished
+	call.establishedAt = c.now
 	c.stats.Answered++
 	c.stats.Established++
-	if c.cfg.InterimInterval > 0 {
-		c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
+	if c.config.InterimInterval > 0 {
+		c.timers.Set(c.now+c.config.InterimInterval, timer{interimCall: call})
 	}
-	c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
+	c.notifyModule(brain.Standing{ID: call.id, Attempt: attempt.number, Exchange: attempt.exchangeID, After: c.now - attempt.startedAt})
 }
 
-// fromExchange reads what an exchange says.
-func (c *Controller) fromExchange(l *link, m *signal.Message) {
-	switch m.Kind {
+// handleExchangeMessage handles a message of an exchange.
+func (c *Controller) handleExchangeMessage(link *exchangeLink, msg *signal.Message) {
+	switch msg.Kind {
 	case signal.Pending:
 		return
 	case signal.Fault:
-		c.log(slog.LevelWarn, "", fmt.Sprintf("exchange %d says %d %s", l.id, m.Code, m.Text))
+		c.log(slog.LevelWarn, "", fmt.Sprintf("exchange %d reported error %d %s", link.id, msg.Code, msg.Text))
 		return
 	case signal.Request:
-		c.noticed(l, m)
+		c.handleExchangeRequest(link, msg)
 		return
 	}
-	t := l.out[m.ID]
-	if t == nil {
-		if m.Command == signal.Add || m.Command == signal.Subtract {
-			c.stats.LateReplies++ // it was withdrawn, or is told twice
+	attempt := link.pending[msg.ID]
+	if attempt == nil {
+		if msg.Command == signal.Add || msg.Command == signal.Subtract {
+			c.stats.LateReplies++ // reply to a withdrawn set-up, or a repeated reply
 		}
 		return
 	}
 	switch {
-	case m.Command == signal.Subtract && t.stage == freeing:
-		c.end(t, t.outcome, *m)
-	case m.Command != signal.Add || t.stage != sent:
-		c.log(slog.LevelWarn, t.call.name, fmt.Sprintf("exchange %d answers %s to transaction %d, which was none", l.id, m.Command, m.ID))
-	case m.Code == 0:
-		c.reported(m)
-		c.stands(t, m)
+	case msg.Command == signal.Subtract && attempt.stage == stageReleasing:
+		c.finishAttempt(attempt, attempt.outcome, *msg)
+	case msg.Command != signal.Add || attempt.stage != stageSent:
+		c.log(slog.LevelWarn, attempt.call.name, fmt.Sprintf("exchange %d replied with %s to transaction %d, which was a different command", link.id, msg.Command, msg.ID))
+	case msg.Code == 0:
+		c.handleGroupReports(msg)
+		c.callEstablished(attempt, msg)
 	default:
-		c.end(t, outcome(m), *m)
+		c.finishAttempt(attempt, failureOutcome(msg), *msg)
 	}
 }
 
-// noticed is an event that an exchange tells by itself.
-func (c *Controller) noticed(l *link, m *signal.Message) {
+// handleExchangeRequest handles a command or notification of an exchange.
+func (c *Controller) handleExchangeRequest(link *exchangeLink, msg *signal.Message) {
 	switch {
-	case m.Command == signal.ServiceChange:
-		c.say(l.peer(), m.Answer())
-	case m.Command != signal.Notify:
-		c.say(l.peer(), m.Refuse(signal.BadCommand, "not a command for a controller"))
-	case m.Term == signal.Root:
-		c.say(l.peer(), m.Answer())
-		c.reported(m)
+	case msg.Command == signal.ServiceChange:
+		c.sendMessage(link.peer(), msg.Answer())
+	case msg.Command != signal.Notify:
+		c.sendMessage(link.peer(), msg.Refuse(signal.BadCommand, "not a command for a controller"))
+	case msg.Term == signal.Root:
+		c.sendMessage(link.peer(), msg.Answer())
+		c.handleGroupReports(msg)
 	default:
-		c.say(l.peer(), m.Answer())
-		k := c.calls[contextID(m.Context)]
-		if k == nil || k.name != m.Term || k.att == nil || k.att.link != l {
+		c.sendMessage(link.peer(), msg.Answer())
+		call := c.calls[contextID(msg.Context)]
+		if call == nil || call.name != msg.Term || call.attempt == nil || call.attempt.link != link {
 			return
 		}
-		o := brain.OK
-		if m.Get("Event") == "cut" {
-			o = brain.Reset
+		outcome := brain.OK
+		if msg.Get("Event") == "cut" {
+			outcome = brain.Reset
 		}
-		switch t := k.att; {
-		case k.state == standing:
-			if o == brain.Reset {
+		switch attempt := call.attempt; {
+		case call.state == stateEstablished:
+			if outcome == brain.Reset {
 				c.stats.Cut++
-				c.callEnded(k, flow.Cut)
-				c.notifyEnd(k, "cut")
+				c.recordCallEnd(call, flow.Cut)
+				c.notifyCaller(call, "cut")
 			} else {
 				c.stats.Ended++
-				c.callEnded(k, flow.Ended)
-				c.notifyEnd(k, "end")
+				c.recordCallEnd(call, flow.Ended)
+				c.notifyCaller(call, "end")
 			}
-			if k.from != nil {
-				delete(k.from.calls, k.name)
+			if call.caller != nil {
+				delete(call.caller.calls, call.name)
 			}
-			c.end(t, o, signal.Message{}) // the exchange has let go by itself
-		case t.stage == sent:
-			c.end(t, brain.Reset, signal.Message{})
-		case t.stage == freeing:
-			c.end(t, t.outcome, signal.Message{})
+			c.finishAttempt(attempt, outcome, signal.Message{}) // the exchange has already released it
+		case attempt.stage == stageSent:
+			c.finishAttempt(attempt, brain.Reset, signal.Message{})
+		case attempt.stage == stageReleasing:
+			c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 		}
 	}
 }
 
-// unsent is a set-up that the edge could not send.
-func (c *Controller) unsent(p Peer, m *signal.Message) {
-	l := c.links[p.ID]
-	if l == nil || p.Role != RoleExchange {
+// handleUnsent ends the attempt whose set-up or release could not be sent.
+func (c *Controller) handleUnsent(peer Peer, msg *signal.Message) {
+	link := c.links[peer.ID]
+	if link == nil || peer.Role != RoleExchange {
 		return
 	}
-	switch t := l.out[m.ID]; {
-	case t == nil:
-	case t.stage == sent:
+	switch attempt := link.pending[msg.ID]; {
+	case attempt == nil:
+	case attempt.stage == stageSent:
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
-	case t.stage == freeing: // withdrawn before it left: there is nothing to let go
-		c.end(t, t.outcome, signal.Message{})
+		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+	case attempt.stage == stageReleasing: // recalled before it was sent: there is nothing to release
+		c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 	}
 }
 
-func without(all []*attempt, t *attempt) []*attempt {
-	for i := range all {
-		if all[i] == t {
-			return append(all[:i], all[i+1:]...)
+// removeAttempt returns the slice without one attempt.
+func removeAttempt(attempts []*attempt, attempt *attempt) []*attempt {
+	for i := range attempts {
+		if attempts[i] == attempt {
+			return append(attempts[:i], attempts[i+1:]...)
 		}
 	}
-	return all
+	return attempts
 }
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -16,297 +16,325 @@
 	"dahliaspindle/internal/signal"
 )
 
-// caller is one connection that brings calls.
-type caller struct {
-	peer   Peer
-	last   uint32           // highest transaction id seen: ids rise
-	open   map[uint32]*call // unanswered Adds by transaction
-	calls  map[string]*call // unanswered and standing calls by their name
-	txs    uint32           // own transactions towards it
-	faults guard.Faults
+// callerConn is one connection that brings calls.
+type callerConn struct {
+	peer         Peer
+	lastReceived uint32           // highest transaction ID received; IDs increase
+	pending      map[uint32]*call // unanswered Adds by transaction
+	calls        map[string]*call // pending and established calls by name
+	lastSent     uint32           // last transaction ID sent
+	faults       guard.Faults
 }
 
-func (cl *caller) openTx(id uint32) bool { return cl.open[id] != nil }
+// isPending reports whether a transaction is an unanswered Add.
+func (caller *callerConn) isPending(id uint32) bool { return caller.pending[id] != nil }
 
-func (cl *caller) tx() uint32 {
-	cl.txs++
-	return cl.txs
+// nextTransaction returns the ID for the next transaction towards the caller.
+func (caller *callerConn) nextTransaction() uint32 {
+	caller.lastSent++
+	return caller.lastSent
 }
 
-func (c *Controller) caller(id uint64) *caller {
-	cl := c.callers[id]
-	if cl == nil {
-		cl = &caller{peer: Peer{RoleCaller, id}, open: map[uint32]*call{}, calls: map[string]*call{}, faults: c.cfg.FaultLimit}
-		c.callers[id] = cl
+// callerFor returns the state of a caller's connection, which it creates if needed.
+func (c *Controller) callerFor(id uint64) *callerConn {
+	caller := c.callers[id]
+	if caller == nil {
+		caller = &callerConn{
+			peer:    Peer{RoleCaller, id},
+			pending: map[uint32]*call{},
+			calls:   map[string]*call{},
+			faults:  c.config.FaultLimit,
+		}
+		c.callers[id] = caller
 	}
-	return cl
+	return caller
 }
 
-type phase uint8
+// callState is the state of a call towards its caller.
+type callState uint8
 
 const (
-	open     phase = iota // taken, unanswered
-	standing              // answered: it stands
-	over                  // answered or gone; an attempt may still be held
+	statePending     callState = iota // accepted, no final answer yet
+	stateEstablished                  // answered and in progress
+	stateEnded                        // over; an attempt may still hold circuits
 )
 
-// call is one taken call.
+// call is one accepted call.
 type call struct {
-	name     string // as the caller names it
-	id       string // the context, as the module names it
-	context  uint32
-	from     *caller // nil once the connection is gone
-	tx       uint32
-	class    int
-	width    int
-	dest     int
-	number   string
-	transit  bool
-	again    bool
-	state    phase
-	due      time.Duration // when the caller gives up
-	taken    time.Duration
-	att      *attempt // the one that is out, or that it stands on
-	attempts int
-	pended   bool
-	tandems  int
-	repeat   bool
-	called   uint64        // number, as the record tells it
-	source   int           // of the call
-	stood    time.Duration // when it stood
-	verdict  brain.Verdict // the module's last word
-	why      string        // the same in words
-	cause    string        // why its last attempt failed, for a source in transit
+	name           string // the caller's name for it
+	id             string // the context as text, the routing module's name for it
+	context        uint32
+	caller         *callerConn // nil once the connection is closed
+	transaction    uint32      // of the Add
+	class          int
+	circuits       int
+	destination    int
+	number         string // as the caller sent it; may be empty
+	transit        bool
+	again          bool
+	state          callState
+	deadline       time.Duration // when the caller's waiting time ends
+	acceptedAt     time.Duration
+	attempt        *attempt // the one in flight, or the one that the call is established on
+	attempts       int
+	pendingSent    bool // a Pending was sent: the call is delayed
+	tandemAttempts int
+	repeat         bool
+	calledNumber   uint64        // number, as the flow record holds it
+	sourceExchange int           // number of the exchange where the call originates
+	establishedAt  time.Duration // 0 before
+	verdict        brain.Verdict // the routing module's last one
+	verdictText    string        // verdict as text
+	failureNote    string        // of the last attempt; reported to the source of a call in transit
 }
 
-func (c *Controller) fromCaller(cl *caller, m *signal.Message) {
-	switch m.Kind {
+// handleCallerMessage handles a message of a caller.
+func (c *Controller) handleCallerMessage(caller *callerConn, msg *signal.Message) {
+	switch msg.Kind {
 	case signal.Reply, signal.Pending, signal.Fault:
-		return // callers answer notifications; nothing waits for it
+		return // replies to notifications; nothing waits for them
 	}
-	if m.ID <= cl.last { // ids rise on a connection: this one was used
+	if msg.ID <= caller.lastReceived { // IDs increase on a connection: this one was used before
 		c.stats.DuplicateIDs++
-		if cl.openTx(m.ID) {
-			c.say(cl.peer, &signal.Message{Kind: signal.Pending, ID: m.ID})
+		if caller.isPending(msg.ID) {
+			c.sendMessage(caller.peer, &signal.Message{Kind: signal.Pending, ID: msg.ID})
 			return
 		}
-		c.say(cl.peer, &signal.Message{Kind: signal.Fault, Code: signal.BadIdentifier,
-			Text: fmt.Sprintf("transaction %d was used before", m.ID)})
+		c.sendMessage(caller.peer, &signal.Message{Kind: signal.Fault, Code: signal.BadIdentifier,
+			Text: fmt.Sprintf("transaction %d was used before", msg.ID)})
 		return
 	}
-	cl.last = m.ID
-	switch m.Command {
+	caller.lastReceived = msg.ID
+	switch msg.Command {
 	case signal.Add:
 		c.stats.AddsReceived++
-		if refusal := c.take(cl, m); refusal != nil {
+		if refusal := c.acceptCall(caller, msg); refusal != nil {
 			c.stats.AddsRejected++
-			c.say(cl.peer, refusal.Put("Taken", "no"))
+			c.sendMessage(caller.peer, refusal.Put("Taken", "no"))
 		}
 	case signal.Subtract:
-		c.subtract(cl, m)
+		c.handleSubtract(caller, msg)
 	case signal.AuditValue:
-		c.say(cl.peer, c.figures(m))
+		c.sendMessage(caller.peer, c.auditReply(msg))
 	case signal.ServiceChange:
-		c.say(cl.peer, m.Answer())
+		c.sendMessage(caller.peer, msg.Answer())
 	default:
-		c.say(cl.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.sendMessage(caller.peer, msg.Refuse(signal.BadCommand, "not a command for a controller"))
 	}
 }
 
-// take reads an Add and hands the call to the module. It returns the reply to
-// one that can't be taken at all.
-func (c *Controller) take(cl *caller, m *signal.Message) *signal.Message {
+// acceptCall parses an Add and passes the call to the routing module. It returns
+// the reply to an Add that is not accepted, else nil.
+func (c *Controller) acceptCall(caller *callerConn, msg *signal.Message) *signal.Message {
 	switch {
-	case c.leaving:
-		return m.Refuse(signal.NotReady, "going out of service")
-	case cl.calls[m.Term] != nil:
-		return m.Refuse(signal.TermInContext, "the call is there already")
-	case len(cl.open) >= c.cfg.MaxPendingPerCaller:
-		return m.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(cl.open)))
-	case len(c.calls) >= c.cfg.MaxCalls:
-		return m.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
+	case c.shuttingDown:
+		return msg.Refuse(signal.NotReady, "going out of service")
+	case caller.calls[msg.Term] != nil:
+		return msg.Refuse(signal.TermInContext, "the call is there already")
+	case len(caller.pending) >= c.config.MaxPendingPerCaller:
+		return msg.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(caller.pending)))
+	case len(c.calls) >= c.config.MaxCalls:
+		return msg.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
 	}
-	k, e, err := c.readCall(m)
+	call, event, err := c.parseCall(msg)
 	if errors.Is(err, signal.ErrMissing) {
-		return m.Refuse(signal.NoDescriptor, err.Error())
+		return msg.Refuse(signal.NoDescriptor, err.Error())
 	} else if err != nil {
-		return m.Refuse(signal.BadValue, err.Error())
+		return msg.Refuse(signal.BadValue, err.Error())
 	}
-	for c.context++; c.context == 0 || c.context >= signal.ContextChoose || c.calls[contextID(c.context)] != nil; c.context++ {
+	for c.lastContext++; c.lastContext == 0 || c.lastContext >= signal.ContextChoose || c.calls[contextID(c.lastContext)] != nil; c.lastContext++ {
 	}
-	k.context, k.id = c.context, contextID(c.context)
-	k.name, k.from, k.tx, k.taken = m.Term, cl, m.ID, c.now
-	k.due = c.now + e.Left
-	e.ID = k.id
-	cl.open[m.ID], cl.calls[m.Term], c.calls[k.id] = k, k, k
+	call.context, call.id = c.lastContext, contextID(c.lastContext)
+	call.name, call.caller, call.transaction, call.acceptedAt = msg.Term, caller, msg.ID, c.now
+	call.deadline = c.now + event.Left
+	event.ID = call.id
+	caller.pending[msg.ID], caller.calls[msg.Term], c.calls[call.id] = call, call, call
 	c.stats.Accepted++
 	c.stats.Pending++
-	c.feed(e)
+	c.notifyModule(event)
 	return nil
 }
 
+// contextID returns the routing module's name for the call with a context.
 func contextID(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
 
-// The widest call and the largest number of an exchange that are believed.
+// Upper limits of received values.
 const (
-	mostWidth = 1024
-	mostCell  = 1 << 20
+	maxCircuitsPerCall = 1024
+	maxExchangeNumber  = 1 << 20
 )
 
-func (c *Controller) readCall(m *signal.Message) (*call, brain.Call, error) {
-	k, e := &call{number: m.Get("Number")}, brain.Call{Through: -1}
-	class, ok := c.classes[m.Get("Class")]
+// parseCall reads an Add.
+func (c *Controller) parseCall(msg *signal.Message) (*call, brain.Call, error) {
+	call, event := &call{number: msg.Get("Number")}, brain.Call{Through: -1}
+	class, ok := c.classIndex[msg.Get("Class")]
 	if !ok {
-		return nil, e, fmt.Errorf("descriptor Class: %.40q is not one of this network's", m.Get("Class"))
+		return nil, event, fmt.Errorf("descriptor Class: %.40q is not one of this network's", msg.Get("Class"))
 	}
-	k.class, e.Class = class, class
+	call.class, event.Class = class, class
 	var err error
-	if e.Left, err = m.Span("Left"); err != nil {
-		return nil, e, err
+	if event.Left, err = msg.Span("Left"); err != nil {
+		return nil, event, err
 	}
-	if e.Dest, err = m.Int("Dest", 0, mostCell); err != nil {
-		return nil, e, err
+	if event.Dest, err = msg.Int("Dest", 0, maxExchangeNumber); err != nil {
+		return nil, event, err
 	}
-	if e.Width, err = m.IntOr("Width", 1, mostWidth, c.cfg.Classes[class].Width); err != nil {
-		return nil, e, err
+	if event.Width, err = msg.IntOr("Width", 1, maxCircuitsPerCall, c.config.Classes[class].Width); err != nil {
+		return nil, event, err
 	}
-	if k.number != "" {
-		if e.Number, err = strconv.ParseUint(k.number, 10, 53); err != nil {
-			return nil, e, fmt.Errorf("descriptor Number: %.40q is not a number below 2^53", k.number)
+	if call.number != "" {
+		if event.Number, err = strconv.ParseUint(call.number, 10, 53); err != nil {
+			return nil, event, fmt.Errorf("descriptor Number: %.40q is not a number below 2^53", call.number)
 		}
-		e.Numbered = true
+		event.Numbered = true
 	}
-	name := "Advice" // the tandem with most room, or for a call in transit where it comes from
-	if e.Transit = m.Get("Source") != ""; e.Transit {
+	name := "Advice" // the tandem with the most free circuits; for a call in transit, the exchange where it originates
+	if event.Transit = msg.Get("Source") != ""; event.Transit {
 		name = "Source"
 	}
-	if e.Through, err = m.IntOr(name, 0, mostCell, -1); err != nil {
-		return nil, e, err
+	if event.Through, err = msg.IntOr(name, 0, maxExchangeNumber, -1); err != nil {
+		return nil, event, err
 	}
-	e.Repeat, e.Again = m.Flag("Repeat"), m.Flag("Again")
-	k.width, k.dest, k.transit, k.again = e.Width, e.Dest, e.Transit, e.Again
-	k.called, k.repeat, k.source = e.Number, e.Repeat || e.Again, c.cfg.ExchangeNumber
-	if e.Transit {
-		k.source = e.Through
+	event.Repeat, event.Again = msg.Flag("Repeat"), msg.Flag("Again")
+	call.circuits, call.destination, call.transit, call.again = event.Width, event.Dest, event.Transit, event.Again
+	call.calledNumber, call.repeat, call.sourceExchange = event.Number, event.Repeat || event.Again, c.config.ExchangeNumber
+	if event.Transit {
+		call.sourceExchange = event.Through
 	}
-	return k, e, nil
+	return call, event, nil
 }
 
-// subtract is a caller who hangs up: before the answer, or at the call's end.
-func (c *Controller) subtract(cl *caller, m *signal.Message) {
-	k := cl.calls[m.Term]
-	if k == nil {
-		c.say(cl.peer, m.Refuse(signal.NoSuchTerm, "no such call"))
+// handleSubtract handles a release by the caller, before the answer or of an established call.
+func (c *Controller) handleSubtract(caller *callerConn, msg *signal.Message) {
+	call := caller.calls[msg.Term]
+	if call == nil {
+		c.sendMessage(caller.peer, msg.Refuse(signal.NoSuchTerm, "no such call"))
 		return
 	}
-	r := m.Answer()
-	r.Context = k.context
-	c.say(cl.peer, r)
-	c.hangUp(k)
+	reply := msg.Answer()
+	reply.Context = call.context
+	c.sendMessage(caller.peer, reply)
+	c.endByCaller(call)
 }
 
-// hangUp ends a call from its caller's side.
-func (c *Controller) hangUp(k *call) {
-	switch k.state {
-	case open:
+// endByCaller ends a call that its caller has released.
+func (c *Controller) endByCaller(call *call) {
+	switch call.state {
+	case statePending:
 		c.stats.Abandoned++
-		k.state = over
-		c.callEnded(k, flow.Left)
-		c.feed(brain.CallGone{ID: k.id}) // what is out is called off before the answer is said
-		c.answer(k, &signal.Message{Code: signal.Gone, Text: "the caller left"})
-		if k.att == nil || k.att.stage == freed {
-			c.forget(k)
+		call.state = stateEnded
+		c.recordCallEnd(call, flow.Left)
+		c.notifyModule(brain.CallGone{ID: call.id}) // cancels the attempt in flight before the final reply
+		c.sendFinalReply(call, &signal.Message{Code: signal.Gone, Text: "the caller left"})
+		if call.attempt == nil || call.attempt.stage == stageReleased {
+			c.removeCall(call)
 		}
-	case standing:
+	case stateEstablished:
 		c.stats.Ended++
-		c.callEnded(k, flow.Ended)
-		c.release(k, brain.OK)
+		c.recordCallEnd(call, flow.Ended)
+		c.releaseCall(call, brain.OK)
 	}
 }
 
-// answer gives the call its one final answer, if its caller is still there.
-func (c *Controller) answer(k *call, r *signal.Message) {
-	k.state = over
+// sendFinalReply sends the one final reply to a call's Add, if its caller is still connected.
+func (c *Controller) sendFinalReply(call *call, reply *signal.Message) {
+	call.state = stateEnded
 	c.stats.Pending--
-	if k.from == nil {
+	if call.caller == nil {
 		return
 	}
-	r.Kind, r.ID, r.Context, r.Command, r.Term = signal.Reply, k.tx, k.context, signal.Add, k.name
-	c.say(k.from.peer, r)
-	delete(k.from.open, k.tx)
-	if r.Code != 0 {
-		delete(k.from.calls, k.name)
+	reply.Kind, reply.ID, reply.Context, reply.Command, reply.Term = signal.Reply, call.transaction, call.context, signal.Add, call.name
+	c.sendMessage(call.caller.peer, reply)
+	delete(call.caller.pending, call.transaction)
+	if reply.Code != 0 {
+		delete(call.caller.calls, call.name)
 	}
 }
 
-// notifyEnd tells a caller that a call which stood is over.
-func (c *Controller) notifyEnd(k *call, event string) {
-	if k.from == nil {
+// notifyCaller notifies a caller that an established call has ended or was cut.
+func (c *Controller) notifyCaller(call *call, event string) {
+	if call.caller == nil {
 		return
 	}
-	c.say(k.from.peer, &signal.Message{ID: k.from.tx(), Context: k.context, Command: signal.Notify, Term: k.name,
-		Fields: []signal.Field{{Name: "Event", Value: event}}})
+	c.sendMessage(call.caller.peer, &signal.Message{
+		ID:      call.caller.nextTransaction(),
+		Context: call.context,
+		Command: signal.Notify,
+		Term:    call.name,
+		Fields:  []signal.Field{{Name: "Event", Value: event}},
+	})
 }
 
-// gone ends all calls of a caller whose connection is gone.
-func (c *Controller) gone(id uint64) {
-	cl := c.callers[id]
-	if cl == nil {
+// callerDisconnected ends all calls of a caller whose connection is closed.
+func (c *Controller) callerDisconnected(id uint64) {
+	caller := c.callers[id]
+	if caller == nil {
 		return
 	}
 	delete(c.callers, id)
 	lost := 0
-	for _, name := range sorted(cl.calls) {
-		k := cl.calls[name]
-		k.from = nil
+	for _, name := range sortedKeys(caller.calls) {
+		call := caller.calls[name]
+		call.caller = nil
 		lost++
-		c.hangUp(k)
+		c.endByCaller(call)
 	}
 	if lost > 0 {
-		c.log(slog.LevelInfo, "", fmt.Sprintf("caller connection %d is gone with %d calls", id, lost))
+		c.log(slog.LevelInfo, "", fmt.Sprintf("caller connection %d closed with %d calls", id, lost))
 	}
 }
 
-// forget drops a call that is answered and holds nothing.
-func (c *Controller) forget(k *call) {
-	delete(c.calls, k.id)
-	if k.from != nil && k.from.calls[k.name] == k {
-		delete(k.from.calls, k.name)
+// removeCall removes a call that has ended and has no attempt left.
+func (c *Controller) removeCall(call *call) {
+	delete(c.calls, call.id)
+	if call.caller != nil && call.caller.calls[call.name] == call {
+		delete(call.caller.calls, call.name)
 	}
 }
 
-// figures answers an audit: counts that a person or a load tool may ask for.
-func (c *Controller) figures(m *signal.Message) *signal.Message {
-	if m.Term == trafficTerm {
-		return c.traffic(m)
+// auditReply returns the reply to an AuditValue: counters for operators and load
+// generators, or the offered traffic.
+func (c *Controller) auditReply(msg *signal.Message) *signal.Message {
+	if msg.Term == trafficTerm {
+		return c.trafficReply(msg)
 	}
-	s := c.stats
-	return m.Answer().PutInt("Open", s.Pending).PutInt("Standing", s.Established).PutInt("Held", s.HeldAttempts).
-		PutInt("Taken", s.Accepted).PutInt("Stood", s.Answered).PutInt("Refused", s.Refused).PutInt("Failed", s.Failed).
-		PutInt("Left", s.Abandoned).PutInt("Cut", s.Cut).PutInt("Turned", s.Shed).PutInt("NotTaken", s.AddsRejected)
+	stats := c.stats
+	return msg.Answer().
+		PutInt("Open", stats.Pending).
+		PutInt("Standing", stats.Established).
+		PutInt("Held", stats.HeldAttempts).
+		PutInt("Taken", stats.Accepted).
+		PutInt("Stood", stats.Answered).
+		PutInt("Refused", stats.Refused).
+		PutInt("Failed", stats.Failed).
+		PutInt("Left", stats.Abandoned).
+		PutInt("Cut", stats.Cut).
+		PutInt("Turned", stats.Shed).
+		PutInt("NotTaken", stats.AddsRejected)
 }
 
-// trafficTerm names what is offered, in an audit.
+// trafficTerm is the termination of an audit of the offered traffic.
 const trafficTerm = "TRAFFIC"
 
-// trafficLines bounds one reply.
-const trafficLines = 100
+// maxTrafficLines is the maximum number of Offered lines in one reply.
+const maxTrafficLines = 100
 
-// traffic tells what own callers offer: the last whole span of the measurement,
-// pair by pair and class by class, those that offer most first.
-func (c *Controller) traffic(m *signal.Message) *signal.Message {
-	if c.cfg.TrafficMeter == nil {
-		return m.Refuse(signal.BadValue, "traffic is not measured")
+// trafficReply returns the traffic that own callers offered in the last complete
+// measurement span, by destination and class, in decreasing order of Erlangs.
+func (c *Controller) trafficReply(msg *signal.Message) *signal.Message {
+	if c.config.TrafficMeter == nil {
+		return msg.Refuse(signal.BadValue, "traffic is not measured")
 	}
-	all, from, to := c.cfg.TrafficMeter.Estimates(c.now)
-	slices.SortStableFunc(all, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
-	r := m.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(all)-trafficLines, 0))
-	for _, e := range all[:min(len(all), trafficLines)] {
+	estimates, from, to := c.config.TrafficMeter.Estimates(c.now)
+	slices.SortStableFunc(estimates, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
+	reply := msg.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(estimates)-maxTrafficLines, 0))
+	for _, estimate := range estimates[:min(len(estimates), maxTrafficLines)] {
 		erlang := "unknown"
-		if e.Known {
-			erlang = fmt.Sprintf("%.3f %.3f %.3f", e.Erlang, e.Low, e.High)
+		if estimate.Known {
+			erlang = fmt.Sprintf("%.3f %.3f %.3f", estimate.Erlang, estimate.Low, estimate.High)
 		}
-		r.Put("Offered", fmt.Sprintf("%d %s tries=%d first=%d lost=%d erlang=%s", e.Dest, c.cfg.Classes[e.Class].Name, e.Tries, e.First, e.Lost, erlang))
+		reply.Put("Offered", fmt.Sprintf("%d %s tries=%d first=%d lost=%d erlang=%s",
+			estimate.Dest, c.config.Classes[estimate.Class].Name, estimate.Tries, estimate.First, estimate.Lost, erlang))
 	}
-	return r
+	return reply
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,15 @@
-// Package controller is the core of one exchange's call control: commands of
-// peers in, commands to peers out, the clock handed in. It owns calls,
-// attempts and timers and carries out what the module (brain) decides; it
-// chooses no route, admits, delays and refuses nothing itself. It holds no
-// socket, goroutine, file or clock, so that hundreds can run in virtual time.
+// Package controller is the core of one exchange's call control. It takes
+// commands of peers as inputs, returns commands to peers as effects, and is
+// handed the time with every input. It owns calls, attempts and timers and
+// carries out the decisions of the routing module (package brain); it selects
+// no route and admits, delays and refuses no call itself. It has no socket,
+// goroutine, file or clock of its own, so that hundreds of controllers can run
+// in virtual time.
 //
-// Files: controller.go what goes in and out; caller.go calls as their callers
-// see them; attempt.go attempts at exchanges; peers.go links, the exchange
-// list and circuits; module.go the mapping to the module's events and actions.
+// Files: controller.go holds inputs, effects and dispatch; caller.go the calls
+// towards their callers; attempt.go the attempts at exchanges; peers.go links,
+// the exchange list and circuits; module.go the mapping to the events and
+// actions of the routing module; flows.go the flow records.
 package controller
 
 import (
@@ -26,308 +29,385 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// Role tells what a peer is to the controller.
+// Role is the kind of a peer.
 type Role uint8
 
 const (
-	RoleCaller       Role = iota // a connection of subscribers, or of the own exchange with calls in transit
-	RoleExchange                 // a kept link to an exchange
-	RoleExchangeList             // the kept link to the exchange list
+	// RoleCaller is a connection that brings calls: of subscribers, or of the
+	// own exchange with calls in transit.
+	RoleCaller Role = iota
+	// RoleExchange is the permanent link to an exchange.
+	RoleExchange
+	// RoleExchangeList is the permanent link to the exchange list.
+	RoleExchangeList
 )
 
-var roles = [...]string{"caller", "exchange", "list"}
+var roleNames = [...]string{"caller", "exchange", "list"}
 
-func (r Role) String() string { return roles[r] }
+// String returns the name of the role, as logs and captures write it.
+func (r Role) String() string { return roleNames[r] }
 
-// Peer names a connection (callers: numbered by the edge) or a link (exchanges:
-// by their id).
+// Peer identifies a connection. A caller's ID is assigned by the owner of the
+// connections, an exchange's ID is the one in the exchange list.
 type Peer struct {
 	Role Role
 	ID   uint64
 }
 
-// Input is one thing that happened at the edge.
+// Input is one thing that happened outside the core.
 type Input struct {
 	Kind        InputKind
 	Peer        Peer
-	Message     *signal.Message    // with Command and Unsent
-	SyntaxError signal.SyntaxError // with Garbled
-	Count       int                // with Turned
+	Message     *signal.Message    // with InputMessage and InputUnsent
+	SyntaxError signal.SyntaxError // with InputMalformed
+	Count       int                // with InputShed
 }
 
-// InputKind kind of thing an Input is.
+// InputKind is the kind of an Input.
 type InputKind uint8
 
 const (
-	InputMessage      InputKind = iota // Msg came from Peer
-	InputConnected                     // the link to Peer stands
-	InputDisconnected                  // the connection with Peer is gone; what it had not sent came before as Unsent
-	InputUnsent                        // Msg, a set-up, was not sent and won't be
-	InputMalformed                     // Peer sent something that can't be read
-	InputShed                          // N new calls were turned away at the edge, before they were taken
-	InputTimer                         // nothing but time
-	InputShutdown                      // stop taking calls; Left comes when all are answered
+	// InputMessage reports that Message came from Peer.
+	InputMessage InputKind = iota
+	// InputConnected reports that the connection with Peer is established.
+	InputConnected
+	// InputDisconnected reports that the connection with Peer is closed. What
+	// had not been sent on it was reported before, as InputUnsent.
+	InputDisconnected
+	// InputUnsent reports that Message, a set-up or a release that recalled one,
+	// was not sent and will not be.
+	InputUnsent
+	// InputMalformed reports that Peer sent a message that can't be parsed.
+	InputMalformed
+	// InputShed reports that Count new calls were rejected before they reached the core.
+	InputShed
+	// InputTimer reports only that time has passed.
+	InputTimer
+	// InputShutdown stops the acceptance of calls. EffectStopped follows when
+	// all calls have ended.
+	InputShutdown
 )
 
-// Effect is one thing that the edge is asked to do.
+// Effect is one action that the core asks its owner to carry out.
 type Effect struct {
 	Kind     EffectKind
 	Peer     Peer
-	Message  *signal.Message // with Say
-	Deadline time.Duration   // with Say of a set-up: not to be sent later than this
-	RecallID uint32          // with Say of a release: the set-up, which is given back as Unsent in its place if it has not left
-	Address  string          // with Dial
-	Text     string          // with Close: why; with Log
-	Level    slog.Level      // with Log
-	Call     string          // with Log and Decided
-	Verdict  brain.Verdict   // with Decided
+	Message  *signal.Message // with EffectSend
+	Deadline time.Duration   // with EffectSend of a set-up: not to be sent later than this
+	// RecallID comes with EffectSend of a release. It is the transaction of the
+	// set-up: if that has not been sent yet, it is recalled, and the release is
+	// returned as InputUnsent instead of being sent.
+	RecallID uint32
+	Address  string        // with EffectConnect
+	Text     string        // with EffectClose: the reason; with EffectLog: the message
+	Level    slog.Level    // with EffectLog
+	Call     string        // with EffectSend of a set-up, EffectLog and EffectVerdict: the call's name
+	Verdict  brain.Verdict // with EffectVerdict
 }
 
 // EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 const (
-	EffectSend       EffectKind = iota // send Msg to Peer
-	EffectConnect                      // keep a link to Peer at Addr from now on
-	EffectDisconnect                   // keep it no longer
-	EffectClose                        // close the connection with Peer now; a kept link is dialled again
-	EffectBlock                        // send no set-up to Peer any more that has not left; give them back as Unsent
-	EffectUnblock                      // lift that
-	EffectVerdict                      // the module's word on a call, to be kept with the record
-	EffectLog                          // one line
-	EffectStopped                      // all is answered after Leave
+	// EffectSend sends Message to Peer.
+	EffectSend EffectKind = iota
+	// EffectConnect keeps a link to Peer at Address from now on.
+	EffectConnect
+	// EffectDisconnect closes the link to Peer for good.
+	EffectDisconnect
+	// EffectClose closes the current connection with Peer. A permanent link is
+	// connected again.
+	EffectClose
+	// EffectBlock stops set-ups to Peer, also those that are queued: they are
+	// returned as InputUnsent.
+	EffectBlock
+	// EffectUnblock lifts EffectBlock.
+	EffectUnblock
+	// EffectVerdict stores the routing module's verdict on a call with the call's record.
+	EffectVerdict
+	// EffectLog writes one log line.
+	EffectLog
+	// EffectStopped reports that all calls have ended after InputShutdown.
+	EffectStopped
 )
 
-// Config is what a controller starts with.
+// Config is the configuration of a controller.
 type Config struct {
-	Module              policy.Module // what decides: brain.Controller, or a rule that it is held against
+	// Module makes the decisions: the routing module (package brain), or one of
+	// the simple rules that it is compared with.
+	Module              policy.Module
 	Classes             []brain.Class
 	ExchangeNumber      int           // number of the own exchange
 	ControllerNumber    int           // number of this controller
-	MaxCalls            int           // open and standing calls together
-	MaxPendingPerCaller int           // transactions of one caller's connection that are open
-	MaxExchanges        int           // exchanges listed
-	LinkTimeout         time.Duration // a set-up waits so long for a link that is down
-	ShutdownGrace       time.Duration // calls that stand may go on so long after Leave
+	MaxCalls            int           // pending and established calls together
+	MaxPendingPerCaller int           // unanswered transactions of one caller's connection
+	MaxExchanges        int           // entries of one exchange list update
+	LinkTimeout         time.Duration // how long a set-up waits for a link that is down
+	ShutdownGrace       time.Duration // how long established calls may last after InputShutdown
 	Liveness            guard.Life
 	ReleaseRetry        guard.Release
 	FaultLimit          guard.Faults
-	FlowSink            flow.Sink     // takes a record of each call and attempt; nil for none
-	InterimInterval     time.Duration // a call that stands is told of so often; 0 never
-	TrafficMeter        *measure.Live // measures what own callers offer; nil for none
+	FlowSink            flow.Sink     // receives a record of each call and attempt; may be nil
+	InterimInterval     time.Duration // between interim records of an established call; 0 disables them
+	TrafficMeter        *measure.Live // measures the traffic offered by own callers; may be nil
 }
 
-// Stats counts what the controller did; all of it only grows but for Open,
-// Standing and Held.
+// Stats holds the counters of a controller. Pending, Established and
+// HeldAttempts are current numbers; all others only grow.
 type Stats struct {
-	Pending, Established, HeldAttempts                             int // unanswered calls; calls standing; attempts not yet released
-	AddsReceived, AddsRejected, Shed                               int // Adds of callers; of these refused untaken; turned away at the edge
-	Accepted, Answered, Refused, Failed, Abandoned                 int // calls; their final answers
-	Ended, Cut                                                     int // of those that stood
-	Attempts, TimedOut, Reset, NoLink, Cancelled                   int
-	LateReplies, Malformed, DuplicateIDs, Releases, ReleaseRetries int // answers to nothing; unreadable; ids used again
+	// Pending calls have no final answer yet, Established calls are in progress,
+	// HeldAttempts may still hold circuits at an exchange.
+	Pending, Established, HeldAttempts int
+	// AddsReceived counts the Adds of callers, AddsRejected those of them that
+	// were not accepted as calls, Shed those rejected before they reached the core.
+	AddsReceived, AddsRejected, Shed int
+	// Accepted counts the calls; Answered, Refused, Failed and Abandoned (by the
+	// caller) are their final outcomes.
+	Accepted, Answered, Refused, Failed, Abandoned int
+	// Ended and Cut count the answered calls that are over: ended by a party, or
+	// cut by a failure or by the shutdown.
+	Ended, Cut int
+	// Attempts counts the set-ups at exchanges; the others count the ways in which they failed.
+	Attempts, TimedOut, Reset, NoLink, Cancelled int
+	// LateReplies match no transaction, Malformed messages can't be parsed,
+	// DuplicateIDs are transaction IDs that were used before. Releases counts
+	// releases at exchanges, ReleaseRetries their repetitions.
+	LateReplies, Malformed, DuplicateIDs, Releases, ReleaseRetries int
 }
 
-// Controller is the core. It is not safe for concurrent use.
+// Controller is the core of one exchange's call control. It is not safe for
+// concurrent use.
 type Controller struct {
-	cfg      Config
-	now      time.Duration
-	classes  map[string]int
-	timers   *wheel.Wheel[timer]
-	callers  map[uint64]*caller
-	calls    map[string]*call // by context, as the module names them
-	links    map[uint64]*link
-	listUp   life
-	cells    map[int]uint64 // number to id of the exchange that serves it
-	circuits map[int]brain.Circuits
-	context  uint32
-	leaving  bool
-	left     bool
-	module   policy.Dispatcher
-	waited   []*call // that the module made wait just now
-	out      []Effect
-	stats    Stats
-	counts   flow.Counts
-	rec      flow.Record // the one being made
-	records  uint64
+	config       Config
+	now          time.Duration
+	classIndex   map[string]int
+	timers       *wheel.Wheel[timer]
+	callers      map[uint64]*callerConn
+	calls        map[string]*call // by context, as the routing module names them
+	links        map[uint64]*exchangeLink
+	listLink     linkState
+	exchangeIDs  map[int]uint64 // ID of the exchange that serves a number
+	groupReports map[int]brain.Circuits
+	lastContext  uint32
+	shuttingDown bool
+	stopped      bool
+	dispatcher   policy.Dispatcher
+	newlyDelayed []*call // calls that the routing module delayed during the current event
+	effects      []Effect
+	stats        Stats
+	counts       flow.Counts
+	record       flow.Record // the record under construction
+	lastRecord   uint64
 }
 
-// New starts a controller at a time. The first effects come with the first input.
+// New returns a controller that starts at the given time. The first effects are
+// returned for the first input.
 func New(now time.Duration, cfg Config) *Controller {
-	c := &Controller{cfg: cfg, module: policy.Dispatcher{Module: cfg.Module}, now: now, classes: map[string]int{}, timers: wheel.New[timer](now),
-		callers: map[uint64]*caller{}, calls: map[string]*call{}, links: map[uint64]*link{},
-		cells: map[int]uint64{}, circuits: map[int]brain.Circuits{}}
-	for i, cl := range cfg.Classes {
-		c.classes[cl.Name] = i
+	c := &Controller{
+		config:       cfg,
+		dispatcher:   policy.Dispatcher{Module: cfg.Module},
+		now:          now,
+		classIndex:   map[string]int{},
+		timers:       wheel.New[timer](now),
+		callers:      map[uint64]*callerConn{},
+		calls:        map[string]*call{},
+		links:        map[uint64]*exchangeLink{},
+		exchangeIDs:  map[int]uint64{},
+		groupReports: map[int]brain.Circuits{},
+	}
+	for i, class := range cfg.Classes {
+		c.classIndex[class.Name] = i
 	}
 	return c
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (c *Controller) Stats() Stats { return c.stats }
 
-// Counts returns what has ended so far, by kind, class and outcome: what the
-// records that went to the sink add up to.
+// Counts returns how many calls and attempts have ended, by kind, class and
+// outcome. It equals the sum of the records passed to the flow sink.
 func (c *Controller) Counts() *flow.Counts { return &c.counts }
 
-// NextDeadline is the time at which a Clock input is due at the latest.
+// NextDeadline returns the time by which the next input is needed, an
+// InputTimer if there is no other; false if no timer is set.
 func (c *Controller) NextDeadline() (time.Duration, bool) { return c.timers.Next() }
 
-// Handle takes one input and returns what to do, valid until the next call.
-func (c *Controller) Handle(now time.Duration, in Input) []Effect {
+// Handle processes one input and returns the effects to carry out. The slice is
+// valid until the next call.
+func (c *Controller) Handle(now time.Duration, input Input) []Effect {
 	c.now = max(now, c.now)
-	clear(c.out)
-	c.out = c.out[:0]
-	c.timers.Advance(c.now, c.fire)
-	switch in.Kind {
+	clear(c.effects)
+	c.effects = c.effects[:0]
+	c.timers.Advance(c.now, c.timerExpired)
+	switch input.Kind {
 	case InputMessage:
-		c.command(in.Peer, in.Message)
+		c.handleMessage(input.Peer, input.Message)
 	case InputConnected:
-		c.up(in.Peer)
+		c.linkConnected(input.Peer)
 	case InputDisconnected:
-		c.down(in.Peer)
+		c.linkDisconnected(input.Peer)
 	case InputUnsent:
-		c.unsent(in.Peer, in.Message)
+		c.handleUnsent(input.Peer, input.Message)
 	case InputMalformed:
-		c.garbled(in.Peer, in.SyntaxError)
+		c.handleMalformed(input.Peer, input.SyntaxError)
 	case InputShed:
-		c.stats.Shed += in.Count
-		c.log(slog.LevelWarn, "", "calls turned away at the edge: the controller can't keep up")
+		c.stats.Shed += input.Count
+		c.log(slog.LevelWarn, "", "new calls rejected before they reached the core: the controller is overloaded")
 	case InputShutdown:
-		c.leave()
+		c.shutDown()
 	}
-	if c.leaving && !c.left && c.stats.Pending == 0 && len(c.calls) == 0 && c.stats.HeldAttempts == 0 {
-		c.left = true
-		c.out = append(c.out, Effect{Kind: EffectStopped})
+	if c.shuttingDown && !c.stopped && c.stats.Pending == 0 && len(c.calls) == 0 && c.stats.HeldAttempts == 0 {
+		c.stopped = true
+		c.effects = append(c.effects, Effect{Kind: EffectStopped})
 	}
-	return c.out
+	return c.effects
 }
 
-func (c *Controller) say(p Peer, m *signal.Message) {
-	c.out = append(c.out, Effect{Kind: EffectSend, Peer: p, Message: m})
+func (c *Controller) sendMessage(peer Peer, msg *signal.Message) {
+	c.effects = append(c.effects, Effect{Kind: EffectSend, Peer: peer, Message: msg})
 }
 
-func (c *Controller) log(l slog.Level, call, text string) {
-	c.out = append(c.out, Effect{Kind: EffectLog, Level: l, Call: call, Text: text})
+func (c *Controller) log(level slog.Level, call, text string) {
+	c.effects = append(c.effects, Effect{Kind: EffectLog, Level: level, Call: call, Text: text})
 }
 
-// timer is what a moment was set for: just one of its fields is.
+// timer is the purpose of a timer. It is set for exactly one purpose; token and
+// connection qualify module and link.
 type timer struct {
-	token   uint64   // of the module, with wake
-	wake    bool     // the module asked for it
-	attempt *attempt // its time-out, its wait for a link, or its release
-	link    *life    // look whether the peer lives, in its round
-	round   int
-	stand   bool  // after Leave: end what stands
-	stuck   bool  // after that: say what keeps it
-	interim *call // tell that it stands still
+	token          uint64     // the routing module's token, with module
+	module         bool       // set by the routing module
+	attempt        *attempt   // end of its set-up time, of its wait for a link, or of its wait for a release
+	link           *linkState // check the liveness of the peer
+	connection     int        // with link: the connection that is checked
+	endEstablished bool       // end the established calls during shutdown
+	reportPending  bool       // log what delays the shutdown
+	interimCall    *call      // write an interim record of the call
 }
 
-func (c *Controller) fire(t timer) {
+func (c *Controller) timerExpired(expired timer) {
 	switch {
-	case t.wake:
-		c.feed(brain.Alarm{Token: t.token})
-	case t.attempt != nil:
-		c.attemptDue(t.attempt)
-	case t.link != nil && t.round == t.link.round:
-		c.look(t.link)
-	case t.interim != nil:
-		c.tellInterim(t.interim)
-	case t.stand:
-		c.endStanding()
-	case t.stuck && !c.left:
-		c.log(slog.LevelWarn, "", "still here: "+c.remaining())
-		c.timers.Set(c.now+stuckAfter, timer{stuck: true})
+	case expired.module:
+		c.notifyModule(brain.Alarm{Token: expired.token})
+	case expired.attempt != nil:
+		c.attemptTimerExpired(expired.attempt)
+	case expired.link != nil && expired.connection == expired.link.connection:
+		c.checkLiveness(expired.link)
+	case expired.interimCall != nil:
+		c.recordInterim(expired.interimCall)
+	case expired.endEstablished:
+		c.endEstablishedCalls()
+	case expired.reportPending && !c.stopped:
+		c.log(slog.LevelWarn, "", "shutdown is waiting for calls: "+c.pendingWork())
+		c.timers.Set(c.now+pendingReportInterval, timer{reportPending: true})
 	}
 }
 
-func (c *Controller) command(p Peer, m *signal.Message) {
-	switch p.Role {
+// handleMessage passes a message on by the role of its sender.
+func (c *Controller) handleMessage(peer Peer, msg *signal.Message) {
+	switch peer.Role {
 	case RoleCaller:
-		c.fromCaller(c.caller(p.ID), m)
+		c.handleCallerMessage(c.callerFor(peer.ID), msg)
 	case RoleExchange:
-		if l := c.links[p.ID]; l != nil {
-			l.life.heard = c.now
-			c.fromExchange(l, m)
+		if link := c.links[peer.ID]; link != nil {
+			link.state.lastHeard = c.now
+			c.handleExchangeMessage(link, msg)
 		}
 	case RoleExchangeList:
-		c.listUp.heard = c.now
-		c.fromList(m)
+		c.listLink.lastHeard = c.now
+		c.handleListMessage(msg)
 	}
 }
 
-// garbled answers what can't be read; a peer that goes on so is cut off.
-func (c *Controller) garbled(p Peer, bad signal.SyntaxError) {
+// handleMalformed replies to a message that can't be parsed. It closes the
+// connection of a peer that exceeds its budget of such messages.
+func (c *Controller) handleMalformed(peer Peer, syntaxError signal.SyntaxError) {
 	c.stats.Malformed++
-	faults := &c.listUp.faults
-	switch p.Role {
+	faults := &c.listLink.faults
+	switch peer.Role {
 	case RoleCaller:
-		faults = &c.caller(p.ID).faults
+		faults = &c.callerFor(peer.ID).faults
 	case RoleExchange:
-		l := c.links[p.ID]
-		if l == nil {
+		link := c.links[peer.ID]
+		if link == nil {
 			return
 		}
-		faults = &l.life.faults
+		faults = &link.state.faults
 	}
 	if !faults.Tolerate(c.now) {
-		c.out = append(c.out, Effect{Kind: EffectClose, Peer: p, Text: "too many messages that can't be read"})
+		c.effects = append(c.effects, Effect{Kind: EffectClose, Peer: peer, Text: "too many messages that can't be read"})
 		return
 	}
-	m := &signal.Message{Kind: signal.Fault, Code: bad.Code, Text: bad.What}
-	if bad.ID != 0 && p.Role == RoleCaller && !c.caller(p.ID).openTx(bad.ID) {
-		m = &signal.Message{Kind: signal.Reply, ID: bad.ID, Command: signal.Add, Term: signal.Root, Code: bad.Code, Text: bad.What}
-		c.caller(p.ID).last = max(c.caller(p.ID).last, bad.ID)
+	msg := &signal.Message{Kind: signal.Fault, Code: syntaxError.Code, Text: syntaxError.What}
+	if syntaxError.ID != 0 && peer.Role == RoleCaller && !c.callerFor(peer.ID).isPending(syntaxError.ID) {
+		msg = &signal.Message{
+			Kind:    signal.Reply,
+			ID:      syntaxError.ID,
+			Command: signal.Add,
+			Term:    signal.Root,
+			Code:    syntaxError.Code,
+			Text:    syntaxError.What,
+		}
+		c.callerFor(peer.ID).lastReceived = max(c.callerFor(peer.ID).lastReceived, syntaxError.ID)
 	}
-	c.say(p, m)
+	c.sendMessage(peer, msg)
 }
 
-// leave stops taking calls and gives those that stand their time.
-func (c *Controller) leave() {
-	if c.leaving {
+// shutDown stops the acceptance of calls, announces it to all callers and sets
+// the time by which established calls are ended.
+func (c *Controller) shutDown() {
+	if c.shuttingDown {
 		return
 	}
-	c.leaving = true
-	for _, k := range sorted(c.callers) {
-		c.say(Peer{RoleCaller, k}, &signal.Message{ID: c.callers[k].tx(), Command: signal.ServiceChange,
-			Term: signal.Root, Fields: []signal.Field{{Name: "Method", Value: "graceful"}}})
+	c.shuttingDown = true
+	for _, id := range sortedKeys(c.callers) {
+		c.sendMessage(Peer{RoleCaller, id}, &signal.Message{
+			ID:      c.callers[id].nextTransaction(),
+			Command: signal.ServiceChange,
+			Term:    signal.Root,
+			Fields:  []signal.Field{{Name: "Method", Value: "graceful"}},
+		})
 	}
-	c.timers.Set(c.now+c.cfg.ShutdownGrace, timer{stand: true})
-	c.timers.Set(c.now+c.cfg.ShutdownGrace+stuckAfter, timer{stuck: true})
+	c.timers.Set(c.now+c.config.ShutdownGrace, timer{endEstablished: true})
+	c.timers.Set(c.now+c.config.ShutdownGrace+pendingReportInterval, timer{reportPending: true})
 }
 
-// endAgain is how often what stands is ended again once its time is over.
-const endAgain = 200 * time.Millisecond
-
-// stuckAfter is how long what is left may take to end before it is told of.
-const stuckAfter = 4 * time.Second
-
-// remaining names some of what keeps the controller from leaving.
-func (c *Controller) remaining() string {
-	s := fmt.Sprintf("%d open, %d standing, %d calls, %d attempts held", c.stats.Pending, c.stats.Established, len(c.calls), c.stats.HeldAttempts)
-	for i, id := range sorted(c.calls) {
-		if k := c.calls[id]; i < 3 {
-			s += fmt.Sprintf("; call %s in state %d", k.name, k.state)
-			if k.att != nil {
-				s += fmt.Sprintf(" with attempt %d in stage %d at %d", k.att.n, k.att.stage, k.att.to)
+// endRetryInterval is the interval at which established calls are ended once
+// the shutdown grace is over: a pending call may still become established.
+const endRetryInterval = 200 * time.Millisecond
+
+// pendingReportInterval is how long after the shutdown grace, and how often,
+// calls that are still present are logged.
+const pendingReportInterval = 4 * time.Second
+
+// pendingWork describes what delays the shutdown: the current numbers and the
+// first three calls.
+func (c *Controller) pendingWork() string {
+	text := fmt.Sprintf("%d pending, %d established, %d calls in total, %d attempts held", c.stats.Pending, c.stats.Established, len(c.calls), c.stats.HeldAttempts)
+	for i, id := range sortedKeys(c.calls) {
+		if call := c.calls[id]; i < 3 {
+			text += fmt.Sprintf("; call %s in state %d", call.name, call.state)
+			if call.attempt != nil {
+				text += fmt.Sprintf(" with attempt %d in stage %d at exchange %d", call.attempt.number, call.attempt.stage, call.attempt.exchangeID)
 			}
 		}
 	}
-	return s
+	return text
 }
 
-func (c *Controller) endStanding() {
-	for _, id := range sorted(c.calls) {
-		if k := c.calls[id]; k.state == standing {
-			c.notifyEnd(k, "cut")
-			c.callEnded(k, flow.Cut)
-			c.release(k, brain.Reset)
+// endEstablishedCalls ends all established calls and schedules the next round.
+func (c *Controller) endEstablishedCalls() {
+	for _, id := range sortedKeys(c.calls) {
+		if call := c.calls[id]; call.state == stateEstablished {
+			c.notifyCaller(call, "cut")
+			c.recordCallEnd(call, flow.Cut)
+			c.releaseCall(call, brain.Reset)
 		}
 	}
-	c.timers.Set(c.now+endAgain, timer{stand: true}) // one that was unanswered may stand yet
+	c.timers.Set(c.now+endRetryInterval, timer{endEstablished: true})
 }
 
-// sorted returns a map's keys in order: no map's own order reaches an effect.
-func sorted[K cmp.Ordered, V any](m map[K]V) []K {
+// sortedKeys returns the keys of a map in order, so that the effects do not
+// depend on map iteration order.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -7,83 +7,135 @@
 	"dahliaspindle/internal/signal"
 )
 
-// callEnded counts a call at its end and hands its record on. It is called once
-// for each call that was taken.
-func (c *Controller) callEnded(k *call, o flow.Outcome) {
-	c.callRecord(k, flow.Call, o)
-	*c.counts.At(&c.rec)++
-	if r := &c.rec; c.cfg.TrafficMeter != nil && r.Route != flow.Transit {
-		c.cfg.TrafficMeter.Add(c.now, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Class: r.Class, Circuits: k.width, Number: r.Number,
-			Repeat: r.Repeat, Lost: o != flow.Ended && o != flow.Cut, Cut: o == flow.Cut, Stood: r.Stood})
+// recordCallEnd counts a call at its end and emits its flow record. It is called
+// once for each accepted call.
+func (c *Controller) recordCallEnd(call *call, outcome flow.Outcome) {
+	c.fillCallRecord(call, flow.Call, outcome)
+	*c.counts.At(&c.record)++
+	if r := &c.record; c.config.TrafficMeter != nil && r.Route != flow.Transit {
+		c.config.TrafficMeter.Add(c.now, measure.Try{
+			At:       r.Start,
+			Source:   r.Source,
+			Dest:     r.Dest,
+			Class:    r.Class,
+			Circuits: call.circuits,
+			Number:   r.Number,
+			Repeat:   r.Repeat,
+			Lost:     outcome != flow.Ended && outcome != flow.Cut,
+			Cut:      outcome == flow.Cut,
+			Stood:    r.Stood,
+		})
 	}
-	c.put()
+	c.emitRecord()
 }
 
-// tellInterim hands on a record of a call that stands still.
-func (c *Controller) tellInterim(k *call) {
-	if k.state != standing {
+// recordInterim emits an interim record of a call that is still established, and
+// sets the time of the next one.
+func (c *Controller) recordInterim(call *call) {
+	if call.state != stateEstablished {
 		return
 	}
-	c.callRecord(k, flow.Interim, flow.Stands)
-	*c.counts.At(&c.rec)++
-	c.put()
-	c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
+	c.fillCallRecord(call, flow.Interim, flow.Stands)
+	*c.counts.At(&c.record)++
+	c.emitRecord()
+	c.timers.Set(c.now+c.config.InterimInterval, timer{interimCall: call})
 }
 
-func (c *Controller) callRecord(k *call, kind flow.Kind, o flow.Outcome) {
-	c.rec = flow.Record{Kind: kind, Outcome: o, Class: uint8(k.class), Context: k.context, Number: k.called,
-		Start: k.taken, SetUp: c.now - k.taken, Source: int32(k.source), Dest: int32(k.dest), Via: -1, Circuits: uint16(k.width),
-		N: uint8(min(k.attempts, 255)), Tandems: uint8(min(k.tandems, 255)), Repeat: k.repeat,
-		Reason: string(k.verdict.Reason), Scope: string(k.verdict.Scope), Where: int32(k.verdict.Cell)}
-	if k.stood > 0 {
-		c.rec.SetUp, c.rec.Stood = k.stood-k.taken, c.now-k.stood
-		if k.att != nil && k.att.link != nil {
-			c.rec.Via = int32(k.att.link.cell)
+// fillCallRecord makes c.record the record of a call.
+func (c *Controller) fillCallRecord(call *call, kind flow.Kind, outcome flow.Outcome) {
+	c.record = flow.Record{
+		Kind:     kind,
+		Outcome:  outcome,
+		Class:    uint8(call.class),
+		Context:  call.context,
+		Number:   call.calledNumber,
+		Start:    call.acceptedAt,
+		SetUp:    c.now - call.acceptedAt,
+		Source:   int32(call.sourceExchange),
+		Dest:     int32(call.destination),
+		Via:      -1,
+		Circuits: uint16(call.circuits),
+		N:        uint8(min(call.attempts, 255)),
+		Tandems:  uint8(min(call.tandemAttempts, 255)),
+		Repeat:   call.repeat,
+		Reason:   string(call.verdict.Reason),
+		Scope:    string(call.verdict.Scope),
+		Where:    int32(call.verdict.Cell),
+	}
+	if call.establishedAt > 0 {
+		c.record.SetUp, c.record.Stood = call.establishedAt-call.acceptedAt, c.now-call.establishedAt
+		if call.attempt != nil && call.attempt.link != nil {
+			c.record.Via = int32(call.attempt.link.number)
 		}
 	}
-	c.rec.Route = route(k, int(c.rec.Via))
+	c.record.Route = routeOf(call, int(c.record.Via))
 }
 
-func route(k *call, via int) flow.Route {
+// routeOf returns the kind of route of a call; via is the number of the exchange
+// that it was sent to, or -1.
+func routeOf(call *call, via int) flow.Route {
 	switch {
-	case k.transit:
+	case call.transit:
 		return flow.Transit
-	case via >= 0 && via != k.dest:
+	case via >= 0 && via != call.destination:
 		return flow.Tandem
 	}
 	return flow.Direct
 }
 
-// ends maps the module's outcomes, by their number.
-var ends = [...]flow.Outcome{brain.OK: flow.Done, brain.Failed: flow.Error, brain.Full: flow.Full, brain.TimedOut: flow.TimedOut,
-	brain.NoConnect: flow.NoConnect, brain.Reset: flow.Reset, brain.Cancelled: flow.Cancelled, brain.Moot: flow.Moot}
+// flowOutcomes maps the routing module's outcomes to those of flow records.
+var flowOutcomes = [...]flow.Outcome{
+	brain.OK:        flow.Done,
+	brain.Failed:    flow.Error,
+	brain.Full:      flow.Full,
+	brain.TimedOut:  flow.TimedOut,
+	brain.NoConnect: flow.NoConnect,
+	brain.Reset:     flow.Reset,
+	brain.Cancelled: flow.Cancelled,
+	brain.Moot:      flow.Moot,
+}
 
-// attemptEnded counts an attempt at its end, as the module is told of it.
-func (c *Controller) attemptEnded(t *attempt, o brain.Outcome, r *signal.Message) {
-	k := t.call
-	c.rec = flow.Record{Kind: flow.Attempt, Outcome: ends[o], Class: uint8(k.class), Context: k.context, Number: k.called,
-		Start: t.began, SetUp: c.now - t.began, Source: int32(k.source), Dest: int32(k.dest), Via: -1, Circuits: uint16(k.width),
-		N: uint8(min(t.n, 255)), Exchange: t.to, Repeat: k.repeat, Where: -1}
-	if t.link != nil {
-		c.rec.Via = int32(t.link.cell)
+// recordAttemptEnd counts an attempt when its outcome is reported to the routing
+// module, and emits its flow record.
+func (c *Controller) recordAttemptEnd(attempt *attempt, outcome brain.Outcome, reply *signal.Message) {
+	call := attempt.call
+	c.record = flow.Record{
+		Kind:     flow.Attempt,
+		Outcome:  flowOutcomes[outcome],
+		Class:    uint8(call.class),
+		Context:  call.context,
+		Number:   call.calledNumber,
+		Start:    attempt.startedAt,
+		SetUp:    c.now - attempt.startedAt,
+		Source:   int32(call.sourceExchange),
+		Dest:     int32(call.destination),
+		Via:      -1,
+		Circuits: uint16(call.circuits),
+		N:        uint8(min(attempt.number, 255)),
+		Exchange: attempt.exchangeID,
+		Repeat:   call.repeat,
+		Where:    -1,
+	}
+	if attempt.link != nil {
+		c.record.Via = int32(attempt.link.number)
 	}
-	if k.att == t && k.stood > 0 {
-		c.rec.SetUp, c.rec.Stood = k.stood-t.began, c.now-k.stood
+	if call.attempt == attempt && call.establishedAt > 0 {
+		c.record.SetUp, c.record.Stood = call.establishedAt-attempt.startedAt, c.now-call.establishedAt
 	}
-	if r.Kind == signal.Reply {
-		c.rec.Note = uint8(notes[r.Get("Note")].note)
+	if reply.Kind == signal.Reply {
+		c.record.Note = uint8(failureNotes[reply.Get("Note")].note)
 	}
-	c.rec.Route = route(k, int(c.rec.Via))
-	*c.counts.At(&c.rec)++
-	c.put()
+	c.record.Route = routeOf(call, int(c.record.Via))
+	*c.counts.At(&c.record)++
+	c.emitRecord()
 }
 
-// put numbers the record and hands it on.
-func (c *Controller) put() {
-	if c.cfg.FlowSink == nil {
+// emitRecord numbers c.record and passes it to the flow sink.
+func (c *Controller) emitRecord() {
+	if c.config.FlowSink == nil {
 		return
 	}
-	c.records++
-	c.rec.Seq = c.records
-	c.cfg.FlowSink.Put(&c.rec)
+	c.lastRecord++
+	c.record.Seq = c.lastRecord
+	c.config.FlowSink.Put(&c.record)
 }
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -11,125 +11,137 @@
 	"dahliaspindle/internal/signal"
 )
 
-// feed hands an event to the module and carries out what it asks for.
-func (c *Controller) feed(e brain.Event) {
-	if !c.module.Dispatch(c.now, e, c.act) {
+// notifyModule passes an event to the routing module and carries out its actions.
+// It then sends a Pending for each call that was delayed.
+func (c *Controller) notifyModule(event brain.Event) {
+	if !c.dispatcher.Dispatch(c.now, event, c.perform) {
 		return
 	}
-	for _, k := range c.waited {
-		if k.state == open && k.att == nil && !k.pended && k.from != nil {
-			k.pended = true
-			c.say(k.from.peer, &signal.Message{Kind: signal.Pending, ID: k.tx})
+	for _, call := range c.newlyDelayed {
+		if call.state == statePending && call.attempt == nil && !call.pendingSent && call.caller != nil {
+			call.pendingSent = true
+			c.sendMessage(call.caller.peer, &signal.Message{Kind: signal.Pending, ID: call.transaction})
 		}
 	}
-	c.waited = c.waited[:0]
+	c.newlyDelayed = c.newlyDelayed[:0]
 }
 
-func (c *Controller) act(a brain.Action) {
-	switch a := a.(type) {
+// perform carries out one action of the routing module.
+func (c *Controller) perform(action brain.Action) {
+	switch action := action.(type) {
 	case brain.Send:
-		c.send(a)
+		c.startAttempt(action)
 	case brain.Refuse:
-		if k := c.openCall(a.ID); k != nil {
+		if call := c.pendingCall(action.ID); call != nil {
 			c.stats.Refused++
-			c.callEnded(k, flow.Refused)
-			m := &signal.Message{Code: signal.NoResources, Text: "refused"}
-			if a.Backoff > 0 {
-				m.PutSpan("Backoff", a.Backoff)
+			c.recordCallEnd(call, flow.Refused)
+			msg := &signal.Message{Code: signal.NoResources, Text: "refused"}
+			if action.Backoff > 0 {
+				msg.PutSpan("Backoff", action.Backoff)
 			}
-			c.finish(k, m)
+			c.finishCall(call, msg)
 		}
 	case brain.GiveUp:
-		if k := c.openCall(a.ID); k != nil {
+		if call := c.pendingCall(action.ID); call != nil {
 			c.stats.Failed++
-			c.callEnded(k, flow.Failed)
-			c.finish(k, &signal.Message{Code: signal.Unavailable, Text: "failed"})
+			c.recordCallEnd(call, flow.Failed)
+			c.finishCall(call, &signal.Message{Code: signal.Unavailable, Text: "failed"})
 		}
 	case brain.Cancel:
-		if k := c.calls[a.ID]; k != nil && k.att != nil && k.att.n == a.Attempt {
-			c.withdraw(k.att, brain.Cancelled)
+		if call := c.calls[action.ID]; call != nil && call.attempt != nil && call.attempt.number == action.Attempt {
+			c.withdrawAttempt(call.attempt, brain.Cancelled)
 		}
 	case brain.Wake:
-		c.timers.Set(c.now+a.After, timer{wake: true, token: a.Token})
+		c.timers.Set(c.now+action.After, timer{module: true, token: action.Token})
 	case brain.Verdict:
-		if k := c.calls[a.ID]; k != nil {
-			c.verdict(k, a)
+		if call := c.calls[action.ID]; call != nil {
+			c.applyVerdict(call, action)
 		}
 	}
 }
 
-func (c *Controller) openCall(id string) *call {
-	if k := c.calls[id]; k != nil && k.state == open {
-		return k
+// pendingCall returns the call with an ID if it has no final answer yet, else nil.
+func (c *Controller) pendingCall(id string) *call {
+	if call := c.calls[id]; call != nil && call.state == statePending {
+		return call
 	}
 	return nil
 }
 
-// finish gives the module's final answer and withdraws what is still out.
-func (c *Controller) finish(k *call, m *signal.Message) {
-	if k.why != "" {
-		m.Put("Verdict", k.why)
+// finishCall sends the final reply that the routing module decided on and withdraws
+// an attempt in flight.
+func (c *Controller) finishCall(call *call, msg *signal.Message) {
+	if call.verdictText != "" {
+		msg.Put("Verdict", call.verdictText)
 	}
-	if k.transit && k.cause != "" {
-		m.Put("Cause", k.cause)
+	if call.transit && call.failureNote != "" {
+		msg.Put("Cause", call.failureNote)
 	}
-	k.state = over
-	if k.att != nil {
-		c.withdraw(k.att, brain.TimedOut) // before the answer is said: nothing is sent after it
+	call.state = stateEnded
+	if call.attempt != nil {
+		c.withdrawAttempt(call.attempt, brain.TimedOut) // before the final reply: no set-up is sent after it
 	}
-	c.answer(k, m)
-	if k.att == nil || k.att.stage == freed {
-		c.forget(k)
+	c.sendFinalReply(call, msg)
+	if call.attempt == nil || call.attempt.stage == stageReleased {
+		c.removeCall(call)
 	}
 }
 
-// verdict keeps the module's word with the call; a caller who is made to wait hears so.
-func (c *Controller) verdict(k *call, v brain.Verdict) {
-	k.verdict = v
-	k.why = fmt.Sprintf("%s; %s %d", v.Reason, v.Scope, v.Cell)
-	c.out = append(c.out, Effect{Kind: EffectVerdict, Call: k.name, Peer: callerPeer(k), Verdict: v})
-	if v.Log {
-		c.out = append(c.out, Effect{Kind: EffectLog, Level: slog.LevelInfo, Call: k.name,
-			Text: fmt.Sprintf("%s (the %d. such)", k.why, v.Nth)})
-	}
-	if !k.pended {
-		c.waited = append(c.waited, k)
+// applyVerdict stores the routing module's verdict with the call. If the call turns
+// out to be delayed, notifyModule sends its caller a Pending.
+func (c *Controller) applyVerdict(call *call, verdict brain.Verdict) {
+	call.verdict = verdict
+	call.verdictText = fmt.Sprintf("%s; %s %d", verdict.Reason, verdict.Scope, verdict.Cell)
+	c.effects = append(c.effects, Effect{Kind: EffectVerdict, Call: call.name, Peer: peerOf(call), Verdict: verdict})
+	if verdict.Log {
+		c.effects = append(c.effects, Effect{
+			Kind:  EffectLog,
+			Level: slog.LevelInfo,
+			Call:  call.name,
+			Text:  fmt.Sprintf("%s (occurrence %d)", call.verdictText, verdict.Nth),
+		})
+	}
+	if !call.pendingSent {
+		c.newlyDelayed = append(c.newlyDelayed, call)
 	}
 }
 
-func callerPeer(k *call) Peer {
-	if k.from == nil {
+// peerOf returns the caller's connection of a call; the zero Peer if it is closed.
+func peerOf(call *call) Peer {
+	if call.caller == nil {
 		return Peer{}
 	}
-	return k.from.peer
+	return call.caller.peer
 }
 
-// notes maps what an exchange says of a set-up that failed. Own is the
-// exchange where the controller runs, far the one that the set-up was sent to.
-var notes = map[string]struct {
+// failureNotes maps the Note of a failed set-up to its outcome. The own exchange
+// is the one where the controller runs, the peer exchange the one that the set-up
+// was sent to.
+var failureNotes = map[string]struct {
 	outcome brain.Outcome
 	note    brain.Note
 }{
-	"no-circuit":            {brain.Moot, brain.NoCircuit},    // the group between own and far is full
-	"own-processor":         {brain.Moot, brain.ProcFull},     // own is out of service
-	"over":                  {brain.Moot, brain.NoNote},       // the caller's time was over
-	"turned-back":           {brain.Full, brain.TurnedBack},   // by the tandem
-	"turned-back-processor": {brain.Full, brain.DestProcFull}, // by the tandem, for the far end's processor
-	"processor-full":        {brain.Full, brain.ProcFull},     // far turned it away
-	"lines-busy":            {brain.Failed, brain.LinesBusy},  // all lines of the number
-	"fault":                 {brain.Failed, brain.NoNote},     // signalling
-	"cut":                   {brain.Reset, brain.NoNote},      // in the middle of the set-up
-	"withdrawn":             {brain.Cancelled, brain.NoNote},  // by a Subtract
-	"not-in-service":        {brain.NoConnect, brain.NoNote},  // far takes nothing new
+	"no-circuit":            {brain.Moot, brain.NoCircuit},    // the trunk group between own and peer exchange is full
+	"own-processor":         {brain.Moot, brain.ProcFull},     // the own exchange is out of service
+	"over":                  {brain.Moot, brain.NoNote},       // the caller's deadline had passed
+	"turned-back":           {brain.Full, brain.TurnedBack},   // cranked back by the tandem
+	"turned-back-processor": {brain.Full, brain.DestProcFull}, // cranked back by the tandem: the destination's processor is overloaded
+	"processor-full":        {brain.Full, brain.ProcFull},     // rejected by the peer exchange
+	"lines-busy":            {brain.Failed, brain.LinesBusy},  // all lines of the called number are busy
+	"fault":                 {brain.Failed, brain.NoNote},     // signalling error
+	"cut":                   {brain.Reset, brain.NoNote},      // cut during the set-up
+	"withdrawn":             {brain.Cancelled, brain.NoNote},  // released by a Subtract
+	"not-in-service":        {brain.NoConnect, brain.NoNote},  // the peer exchange accepts no new calls
 }
 
-// outcome reads the reply to a set-up that failed. What has no note of ours is
-// a failure of the signalling, unless the code says that nothing was begun.
-func outcome(m *signal.Message) brain.Outcome {
-	if n, ok := notes[m.Get("Note")]; ok {
-		return n.outcome
-	}
-	switch m.Code {
+// failureOutcome returns the outcome of a failed set-up. A reply without a known
+// Note counts as a signalling failure, unless its code says that the set-up was
+// not started.
+func failureOutcome(msg *signal.Message) brain.Outcome {
+	if failure, ok := failureNotes[msg.Get("Note")]; ok {
+		return failure.outcome
+	}
+	switch msg.Code {
 	case signal.NotReady, signal.Unavailable, signal.TooManyOpen, signal.InService:
 		return brain.NoConnect
 	case signal.NoResources:
@@ -138,27 +150,30 @@
 	return brain.Failed
 }
 
-// waitMost is the longest wait named by a full processor that is believed.
-const waitMost = time.Minute
+// maxProcessorWait limits the Wait that an overloaded processor asks for.
+const maxProcessorWait = time.Minute
 
-func note(m *signal.Message) (brain.Note, time.Duration) {
-	wait, err := m.Span("Wait")
+// processorNote returns the Note of a failed set-up and the Wait that an overloaded
+// processor asks for.
+func processorNote(msg *signal.Message) (brain.Note, time.Duration) {
+	wait, err := msg.Span("Wait")
 	if err != nil {
 		wait = 0
 	}
-	return notes[m.Get("Note")].note, min(wait, waitMost)
+	return failureNotes[msg.Get("Note")].note, min(wait, maxProcessorWait)
 }
 
-// report reads the group and the hold-back share that a reply tells.
-func (c *Controller) report(m *signal.Message) brain.Report {
-	var r brain.Report
-	if _, free, size, ok := group(m.Get("Group")); ok {
-		r.Known, r.Free, r.Size = true, free, size
-	}
-	if v := m.Get("Reduce"); v != "" {
-		if x, err := strconv.ParseFloat(v, 64); err == nil && x >= 0 && x <= 1 {
-			r.HasEps, r.Eps = true, x
+// parseReport reads the state of the trunk group and the share of traffic to hold
+// back from a reply.
+func (c *Controller) parseReport(msg *signal.Message) brain.Report {
+	var report brain.Report
+	if _, free, size, ok := parseGroup(msg.Get("Group")); ok {
+		report.Known, report.Free, report.Size = true, free, size
+	}
+	if value := msg.Get("Reduce"); value != "" {
+		if share, err := strconv.ParseFloat(value, 64); err == nil && share >= 0 && share <= 1 {
+			report.HasEps, report.Eps = true, share
 		}
 	}
-	return r
+	return report
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -16,317 +16,329 @@
 	"dahliaspindle/internal/signal"
 )
 
-// life is what is known of a kept peer's being there.
-type life struct {
-	peer         Peer
-	up           bool
-	round        int // connections so far
-	heard, asked time.Duration
-	txs          uint32
-	faults       guard.Faults
+// linkState is the connection state of a permanent link.
+type linkState struct {
+	peer                 Peer
+	connected            bool
+	connection           int // number of connections so far
+	lastHeard, lastProbe time.Duration
+	lastTransaction      uint32
+	faults               guard.Faults
 }
 
-// link is the kept connection to one exchange of the list.
-type link struct {
-	id      uint64
-	cell    int
-	addr    string
-	life    life
-	fenced  bool // draining or gone: nothing new
-	gone    bool // not in the list any more
-	waiting []*attempt
-	out     map[uint32]*attempt // by the transaction that is to be answered
-	held    map[*attempt]bool   // all that the exchange may hold
+// exchangeLink is the permanent link to one listed exchange.
+type exchangeLink struct {
+	id       uint64
+	number   int // the exchange's number; id names one incarnation of it
+	address  string
+	state    linkState
+	blocked  bool                // draining or delisted: no new set-ups
+	delisted bool                // no longer in the exchange list
+	queued   []*attempt          // attempts that wait for the link
+	pending  map[uint32]*attempt // attempts by unanswered transaction
+	held     map[*attempt]bool   // attempts for which the exchange may hold circuits
 }
 
-func (l *link) peer() Peer { return l.life.peer }
+func (link *exchangeLink) peer() Peer { return link.state.peer }
 
-func (l *link) tx() uint32 {
-	l.life.txs++
-	return l.life.txs
+// nextTransaction returns the ID for the next transaction towards the exchange.
+func (link *exchangeLink) nextTransaction() uint32 {
+	link.state.lastTransaction++
+	return link.state.lastTransaction
 }
 
-// up greets a peer whose connection stands.
-func (c *Controller) up(p Peer) {
-	var li *life
-	switch p.Role {
+// linkConnected announces the controller to a peer that is now connected, subscribes
+// to its events and sends the set-ups that waited for the link.
+func (c *Controller) linkConnected(peer Peer) {
+	var state *linkState
+	switch peer.Role {
 	case RoleCaller:
-		c.caller(p.ID)
+		c.callerFor(peer.ID)
 		return
 	case RoleExchangeList:
-		li = &c.listUp
-		li.peer, li.faults = p, c.cfg.FaultLimit
+		state = &c.listLink
+		state.peer, state.faults = peer, c.config.FaultLimit
 	case RoleExchange:
-		l := c.links[p.ID]
-		if l == nil {
+		link := c.links[peer.ID]
+		if link == nil {
 			return
 		}
-		li = &l.life
+		state = &link.state
 	}
-	li.up, li.heard, li.asked = true, c.now, 0
-	li.round++
-	li.txs++
-	m := &signal.Message{ID: li.txs, Command: signal.ServiceChange, Term: signal.Root}
-	m.Put("Method", "restart").PutInt("Controller", c.cfg.ControllerNumber).PutInt("From", c.cfg.ExchangeNumber)
-	c.say(p, m)
-	li.txs++
+	state.connected, state.lastHeard, state.lastProbe = true, c.now, 0
+	state.connection++
+	state.lastTransaction++
+	msg := &signal.Message{ID: state.lastTransaction, Command: signal.ServiceChange, Term: signal.Root}
+	msg.Put("Method", "restart").PutInt("Controller", c.config.ControllerNumber).PutInt("From", c.config.ExchangeNumber)
+	c.sendMessage(peer, msg)
+	state.lastTransaction++
 	events := "circuits"
-	if p.Role == RoleExchangeList {
+	if peer.Role == RoleExchangeList {
 		events = "list"
 	}
-	c.say(p, (&signal.Message{ID: li.txs, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
-	c.look(li)
-	if p.Role == RoleExchange {
-		l := c.links[p.ID]
-		waiting := l.waiting
-		l.waiting = nil
-		for _, t := range waiting {
-			c.timers.Stop(t.timer)
-			c.post(t)
+	c.sendMessage(peer, (&signal.Message{ID: state.lastTransaction, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
+	c.checkLiveness(state)
+	if peer.Role == RoleExchange {
+		link := c.links[peer.ID]
+		queued := link.queued
+		link.queued = nil
+		for _, attempt := range queued {
+			c.timers.Stop(attempt.timer)
+			c.sendSetUp(attempt)
 		}
 	}
 }
 
-// down ends what was out on a connection: each attempt once.
-func (c *Controller) down(p Peer) {
-	switch p.Role {
+// linkDisconnected ends each call of a disconnected caller, or each attempt on a
+// disconnected link.
+func (c *Controller) linkDisconnected(peer Peer) {
+	switch peer.Role {
 	case RoleCaller:
-		c.gone(p.ID)
+		c.callerDisconnected(peer.ID)
 	case RoleExchangeList:
-		c.listUp.up = false
-		c.log(slog.LevelWarn, "", "the exchange list is out of reach; the last one stays in force")
+		c.listLink.connected = false
+		c.log(slog.LevelWarn, "", "exchange list unreachable; the last list stays in force")
 	case RoleExchange:
-		l := c.links[p.ID]
-		if l == nil {
+		link := c.links[peer.ID]
+		if link == nil {
 			return
 		}
-		l.life.up = false
-		all := make([]*attempt, 0, len(l.held))
-		for t := range l.held {
-			all = append(all, t)
+		link.state.connected = false
+		held := make([]*attempt, 0, len(link.held))
+		for attempt := range link.held {
+			held = append(held, attempt)
 		}
-		slices.SortFunc(all, func(a, b *attempt) int { return int(int64(a.add) - int64(b.add)) })
-		if len(all) > 0 {
-			c.log(slog.LevelWarn, "", fmt.Sprintf("the link to exchange %d broke with %d attempts", l.id, len(all)))
+		slices.SortFunc(held, func(a, b *attempt) int { return int(int64(a.setUpTransaction) - int64(b.setUpTransaction)) })
+		if len(held) > 0 {
+			c.log(slog.LevelWarn, "", fmt.Sprintf("link to exchange %d lost with %d attempts", link.id, len(held)))
 		}
-		for _, t := range all {
-			switch t.stage {
-			case sent:
-				c.end(t, brain.Reset, signal.Message{})
-			case freeing: // the exchange frees what came over a broken link
-				c.end(t, t.outcome, signal.Message{})
-			case carrying:
-				k := t.call
+		for _, attempt := range held {
+			switch attempt.stage {
+			case stageSent:
+				c.finishAttempt(attempt, brain.Reset, signal.Message{})
+			case stageReleasing: // the exchange releases everything that was set up over a lost link
+				c.finishAttempt(attempt, attempt.outcome, signal.Message{})
+			case stageEstablished:
+				call := attempt.call
 				c.stats.Cut++
-				c.callEnded(k, flow.Cut)
-				c.notifyEnd(k, "cut")
-				if k.from != nil {
-					delete(k.from.calls, k.name)
+				c.recordCallEnd(call, flow.Cut)
+				c.notifyCaller(call, "cut")
+				if call.caller != nil {
+					delete(call.caller.calls, call.name)
 				}
-				c.end(t, brain.Reset, signal.Message{})
+				c.finishAttempt(attempt, brain.Reset, signal.Message{})
 			}
 		}
-		c.drop(l)
+		c.dropIfUnused(link)
 	}
 }
 
-// look asks a kept peer for a sign of life when it is quiet, and cuts it off
-// when it has been for too long.
-func (c *Controller) look(li *life) {
-	if !li.up {
+// checkLiveness probes the peer of a permanent link when nothing was received for
+// a while, and closes the connection when the peer stays unresponsive.
+func (c *Controller) checkLiveness(state *linkState) {
+	if !state.connected {
 		return
 	}
-	ask, lost, again := c.cfg.Liveness.Check(c.now, li.heard, li.asked)
+	probe, lost, next := c.config.Liveness.Check(c.now, state.lastHeard, state.lastProbe)
 	if lost {
-		c.out = append(c.out, Effect{Kind: EffectClose, Peer: li.peer, Text: "no sign of life"})
+		c.effects = append(c.effects, Effect{Kind: EffectClose, Peer: state.peer, Text: "no sign of life"})
 		return
 	}
-	if ask {
-		li.asked = c.now
-		li.txs++
-		c.say(li.peer, &signal.Message{ID: li.txs, Command: signal.AuditValue, Term: signal.Root})
+	if probe {
+		state.lastProbe = c.now
+		state.lastTransaction++
+		c.sendMessage(state.peer, &signal.Message{ID: state.lastTransaction, Command: signal.AuditValue, Term: signal.Root})
 	}
-	c.timers.Set(again, timer{link: li, round: li.round})
+	c.timers.Set(next, timer{link: state, connection: state.connection})
 }
 
-// drop forgets a link that is out of the list and holds nothing.
-func (c *Controller) drop(l *link) {
-	if l.gone && c.links[l.id] == l && len(l.held) == 0 && len(l.waiting) == 0 {
-		c.out = append(c.out, Effect{Kind: EffectDisconnect, Peer: l.peer()})
-		l.life.up = false
-		delete(c.links, l.id)
+// dropIfUnused removes a link that is no longer listed and has no attempts.
+func (c *Controller) dropIfUnused(link *exchangeLink) {
+	if link.delisted && c.links[link.id] == link && len(link.held) == 0 && len(link.queued) == 0 {
+		c.effects = append(c.effects, Effect{Kind: EffectDisconnect, Peer: link.peer()})
+		link.state.connected = false
+		delete(c.links, link.id)
 	}
 }
 
-// fromList reads the exchange list's words.
-func (c *Controller) fromList(m *signal.Message) {
-	if m.Kind != signal.Request {
-		if m.Code != 0 {
-			c.log(slog.LevelWarn, "", fmt.Sprintf("the exchange list says %d %s", m.Code, m.Text))
+// handleListMessage handles a message of the exchange list.
+func (c *Controller) handleListMessage(msg *signal.Message) {
+	if msg.Kind != signal.Request {
+		if msg.Code != 0 {
+			c.log(slog.LevelWarn, "", fmt.Sprintf("the exchange list reported error %d %s", msg.Code, msg.Text))
 		}
 		return
 	}
-	if m.Command != signal.Notify {
-		c.say(c.listUp.peer, m.Refuse(signal.BadCommand, "not a command for a controller"))
+	if msg.Command != signal.Notify {
+		c.sendMessage(c.listLink.peer, msg.Refuse(signal.BadCommand, "not a command for a controller"))
 		return
 	}
-	word, addrs, err := c.readList(m)
+	update, addresses, err := c.parseExchangeList(msg)
 	if err != nil {
-		c.log(slog.LevelError, "", "the exchange list: "+err.Error())
-		c.say(c.listUp.peer, m.Refuse(signal.BadValue, err.Error()))
+		c.log(slog.LevelError, "", "invalid exchange list: "+err.Error())
+		c.sendMessage(c.listLink.peer, msg.Refuse(signal.BadValue, err.Error()))
 		return
 	}
-	c.say(c.listUp.peer, m.Answer())
-	named := map[uint64]bool{}
-	for i, e := range word.Entries {
-		named[uint64(e.ID)] = true
-		c.listedExchange(e, addrs[i])
+	c.sendMessage(c.listLink.peer, msg.Answer())
+	listed := map[uint64]bool{}
+	for i, entry := range update.Entries {
+		listed[uint64(entry.ID)] = true
+		c.applyListEntry(entry, addresses[i])
 	}
-	if word.Complete {
-		for _, id := range sorted(c.links) {
-			if l := c.links[id]; !named[id] && !l.gone {
-				c.shut(l, true)
+	if update.Complete {
+		for _, id := range sortedKeys(c.links) {
+			if link := c.links[id]; !listed[id] && !link.delisted {
+				c.blockLink(link, true)
 			}
 		}
 	}
-	c.feed(word)
-	for _, cell := range sorted(c.circuits) { // circuits told before the list was
-		if id, ok := c.cells[cell]; ok && named[id] {
-			r := c.circuits[cell]
-			r.Exchange = uint32(id)
-			c.feed(r)
+	c.notifyModule(update)
+	for _, number := range sortedKeys(c.groupReports) { // circuit reports received before the list
+		if id, ok := c.exchangeIDs[number]; ok && listed[id] {
+			circuits := c.groupReports[number]
+			circuits.Exchange = uint32(id)
+			c.notifyModule(circuits)
 		}
 	}
 }
 
-// listedExchange follows one line of the list.
-func (c *Controller) listedExchange(e brain.Exchange, addr string) {
-	id := uint64(e.ID)
-	l := c.links[id]
-	if e.State == brain.Out {
-		if l != nil {
-			c.shut(l, true)
+// applyListEntry applies one entry of the exchange list.
+func (c *Controller) applyListEntry(entry brain.Exchange, address string) {
+	id := uint64(entry.ID)
+	link := c.links[id]
+	if entry.State == brain.Out {
+		if link != nil {
+			c.blockLink(link, true)
 		}
 		return
 	}
-	if l == nil {
-		l = &link{id: id, out: map[uint32]*attempt{}, held: map[*attempt]bool{},
-			life: life{peer: Peer{RoleExchange, id}, faults: c.cfg.FaultLimit}}
-		c.links[id] = l
+	if link == nil {
+		link = &exchangeLink{id: id, pending: map[uint32]*attempt{}, held: map[*attempt]bool{},
+			state: linkState{peer: Peer{RoleExchange, id}, faults: c.config.FaultLimit}}
+		c.links[id] = link
 	}
-	if l.addr != addr {
-		l.addr = addr
-		c.out = append(c.out, Effect{Kind: EffectConnect, Peer: l.peer(), Address: addr})
+	if link.address != address {
+		link.address = address
+		c.effects = append(c.effects, Effect{Kind: EffectConnect, Peer: link.peer(), Address: address})
 	}
-	l.cell, l.gone = e.Cell, false
-	if e.State == brain.Draining {
-		c.shut(l, false)
+	link.number, link.delisted = entry.Cell, false
+	if entry.State == brain.Draining {
+		c.blockLink(link, false)
 		return
 	}
-	c.cells[e.Cell] = id
-	if l.fenced {
-		l.fenced = false
-		c.out = append(c.out, Effect{Kind: EffectUnblock, Peer: l.peer()})
+	c.exchangeIDs[entry.Cell] = id
+	if link.blocked {
+		link.blocked = false
+		c.effects = append(c.effects, Effect{Kind: EffectUnblock, Peer: link.peer()})
 	}
 }
 
-// shut keeps anything new from an exchange that drains or is gone, also what
-// was decided before and has not left yet.
-func (c *Controller) shut(l *link, gone bool) {
-	if !l.fenced {
-		l.fenced = true
-		c.out = append(c.out, Effect{Kind: EffectBlock, Peer: l.peer()})
+// blockLink stops set-ups to an exchange that is draining or delisted, also those
+// that were decided before and have not been sent yet.
+func (c *Controller) blockLink(link *exchangeLink, delisted bool) {
+	if !link.blocked {
+		link.blocked = true
+		c.effects = append(c.effects, Effect{Kind: EffectBlock, Peer: link.peer()})
 	}
-	l.gone = l.gone || gone
-	waiting := l.waiting
-	l.waiting = nil
-	for _, t := range waiting {
+	link.delisted = link.delisted || delisted
+	queued := link.queued
+	link.queued = nil
+	for _, attempt := range queued {
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
 	}
-	c.drop(l)
+	c.dropIfUnused(link)
 }
 
-var states = map[string]brain.State{"in": brain.In, "draining": brain.Draining, "out": brain.Out}
+// states maps the state words of the exchange list.
+var states = map[string]brain.State{
+	"in":       brain.In,
+	"draining": brain.Draining,
+	"out":      brain.Out,
+}
 
-// readList reads "Exchange: ID cell=N state=in since=MS at=ADDR" lines.
-func (c *Controller) readList(m *signal.Message) (brain.Exchanges, []string, error) {
-	word := brain.Exchanges{Complete: m.Flag("Complete")}
-	var addrs []string
-	for _, line := range m.All("Exchange") {
-		f := strings.Fields(line)
-		if len(f) == 0 {
-			return word, nil, errors.New("descriptor Exchange is empty")
+// parseExchangeList reads the "Exchange: ID cell=N state=in since=MS at=ADDR" lines
+// of a notification. It returns the entries and, in the same order, their addresses.
+func (c *Controller) parseExchangeList(msg *signal.Message) (brain.Exchanges, []string, error) {
+	update := brain.Exchanges{Complete: msg.Flag("Complete")}
+	var addresses []string
+	for _, line := range msg.All("Exchange") {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
+			return update, nil, errors.New("descriptor Exchange is empty")
 		}
-		id, err := strconv.ParseUint(f[0], 10, 32)
+		id, err := strconv.ParseUint(fields[0], 10, 32)
 		if err != nil {
-			return word, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", f[0])
+			return update, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", fields[0])
 		}
-		e, addr := brain.Exchange{ID: uint32(id), Cell: -1, State: -1}, ""
-		for _, p := range f[1:] {
-			name, v, _ := strings.Cut(p, "=")
+		entry, address := brain.Exchange{ID: uint32(id), Cell: -1, State: -1}, ""
+		for _, field := range fields[1:] {
+			name, value, _ := strings.Cut(field, "=")
 			switch name {
 			case "cell":
-				n, err := strconv.ParseUint(v, 10, 20)
+				n, err := strconv.ParseUint(value, 10, 20)
 				if err != nil {
-					return word, nil, fmt.Errorf("descriptor Exchange %d: cell: %.40q", id, v)
+					return update, nil, fmt.Errorf("descriptor Exchange %d: cell: %.40q", id, value)
 				}
-				e.Cell = int(n)
+				entry.Cell = int(n)
 			case "state":
-				s, ok := states[v]
+				state, ok := states[value]
 				if !ok {
-					return word, nil, fmt.Errorf("descriptor Exchange %d: state: %.40q", id, v)
+					return update, nil, fmt.Errorf("descriptor Exchange %d: state: %.40q", id, value)
 				}
-				e.State = s
-			case "since": // milliseconds since 1970, 0 long ago
-				n, err := strconv.ParseInt(v, 10, 64)
+				entry.State = state
+			case "since": // milliseconds since 1970; 0 means long ago
+				n, err := strconv.ParseInt(value, 10, 64)
 				if err != nil || n < 0 || n > math.MaxInt64/int64(time.Millisecond) {
-					return word, nil, fmt.Errorf("descriptor Exchange %d: since: %.40q", id, v)
+					return update, nil, fmt.Errorf("descriptor Exchange %d: since: %.40q", id, value)
 				}
-				e.Since = time.Duration(n) * time.Millisecond
+				entry.Since = time.Duration(n) * time.Millisecond
 			case "at":
-				addr = v
+				address = value
 			}
 		}
-		if e.Cell < 0 || e.State < 0 || addr == "" && e.State != brain.Out {
-			return word, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
+		if entry.Cell < 0 || entry.State < 0 || address == "" && entry.State != brain.Out {
+			return update, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
 		}
-		word.Entries, addrs = append(word.Entries, e), append(addrs, addr)
+		update.Entries, addresses = append(update.Entries, entry), append(addresses, address)
 	}
-	if len(word.Entries) > c.cfg.MaxExchanges {
-		return word, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(word.Entries), c.cfg.MaxExchanges)
+	if len(update.Entries) > c.config.MaxExchanges {
+		return update, nil, fmt.Errorf("%d exchanges in one word, %d at most", len(update.Entries), c.config.MaxExchanges)
 	}
-	return word, addrs, nil
+	return update, addresses, nil
 }
 
-// reported hands on what a message tells of the own groups: "Group: CELL FREE SIZE" lines.
-func (c *Controller) reported(m *signal.Message) {
-	for _, v := range m.All("Group") {
-		cell, free, size, ok := group(v)
+// handleGroupReports passes the circuit reports of a message, "Group: NUMBER FREE SIZE"
+// lines about the own trunk groups, to the routing module.
+func (c *Controller) handleGroupReports(msg *signal.Message) {
+	for _, value := range msg.All("Group") {
+		number, free, size, ok := parseGroup(value)
 		if !ok {
 			continue
 		}
-		r := brain.Circuits{OK: true, Report: brain.Report{Known: true, Free: free, Size: size}}
-		c.circuits[cell] = r
-		if id, ok := c.cells[cell]; ok {
-			r.Exchange = uint32(id)
-			c.feed(r)
+		circuits := brain.Circuits{OK: true, Report: brain.Report{Known: true, Free: free, Size: size}}
+		c.groupReports[number] = circuits
+		if id, ok := c.exchangeIDs[number]; ok {
+			circuits.Exchange = uint32(id)
+			c.notifyModule(circuits)
 		}
 	}
 }
 
-func group(v string) (cell, free, size int, ok bool) {
-	f := strings.Fields(v)
-	if len(f) != 3 {
+// parseGroup reads the value of a Group line: the number of the peer exchange, free
+// and total circuits.
+func parseGroup(value string) (number, free, size int, ok bool) {
+	fields := strings.Fields(value)
+	if len(fields) != 3 {
 		return 0, 0, 0, false
 	}
-	var n [3]int
-	for i := range f {
-		x, err := strconv.ParseUint(f[i], 10, 30)
+	var values [3]int
+	for i := range fields {
+		parsed, err := strconv.ParseUint(fields[i], 10, 30)
 		if err != nil {
 			return 0, 0, 0, false
 		}
-		n[i] = int(x)
+		values[i] = int(parsed)
 	}
-	return n[0], n[1], n[2], n[0] <= mostCell
+	return values[0], values[1], values[2], values[0] <= maxExchangeNumber
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -13,93 +13,93 @@
 )
 
 // tally counts the records that it takes.
-type tally flow.Counts
+type recordCounter flow.Counts
 
-func (t *tally) Put(r *flow.Record) { *(*flow.Counts)(t).At(r)++ }
+func (t *recordCounter) Put(r *flow.Record) { *(*flow.Counts)(t).At(r)++ }
 
 // watcher holds the core's effects against the rules, as they come.
-type watcher struct {
-	t        *rapid.T
-	r        *rig
-	answered map[string]int                        // final answers by call
-	left     map[string]bool                       // callers who hung up
-	out      map[string]uint64                     // attempt that is out: its exchange
-	adds     map[uint64]map[uint32]*signal.Message // unanswered set-ups at each exchange
-	subs     map[uint64][]*signal.Message          // unanswered releases
-	stands   map[string]bool
-	blocked  map[string]time.Duration
-	fenced   map[uint64]bool
-	up       map[uint64]bool
+type ruleChecker struct {
+	t            *rapid.T
+	harness      *harness
+	answered     map[string]int                        // final answers by call
+	abandoned    map[string]bool                       // callers who hung up
+	inFlight     map[string]uint64                     // attempt that is out: its exchange
+	setUps       map[uint64]map[uint32]*signal.Message // unanswered set-ups at each exchange
+	releases     map[uint64][]*signal.Message          // unanswered releases
+	established  map[string]bool
+	blockedUntil map[string]time.Duration
+	draining     map[uint64]bool
+	connected    map[uint64]bool
 }
 
-func (w *watcher) see(out []Effect) {
-	for _, e := range out {
+func (checker *ruleChecker) check(effects []Effect) {
+	for _, e := range effects {
 		id := e.Peer.ID
 		switch e.Kind {
 		case EffectBlock:
-			w.fenced[id] = true
+			checker.draining[id] = true
 		case EffectUnblock:
-			w.fenced[id] = false
+			checker.draining[id] = false
 		case EffectClose:
 			if e.Peer.Role == RoleExchange {
-				w.down(id)
+				checker.disconnect(id)
 			}
 		}
 		if e.Kind != EffectSend {
 			continue
 		}
-		m := e.Message
+		msg := e.Message
 		switch {
-		case e.Peer.Role == RoleCaller && m.Kind == signal.Reply && m.Command == signal.Add:
-			if w.answered[m.Term]++; w.answered[m.Term] > 1 {
-				w.t.Fatalf("call %s is answered twice", m.Term)
+		case e.Peer.Role == RoleCaller && msg.Kind == signal.Reply && msg.Command == signal.Add:
+			if checker.answered[msg.Term]++; checker.answered[msg.Term] > 1 {
+				checker.t.Fatalf("call %s is answered twice", msg.Term)
 			}
-			w.stands[m.Term] = m.Code == 0
-		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Add:
+			checker.established[msg.Term] = msg.Code == 0
+		case e.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Add:
 			switch {
-			case w.answered[m.Term] > 0 || w.left[m.Term]:
-				w.t.Fatalf("call %s is sent after its end", m.Term)
-			case w.out[m.Term] != 0:
-				w.t.Fatalf("call %s has two attempts out", m.Term)
-			case w.fenced[id]:
-				w.t.Fatalf("call %s is sent to %d, which drains", m.Term, id)
-			case !w.up[id]:
-				w.t.Fatalf("call %s is sent over a link that is down", m.Term)
-			case w.r.now < w.blocked[m.Term]:
-				w.t.Fatalf("call %s is sent %v before the release time", m.Term, w.blocked[m.Term]-w.r.now)
-			case e.Deadline <= w.r.now:
-				w.t.Fatalf("call %s is sent with no time", m.Term)
+			case checker.answered[msg.Term] > 0 || checker.abandoned[msg.Term]:
+				checker.t.Fatalf("call %s is sent after its end", msg.Term)
+			case checker.inFlight[msg.Term] != 0:
+				checker.t.Fatalf("call %s has two attempts out", msg.Term)
+			case checker.draining[id]:
+				checker.t.Fatalf("call %s is sent to %d, which drains", msg.Term, id)
+			case !checker.connected[id]:
+				checker.t.Fatalf("call %s is sent over a link that is down", msg.Term)
+			case checker.harness.now < checker.blockedUntil[msg.Term]:
+				checker.t.Fatalf("call %s is sent %v before the release time", msg.Term, checker.blockedUntil[msg.Term]-checker.harness.now)
+			case e.Deadline <= checker.harness.now:
+				checker.t.Fatalf("call %s is sent with no time", msg.Term)
 			}
-			w.out[m.Term] = id
-			w.adds[id][m.ID] = m
-		case e.Peer.Role == RoleExchange && m.Kind == signal.Request && m.Command == signal.Subtract:
-			if w.out[m.Term] == id {
-				w.end(m.Term, true)
+			checker.inFlight[msg.Term] = id
+			checker.setUps[id][msg.ID] = msg
+		case e.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Subtract:
+			if checker.inFlight[msg.Term] == id {
+				checker.endAttempt(msg.Term, true)
 			}
-			w.subs[id] = append(w.subs[id], m)
+			checker.releases[id] = append(checker.releases[id], msg)
 		}
 	}
 }
 
-func (w *watcher) end(call string, unclear bool) {
-	delete(w.out, call)
+func (checker *ruleChecker) endAttempt(call string, unclear bool) {
+	delete(checker.inFlight, call)
 	if unclear {
-		w.blocked[call] = w.r.now + 300*time.Millisecond
+		checker.blockedUntil[call] = checker.harness.now + 300*time.Millisecond
 	}
 }
 
-func (w *watcher) down(id uint64) {
-	if !w.up[id] {
+func (checker *ruleChecker) disconnect(id uint64) {
+	if !checker.connected[id] {
 		return
 	}
-	w.up[id] = false
-	for _, m := range w.adds[id] {
-		if w.out[m.Term] == id {
-			w.end(m.Term, true)
+	checker.connected[id] = false
+	for _, msg := range checker.setUps[id] {
+		if checker.inFlight[msg.Term] == id {
+			checker.endAttempt(msg.Term, true)
 		}
 	}
-	w.adds[id], w.subs[id] = map[uint32]*signal.Message{}, nil
-	w.see(w.r.in(Input{Kind: InputDisconnected, Peer: Peer{RoleExchange, id}}))
+	checker.setUps[id], checker.releases[id] = map[uint32]*signal.Message{}, nil
+	checker.check(checker.harness.handle(Input{Kind: InputDisconnected, Peer: Peer{RoleExchange, id}}))
 }
 
 // TestRulesWhateverHappens plays random callers, exchanges, links and lists to
@@ -111,22 +111,22 @@
 			ReleaseWait: 300 * time.Millisecond, DrainGrace: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
 			ColdFrom: 0.3, ColdFor: 10 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second,
 			MaxAttempts: 6, Cancelling: true, Tick: time.Millisecond}
-		r := newRig(t, brain.New(set))
-		sink := &tally{}
-		r.c.cfg.FlowSink = sink
-		w := &watcher{t: t, r: r, answered: map[string]int{}, left: map[string]bool{}, out: map[string]uint64{},
-			adds: map[uint64]map[uint32]*signal.Message{}, subs: map[uint64][]*signal.Message{}, stands: map[string]bool{},
-			blocked: map[string]time.Duration{}, fenced: map[uint64]bool{}, up: map[uint64]bool{}}
-		r.list(0, 1, 2, 3)
+		h := newHarness(t, brain.New(set))
+		sink := &recordCounter{}
+		h.controller.config.FlowSink = sink
+		checker := &ruleChecker{t: t, harness: h, answered: map[string]int{}, abandoned: map[string]bool{}, inFlight: map[string]uint64{},
+			setUps: map[uint64]map[uint32]*signal.Message{}, releases: map[uint64][]*signal.Message{}, established: map[string]bool{},
+			blockedUntil: map[string]time.Duration{}, draining: map[uint64]bool{}, connected: map[uint64]bool{}}
+		h.announceList(0, 1, 2, 3)
 		for _, id := range []uint64{100, 101, 102, 103} {
-			w.up[id], w.adds[id] = true, map[uint32]*signal.Message{}
+			checker.connected[id], checker.setUps[id] = true, map[uint32]*signal.Message{}
 		}
 		groups := func(free ...int) {
-			m := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
+			msg := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
 			for i, f := range free {
-				m.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
+				msg.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
 			}
-			w.see(r.in(Input{Kind: InputMessage, Peer: exchangeNo(100), Message: m}))
+			checker.check(h.handle(Input{Kind: InputMessage, Peer: exchangePeer(100), Message: msg}))
 		}
 		groups(20, 20, 20)
 		var calls []string
@@ -136,123 +136,123 @@
 			case 0, 1, 2:
 				name := fmt.Sprint("c", len(calls))
 				calls = append(calls, name)
-				m := &signal.Message{Command: signal.Add, Term: name}
-				m.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
-				m.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
+				msg := &signal.Message{Command: signal.Add, Term: name}
+				msg.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
+				msg.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
 				if rapid.Bool().Draw(t, "transit") {
-					m.PutInt("Source", 9)
+					msg.PutInt("Source", 9)
 				}
-				w.see(r.say(from(1), m))
+				checker.check(h.receive(callerPeer(1), msg))
 			case 3:
 				if len(calls) > 0 {
 					name := rapid.SampledFrom(calls).Draw(t, "hangs up")
-					w.left[name] = true
-					w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+					checker.abandoned[name] = true
+					checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name}))
 				}
 			case 4, 5:
-				w.answerOne(t, id, rapid.SampledFrom(append(notes, "", "", "", "")).Draw(t, "note"))
+				checker.answerOldest(t, id, rapid.SampledFrom(append(notes, "", "", "", "")).Draw(t, "note"))
 			case 6:
-				if n := len(w.subs[id]); n > 0 {
-					m := w.subs[id][n-1]
-					w.subs[id] = w.subs[id][:n-1]
-					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.Answer()}))
+				if n := len(checker.releases[id]); n > 0 {
+					msg := checker.releases[id][n-1]
+					checker.releases[id] = checker.releases[id][:n-1]
+					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.Answer()}))
 				}
 			case 7:
-				if w.up[id] {
-					w.down(id)
+				if checker.connected[id] {
+					checker.disconnect(id)
 				} else {
-					w.up[id] = true
-					w.see(r.in(Input{Kind: InputConnected, Peer: Peer{RoleExchange, id}}))
+					checker.connected[id] = true
+					checker.check(h.handle(Input{Kind: InputConnected, Peer: Peer{RoleExchange, id}}))
 				}
 			case 8:
 				state := rapid.SampledFrom([]string{"in", "draining"}).Draw(t, "state")
-				w.see(r.word(int(id), int(id)-100, state))
+				checker.check(h.announceExchange(int(id), int(id)-100, state))
 				groups(rapid.IntRange(0, 20).Draw(t, "free"), 20, 3)
 			case 9:
-				w.passing(time.Duration(rapid.SampledFrom([]int{1, 10, 300, 1000, 5000}).Draw(t, "ms")) * time.Millisecond)
+				checker.advance(time.Duration(rapid.SampledFrom([]int{1, 10, 300, 1000, 5000}).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
 		// everybody gets better: each caller hangs up or is answered, all is released
-		w.passing(10 * time.Second)
+		checker.advance(10 * time.Second)
 		for _, name := range calls {
-			if w.answered[name] != 1 {
-				t.Fatalf("call %s has %d final answers", name, w.answered[name])
+			if checker.answered[name] != 1 {
+				t.Fatalf("call %s has %d final answers", name, checker.answered[name])
 			}
-			if w.stands[name] && !w.left[name] {
-				w.left[name] = true
-				w.see(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: name}))
+			if checker.established[name] && !checker.abandoned[name] {
+				checker.abandoned[name] = true
+				checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name}))
 			}
 		}
-		for round := 0; r.c.Stats().HeldAttempts > 0; round++ {
+		for round := 0; h.controller.Stats().HeldAttempts > 0; round++ {
 			if round > 100 {
-				t.Fatalf("%d attempts are never released", r.c.Stats().HeldAttempts)
+				t.Fatalf("%d attempts are never released", h.controller.Stats().HeldAttempts)
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
-				for _, m := range w.subs[id] {
-					w.see(r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: m.Answer()}))
+				for _, msg := range checker.releases[id] {
+					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.Answer()}))
 				}
-				w.subs[id] = nil
+				checker.releases[id] = nil
 			}
-			w.passing(500 * time.Millisecond)
+			checker.advance(500 * time.Millisecond)
 		}
-		r.t = t
-		r.empty()
+		h.t = t
+		h.requireNothingLeft()
 		// what ended is counted and told, once
-		if got := flow.Counts(*sink); got != *r.c.Counts() {
-			t.Fatalf("told %v, counted %v", got, *r.c.Counts())
+		if got := flow.Counts(*sink); got != *h.controller.Counts() {
+			t.Fatalf("told %v, counted %v", got, *h.controller.Counts())
 		}
-		if s, n := r.c.Stats(), r.c.Counts(); uint64(s.Accepted) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Accepted != len(calls) {
+		if s, n := h.controller.Stats(), h.controller.Counts(); uint64(s.Accepted) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Accepted != len(calls) {
 			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Accepted, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
 		}
 	})
 }
 
 // passing lets time go by while exchanges give signs of life.
-func (w *watcher) passing(d time.Duration) {
-	until := w.r.now + d
-	for w.r.now < until {
+func (checker *ruleChecker) advance(d time.Duration) {
+	until := checker.harness.now + d
+	for checker.harness.now < until {
 		for _, id := range []uint64{100, 101, 102, 103} {
-			if w.up[id] {
-				w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
+			if checker.connected[id] {
+				checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
 			}
 		}
-		step := min(until-w.r.now, 500*time.Millisecond)
-		for end := w.r.now + step; ; {
-			at, ok := w.r.c.NextDeadline()
+		step := min(until-checker.harness.now, 500*time.Millisecond)
+		for end := checker.harness.now + step; ; {
+			at, ok := checker.harness.controller.NextDeadline()
 			if !ok || at > end {
-				w.r.now = end
-				w.see(w.r.in(Input{Kind: InputTimer}))
+				checker.harness.now = end
+				checker.check(checker.harness.handle(Input{Kind: InputTimer}))
 				break
 			}
-			w.r.now = max(w.r.now, at)
-			w.see(w.r.in(Input{Kind: InputTimer}))
+			checker.harness.now = max(checker.harness.now, at)
+			checker.check(checker.harness.handle(Input{Kind: InputTimer}))
 		}
 	}
 }
 
 // answerOne answers the oldest set-up at an exchange, with a note or well.
-func (w *watcher) answerOne(t *rapid.T, id uint64, note string) {
+func (checker *ruleChecker) answerOldest(t *rapid.T, id uint64, note string) {
 	var oldest *signal.Message
-	for _, m := range w.adds[id] {
-		if oldest == nil || m.ID < oldest.ID {
-			oldest = m
+	for _, msg := range checker.setUps[id] {
+		if oldest == nil || msg.ID < oldest.ID {
+			oldest = msg
 		}
 	}
 	if oldest == nil {
 		return
 	}
-	delete(w.adds[id], oldest.ID)
-	a := oldest.Answer()
+	delete(checker.setUps[id], oldest.ID)
+	reply := oldest.Answer()
 	if note != "" {
-		a = oldest.Refuse(signal.NoResources, note).Put("Note", note)
+		reply = oldest.Refuse(signal.NoResources, note).Put("Note", note)
 	}
-	if w.out[oldest.Term] == id {
-		if w.end(oldest.Term, note == "cut"); note == "" {
-			delete(w.blocked, oldest.Term)
+	if checker.inFlight[oldest.Term] == id {
+		if checker.endAttempt(oldest.Term, note == "cut"); note == "" {
+			delete(checker.blockedUntil, oldest.Term)
 		}
 	}
-	w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
+	checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: reply}))
 	if rapid.Bool().Draw(t, "twice") {
-		w.see(w.r.in(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: a}))
+		checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: reply}))
 	}
 }
