--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -13,7 +13,7 @@
 	"dahliaspindle/internal/signal"
 )
 
-// script is a module that does what a test tells it, and keeps what it is told.
+// script is a routing module that responds as a test demands and records its events.
 type script struct {
 	events  []brain.Event
 	respond func(e brain.Event) []brain.Action
@@ -27,6 +27,7 @@
 	return module.respond(e)
 }
 
+// ended returns the reported outcomes of attempts.
 func (module *script) ended() (all []brain.Ended) {
 	for _, e := range module.events {
 		if ended, ok := e.(brain.Ended); ok {
@@ -36,7 +37,7 @@
 	return all
 }
 
-// sendEachTo sends each call once to an exchange.
+// sendEachTo returns a response that sends each call once, to one exchange.
 func sendEachTo(id uint32, timeout time.Duration) func(brain.Event) []brain.Action {
 	return func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
@@ -53,33 +54,45 @@
 	}
 }
 
-// rig is a core with its peers played by the test.
+// harness drives a controller core in virtual time; the test acts as its peers.
 type harness struct {
 	t          failer
 	controller *Controller
 	now        time.Duration
-	effects    []Effect // of the last step
-	lastSent   map[Peer]uint32
+	effects    []Effect        // of the last input
+	lastSent   map[Peer]uint32 // last transaction ID sent by each peer
 }
 
-var testClasses = []brain.Class{{Name: "fetch", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 1},
-	{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 2}}
+var testClasses = []brain.Class{
+	{Name: "fetch", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 1},
+	{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 2},
+}
 
 func newHarness(t failer, module policy.Module) *harness {
 	h := &harness{t: t, now: time.Hour, lastSent: map[Peer]uint32{}}
-	h.controller = New(h.now, Config{Module: module, Classes: testClasses, ExchangeNumber: 0,
-		MaxCalls: 50000, MaxPendingPerCaller: 10000, MaxExchanges: 1000, LinkTimeout: 300 * time.Millisecond, ShutdownGrace: 2 * time.Second,
-		Liveness:     guard.Life{After: time.Second, Lost: 3 * time.Second},
-		ReleaseRetry: guard.Release{Every: time.Second, Tries: 3}, FaultLimit: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
+	h.controller = New(h.now, Config{
+		Module:              module,
+		Classes:             testClasses,
+		ExchangeNumber:      0,
+		MaxCalls:            50000,
+		MaxPendingPerCaller: 10000,
+		MaxExchanges:        1000,
+		LinkTimeout:         300 * time.Millisecond,
+		ShutdownGrace:       2 * time.Second,
+		Liveness:            guard.Life{After: time.Second, Lost: 3 * time.Second},
+		ReleaseRetry:        guard.Release{Every: time.Second, Tries: 3},
+		FaultLimit:          guard.Faults{Most: 20, Each: 100 * time.Millisecond},
+	})
 	return h
 }
 
+// handle passes one input to the core and returns the effects.
 func (h *harness) handle(input Input) []Effect {
 	h.effects = append([]Effect(nil), h.controller.Handle(h.now, input)...)
 	return h.effects
 }
 
-// pass lets time go by in steps as the core asks for, and returns all effects.
+// advance lets time pass in steps that the core's timers set, and returns all effects.
 func (h *harness) advance(d time.Duration) []Effect {
 	var all []Effect
 	end := h.now + d
@@ -97,6 +110,7 @@
 	return all
 }
 
+// receive passes a message of a peer to the core; a request without an ID gets the next one.
 func (h *harness) receive(peer Peer, msg *signal.Message) []Effect {
 	if msg.Kind == signal.Request && msg.ID == 0 {
 		h.lastSent[peer]++
@@ -107,12 +121,15 @@
 
 func callerPeer(n uint64) Peer { return Peer{RoleCaller, n} }
 func exchangePeer(id int) Peer { return Peer{RoleExchange, uint64(id)} }
+
+// addRequest returns the Add of a call of class fetch to exchange 1.
 func addRequest(name string) *signal.Message {
 	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: name}).Put("Class", "fetch").
 		PutInt("Dest", 1).Put("Number", "77").PutSpan("Left", 4*time.Second)
 }
 
-// list tells the core of exchanges: number n has the id 100+n, state in, and its links come up.
+// announceList sends a complete exchange list and connects the links: the exchange
+// with number n has ID 100+n and is in service.
 func (h *harness) announceList(numbers ...int) {
 	msg := &signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}
 	msg.PutFlag("Complete", true)
@@ -125,25 +142,33 @@
 	}
 }
 
+// listEntry returns one entry of an exchange list.
 func listEntry(id, number int, state string) string {
 	return fmt.Sprintf("%d cell=%d state=%s since=0 at=127.0.0.1:%d", id, number, state, id)
 }
 
+// announceExchange sends an incomplete list with one entry.
 func (h *harness) announceExchange(id, number int, state string) []Effect {
-	return h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
-		Put("Exchange", listEntry(id, number, state))})
+	return h.handle(Input{
+		Kind: InputMessage,
+		Peer: Peer{Role: RoleExchangeList},
+		Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+			Put("Exchange", listEntry(id, number, state)),
+	})
 }
 
-// said picks the messages to a peer of a kind and command.
+// messagesTo returns the messages of a kind and command that were sent to a peer.
 func messagesTo(effects []Effect, peer Peer, kind signal.Kind, command signal.Command) (all []*signal.Message) {
 	for _, e := range effects {
-		if e.Kind == EffectSend && e.Peer == peer && e.Message.Kind == kind && (e.Message.Command == command || kind == signal.Pending || kind == signal.Fault) {
+		if e.Kind == EffectSend && e.Peer == peer && e.Message.Kind == kind &&
+			(e.Message.Command == command || kind == signal.Pending || kind == signal.Fault) {
 			all = append(all, e.Message)
 		}
 	}
 	return all
 }
 
+// hasEffect reports whether an effect of a kind concerns a peer.
 func hasEffect(effects []Effect, kind EffectKind, peer Peer) bool {
 	for _, e := range effects {
 		if e.Kind == kind && e.Peer == peer {
@@ -153,62 +178,65 @@
 	return false
 }
 
+// requireOne fails the test unless there is exactly one message, which it returns.
 func requireOne(t failer, description string, all []*signal.Message) *signal.Message {
 	t.Helper()
 	if len(all) != 1 {
-		t.Fatalf("%s: %d messages, want one", description, len(all))
+		t.Fatalf("%s: got %d messages, want 1", description, len(all))
 	}
 	return all[0]
 }
 
-// empty asks that nothing is left of calls and attempts.
+// requireNothingLeft fails the test if the core still holds calls or attempts.
 func (h *harness) requireNothingLeft() {
 	h.t.Helper()
 	s := h.controller.Stats()
 	if s.Pending != 0 || s.Established != 0 || s.HeldAttempts != 0 || len(h.controller.calls) != 0 {
-		h.t.Fatalf("left over: %d open, %d standing, %d held, %d calls", s.Pending, s.Established, s.HeldAttempts, len(h.controller.calls))
+		h.t.Fatalf("not empty: %d pending, %d established, %d attempts held, %d calls", s.Pending, s.Established, s.HeldAttempts, len(h.controller.calls))
 	}
 	for _, caller := range h.controller.callers {
 		if len(caller.pending) != 0 || len(caller.calls) != 0 {
-			h.t.Fatalf("left over with a caller: %d open, %d calls", len(caller.pending), len(caller.calls))
+			h.t.Fatalf("caller not empty: %d pending, %d calls", len(caller.pending), len(caller.calls))
 		}
 	}
 	for _, link := range h.controller.links {
 		if len(link.pending) != 0 || len(link.held) != 0 || len(link.queued) != 0 {
-			h.t.Fatalf("left over on link %d: %d out, %d held, %d waiting", link.id, len(link.pending), len(link.held), len(link.queued))
+			h.t.Fatalf("link %d not empty: %d pending, %d held, %d queued", link.id, len(link.pending), len(link.held), len(link.queued))
 		}
 	}
 }
 
-func TestACallStandsAndEnds(t *testing.T) {
+func TestCallIsEstablishedAndReleased(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	effects := h.receive(callerPeer(1), addRequest("a"))
 	setUp := requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
-	if setUp.Get("From") != "0" || setUp.Get("Dest") != "1" || setUp.Get("Width") != "1" || setUp.Get("Left") != "4s" || setUp.Get("Attempt") != "0" {
-		t.Fatalf("%s", setUp)
+	if setUp.Get("From") != "0" || setUp.Get("Dest") != "1" || setUp.Get("Width") != "1" ||
+		setUp.Get("Left") != "4s" || setUp.Get("Attempt") != "0" {
+		t.Fatalf("unexpected set-up: %s", setUp)
 	}
 	h.now += 50 * time.Millisecond
 	effects = h.receive(exchangePeer(101), setUp.Answer().Put("Group", "1 9 10"))
-	if reply := requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != 0 || reply.Get("Via") != "direct" || reply.Context != setUp.Context {
-		t.Fatalf("%s", reply)
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != 0 ||
+		reply.Get("Via") != "direct" || reply.Context != setUp.Context {
+		t.Fatalf("unexpected final reply: %s", reply)
 	}
 	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-	requireOne(t, "reply to the hang-up", messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract))
+	requireOne(t, "reply to the Subtract", messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract))
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 	if len(module.ended()) != 0 {
-		t.Fatal("the module is told before the exchange has let go")
+		t.Fatal("outcome reported before the exchange has released the call")
 	}
 	h.receive(exchangePeer(101), release.Answer())
 	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OK || !e[0].Final {
-		t.Fatalf("%+v", e)
+		t.Fatalf("reported outcomes %+v, want one final OK", e)
 	}
 	h.requireNothingLeft()
 }
 
-// A caller gives up, or its connection dies, while the attempt is out.
-func TestCallerLeavesWhileAnAttemptIsOut(t *testing.T) {
+// A caller gives up, or its connection closes, while its attempt is in flight.
+func TestCallerLeavesDuringSetUp(t *testing.T) {
 	for _, disconnects := range []bool{false, true} {
 		module := &script{respond: sendEachTo(101, 3*time.Second)}
 		h := newHarness(t, module)
@@ -218,70 +246,71 @@
 		if disconnects {
 			effects = h.handle(Input{Kind: InputDisconnected, Peer: callerPeer(1)})
 			if n := len(messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); n != 0 {
-				t.Fatalf("%d answers to nobody", n)
+				t.Fatalf("%d replies to a closed connection", n)
 			}
 		} else {
 			effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-			if reply := requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Gone {
-				t.Fatalf("%s", reply)
+			if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Gone {
+				t.Fatalf("unexpected final reply: %s", reply)
 			}
 		}
 		requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 		if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.Cancelled || !e[0].Final {
-			t.Fatalf("%+v", e)
+			t.Fatalf("reported outcomes %+v, want one final Cancelled", e)
 		}
-		// the answer crosses the withdrawal: it counts as late and moves nothing
+		// The exchange's reply crosses the release: it counts as late and has no effect.
 		if effects = h.receive(exchangePeer(101), setUp.Answer()); len(effects) != 0 || h.controller.Stats().LateReplies != 1 {
-			t.Fatalf("%+v", effects)
+			t.Fatalf("late reply: effects %+v", effects)
 		}
-		// the release is asked for again until it is answered
-		release := requireOne(t, "repeat", messagesTo(h.advance(1100*time.Millisecond), exchangePeer(101), signal.Request, signal.Subtract))
+		// The release is repeated until it is answered.
+		release := requireOne(t, "repeated release", messagesTo(h.advance(1100*time.Millisecond), exchangePeer(101), signal.Request, signal.Subtract))
 		h.receive(exchangePeer(101), release.Answer())
 		h.requireNothingLeft()
 		for _, e := range h.advance(10 * time.Second) {
 			if e.Kind == EffectSend && e.Message.Command == signal.Add {
-				t.Fatalf("sent after the end: %s", e.Message)
+				t.Fatalf("set-up sent after the call's end: %s", e.Message)
 			}
 		}
 	}
 }
 
-func TestReleasesThatAreNeverAnsweredCloseTheLink(t *testing.T) {
+func TestUnansweredReleasesCloseLink(t *testing.T) {
 	h := newHarness(t, &script{respond: sendEachTo(101, time.Second)})
 	h.announceList(0, 1)
 	h.receive(callerPeer(1), addRequest("a"))
 	closed := false
 	for range 100 {
-		h.handle(Input{Kind: InputMessage, Peer: exchangePeer(101), Message: &signal.Message{Kind: signal.Pending, ID: 99}}) // it lives
+		h.handle(Input{Kind: InputMessage, Peer: exchangePeer(101), Message: &signal.Message{Kind: signal.Pending, ID: 99}}) // sign of life
 		closed = closed || hasEffect(h.advance(200*time.Millisecond), EffectClose, exchangePeer(101))
 	}
 	if !closed {
-		t.Fatal("never closed")
+		t.Fatal("link not closed")
 	}
 	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)})
 	h.requireNothingLeft()
 }
 
-// A drain notice in the middle of set-ups, and one in the very step of a Send.
-func TestDrainNotice(t *testing.T) {
+// An exchange starts draining while one set-up was lost with the link and another
+// waits for it, and the routing module sends a further call to it afterwards.
+func TestDrainingExchangeGetsNoSetUps(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	sent := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("out")), exchangePeer(101), signal.Request, signal.Add))
-	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}) // the first is reset; its link is gone
-	h.receive(callerPeer(1), addRequest("waits"))                     // waits for the link
+	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}) // resets the first attempt
+	h.receive(callerPeer(1), addRequest("waits"))                     // queued for the link
 	if len(h.controller.links[101].queued) != 1 {
-		t.Fatal("does not wait for its link")
+		t.Fatal("set-up not queued for its link")
 	}
 	effects := h.announceExchange(101, 1, "draining")
 	if !hasEffect(effects, EffectBlock, exchangePeer(101)) {
-		t.Fatal("no fence")
+		t.Fatal("set-ups to a draining exchange not blocked")
 	}
-	if reply := requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NoResources {
-		t.Fatalf("%s", reply)
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NoResources {
+		t.Fatalf("unexpected final reply: %s", reply)
 	}
 	h.handle(Input{Kind: InputConnected, Peer: exchangePeer(101)})
-	// the module sends in the same instant all the same: nothing leaves
+	// The routing module sends another call nevertheless: no set-up is sent.
 	if n := len(messagesTo(h.receive(callerPeer(1), addRequest("late")), exchangePeer(101), signal.Request, signal.Add)); n != 0 {
 		t.Fatalf("%d set-ups to a draining exchange", n)
 	}
@@ -293,16 +322,17 @@
 		outcomes = append(outcomes, e.Outcome)
 	}
 	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.Reset, brain.NoConnect, brain.NoConnect}) {
-		t.Fatalf("%v (%s)", outcomes, sent.Term)
+		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Term)
 	}
-	// back in service: the fence is lifted and set-ups leave
+	// Back in service: set-ups are sent again.
 	if !hasEffect(h.announceExchange(101, 1, "in"), EffectUnblock, exchangePeer(101)) {
-		t.Fatal("the fence stays")
+		t.Fatal("set-ups still blocked")
 	}
 	requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("b")), exchangePeer(101), signal.Request, signal.Add))
 }
 
-func TestSetUpsInTheQueueWhenTheFenceShuts(t *testing.T) {
+// A set-up that was queued when its exchange started draining is returned unsent.
+func TestUnsentSetUpToDrainingExchange(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
@@ -310,14 +340,14 @@
 	h.announceExchange(101, 1, "draining")
 	effects := h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp})
 	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.NoConnect {
-		t.Fatalf("%+v", e)
+		t.Fatalf("reported outcomes %+v, want one NoConnect", e)
 	}
-	requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	h.requireNothingLeft()
 }
 
-// Answers after the time-out, twice, to nothing; transaction ids used again.
-func TestAnswersAndIDsThatComeAgain(t *testing.T) {
+// Replies after the time-out, repeated, and to no transaction; transaction IDs used again.
+func TestLateRepliesAndDuplicateTransactionIDs(t *testing.T) {
 	module := &script{respond: sendEachTo(101, time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
@@ -326,32 +356,34 @@
 	again.ID = h.lastSent[callerPeer(1)]
 	effects := h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: again})
 	if replies := messagesTo(effects, callerPeer(1), signal.Pending, ""); len(replies) != 1 || len(effects) != 1 {
-		t.Fatalf("an open id again: %+v", effects)
+		t.Fatalf("ID of a pending transaction used again: %+v", effects)
 	}
 	effects = h.advance(1100 * time.Millisecond)
-	requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	for range 2 {
 		if effects = h.receive(exchangePeer(101), setUp.Answer()); len(effects) != 0 {
-			t.Fatalf("a late answer moves %+v", effects)
+			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
 	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.TimedOut {
-		t.Fatalf("%+v", e)
+		t.Fatalf("reported outcomes %+v, want one TimedOut", e)
 	}
 	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: again})
-	if replies := messagesTo(effects, callerPeer(1), signal.Fault, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier || len(effects) != 1 {
-		t.Fatalf("a closed id again: %+v", effects)
+	if replies := messagesTo(effects, callerPeer(1), signal.Fault, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier ||
+		len(effects) != 1 {
+		t.Fatalf("ID of a completed transaction used again: %+v", effects)
 	}
 	if s := h.controller.Stats(); s.LateReplies != 2 || s.DuplicateIDs != 2 || s.Accepted != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("unexpected counters: %+v", s)
 	}
-	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); requireOne(t, "reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
-		t.Fatalf("%+v", effects)
+	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); requireOne(t, "reply",
+		messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
+		t.Fatalf("Subtract of an unknown call: %+v", effects)
 	}
 }
 
-// A link breaks with 500 set-ups out, of which 200 had not left.
-func TestLinkBreaksWithManyOut(t *testing.T) {
+// A link is lost with 500 attempts, of which 200 set-ups had not been sent.
+func TestLinkLostWithManyAttempts(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
@@ -368,25 +400,25 @@
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
 	for _, e := range module.ended() {
 		if seen[e.ID] {
-			t.Fatalf("call %s is told twice", e.ID)
+			t.Fatalf("two outcomes reported for call %s", e.ID)
 		}
 		seen[e.ID] = true
 		count[e.Outcome]++
 	}
 	if count[brain.Reset] != 300 || count[brain.NoConnect] != 200 || answers != 500 {
-		t.Fatalf("%v, %d answers", count, answers)
+		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 NoConnect and 500 replies", count, answers)
 	}
 	h.requireNothingLeft()
 }
 
-// A call in transit whose source hangs up while the tandem's attempt is out.
-func TestSourceOfTransitHangsUp(t *testing.T) {
+// The source of a call in transit releases it while the tandem's attempt is in flight.
+func TestTransitSourceReleasesDuringSetUp(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	effects := h.receive(callerPeer(7), addRequest("c3-1/3.0").Put("Source", "3"))
 	if event, ok := module.events[len(module.events)-1].(brain.Call); !ok || !event.Transit || event.Through != 3 {
-		t.Fatalf("%+v", module.events)
+		t.Fatalf("events %+v, want a transit call from exchange 3 last", module.events)
 	}
 	requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
 	effects = h.receive(callerPeer(7), &signal.Message{Command: signal.Subtract, Term: "c3-1/3.0"})
@@ -395,6 +427,8 @@
 	h.requireNothingLeft()
 }
 
+// A caller that floods the controller with malformed commands is disconnected; other
+// callers are still served.
 func TestFloodOfMalformedCommands(t *testing.T) {
 	h := newHarness(t, &script{})
 	h.announceList(0, 1)
@@ -405,29 +439,29 @@
 		case hasEffect(effects, EffectClose, callerPeer(5)):
 			closed++
 		case n > 0 && requireOne(t, "error", messagesTo(effects, callerPeer(5), signal.Reply, signal.Add)).ID != uint32(n):
-			t.Fatalf("%+v", effects)
+			t.Fatalf("unexpected reply to a malformed message: %+v", effects)
 		}
 	}
 	if closed < 70 {
-		t.Fatalf("closed %d times", closed)
+		t.Fatalf("connection closed after only %d of 100 messages", closed)
 	}
-	// others are heard all the while
+	// Other callers are still served.
 	if h.receive(callerPeer(6), &signal.Message{Command: signal.AuditValue, Term: signal.Root}); len(h.effects) != 1 {
-		t.Fatalf("%+v", h.effects)
+		t.Fatalf("audit of another caller: effects %+v", h.effects)
 	}
 }
 
-// What own callers offer is measured and told: redials by their number, calls in
-// transit not at all; without a measurement it says so.
-func TestTrafficIsTold(t *testing.T) {
+// An audit of TRAFFIC returns the measured traffic of own callers, and an error
+// while traffic is not measured.
+func TestTrafficAudit(t *testing.T) {
 	h := newHarness(t, &script{respond: sendEachTo(101, 3*time.Second)})
-	ask := &signal.Message{Command: signal.AuditValue, Term: trafficTerm}
-	if reply := requireOne(t, "answer", messagesTo(h.receive(callerPeer(1), ask), callerPeer(1), signal.Reply, signal.AuditValue)); reply.Code != signal.BadValue {
-		t.Fatalf("%s", reply)
+	audit := &signal.Message{Command: signal.AuditValue, Term: trafficTerm}
+	if reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), audit), callerPeer(1), signal.Reply, signal.AuditValue)); reply.Code != signal.BadValue {
+		t.Fatalf("audit without a measurement: %s", reply)
 	}
 	h.controller.config.TrafficMeter = measure.NewLive(h.now, 10*time.Minute, 9*time.Second)
 	h.announceList(0, 1)
-	for i := range 61 { // a call each 10 s that stands for 5: half an erlang
+	for i := range 61 { // a call of 5 s every 10 s: 0.5 Erlang
 		msg := addRequest(fmt.Sprint("c", i))
 		msg.Fields[2].Value = fmt.Sprint(1000 + i)
 		setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), msg), exchangePeer(101), signal.Request, signal.Add))
@@ -436,13 +470,13 @@
 		release := requireOne(t, "release", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: msg.Term}), exchangePeer(101), signal.Request, signal.Subtract))
 		h.receive(exchangePeer(101), release.Answer())
 		h.advance(5 * time.Second)
-		for _, e := range h.effects { // signs of life keep the links up
+		for _, e := range h.effects { // answer the probes, so that the links stay connected
 			if e.Kind == EffectSend && e.Message.Command == signal.AuditValue && e.Message.Kind == signal.Request {
 				h.receive(e.Peer, e.Message.Answer())
 			}
 		}
 	}
-	reply := requireOne(t, "answer", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.AuditValue, Term: trafficTerm}), callerPeer(1), signal.Reply, signal.AuditValue))
+	reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.AuditValue, Term: trafficTerm}), callerPeer(1), signal.Reply, signal.AuditValue))
 	var dest, tries, first, lost int
 	var class string
 	var erlang, low, high float64
@@ -450,28 +484,30 @@
 		t.Fatalf("%s: %v", reply, err)
 	}
 	if dest != 1 || class != "fetch" || tries != 60 && tries != 61 || first != tries || lost != 0 || erlang < 0.47 || erlang > 0.53 || low > 0.5 || high < 0.5 {
-		t.Errorf("%s", reply)
+		t.Errorf("unexpected traffic estimate: %s", reply)
 	}
 }
 
-func TestTenThousandOpenTransactions(t *testing.T) {
+// A caller with the maximum number of pending calls gets no more; another caller does.
+func TestPendingLimitPerCaller(t *testing.T) {
 	h := newHarness(t, &script{})
 	h.announceList(0, 1)
 	for n := range 10000 {
 		h.receive(callerPeer(1), addRequest(fmt.Sprint("c", n)))
 	}
 	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("more")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.TooManyOpen || reply.Get("Taken") != "no" {
-		t.Fatalf("%s", reply)
+		t.Fatalf("unexpected reply over the limit: %s", reply)
 	}
 	if s := h.controller.Stats(); s.Accepted != 10000 || s.AddsRejected != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("unexpected counters: %+v", s)
 	}
 	if effects := h.receive(callerPeer(2), addRequest("other")); len(messagesTo(effects, callerPeer(2), signal.Reply, signal.Add)) != 0 {
-		t.Fatal("another caller is refused too")
+		t.Fatal("limit of one caller applied to another caller")
 	}
 }
 
-func TestBadAddsAreNotTaken(t *testing.T) {
+// An Add with a missing or invalid descriptor is rejected and the reply names the descriptor.
+func TestInvalidAddsAreRejected(t *testing.T) {
 	module := &script{}
 	h := newHarness(t, module)
 	cases := map[string]*signal.Message{
@@ -482,93 +518,99 @@
 		"Number": {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
 		"Source": addRequest("a").Put("Source", "x"),
 	}
-	for place, reply := range cases {
-		effects := h.receive(callerPeer(1), reply)
-		if e := requireOne(t, place, messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); e.Code == 0 || !strings.Contains(e.Text, place) || e.Get("Taken") != "no" {
-			t.Errorf("%s: %s", place, e)
+	for descriptor, request := range cases {
+		effects := h.receive(callerPeer(1), request)
+		if reply := requireOne(t, descriptor, messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code == 0 ||
+			!strings.Contains(reply.Text, descriptor) || reply.Get("Taken") != "no" {
+			t.Errorf("invalid %s: %s", descriptor, reply)
 		}
 	}
 	if len(module.events) != 0 {
-		t.Fatalf("the module was told %v", module.events)
+		t.Fatalf("events of rejected calls: %v", module.events)
 	}
 }
 
-// The list is away at the start, comes, goes, and comes back with other ids.
-func TestListComesAndGoes(t *testing.T) {
+// The exchange list is unreachable at the start, connects, disconnects, and comes
+// back with other IDs for the same numbers.
+func TestExchangeListReconnectsWithNewIDs(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
-	effects := h.receive(callerPeer(1), addRequest("early")) // nothing is known yet
-	requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
+	effects := h.receive(callerPeer(1), addRequest("early")) // no exchange is known yet
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputDisconnected, Peer: Peer{Role: RoleExchangeList}})
 	h.receive(exchangePeer(101), setUp.Answer()) // the last list stays in force
 	h.handle(Input{Kind: InputConnected, Peer: Peer{Role: RoleExchangeList}})
-	w := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
+	update := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
 		Put("Exchange", listEntry(200, 0, "in")).Put("Exchange", listEntry(201, 1, "in"))
-	effects = h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: w})
-	if !hasEffect(effects, EffectConnect, exchangePeer(201)) || !hasEffect(effects, EffectBlock, exchangePeer(101)) || hasEffect(effects, EffectDisconnect, exchangePeer(101)) {
-		t.Fatalf("%+v", effects)
+	effects = h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: update})
+	if !hasEffect(effects, EffectConnect, exchangePeer(201)) || !hasEffect(effects, EffectBlock, exchangePeer(101)) ||
+		hasEffect(effects, EffectDisconnect, exchangePeer(101)) {
+		t.Fatalf("effects of the new list: %+v", effects)
 	}
-	// the call that stands at the old one ends there; then its link is dropped
+	// The call established at the old exchange ends there; then the link is removed.
 	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
 	effects = h.receive(exchangePeer(101), requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract)).Answer())
 	if !hasEffect(effects, EffectDisconnect, exchangePeer(101)) || h.controller.links[101] != nil {
-		t.Fatal("the old link is kept")
+		t.Fatal("unused link of a delisted exchange not removed")
 	}
 	bad := (&signal.Message{ID: 2, Command: signal.Notify, Term: signal.Root}).Put("Exchange", "7 cell=x")
 	if reply := requireOne(t, "error", messagesTo(h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: bad}), Peer{Role: RoleExchangeList}, signal.Reply, signal.Notify)); reply.Code != signal.BadValue {
-		t.Fatalf("%s", reply)
+		t.Fatalf("unexpected reply to an invalid list: %s", reply)
 	}
 }
 
-func TestHalfOpenPeerIsFoundAndCut(t *testing.T) {
+// A peer that does not answer the probes is disconnected.
+func TestHalfOpenLinkIsClosed(t *testing.T) {
 	h := newHarness(t, &script{respond: sendEachTo(101, 9*time.Second)})
 	h.announceList(0, 1)
 	h.receive(callerPeer(1), addRequest("a"))
 	effects := h.advance(3500 * time.Millisecond)
 	if n := len(messagesTo(effects, exchangePeer(101), signal.Request, signal.AuditValue)); n < 1 || n > 3 {
-		t.Fatalf("%d signs of life asked for", n)
+		t.Fatalf("%d probes sent, want 1 to 3", n)
 	}
 	if !hasEffect(effects, EffectClose, exchangePeer(101)) {
-		t.Fatal("the silent link stays")
+		t.Fatal("link to an unresponsive peer not closed")
 	}
 }
 
-func TestLeaveAnswersAndEnds(t *testing.T) {
+// A shutdown rejects new calls, lets pending calls complete, and cuts established
+// calls after the grace.
+func TestShutdownEndsAllCalls(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("stands")), exchangePeer(101), signal.Request, signal.Add))
 	h.receive(exchangePeer(101), setUp.Answer())
-	out := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("out")), exchangePeer(101), signal.Request, signal.Add))
+	pending := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("out")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputShutdown})
 	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("new")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NotReady || reply.Get("Taken") != "no" {
-		t.Fatalf("%s", reply)
+		t.Fatalf("unexpected reply during the shutdown: %s", reply)
 	}
-	h.receive(exchangePeer(101), out.Refuse(signal.NoResources, "").Put("Note", "processor-full"))
+	h.receive(exchangePeer(101), pending.Refuse(signal.NoResources, "").Put("Note", "processor-full"))
 	all := h.advance(2100 * time.Millisecond)
-	notice := requireOne(t, "notice", messagesTo(all, callerPeer(1), signal.Request, signal.Notify))
+	notice := requireOne(t, "notification", messagesTo(all, callerPeer(1), signal.Request, signal.Notify))
 	if notice.Get("Event") != "cut" {
-		t.Fatalf("%s", notice)
+		t.Fatalf("unexpected notification: %s", notice)
 	}
 	release := requireOne(t, "release", messagesTo(all, exchangePeer(101), signal.Request, signal.Subtract))
 	if !hasEffect(h.receive(exchangePeer(101), release.Answer()), EffectStopped, Peer{}) {
-		t.Fatal("does not leave")
+		t.Fatal("shutdown not completed")
 	}
 	h.requireNothingLeft()
 }
 
-// fataler is a test, or a check of one property.
+// failer is implemented by *testing.T, *testing.B and *rapid.T.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// A call that is answered by its exchange only after those that stood were cut
-// is cut as well, and does not keep the controller.
-func TestCallThatStandsLateDoesNotKeepALeavingController(t *testing.T) {
+// A call that becomes established only after the established calls were cut is cut
+// as well, and does not block the shutdown.
+func TestCallEstablishedDuringShutdownIsCut(t *testing.T) {
 	h := newHarness(t, &script{respond: sendEachTo(101, 9*time.Second)})
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("late")), exchangePeer(101), signal.Request, signal.Add))
@@ -576,19 +618,20 @@
 	h.advance(2500 * time.Millisecond)
 	h.receive(exchangePeer(101), setUp.Answer())
 	effects := h.advance(300 * time.Millisecond)
-	requireOne(t, "notice", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify))
+	requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify))
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 	if !hasEffect(h.receive(exchangePeer(101), release.Answer()), EffectStopped, Peer{}) {
-		t.Fatal("does not leave")
+		t.Fatal("shutdown not completed")
 	}
 	h.requireNothingLeft()
 }
 
-func TestModuleThatSendsTwiceIsNotObeyed(t *testing.T) {
+// A second Send for a call with an attempt in flight is ignored.
+func TestSecondSendIsIgnored(t *testing.T) {
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		if event, ok := e.(brain.Call); ok {
-			s := brain.Send{ID: event.ID, Exchange: 101, Timeout: time.Second}
-			return []brain.Action{s, s}
+			send := brain.Send{ID: event.ID, Exchange: 101, Timeout: time.Second}
+			return []brain.Action{send, send}
 		}
 		return nil
 	}}
@@ -596,12 +639,13 @@
 	h.announceList(0, 1)
 	requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	if len(module.ended()) != 0 {
-		t.Fatalf("the attempt that is out is told as over: %+v", module.ended())
+		t.Fatalf("outcome reported for an attempt in flight: %+v", module.ended())
 	}
 }
 
-// The module gives up while its attempt is out: one answer, and the attempt is withdrawn.
-func TestGiveUpWithdrawsWhatIsOut(t *testing.T) {
+// The routing module gives up a call with an attempt in flight: the caller gets one
+// final reply and the attempt is withdrawn.
+func TestGiveUpWithdrawsAttempt(t *testing.T) {
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
@@ -615,30 +659,30 @@
 	h.announceList(0, 1)
 	h.receive(callerPeer(1), addRequest("a"))
 	effects := h.advance(1100 * time.Millisecond)
-	if reply := requireOne(t, "answer", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Unavailable {
-		t.Fatalf("%s", reply)
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Unavailable {
+		t.Fatalf("unexpected final reply: %s", reply)
 	}
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 	h.receive(exchangePeer(101), release.Answer())
 	if e := module.ended(); len(e) != 1 || !e[0].Final {
-		t.Fatalf("told %+v, want one end", e)
+		t.Fatalf("reported outcomes %+v, want one final outcome", e)
 	}
 	h.requireNothingLeft()
 }
 
-// A call that stands is over when its link breaks, and its caller hears so.
-func TestBrokenLinkCutsWhatStands(t *testing.T) {
+// An established call ends when its link is lost, and its caller is notified.
+func TestLostLinkCutsEstablishedCalls(t *testing.T) {
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.receive(exchangePeer(101), setUp.Answer())
 	effects := h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)})
-	if notice := requireOne(t, "notice", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Term != "a" {
-		t.Fatalf("%s", notice)
+	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Term != "a" {
+		t.Fatalf("unexpected notification: %s", notice)
 	}
 	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.Reset || !e[0].Final {
-		t.Fatalf("%+v", e)
+		t.Fatalf("reported outcomes %+v, want one final Reset", e)
 	}
 	h.requireNothingLeft()
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -12,26 +12,29 @@
 	"dahliaspindle/internal/signal"
 )
 
-// tally counts the records that it takes.
+// recordCounter is a flow sink that counts the records.
 type recordCounter flow.Counts
 
-func (t *recordCounter) Put(r *flow.Record) { *(*flow.Counts)(t).At(r)++ }
+func (c *recordCounter) Put(r *flow.Record) { *(*flow.Counts)(c).At(r)++ }
 
-// watcher holds the core's effects against the rules, as they come.
+// ruleChecker checks the effects of the core against the rules of a call's life: one
+// final reply, one attempt at a time, no set-up after the end, to a draining exchange,
+// over a lost link, or before the release time.
 type ruleChecker struct {
 	t            *rapid.T
 	harness      *harness
-	answered     map[string]int                        // final answers by call
-	abandoned    map[string]bool                       // callers who hung up
-	inFlight     map[string]uint64                     // attempt that is out: its exchange
-	setUps       map[uint64]map[uint32]*signal.Message // unanswered set-ups at each exchange
-	releases     map[uint64][]*signal.Message          // unanswered releases
+	answered     map[string]int                        // number of final replies by call
+	abandoned    map[string]bool                       // calls released by their callers
+	inFlight     map[string]uint64                     // exchange ID of the attempt in flight, by call
+	setUps       map[uint64]map[uint32]*signal.Message // unanswered set-ups by exchange and transaction
+	releases     map[uint64][]*signal.Message          // unanswered releases by exchange
 	established  map[string]bool
-	blockedUntil map[string]time.Duration
+	blockedUntil map[string]time.Duration // end of the release time, by call
 	draining     map[uint64]bool
 	connected    map[uint64]bool
 }
 
+// check fails the test if an effect breaks a rule.
 func (checker *ruleChecker) check(effects []Effect) {
 	for _, e := range effects {
 		id := e.Peer.ID
@@ -52,23 +55,23 @@
 		switch {
 		case e.Peer.Role == RoleCaller && msg.Kind == signal.Reply && msg.Command == signal.Add:
 			if checker.answered[msg.Term]++; checker.answered[msg.Term] > 1 {
-				checker.t.Fatalf("call %s is answered twice", msg.Term)
+				checker.t.Fatalf("call %s got two final replies", msg.Term)
 			}
 			checker.established[msg.Term] = msg.Code == 0
 		case e.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Add:
 			switch {
 			case checker.answered[msg.Term] > 0 || checker.abandoned[msg.Term]:
-				checker.t.Fatalf("call %s is sent after its end", msg.Term)
+				checker.t.Fatalf("call %s sent after its end", msg.Term)
 			case checker.inFlight[msg.Term] != 0:
-				checker.t.Fatalf("call %s has two attempts out", msg.Term)
+				checker.t.Fatalf("call %s has two attempts in flight", msg.Term)
 			case checker.draining[id]:
-				checker.t.Fatalf("call %s is sent to %d, which drains", msg.Term, id)
+				checker.t.Fatalf("call %s sent to draining exchange %d", msg.Term, id)
 			case !checker.connected[id]:
-				checker.t.Fatalf("call %s is sent over a link that is down", msg.Term)
+				checker.t.Fatalf("call %s sent over a link that is down", msg.Term)
 			case checker.harness.now < checker.blockedUntil[msg.Term]:
-				checker.t.Fatalf("call %s is sent %v before the release time", msg.Term, checker.blockedUntil[msg.Term]-checker.harness.now)
+				checker.t.Fatalf("call %s sent %v before the end of the release time", msg.Term, checker.blockedUntil[msg.Term]-checker.harness.now)
 			case e.Deadline <= checker.harness.now:
-				checker.t.Fatalf("call %s is sent with no time", msg.Term)
+				checker.t.Fatalf("call %s sent after its deadline", msg.Term)
 			}
 			checker.inFlight[msg.Term] = id
 			checker.setUps[id][msg.ID] = msg
@@ -81,13 +84,16 @@
 	}
 }
 
-func (checker *ruleChecker) endAttempt(call string, unclear bool) {
+// endAttempt removes the attempt in flight. With an unknown outcome, the call must not
+// be sent again before the release time is over.
+func (checker *ruleChecker) endAttempt(call string, unknown bool) {
 	delete(checker.inFlight, call)
-	if unclear {
+	if unknown {
 		checker.blockedUntil[call] = checker.harness.now + 300*time.Millisecond
 	}
 }
 
+// disconnect closes the link to an exchange, which then forgets its attempts.
 func (checker *ruleChecker) disconnect(id uint64) {
 	if !checker.connected[id] {
 		return
@@ -102,50 +108,74 @@
 	checker.check(checker.harness.handle(Input{Kind: InputDisconnected, Peer: Peer{RoleExchange, id}}))
 }
 
-// TestRulesWhateverHappens plays random callers, exchanges, links and lists to
-// the core with the module, and asks for the rules and for nothing left over.
-func TestRulesWhateverHappens(t *testing.T) {
+// TestCallRulesUnderRandomEvents drives the core and the routing module with random
+// events of callers, exchanges, links and the exchange list. All rules must hold, and
+// nothing may be left over at the end.
+func TestCallRulesUnderRandomEvents(t *testing.T) {
 	notes := []string{"no-circuit", "turned-back", "processor-full", "lines-busy", "cut", "fault", "own-processor", "turned-back-processor", "none"}
 	rapid.Check(t, func(t *rapid.T) {
-		set := brain.Settings{Seed: rapid.Uint64().Draw(t, "seed"), Self: 0, Controllers: 4, Classes: testClasses,
-			ReleaseWait: 300 * time.Millisecond, DrainGrace: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
-			ColdFrom: 0.3, ColdFor: 10 * time.Second, OverloadFactor: 2.5, OverloadFor: 3 * time.Second,
-			MaxAttempts: 6, Cancelling: true, Tick: time.Millisecond}
-		h := newHarness(t, brain.New(set))
+		settings := brain.Settings{
+			Seed:           rapid.Uint64().Draw(t, "seed"),
+			Self:           0,
+			Controllers:    4,
+			Classes:        testClasses,
+			ReleaseWait:    300 * time.Millisecond,
+			DrainGrace:     250 * time.Millisecond,
+			AnswerSlack:    20 * time.Millisecond,
+			ColdFrom:       0.3,
+			ColdFor:        10 * time.Second,
+			OverloadFactor: 2.5,
+			OverloadFor:    3 * time.Second,
+			MaxAttempts:    6,
+			Cancelling:     true,
+			Tick:           time.Millisecond,
+		}
+		h := newHarness(t, brain.New(settings))
 		sink := &recordCounter{}
 		h.controller.config.FlowSink = sink
-		checker := &ruleChecker{t: t, harness: h, answered: map[string]int{}, abandoned: map[string]bool{}, inFlight: map[string]uint64{},
-			setUps: map[uint64]map[uint32]*signal.Message{}, releases: map[uint64][]*signal.Message{}, established: map[string]bool{},
-			blockedUntil: map[string]time.Duration{}, draining: map[uint64]bool{}, connected: map[uint64]bool{}}
+		checker := &ruleChecker{
+			t:            t,
+			harness:      h,
+			answered:     map[string]int{},
+			abandoned:    map[string]bool{},
+			inFlight:     map[string]uint64{},
+			setUps:       map[uint64]map[uint32]*signal.Message{},
+			releases:     map[uint64][]*signal.Message{},
+			established:  map[string]bool{},
+			blockedUntil: map[string]time.Duration{},
+			draining:     map[uint64]bool{},
+			connected:    map[uint64]bool{},
+		}
 		h.announceList(0, 1, 2, 3)
 		for _, id := range []uint64{100, 101, 102, 103} {
 			checker.connected[id], checker.setUps[id] = true, map[uint32]*signal.Message{}
 		}
-		groups := func(free ...int) {
+		reportGroups := func(free ...int) {
 			msg := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
-			for i, f := range free {
-				msg.Put("Group", fmt.Sprintf("%d %d 20", i+1, f))
+			for i, circuits := range free {
+				msg.Put("Group", fmt.Sprintf("%d %d 20", i+1, circuits))
 			}
 			checker.check(h.handle(Input{Kind: InputMessage, Peer: exchangePeer(100), Message: msg}))
 		}
-		groups(20, 20, 20)
+		reportGroups(20, 20, 20)
 		var calls []string
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			id := rapid.Uint64Range(101, 103).Draw(t, "exchange")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				name := fmt.Sprint("c", len(calls))
 				calls = append(calls, name)
 				msg := &signal.Message{Command: signal.Add, Term: name}
 				msg.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
-				msg.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
+				msg.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).
+					PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
 				if rapid.Bool().Draw(t, "transit") {
 					msg.PutInt("Source", 9)
 				}
 				checker.check(h.receive(callerPeer(1), msg))
 			case 3:
 				if len(calls) > 0 {
-					name := rapid.SampledFrom(calls).Draw(t, "hangs up")
+					name := rapid.SampledFrom(calls).Draw(t, "released call")
 					checker.abandoned[name] = true
 					checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name}))
 				}
@@ -167,16 +197,17 @@
 			case 8:
 				state := rapid.SampledFrom([]string{"in", "draining"}).Draw(t, "state")
 				checker.check(h.announceExchange(int(id), int(id)-100, state))
-				groups(rapid.IntRange(0, 20).Draw(t, "free"), 20, 3)
+				reportGroups(rapid.IntRange(0, 20).Draw(t, "free"), 20, 3)
 			case 9:
 				checker.advance(time.Duration(rapid.SampledFrom([]int{1, 10, 300, 1000, 5000}).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		// everybody gets better: each caller hangs up or is answered, all is released
+		// Each pending call gets its final reply, each established call is released,
+		// and the exchanges answer all releases.
 		checker.advance(10 * time.Second)
 		for _, name := range calls {
 			if checker.answered[name] != 1 {
-				t.Fatalf("call %s has %d final answers", name, checker.answered[name])
+				t.Fatalf("call %s has %d final replies, want 1", name, checker.answered[name])
 			}
 			if checker.established[name] && !checker.abandoned[name] {
 				checker.abandoned[name] = true
@@ -185,7 +216,7 @@
 		}
 		for round := 0; h.controller.Stats().HeldAttempts > 0; round++ {
 			if round > 100 {
-				t.Fatalf("%d attempts are never released", h.controller.Stats().HeldAttempts)
+				t.Fatalf("%d attempts not released", h.controller.Stats().HeldAttempts)
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
 				for _, msg := range checker.releases[id] {
@@ -197,23 +228,28 @@
 		}
 		h.t = t
 		h.requireNothingLeft()
-		// what ended is counted and told, once
+		// Each call and attempt is counted and recorded exactly once.
 		if got := flow.Counts(*sink); got != *h.controller.Counts() {
-			t.Fatalf("told %v, counted %v", got, *h.controller.Counts())
+			t.Fatalf("recorded %v, counted %v", got, *h.controller.Counts())
 		}
-		if s, n := h.controller.Stats(), h.controller.Counts(); uint64(s.Accepted) != n.Sum(flow.Call) || uint64(s.Attempts) != n.Sum(flow.Attempt) || s.Accepted != len(calls) {
-			t.Fatalf("%d calls and %d attempts, counted %d and %d", s.Accepted, s.Attempts, n.Sum(flow.Call), n.Sum(flow.Attempt))
+		if stats, counts := h.controller.Stats(), h.controller.Counts(); uint64(stats.Accepted) != counts.Sum(flow.Call) ||
+			uint64(stats.Attempts) != counts.Sum(flow.Attempt) || stats.Accepted != len(calls) {
+			t.Fatalf("%d calls and %d attempts, counted %d and %d", stats.Accepted, stats.Attempts, counts.Sum(flow.Call), counts.Sum(flow.Attempt))
 		}
 	})
 }
 
-// passing lets time go by while exchanges give signs of life.
+// advance lets time pass while the connected exchanges send signs of life.
 func (checker *ruleChecker) advance(d time.Duration) {
 	until := checker.harness.now + d
 	for checker.harness.now < until {
 		for _, id := range []uint64{100, 101, 102, 103} {
 			if checker.connected[id] {
-				checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30}}))
+				checker.check(checker.harness.handle(Input{
+					Kind:    InputMessage,
+					Peer:    Peer{RoleExchange, id},
+					Message: &signal.Message{Kind: signal.Pending, ID: 1 << 30},
+				}))
 			}
 		}
 		step := min(until-checker.harness.now, 500*time.Millisecond)
@@ -230,7 +266,8 @@
 	}
 }
 
-// answerOne answers the oldest set-up at an exchange, with a note or well.
+// answerOldest answers the oldest set-up at an exchange, as failed if there is a note;
+// sometimes it repeats the reply.
 func (checker *ruleChecker) answerOldest(t *rapid.T, id uint64, note string) {
 	var oldest *signal.Message
 	for _, msg := range checker.setUps[id] {
@@ -252,7 +289,7 @@
 		}
 	}
 	checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: reply}))
-	if rapid.Bool().Draw(t, "twice") {
+	if rapid.Bool().Draw(t, "repeated reply") {
 		checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: reply}))
 	}
 }
