--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -41,23 +41,23 @@
 }
 
 // startAttempt carries out a Send of the routing module.
-func (c *Controller) startAttempt(send brain.Send) {
-	call := c.calls[send.ID]
+func (c *Controller) startAttempt(send brain.StartAttempt) {
+	call := c.calls[send.CallID]
 	if call == nil || call.state != statePending || call.attempt != nil && !call.attempt.reported {
 		// The call has ended or has an attempt in flight: logged, not sent.
-		c.log(slog.LevelError, send.ID, "the routing module sent a call that has ended or has an attempt in flight")
+		c.log(slog.LevelError, send.CallID, "the routing module sent a call that has ended or has an attempt in flight")
 		if call != nil && call.state == statePending {
 			return
 		}
-		c.notifyModule(brain.Ended{ID: send.ID, Exchange: send.Exchange, Outcome: brain.Moot, Final: true})
+		c.notifyModule(brain.AttemptEnded{CallID: send.CallID, ExchangeID: send.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
 		return
 	}
 	c.stats.Attempts++
 	attempt := &attempt{
 		call:       call,
 		number:     call.attempts,
-		exchangeID: send.Exchange,
-		link:       c.links[uint64(send.Exchange)],
+		exchangeID: send.ExchangeID,
+		link:       c.links[uint64(send.ExchangeID)],
 		startedAt:  c.now,
 		deadline:   c.now + send.Timeout,
 	}
@@ -68,7 +68,7 @@
 	}
 	switch {
 	case attempt.link == nil || attempt.link.blocked:
-		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
 	case attempt.link.state.connected:
 		c.sendSetUp(attempt)
 	default:
@@ -116,10 +116,10 @@
 	case stageQueued:
 		attempt.link.queued = removeAttempt(attempt.link.queued, attempt)
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
 	case stageSent:
 		c.stats.TimedOut++
-		c.withdrawAttempt(attempt, brain.TimedOut)
+		c.withdrawAttempt(attempt, brain.OutcomeTimedOut)
 	case stageReleasing:
 		retryAt, lost := c.config.ReleaseRetry.Next(c.now, attempt.releaseRequests)
 		if lost {
@@ -209,18 +209,18 @@
 		c.stats.Established--
 		call.state = stateEnded
 	}
-	event := brain.Ended{
-		ID:       call.id,
-		Attempt:  attempt.number,
-		Exchange: attempt.exchangeID,
-		Outcome:  outcome,
-		After:    c.now - attempt.startedAt,
-		Final:    call.state == stateEnded,
+	event := brain.AttemptEnded{
+		CallID:     call.id,
+		Attempt:    attempt.number,
+		ExchangeID: attempt.exchangeID,
+		Outcome:    outcome,
+		Elapsed:    c.now - attempt.startedAt,
+		Final:      call.state == stateEnded,
 	}
 	c.recordAttemptEnd(attempt, event.Outcome, &reply)
 	call.failureNote = ""
 	if reply.Kind == signal.Reply {
-		event.Note, event.Wait = processorNote(&reply)
+		event.Note, event.RetryAfter = processorNote(&reply)
 		event.Report = c.parseReport(&reply)
 		call.failureNote = reply.Get("Note")
 	}
@@ -228,9 +228,9 @@
 		call.attempt = nil
 	}
 	switch outcome {
-	case brain.Reset:
+	case brain.OutcomeReset:
 		c.stats.Reset++
-	case brain.Cancelled:
+	case brain.OutcomeCancelled:
 		c.stats.Cancelled++
 	}
 	c.notifyModule(event)
@@ -256,8 +256,8 @@
 	c.timers.Stop(attempt.timer)
 	if call.state != statePending { // the caller left, and the routing module did not cancel the attempt
 		attempt.reported = true
-		c.notifyModule(brain.Standing{ID: call.id, Attempt: attempt.number, Exchange: attempt.exchangeID, After: c.now - attempt.startedAt})
-		attempt.reported, attempt.outcome = false, brain.OK
+		c.notifyModule(brain.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
+		attempt.reported, attempt.outcome = false, brain.OutcomeCompleted
 		c.startRelease(attempt, 0)
 		return
 	}
@@ -277,7 +277,7 @@
 	if c.config.InterimInterval > 0 {
 		c.timers.Set(c.now+c.config.InterimInterval, timer{interimCall: call})
 	}
-	c.notifyModule(brain.Standing{ID: call.id, Attempt: attempt.number, Exchange: attempt.exchangeID, After: c.now - attempt.startedAt})
+	c.notifyModule(brain.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
 }
 
 // handleExchangeMessage handles a message of an exchange.
@@ -328,13 +328,13 @@
 		if call == nil || call.name != msg.Term || call.attempt == nil || call.attempt.link != link {
 			return
 		}
-		outcome := brain.OK
+		outcome := brain.OutcomeCompleted
 		if msg.Get("Event") == "cut" {
-			outcome = brain.Reset
+			outcome = brain.OutcomeReset
 		}
 		switch attempt := call.attempt; {
 		case call.state == stateEstablished:
-			if outcome == brain.Reset {
+			if outcome == brain.OutcomeReset {
 				c.stats.Cut++
 				c.recordCallEnd(call, flow.Cut)
 				c.notifyCaller(call, "cut")
@@ -348,7 +348,7 @@
 			}
 			c.finishAttempt(attempt, outcome, signal.Message{}) // the exchange has already released it
 		case attempt.stage == stageSent:
-			c.finishAttempt(attempt, brain.Reset, signal.Message{})
+			c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
 		case attempt.stage == stageReleasing:
 			c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 		}
@@ -365,7 +365,7 @@
 	case attempt == nil:
 	case attempt.stage == stageSent:
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
 	case attempt.stage == stageReleasing: // recalled before it was sent: there is nothing to release
 		c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 	}
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -23,7 +23,7 @@
 	pending      map[uint32]*call // unanswered Adds by transaction
 	calls        map[string]*call // pending and established calls by name
 	lastSent     uint32           // last transaction ID sent
-	faults       guard.Faults
+	faults       guard.FaultLimiter
 }
 
 // isPending reports whether a transaction is an unanswered Add.
@@ -146,7 +146,7 @@
 	}
 	call.context, call.id = c.lastContext, contextID(c.lastContext)
 	call.name, call.caller, call.transaction, call.acceptedAt = msg.Term, caller, msg.ID, c.now
-	call.deadline = c.now + event.Left
+	call.deadline = c.now + event.Remaining
 	event.ID = call.id
 	caller.pending[msg.ID], caller.calls[msg.Term], c.calls[call.id] = call, call, call
 	c.stats.Accepted++
@@ -166,40 +166,40 @@
 
 // parseCall reads an Add.
 func (c *Controller) parseCall(msg *signal.Message) (*call, brain.Call, error) {
-	call, event := &call{number: msg.Get("Number")}, brain.Call{Through: -1}
+	call, event := &call{number: msg.Get("Number")}, brain.Call{Via: -1}
 	class, ok := c.classIndex[msg.Get("Class")]
 	if !ok {
 		return nil, event, fmt.Errorf("descriptor Class: %.40q is not one of this network's", msg.Get("Class"))
 	}
 	call.class, event.Class = class, class
 	var err error
-	if event.Left, err = msg.Span("Left"); err != nil {
+	if event.Remaining, err = msg.Span("Left"); err != nil {
 		return nil, event, err
 	}
-	if event.Dest, err = msg.Int("Dest", 0, maxExchangeNumber); err != nil {
+	if event.Destination, err = msg.Int("Dest", 0, maxExchangeNumber); err != nil {
 		return nil, event, err
 	}
 	if event.Width, err = msg.IntOr("Width", 1, maxCircuitsPerCall, c.config.Classes[class].Width); err != nil {
 		return nil, event, err
 	}
 	if call.number != "" {
-		if event.Number, err = strconv.ParseUint(call.number, 10, 53); err != nil {
+		if event.CalledNumber, err = strconv.ParseUint(call.number, 10, 53); err != nil {
 			return nil, event, fmt.Errorf("descriptor Number: %.40q is not a number below 2^53", call.number)
 		}
-		event.Numbered = true
+		event.HasCalledNumber = true
 	}
 	name := "Advice" // the tandem with the most free circuits; for a call in transit, the exchange where it originates
 	if event.Transit = msg.Get("Source") != ""; event.Transit {
 		name = "Source"
 	}
-	if event.Through, err = msg.IntOr(name, 0, maxExchangeNumber, -1); err != nil {
+	if event.Via, err = msg.IntOr(name, 0, maxExchangeNumber, -1); err != nil {
 		return nil, event, err
 	}
-	event.Repeat, event.Again = msg.Flag("Repeat"), msg.Flag("Again")
-	call.circuits, call.destination, call.transit, call.again = event.Width, event.Dest, event.Transit, event.Again
-	call.calledNumber, call.repeat, call.sourceExchange = event.Number, event.Repeat || event.Again, c.config.ExchangeNumber
+	event.Repeat, event.Reconnect = msg.Flag("Repeat"), msg.Flag("Again")
+	call.circuits, call.destination, call.transit, call.again = event.Width, event.Destination, event.Transit, event.Reconnect
+	call.calledNumber, call.repeat, call.sourceExchange = event.CalledNumber, event.Repeat || event.Reconnect, c.config.ExchangeNumber
 	if event.Transit {
-		call.sourceExchange = event.Through
+		call.sourceExchange = event.Via
 	}
 	return call, event, nil
 }
@@ -224,7 +224,7 @@
 		c.stats.Abandoned++
 		call.state = stateEnded
 		c.recordCallEnd(call, flow.Left)
-		c.notifyModule(brain.CallGone{ID: call.id}) // cancels the attempt in flight before the final reply
+		c.notifyModule(brain.CallAbandoned{CallID: call.id}) // cancels the attempt in flight before the final reply
 		c.sendFinalReply(call, &signal.Message{Code: signal.Gone, Text: "the caller left"})
 		if call.attempt == nil || call.attempt.stage == stageReleased {
 			c.removeCall(call)
@@ -232,7 +232,7 @@
 	case stateEstablished:
 		c.stats.Ended++
 		c.recordCallEnd(call, flow.Ended)
-		c.releaseCall(call, brain.OK)
+		c.releaseCall(call, brain.OutcomeCompleted)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -144,9 +144,9 @@
 	MaxExchanges        int           // entries of one exchange list update
 	LinkTimeout         time.Duration // how long a set-up waits for a link that is down
 	ShutdownGrace       time.Duration // how long established calls may last after InputShutdown
-	Liveness            guard.Life
-	ReleaseRetry        guard.Release
-	FaultLimit          guard.Faults
+	Liveness            guard.Liveness
+	ReleaseRetry        guard.ReleaseRetry
+	FaultLimit          guard.FaultLimiter
 	FlowSink            flow.Sink     // receives a record of each call and attempt; may be nil
 	InterimInterval     time.Duration // between interim records of an established call; 0 disables them
 	TrafficMeter        *measure.Live // measures the traffic offered by own callers; may be nil
@@ -187,7 +187,7 @@
 	links        map[uint64]*exchangeLink
 	listLink     linkState
 	exchangeIDs  map[int]uint64 // ID of the exchange that serves a number
-	groupReports map[int]brain.Circuits
+	groupReports map[int]brain.GroupStatus
 	lastContext  uint32
 	shuttingDown bool
 	stopped      bool
@@ -213,7 +213,7 @@
 		calls:        map[string]*call{},
 		links:        map[uint64]*exchangeLink{},
 		exchangeIDs:  map[int]uint64{},
-		groupReports: map[int]brain.Circuits{},
+		groupReports: map[int]brain.GroupStatus{},
 	}
 	for i, class := range cfg.Classes {
 		c.classIndex[class.Name] = i
@@ -287,7 +287,7 @@
 func (c *Controller) timerExpired(expired timer) {
 	switch {
 	case expired.module:
-		c.notifyModule(brain.Alarm{Token: expired.token})
+		c.notifyModule(brain.TimerExpired{Token: expired.token})
 	case expired.attempt != nil:
 		c.attemptTimerExpired(expired.attempt)
 	case expired.link != nil && expired.connection == expired.link.connection:
@@ -333,7 +333,7 @@
 		}
 		faults = &link.state.faults
 	}
-	if !faults.Tolerate(c.now) {
+	if !faults.Allow(c.now) {
 		c.effects = append(c.effects, Effect{Kind: EffectClose, Peer: peer, Text: "too many messages that can't be read"})
 		return
 	}
@@ -400,7 +400,7 @@
 		if call := c.calls[id]; call.state == stateEstablished {
 			c.notifyCaller(call, "cut")
 			c.recordCallEnd(call, flow.Cut)
-			c.releaseCall(call, brain.Reset)
+			c.releaseCall(call, brain.OutcomeReset)
 		}
 	}
 	c.timers.Set(c.now+endRetryInterval, timer{endEstablished: true})
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -28,9 +28,9 @@
 }
 
 // ended returns the reported outcomes of attempts.
-func (module *script) ended() (all []brain.Ended) {
+func (module *script) ended() (all []brain.AttemptEnded) {
 	for _, e := range module.events {
-		if ended, ok := e.(brain.Ended); ok {
+		if ended, ok := e.(brain.AttemptEnded); ok {
 			all = append(all, ended)
 		}
 	}
@@ -42,12 +42,12 @@
 	return func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
-			return []brain.Action{brain.Send{ID: e.ID, Exchange: id, Timeout: timeout}}
-		case brain.CallGone:
-			return []brain.Action{brain.Cancel{ID: e.ID}}
-		case brain.Ended:
+			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: id, Timeout: timeout}}
+		case brain.CallAbandoned:
+			return []brain.Action{brain.CancelAttempt{CallID: e.CallID}}
+		case brain.AttemptEnded:
 			if !e.Final {
-				return []brain.Action{brain.Refuse{ID: e.ID}}
+				return []brain.Action{brain.RefuseCall{CallID: e.CallID}}
 			}
 		}
 		return nil
@@ -79,9 +79,9 @@
 		MaxExchanges:        1000,
 		LinkTimeout:         300 * time.Millisecond,
 		ShutdownGrace:       2 * time.Second,
-		Liveness:            guard.Life{After: time.Second, Lost: 3 * time.Second},
-		ReleaseRetry:        guard.Release{Every: time.Second, Tries: 3},
-		FaultLimit:          guard.Faults{Most: 20, Each: 100 * time.Millisecond},
+		Liveness:            guard.Liveness{ProbeAfter: time.Second, LostAfter: 3 * time.Second},
+		ReleaseRetry:        guard.ReleaseRetry{Interval: time.Second, MaxRequests: 3},
+		FaultLimit:          guard.FaultLimiter{Burst: 20, ForgiveEvery: 100 * time.Millisecond},
 	})
 	return h
 }
@@ -229,7 +229,7 @@
 		t.Fatal("outcome reported before the exchange has released the call")
 	}
 	h.receive(exchangePeer(101), release.Answer())
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OK || !e[0].Final {
+	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCompleted || !e[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final OK", e)
 	}
 	h.requireNothingLeft()
@@ -255,7 +255,7 @@
 			}
 		}
 		requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-		if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.Cancelled || !e[0].Final {
+		if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCancelled || !e[0].Final {
 			t.Fatalf("reported outcomes %+v, want one final Cancelled", e)
 		}
 		// The exchange's reply crosses the release: it counts as late and has no effect.
@@ -321,7 +321,7 @@
 	for _, e := range module.ended() {
 		outcomes = append(outcomes, e.Outcome)
 	}
-	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.Reset, brain.NoConnect, brain.NoConnect}) {
+	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
 		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Term)
 	}
 	// Back in service: set-ups are sent again.
@@ -339,7 +339,7 @@
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.announceExchange(101, 1, "draining")
 	effects := h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp})
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.NoConnect {
+	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeUnreachable {
 		t.Fatalf("reported outcomes %+v, want one NoConnect", e)
 	}
 	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
@@ -365,7 +365,7 @@
 			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.TimedOut {
+	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeTimedOut {
 		t.Fatalf("reported outcomes %+v, want one TimedOut", e)
 	}
 	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: again})
@@ -399,13 +399,13 @@
 	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
 	for _, e := range module.ended() {
-		if seen[e.ID] {
-			t.Fatalf("two outcomes reported for call %s", e.ID)
+		if seen[e.CallID] {
+			t.Fatalf("two outcomes reported for call %s", e.CallID)
 		}
-		seen[e.ID] = true
+		seen[e.CallID] = true
 		count[e.Outcome]++
 	}
-	if count[brain.Reset] != 300 || count[brain.NoConnect] != 200 || answers != 500 {
+	if count[brain.OutcomeReset] != 300 || count[brain.OutcomeUnreachable] != 200 || answers != 500 {
 		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 NoConnect and 500 replies", count, answers)
 	}
 	h.requireNothingLeft()
@@ -417,7 +417,7 @@
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	effects := h.receive(callerPeer(7), addRequest("c3-1/3.0").Put("Source", "3"))
-	if event, ok := module.events[len(module.events)-1].(brain.Call); !ok || !event.Transit || event.Through != 3 {
+	if event, ok := module.events[len(module.events)-1].(brain.Call); !ok || !event.Transit || event.Via != 3 {
 		t.Fatalf("events %+v, want a transit call from exchange 3 last", module.events)
 	}
 	requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
@@ -630,7 +630,7 @@
 func TestSecondSendIsIgnored(t *testing.T) {
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		if event, ok := e.(brain.Call); ok {
-			send := brain.Send{ID: event.ID, Exchange: 101, Timeout: time.Second}
+			send := brain.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
 			return []brain.Action{send, send}
 		}
 		return nil
@@ -649,9 +649,9 @@
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
-			return []brain.Action{brain.Send{ID: e.ID, Exchange: 101, Timeout: 3 * time.Second}, brain.Wake{Token: 1, After: time.Second}}
-		case brain.Alarm:
-			return []brain.Action{brain.GiveUp{ID: "1"}}
+			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: 3 * time.Second}, brain.SetTimer{Token: 1, Delay: time.Second}}
+		case brain.TimerExpired:
+			return []brain.Action{brain.FailCall{CallID: "1"}}
 		}
 		return nil
 	}}
@@ -681,7 +681,7 @@
 	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Term != "a" {
 		t.Fatalf("unexpected notification: %s", notice)
 	}
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.Reset || !e[0].Final {
+	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeReset || !e[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final Reset", e)
 	}
 	h.requireNothingLeft()
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -60,7 +60,7 @@
 		Repeat:   call.repeat,
 		Reason:   string(call.verdict.Reason),
 		Scope:    string(call.verdict.Scope),
-		Where:    int32(call.verdict.Cell),
+		Where:    int32(call.verdict.ExchangeNumber),
 	}
 	if call.establishedAt > 0 {
 		c.record.SetUp, c.record.Stood = call.establishedAt-call.acceptedAt, c.now-call.establishedAt
@@ -85,14 +85,14 @@
 
 // flowOutcomes maps the routing module's outcomes to those of flow records.
 var flowOutcomes = [...]flow.Outcome{
-	brain.OK:        flow.Done,
-	brain.Failed:    flow.Error,
-	brain.Full:      flow.Full,
-	brain.TimedOut:  flow.TimedOut,
-	brain.NoConnect: flow.NoConnect,
-	brain.Reset:     flow.Reset,
-	brain.Cancelled: flow.Cancelled,
-	brain.Moot:      flow.Moot,
+	brain.OutcomeCompleted:   flow.Done,
+	brain.OutcomeFailed:      flow.Error,
+	brain.OutcomeRejected:    flow.Full,
+	brain.OutcomeTimedOut:    flow.TimedOut,
+	brain.OutcomeUnreachable: flow.NoConnect,
+	brain.OutcomeReset:       flow.Reset,
+	brain.OutcomeCancelled:   flow.Cancelled,
+	brain.OutcomeNotSent:     flow.Moot,
 }
 
 // recordAttemptEnd counts an attempt when its outcome is reported to the routing
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -29,32 +29,32 @@
 // perform carries out one action of the routing module.
 func (c *Controller) perform(action brain.Action) {
 	switch action := action.(type) {
-	case brain.Send:
+	case brain.StartAttempt:
 		c.startAttempt(action)
-	case brain.Refuse:
-		if call := c.pendingCall(action.ID); call != nil {
+	case brain.RefuseCall:
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Refused++
 			c.recordCallEnd(call, flow.Refused)
 			msg := &signal.Message{Code: signal.NoResources, Text: "refused"}
-			if action.Backoff > 0 {
-				msg.PutSpan("Backoff", action.Backoff)
+			if action.RetryAfter > 0 {
+				msg.PutSpan("Backoff", action.RetryAfter)
 			}
 			c.finishCall(call, msg)
 		}
-	case brain.GiveUp:
-		if call := c.pendingCall(action.ID); call != nil {
+	case brain.FailCall:
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Failed++
 			c.recordCallEnd(call, flow.Failed)
 			c.finishCall(call, &signal.Message{Code: signal.Unavailable, Text: "failed"})
 		}
-	case brain.Cancel:
-		if call := c.calls[action.ID]; call != nil && call.attempt != nil && call.attempt.number == action.Attempt {
-			c.withdrawAttempt(call.attempt, brain.Cancelled)
+	case brain.CancelAttempt:
+		if call := c.calls[action.CallID]; call != nil && call.attempt != nil && call.attempt.number == action.Attempt {
+			c.withdrawAttempt(call.attempt, brain.OutcomeCancelled)
 		}
-	case brain.Wake:
-		c.timers.Set(c.now+action.After, timer{module: true, token: action.Token})
+	case brain.SetTimer:
+		c.timers.Set(c.now+action.Delay, timer{module: true, token: action.Token})
 	case brain.Verdict:
-		if call := c.calls[action.ID]; call != nil {
+		if call := c.calls[action.CallID]; call != nil {
 			c.applyVerdict(call, action)
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	call.state = stateEnded
 	if call.attempt != nil {
-		c.withdrawAttempt(call.attempt, brain.TimedOut) // before the final reply: no set-up is sent after it
+		c.withdrawAttempt(call.attempt, brain.OutcomeTimedOut) // before the final reply: no set-up is sent after it
 	}
 	c.sendFinalReply(call, msg)
 	if call.attempt == nil || call.attempt.stage == stageReleased {
@@ -91,14 +91,14 @@
 // out to be delayed, notifyModule sends its caller a Pending.
 func (c *Controller) applyVerdict(call *call, verdict brain.Verdict) {
 	call.verdict = verdict
-	call.verdictText = fmt.Sprintf("%s; %s %d", verdict.Reason, verdict.Scope, verdict.Cell)
+	call.verdictText = fmt.Sprintf("%s; %s %d", verdict.Reason, verdict.Scope, verdict.ExchangeNumber)
 	c.effects = append(c.effects, Effect{Kind: EffectVerdict, Call: call.name, Peer: peerOf(call), Verdict: verdict})
 	if verdict.Log {
 		c.effects = append(c.effects, Effect{
 			Kind:  EffectLog,
 			Level: slog.LevelInfo,
 			Call:  call.name,
-			Text:  fmt.Sprintf("%s (occurrence %d)", call.verdictText, verdict.Nth),
+			Text:  fmt.Sprintf("%s (occurrence %d)", call.verdictText, verdict.Count),
 		})
 	}
 	if !call.pendingSent {
@@ -121,17 +121,17 @@
 	outcome brain.Outcome
 	note    brain.Note
 }{
-	"no-circuit":            {brain.Moot, brain.NoCircuit},    // the trunk group between own and peer exchange is full
-	"own-processor":         {brain.Moot, brain.ProcFull},     // the own exchange is out of service
-	"over":                  {brain.Moot, brain.NoNote},       // the caller's deadline had passed
-	"turned-back":           {brain.Full, brain.TurnedBack},   // cranked back by the tandem
-	"turned-back-processor": {brain.Full, brain.DestProcFull}, // cranked back by the tandem: the destination's processor is overloaded
-	"processor-full":        {brain.Full, brain.ProcFull},     // rejected by the peer exchange
-	"lines-busy":            {brain.Failed, brain.LinesBusy},  // all lines of the called number are busy
-	"fault":                 {brain.Failed, brain.NoNote},     // signalling error
-	"cut":                   {brain.Reset, brain.NoNote},      // cut during the set-up
-	"withdrawn":             {brain.Cancelled, brain.NoNote},  // released by a Subtract
-	"not-in-service":        {brain.NoConnect, brain.NoNote},  // the peer exchange accepts no new calls
+	"no-circuit":            {brain.OutcomeNotSent, brain.NoteNoCircuit},            // the trunk group between own and peer exchange is full
+	"own-processor":         {brain.OutcomeNotSent, brain.NoteProcessorFull},        // the own exchange is out of service
+	"over":                  {brain.OutcomeNotSent, brain.NoteNone},                 // the caller's deadline had passed
+	"turned-back":           {brain.OutcomeRejected, brain.NoteCrankback},           // cranked back by the tandem
+	"turned-back-processor": {brain.OutcomeRejected, brain.NoteOnwardProcessorFull}, // cranked back by the tandem: the destination's processor is overloaded
+	"processor-full":        {brain.OutcomeRejected, brain.NoteProcessorFull},       // rejected by the peer exchange
+	"lines-busy":            {brain.OutcomeFailed, brain.NoteLinesBusy},             // all lines of the called number are busy
+	"fault":                 {brain.OutcomeFailed, brain.NoteNone},                  // signalling error
+	"cut":                   {brain.OutcomeReset, brain.NoteNone},                   // cut during the set-up
+	"withdrawn":             {brain.OutcomeCancelled, brain.NoteNone},               // released by a Subtract
+	"not-in-service":        {brain.OutcomeUnreachable, brain.NoteNone},             // the peer exchange accepts no new calls
 }
 
 // failureOutcome returns the outcome of a failed set-up. A reply without a known
@@ -143,11 +143,11 @@
 	}
 	switch msg.Code {
 	case signal.NotReady, signal.Unavailable, signal.TooManyOpen, signal.InService:
-		return brain.NoConnect
+		return brain.OutcomeUnreachable
 	case signal.NoResources:
-		return brain.Full
+		return brain.OutcomeRejected
 	}
-	return brain.Failed
+	return brain.OutcomeFailed
 }
 
 // maxProcessorWait limits the Wait that an overloaded processor asks for.
@@ -165,14 +165,14 @@
 
 // parseReport reads the state of the trunk group and the share of traffic to hold
 // back from a reply.
-func (c *Controller) parseReport(msg *signal.Message) brain.Report {
-	var report brain.Report
+func (c *Controller) parseReport(msg *signal.Message) brain.StatusReport {
+	var report brain.StatusReport
 	if _, free, size, ok := parseGroup(msg.Get("Group")); ok {
-		report.Known, report.Free, report.Size = true, free, size
+		report.CircuitsKnown, report.FreeCircuits, report.GroupSize = true, free, size
 	}
 	if value := msg.Get("Reduce"); value != "" {
 		if share, err := strconv.ParseFloat(value, 64); err == nil && share >= 0 && share <= 1 {
-			report.HasEps, report.Eps = true, share
+			report.HasReduction, report.Reduction = true, share
 		}
 	}
 	return report
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -23,7 +23,7 @@
 	connection           int // number of connections so far
 	lastHeard, lastProbe time.Duration
 	lastTransaction      uint32
-	faults               guard.Faults
+	faults               guard.FaultLimiter
 }
 
 // exchangeLink is the permanent link to one listed exchange.
@@ -115,7 +115,7 @@
 		for _, attempt := range held {
 			switch attempt.stage {
 			case stageSent:
-				c.finishAttempt(attempt, brain.Reset, signal.Message{})
+				c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
 			case stageReleasing: // the exchange releases everything that was set up over a lost link
 				c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 			case stageEstablished:
@@ -126,7 +126,7 @@
 				if call.caller != nil {
 					delete(call.caller.calls, call.name)
 				}
-				c.finishAttempt(attempt, brain.Reset, signal.Message{})
+				c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
 			}
 		}
 		c.dropIfUnused(link)
@@ -196,7 +196,7 @@
 	for _, number := range sortedKeys(c.groupReports) { // circuit reports received before the list
 		if id, ok := c.exchangeIDs[number]; ok && listed[id] {
 			circuits := c.groupReports[number]
-			circuits.Exchange = uint32(id)
+			circuits.ExchangeID = uint32(id)
 			c.notifyModule(circuits)
 		}
 	}
@@ -206,7 +206,7 @@
 func (c *Controller) applyListEntry(entry brain.Exchange, address string) {
 	id := uint64(entry.ID)
 	link := c.links[id]
-	if entry.State == brain.Out {
+	if entry.State == brain.OutOfService {
 		if link != nil {
 			c.blockLink(link, true)
 		}
@@ -221,12 +221,12 @@
 		link.address = address
 		c.effects = append(c.effects, Effect{Kind: EffectConnect, Peer: link.peer(), Address: address})
 	}
-	link.number, link.delisted = entry.Cell, false
+	link.number, link.delisted = entry.Number, false
 	if entry.State == brain.Draining {
 		c.blockLink(link, false)
 		return
 	}
-	c.exchangeIDs[entry.Cell] = id
+	c.exchangeIDs[entry.Number] = id
 	if link.blocked {
 		link.blocked = false
 		c.effects = append(c.effects, Effect{Kind: EffectUnblock, Peer: link.peer()})
@@ -245,22 +245,22 @@
 	link.queued = nil
 	for _, attempt := range queued {
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.NoConnect, signal.Message{})
+		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
 	}
 	c.dropIfUnused(link)
 }
 
 // states maps the state words of the exchange list.
-var states = map[string]brain.State{
-	"in":       brain.In,
+var states = map[string]brain.ExchangeState{
+	"in":       brain.InService,
 	"draining": brain.Draining,
-	"out":      brain.Out,
+	"out":      brain.OutOfService,
 }
 
 // parseExchangeList reads the "Exchange: ID cell=N state=in since=MS at=ADDR" lines
 // of a notification. It returns the entries and, in the same order, their addresses.
-func (c *Controller) parseExchangeList(msg *signal.Message) (brain.Exchanges, []string, error) {
-	update := brain.Exchanges{Complete: msg.Flag("Complete")}
+func (c *Controller) parseExchangeList(msg *signal.Message) (brain.ExchangeListUpdate, []string, error) {
+	update := brain.ExchangeListUpdate{Complete: msg.Flag("Complete")}
 	var addresses []string
 	for _, line := range msg.All("Exchange") {
 		fields := strings.Fields(line)
@@ -271,7 +271,7 @@
 		if err != nil {
 			return update, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", fields[0])
 		}
-		entry, address := brain.Exchange{ID: uint32(id), Cell: -1, State: -1}, ""
+		entry, address := brain.Exchange{ID: uint32(id), Number: -1, State: -1}, ""
 		for _, field := range fields[1:] {
 			name, value, _ := strings.Cut(field, "=")
 			switch name {
@@ -280,7 +280,7 @@
 				if err != nil {
 					return update, nil, fmt.Errorf("descriptor Exchange %d: cell: %.40q", id, value)
 				}
-				entry.Cell = int(n)
+				entry.Number = int(n)
 			case "state":
 				state, ok := states[value]
 				if !ok {
@@ -292,12 +292,12 @@
 				if err != nil || n < 0 || n > math.MaxInt64/int64(time.Millisecond) {
 					return update, nil, fmt.Errorf("descriptor Exchange %d: since: %.40q", id, value)
 				}
-				entry.Since = time.Duration(n) * time.Millisecond
+				entry.StartedAt = time.Duration(n) * time.Millisecond
 			case "at":
 				address = value
 			}
 		}
-		if entry.Cell < 0 || entry.State < 0 || address == "" && entry.State != brain.Out {
+		if entry.Number < 0 || entry.State < 0 || address == "" && entry.State != brain.OutOfService {
 			return update, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
 		}
 		update.Entries, addresses = append(update.Entries, entry), append(addresses, address)
@@ -316,10 +316,10 @@
 		if !ok {
 			continue
 		}
-		circuits := brain.Circuits{OK: true, Report: brain.Report{Known: true, Free: free, Size: size}}
+		circuits := brain.GroupStatus{OK: true, Report: brain.StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}}
 		c.groupReports[number] = circuits
 		if id, ok := c.exchangeIDs[number]; ok {
-			circuits.Exchange = uint32(id)
+			circuits.ExchangeID = uint32(id)
 			c.notifyModule(circuits)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -199,7 +199,7 @@
 	}()
 	<-ctx.Done()
 	d.log.Info("leaving: no new calls")
-	d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputShutdown})
+	d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputShutdown})
 	<-d.stopped
 	// The last messages are written before the connections close.
 	d.mu.Lock()
@@ -210,7 +210,7 @@
 	d.mu.Unlock()
 	flushDeadline := time.Now().Add(time.Second)
 	for _, conn := range conns {
-		for conn.Queued() > 0 && time.Now().Before(flushDeadline) {
+		for conn.QueueLen() > 0 && time.Now().Before(flushDeadline) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -309,7 +309,7 @@
 				keeper.setBlocked(false)
 			}
 		case controller.EffectVerdict:
-			d.capture.Verdict(effect.Call, fmt.Sprintf("%s; %s %d", effect.Verdict.Reason, effect.Verdict.Scope, effect.Verdict.Cell))
+			d.capture.Verdict(effect.Call, fmt.Sprintf("%s; %s %d", effect.Verdict.Reason, effect.Verdict.Scope, effect.Verdict.ExchangeNumber))
 		case controller.EffectLog:
 			if effect.Call == "" {
 				d.log.Log(ctx, effect.Level, effect.Text)
@@ -339,12 +339,12 @@
 // connectionOptions returns the options of a connection that observer captures.
 func (d *Daemon) connectionOptions(observer *capture.Tap) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{
-		Reader: signal.Reading(signal.Limits{Line: d.settings.Limits.Line, Block: d.settings.Limits.Block}),
-		Outbox: guard.Outbox{Most: d.settings.Limits.Outbox},
-		Write:  d.settings.Peers.Write,
-		Grace:  d.settings.Rules.DrainGrace,
-		Tap:    observer,
-		Now:    d.now,
+		Reader:       signal.Reading(signal.Limits{Line: d.settings.Limits.Line, Block: d.settings.Limits.Block}),
+		Outbox:       guard.Outbox{Most: d.settings.Limits.Outbox},
+		WriteTimeout: d.settings.Peers.Write,
+		DrainGrace:   d.settings.Rules.DrainGrace,
+		Capture:      observer,
+		Now:          d.now,
 	}
 }
 
@@ -372,10 +372,10 @@
 			continue
 		}
 		peer := controller.Peer{Role: controller.RoleCaller, ID: id}
-		d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputConnected, Peer: peer})
+		d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputConnected, Peer: peer})
 		announced := make(chan struct{})
 		close(announced)
-		observer := d.capture.Open(transport.Key(nc, false), capture.Ends{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
+		observer := d.capture.Open(transport.ConnectionKey(nc, false), capture.Ends{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
 		d.mu.Lock()
 		d.callers[id] = transport.Start(nc, d.connectionOptions(observer), &connectionHandler{d, peer, announced})
 		d.mu.Unlock()
@@ -400,14 +400,14 @@
 	}
 }
 
-// Bad reports a message that can't be parsed.
-func (handler *connectionHandler) Bad(_ *transport.Conn[*signal.Message], skipped transport.Skipped) {
-	handler.daemon.inbox.put(guard.Answer, controller.Input{Kind: controller.InputMalformed, Peer: handler.peer, SyntaxError: *skipped.(*signal.SyntaxError)})
+// Unreadable reports a message that can't be parsed.
+func (handler *connectionHandler) Unreadable(_ *transport.Conn[*signal.Message], unreadable transport.RecoverableError) {
+	handler.daemon.inbox.put(guard.Completion, controller.Input{Kind: controller.InputMalformed, Peer: handler.peer, SyntaxError: *unreadable.(*signal.SyntaxError)})
 }
 
 // Unsent reports a set-up that was not sent.
 func (handler *connectionHandler) Unsent(_ *transport.Conn[*signal.Message], msg *signal.Message) {
-	handler.daemon.inbox.put(guard.Answer, controller.Input{Kind: controller.InputUnsent, Peer: handler.peer, Message: msg})
+	handler.daemon.inbox.put(guard.Completion, controller.Input{Kind: controller.InputUnsent, Peer: handler.peer, Message: msg})
 }
 
 // Closed reports the end of the connection, after its start was reported.
@@ -419,7 +419,7 @@
 		handler.daemon.mu.Unlock()
 	}
 	<-handler.announced
-	handler.daemon.inbox.put(guard.Answer, controller.Input{Kind: controller.InputDisconnected, Peer: handler.peer})
+	handler.daemon.inbox.put(guard.Completion, controller.Input{Kind: controller.InputDisconnected, Peer: handler.peer})
 }
 
 // linkKeeper keeps a permanent link to one peer: it connects again when the
@@ -486,18 +486,18 @@
 	switch {
 	case keeper.connection == nil:
 	case blocked:
-		keeper.connection.Fence()
+		keeper.connection.BlockSetUps()
 	default:
-		keeper.connection.Unfence()
+		keeper.connection.UnblockSetUps()
 	}
 }
 
 // run connects to the peer and serves the connection, again and again until ctx ends.
 func (keeper *linkKeeper) run(ctx context.Context, addr string) {
 	d := keeper.daemon
-	retry := guard.Retry{
-		Least: d.settings.Peers.RetryFrom,
-		Most:  d.settings.Peers.RetryMost,
+	retry := guard.Backoff{
+		Min: d.settings.Peers.RetryFrom,
+		Max: d.settings.Peers.RetryMost,
 		// Used for jitter only; no decision depends on it.
 		Random: rand.New(rand.NewPCG(d.settings.Seed, uint64(d.settings.Number)<<32^keeper.peer.ID)),
 	}
@@ -514,7 +514,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry.Gap(n)):
+		case <-time.After(retry.Delay(n)):
 		}
 	}
 }
@@ -522,7 +522,7 @@
 // serve runs one connection until it is closed or ctx ends.
 func (keeper *linkKeeper) serve(ctx context.Context, nc net.Conn) {
 	d := keeper.daemon
-	observer := d.capture.Open(transport.Key(nc, true), capture.Ends{
+	observer := d.capture.Open(transport.ConnectionKey(nc, true), capture.Ends{
 		Owner:  CaptureOwner(d.settings.Number),
 		Role:   keeper.peer.Role.String(),
 		Peer:   keeper.peer.ID,
@@ -532,10 +532,10 @@
 	keeper.mu.Lock()
 	conn := transport.Start(nc, d.connectionOptions(observer), &connectionHandler{d, keeper.peer, announced})
 	if keeper.connection = conn; keeper.blocked {
-		conn.Fence()
+		conn.BlockSetUps()
 	}
 	keeper.mu.Unlock()
-	d.inbox.put(guard.Answer, controller.Input{Kind: controller.InputConnected, Peer: keeper.peer})
+	d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputConnected, Peer: keeper.peer})
 	close(announced)
 	select {
 	case <-conn.Done():
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -35,7 +35,7 @@
 	policy    string
 	configure func(*settings.Controller) // may be nil
 
-	network     memnet.Net
+	network     memnet.Network
 	captures    []*captureBuffer
 	addresses   []net.Addr
 	environment *world.World
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -23,7 +23,7 @@
 
 // newInbox returns an inbox for the given number of inputs.
 func newInbox(capacity int) *inbox {
-	b := &inbox{intake: guard.Intake{Most: capacity}, ready: make(chan struct{}, 1)}
+	b := &inbox{intake: guard.Intake{Capacity: capacity}, ready: make(chan struct{}, 1)}
 	b.space.L = &b.mu
 	return b
 }
@@ -82,9 +82,9 @@
 func inputKind(input controller.Input) guard.Kind {
 	switch {
 	case input.Kind != controller.InputMessage || input.Message.Ends():
-		return guard.Answer
+		return guard.Completion
 	case input.Peer.Role == controller.RoleCaller && input.Message.Command == signal.Add:
 		return guard.NewCall
 	}
-	return guard.Word
+	return guard.StatusUpdate
 }
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -26,11 +26,11 @@
 		if n := put(guard.NewCall, 30); n != 10 {
 			t.Fatalf("%d of 30 new calls queued, want 10, half of the capacity", n)
 		}
-		if n := put(guard.Answer, 10); n != 10 {
+		if n := put(guard.Completion, 10); n != 10 {
 			t.Fatalf("%d answers queued, want 10", n)
 		}
 		queued := make(chan bool)
-		go func() { queued <- b.put(guard.Answer, controller.Input{Kind: controller.InputDisconnected}) }()
+		go func() { queued <- b.put(guard.Completion, controller.Input{Kind: controller.InputDisconnected}) }()
 		synctest.Wait()
 		inputs := b.take()
 		if len(inputs) != 21 || inputs[20].Kind != controller.InputShed || inputs[20].Count != 20 {
@@ -42,8 +42,8 @@
 		if inputs = b.take(); len(inputs) != 1 || inputs[0].Kind != controller.InputDisconnected {
 			t.Fatalf("inputs %+v, want the waiting answer", inputs)
 		}
-		put(guard.Answer, 20)
-		go func() { queued <- b.put(guard.Answer, controller.Input{}) }()
+		put(guard.Completion, 20)
+		go func() { queued <- b.put(guard.Completion, controller.Input{}) }()
 		time.Sleep(time.Second)
 		b.close()
 		if <-queued {
@@ -60,17 +60,17 @@
 		want guard.Kind
 	}{
 		{caller, signal.Message{Command: signal.Add, Term: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Answer},
-		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.Word},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.Word},
+		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Completion},
+		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.StatusUpdate},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.StatusUpdate},
 	} {
 		if got := inputKind(controller.Input{Kind: controller.InputMessage, Peer: test.peer, Message: &test.msg}); got != test.want {
 			t.Errorf("%s from peer %s: got kind %d, want %d", &test.msg, test.peer.Role, got, test.want)
 		}
 	}
-	if inputKind(controller.Input{Kind: controller.InputDisconnected}) != guard.Answer {
+	if inputKind(controller.Input{Kind: controller.InputDisconnected}) != guard.Completion {
 		t.Error("the end of a connection is not classified as an answer")
 	}
 }
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -219,7 +219,7 @@
 			}
 			out += len(l.open)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.Free, "size", p.told.Size,
+		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.FreeCircuits, "size", p.told.GroupSize,
 			"links", len(p.links), "up", up, "out", out, "waiting", len(p.waiting), "standing", len(p.calls), "fails", p.fails,
 			"heard", c.now-p.heard)
 	}
@@ -236,7 +236,7 @@
 	out     []Effect
 	module  policy.Dispatcher
 	random  *rand.Rand // jitter of tries to reach an exchange
-	retry   guard.Retry
+	retry   guard.Backoff
 
 	callers map[ConnID]*caller
 	order   []*caller // by age
@@ -276,7 +276,7 @@
 		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
 		links: map[LinkID]*link{}, recent: map[uint64]ending{},
 		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
-	c.retry = guard.Retry{Least: retryLeast, Most: retryMost, Random: c.random}
+	c.retry = guard.Backoff{Min: retryLeast, Max: retryMost, Random: c.random}
 	for i, cl := range cfg.Settings.Classes {
 		c.classes[cl.Name] = i
 		c.widest = max(c.widest, cl.Width)
@@ -330,7 +330,7 @@
 	case t.try != nil:
 		c.timedOut(t.try)
 	default:
-		c.feed(brain.Alarm{Token: t.token})
+		c.feed(brain.TimerExpired{Token: t.token})
 	}
 }
 
@@ -387,7 +387,7 @@
 
 // lastWord answers a set-up that can't be waited for: failed, or refused if it was never sent on.
 func (c *Core) lastWord(x *call) {
-	c.feed(brain.CallGone{ID: x.name})
+	c.feed(brain.CallAbandoned{CallID: x.name})
 	if x.attempts > 0 {
 		c.Stats.Failed++
 		c.answer(x, release(x.id, isup.TemporaryFailure))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -62,7 +62,7 @@
 // trunkGroup is the trunk group to one exchange.
 type trunkGroup struct {
 	exchangeID   uint32
-	state        brain.State
+	state        brain.ExchangeState
 	freeCircuits int
 }
 
@@ -90,35 +90,35 @@
 // Handle processes one event.
 func (rule *simpleRule) Handle(now time.Duration, event brain.Event) []brain.Action {
 	switch event := event.(type) {
-	case brain.Exchanges:
+	case brain.ExchangeListUpdate:
 		rule.updateExchanges(event)
-	case brain.Circuits:
-		rule.updateGroup(event.Exchange, event.Report)
+	case brain.GroupStatus:
+		rule.updateGroup(event.ExchangeID, event.Report)
 	case brain.Call:
-		call := &pendingCall{Call: event, deadline: now + event.Left, lastTandem: -1}
+		call := &pendingCall{Call: event, deadline: now + event.Remaining, lastTandem: -1}
 		rule.calls[event.ID] = call
 		return rule.attempt(now, call)
-	case brain.CallGone:
-		if call := rule.calls[event.ID]; call != nil {
+	case brain.CallAbandoned:
+		if call := rule.calls[event.CallID]; call != nil {
 			if !call.inFlight {
-				delete(rule.calls, event.ID)
+				delete(rule.calls, event.CallID)
 				return nil
 			}
-			return []brain.Action{brain.Cancel{ID: event.ID, Attempt: call.attempts - 1}}
+			return []brain.Action{brain.CancelAttempt{CallID: event.CallID, Attempt: call.attempts - 1}}
 		}
-	case brain.Ended:
-		rule.updateGroup(event.Exchange, event.Report)
-		call := rule.calls[event.ID]
+	case brain.AttemptEnded:
+		rule.updateGroup(event.ExchangeID, event.Report)
+		call := rule.calls[event.CallID]
 		if call == nil {
 			return nil
 		}
 		call.inFlight = false
 		if event.Final {
-			delete(rule.calls, event.ID)
+			delete(rule.calls, event.CallID)
 			return nil
 		}
 		// Only a set-up that was certainly not carried out is retried elsewhere at once.
-		if event.Outcome == brain.Full || event.Outcome == brain.NoConnect || event.Outcome == brain.Moot {
+		if event.Outcome == brain.OutcomeRejected || event.Outcome == brain.OutcomeUnreachable || event.Outcome == brain.OutcomeNotSent {
 			return rule.attempt(now, call)
 		}
 		return rule.refuse(call, "failed")
@@ -130,40 +130,40 @@
 func (rule *simpleRule) refuse(call *pendingCall, reason brain.Reason) []brain.Action {
 	delete(rule.calls, call.ID)
 	return []brain.Action{
-		brain.Verdict{ID: call.ID, Class: call.Class, Reason: reason, Scope: brain.ScopeCall, Cell: call.Dest},
-		brain.Refuse{ID: call.ID},
+		brain.Verdict{CallID: call.ID, Class: call.Class, Reason: reason, Scope: brain.ScopeCall, ExchangeNumber: call.Destination},
+		brain.RefuseCall{CallID: call.ID},
 	}
 }
 
 // updateExchanges applies an exchange list.
-func (rule *simpleRule) updateExchanges(list brain.Exchanges) {
+func (rule *simpleRule) updateExchanges(list brain.ExchangeListUpdate) {
 	if list.Complete {
 		for _, number := range rule.numbers {
-			rule.groups[number].state = brain.Out
+			rule.groups[number].state = brain.OutOfService
 		}
 	}
 	for _, entry := range list.Entries {
-		group := rule.groups[entry.Cell]
+		group := rule.groups[entry.Number]
 		if group == nil {
-			group = &trunkGroup{state: brain.Out}
-			rule.groups[entry.Cell] = group
-			rule.numbers = append(rule.numbers, entry.Cell)
+			group = &trunkGroup{state: brain.OutOfService}
+			rule.groups[entry.Number] = group
+			rule.numbers = append(rule.numbers, entry.Number)
 			for i := len(rule.numbers) - 1; i > 0 && rule.numbers[i] < rule.numbers[i-1]; i-- {
 				rule.numbers[i], rule.numbers[i-1] = rule.numbers[i-1], rule.numbers[i]
 			}
 		}
-		if entry.State != brain.In && group.exchangeID != entry.ID && group.exchangeID != 0 {
+		if entry.State != brain.InService && group.exchangeID != entry.ID && group.exchangeID != 0 {
 			continue
 		}
 		group.exchangeID, group.state = entry.ID, entry.State
-		rule.numberByID[entry.ID] = entry.Cell
+		rule.numberByID[entry.ID] = entry.Number
 	}
 }
 
 // updateGroup applies a report of the free circuits in a trunk group.
-func (rule *simpleRule) updateGroup(id uint32, report brain.Report) {
-	if number, ok := rule.numberByID[id]; ok && report.Known {
-		rule.groups[number].freeCircuits = report.Free
+func (rule *simpleRule) updateGroup(id uint32, report brain.StatusReport) {
+	if number, ok := rule.numberByID[id]; ok && report.CircuitsKnown {
+		rule.groups[number].freeCircuits = report.FreeCircuits
 	}
 }
 
@@ -172,15 +172,15 @@
 	if now >= call.deadline || call.attempts >= rule.settings.MaxAttempts {
 		return rule.refuse(call, "attempts spent")
 	}
-	if group := rule.groups[call.Dest]; group != nil && call.attempts == 0 && group.state == brain.In &&
-		group.freeCircuits >= call.Width && call.Dest != rule.settings.Self {
+	if group := rule.groups[call.Destination]; group != nil && call.attempts == 0 && group.state == brain.InService &&
+		group.freeCircuits >= call.Width && call.Destination != rule.settings.Self {
 		return rule.send(now, call, group)
 	}
 	if rule.useTandems && !call.Transit {
 		for _, number := range rule.numbers {
 			group := rule.groups[number]
-			if number > call.lastTandem && number != call.Dest && number != rule.settings.Self &&
-				group.state == brain.In && group.freeCircuits >= call.Width {
+			if number > call.lastTandem && number != call.Destination && number != rule.settings.Self &&
+				group.state == brain.InService && group.freeCircuits >= call.Width {
 				call.lastTandem = number
 				return rule.send(now, call, group)
 			}
@@ -194,5 +194,5 @@
 	call.attempts++
 	call.inFlight = true
 	group.freeCircuits -= call.Width
-	return []brain.Action{brain.Send{ID: call.ID, Exchange: group.exchangeID, Timeout: call.deadline - now - 2*rule.settings.Tick}}
+	return []brain.Action{brain.StartAttempt{CallID: call.ID, ExchangeID: group.exchangeID, Timeout: call.deadline - now - 2*rule.settings.Tick}}
 }
