--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -290,7 +290,7 @@
 		c.notifyModule(brain.TimerExpired{Token: expired.token})
 	case expired.attempt != nil:
 		c.attemptTimerExpired(expired.attempt)
-	case expired.link != nil && expired.connection == expired.link.connection:
+	case expired.link != nil && expired.connection == expired.link.connectionCount:
 		c.checkLiveness(expired.link)
 	case expired.interimCall != nil:
 		c.recordInterim(expired.interimCall)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -133,12 +133,12 @@
 func (h *harness) announceList(numbers ...int) {
 	msg := &signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}
 	msg.PutFlag("Complete", true)
-	for _, n := range numbers {
-		msg.Put("Exchange", listEntry(100+n, n, "in"))
+	for _, number := range numbers {
+		msg.Put("Exchange", listEntry(100+number, number, "in"))
 	}
 	h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: msg})
-	for _, n := range numbers {
-		h.handle(Input{Kind: InputConnected, Peer: exchangePeer(100 + n)})
+	for _, number := range numbers {
+		h.handle(Input{Kind: InputConnected, Peer: exchangePeer(100 + number)})
 	}
 }
 
@@ -159,10 +159,10 @@
 
 // messagesTo returns the messages of a kind and command that were sent to a peer.
 func messagesTo(effects []Effect, peer Peer, kind signal.Kind, command signal.Command) (all []*signal.Message) {
-	for _, e := range effects {
-		if e.Kind == EffectSend && e.Peer == peer && e.Message.Kind == kind &&
-			(e.Message.Command == command || kind == signal.Pending || kind == signal.Fault) {
-			all = append(all, e.Message)
+	for _, effect := range effects {
+		if effect.Kind == EffectSend && effect.Peer == peer && effect.Message.Kind == kind &&
+			(effect.Message.Command == command || kind == signal.Pending || kind == signal.Fault) {
+			all = append(all, effect.Message)
 		}
 	}
 	return all
@@ -170,8 +170,8 @@
 
 // hasEffect reports whether an effect of a kind concerns a peer.
 func hasEffect(effects []Effect, kind EffectKind, peer Peer) bool {
-	for _, e := range effects {
-		if e.Kind == kind && e.Peer == peer {
+	for _, effect := range effects {
+		if effect.Kind == kind && effect.Peer == peer {
 			return true
 		}
 	}
@@ -190,9 +190,9 @@
 // requireNothingLeft fails the test if the core still holds calls or attempts.
 func (h *harness) requireNothingLeft() {
 	h.t.Helper()
-	s := h.controller.Stats()
-	if s.Pending != 0 || s.Established != 0 || s.HeldAttempts != 0 || len(h.controller.calls) != 0 {
-		h.t.Fatalf("not empty: %d pending, %d established, %d attempts held, %d calls", s.Pending, s.Established, s.HeldAttempts, len(h.controller.calls))
+	stats := h.controller.Stats()
+	if stats.Pending != 0 || stats.Established != 0 || stats.HeldAttempts != 0 || len(h.controller.calls) != 0 {
+		h.t.Fatalf("not empty: %d pending, %d established, %d attempts held, %d calls", stats.Pending, stats.Established, stats.HeldAttempts, len(h.controller.calls))
 	}
 	for _, caller := range h.controller.callers {
 		if len(caller.pending) != 0 || len(caller.calls) != 0 {
@@ -229,8 +229,8 @@
 		t.Fatal("outcome reported before the exchange has released the call")
 	}
 	h.receive(exchangePeer(101), release.Answer())
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCompleted || !e[0].Final {
-		t.Fatalf("reported outcomes %+v, want one final OK", e)
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final Completed", ended)
 	}
 	h.requireNothingLeft()
 }
@@ -255,8 +255,8 @@
 			}
 		}
 		requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-		if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCancelled || !e[0].Final {
-			t.Fatalf("reported outcomes %+v, want one final Cancelled", e)
+		if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCancelled || !ended[0].Final {
+			t.Fatalf("reported outcomes %+v, want one final Cancelled", ended)
 		}
 		// The exchange's reply crosses the release: it counts as late and has no effect.
 		if effects = h.receive(exchangePeer(101), setUp.Answer()); len(effects) != 0 || h.controller.Stats().LateReplies != 1 {
@@ -266,9 +266,9 @@
 		release := requireOne(t, "repeated release", messagesTo(h.advance(1100*time.Millisecond), exchangePeer(101), signal.Request, signal.Subtract))
 		h.receive(exchangePeer(101), release.Answer())
 		h.requireNothingLeft()
-		for _, e := range h.advance(10 * time.Second) {
-			if e.Kind == EffectSend && e.Message.Command == signal.Add {
-				t.Fatalf("set-up sent after the call's end: %s", e.Message)
+		for _, effect := range h.advance(10 * time.Second) {
+			if effect.Kind == EffectSend && effect.Message.Command == signal.Add {
+				t.Fatalf("set-up sent after the call's end: %s", effect.Message)
 			}
 		}
 	}
@@ -296,9 +296,9 @@
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
-	sent := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("out")), exchangePeer(101), signal.Request, signal.Add))
+	sent := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("pending")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}) // resets the first attempt
-	h.receive(callerPeer(1), addRequest("waits"))                     // queued for the link
+	h.receive(callerPeer(1), addRequest("queued"))                    // queued for the link
 	if len(h.controller.links[101].queued) != 1 {
 		t.Fatal("set-up not queued for its link")
 	}
@@ -318,8 +318,8 @@
 		t.Fatalf("%d set-ups to a draining exchange", n)
 	}
 	var outcomes []brain.Outcome
-	for _, e := range module.ended() {
-		outcomes = append(outcomes, e.Outcome)
+	for _, ended := range module.ended() {
+		outcomes = append(outcomes, ended.Outcome)
 	}
 	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
 		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Term)
@@ -339,8 +339,8 @@
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.announceExchange(101, 1, "draining")
 	effects := h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp})
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeUnreachable {
-		t.Fatalf("reported outcomes %+v, want one NoConnect", e)
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeUnreachable {
+		t.Fatalf("reported outcomes %+v, want one Unreachable", ended)
 	}
 	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	h.requireNothingLeft()
@@ -352,9 +352,9 @@
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
-	again := addRequest("b")
-	again.ID = h.lastSent[callerPeer(1)]
-	effects := h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: again})
+	duplicate := addRequest("b")
+	duplicate.ID = h.lastSent[callerPeer(1)]
+	effects := h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
 	if replies := messagesTo(effects, callerPeer(1), signal.Pending, ""); len(replies) != 1 || len(effects) != 1 {
 		t.Fatalf("ID of a pending transaction used again: %+v", effects)
 	}
@@ -365,16 +365,16 @@
 			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeTimedOut {
-		t.Fatalf("reported outcomes %+v, want one TimedOut", e)
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeTimedOut {
+		t.Fatalf("reported outcomes %+v, want one TimedOut", ended)
 	}
-	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: again})
+	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
 	if replies := messagesTo(effects, callerPeer(1), signal.Fault, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier ||
 		len(effects) != 1 {
 		t.Fatalf("ID of a completed transaction used again: %+v", effects)
 	}
-	if s := h.controller.Stats(); s.LateReplies != 2 || s.DuplicateIDs != 2 || s.Accepted != 1 {
-		t.Fatalf("unexpected counters: %+v", s)
+	if stats := h.controller.Stats(); stats.LateReplies != 2 || stats.DuplicateIDs != 2 || stats.Accepted != 1 {
+		t.Fatalf("unexpected counters: %+v", stats)
 	}
 	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); requireOne(t, "reply",
 		messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
@@ -392,21 +392,21 @@
 		setUps = append(setUps, requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest(fmt.Sprint("c", n))), exchangePeer(101), signal.Request, signal.Add)))
 	}
 	answers := 0
-	for _, s := range setUps[300:] {
-		answers += len(messagesTo(h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: s}), callerPeer(1), signal.Reply, signal.Add))
+	for _, setUp := range setUps[300:] {
+		answers += len(messagesTo(h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp}), callerPeer(1), signal.Reply, signal.Add))
 	}
 	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
 	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
-	for _, e := range module.ended() {
-		if seen[e.CallID] {
-			t.Fatalf("two outcomes reported for call %s", e.CallID)
+	for _, ended := range module.ended() {
+		if seen[ended.CallID] {
+			t.Fatalf("two outcomes reported for call %s", ended.CallID)
 		}
-		seen[e.CallID] = true
-		count[e.Outcome]++
+		seen[ended.CallID] = true
+		count[ended.Outcome]++
 	}
 	if count[brain.OutcomeReset] != 300 || count[brain.OutcomeUnreachable] != 200 || answers != 500 {
-		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 NoConnect and 500 replies", count, answers)
+		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 Unreachable and 500 replies", count, answers)
 	}
 	h.requireNothingLeft()
 }
@@ -470,9 +470,9 @@
 		release := requireOne(t, "release", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: msg.Term}), exchangePeer(101), signal.Request, signal.Subtract))
 		h.receive(exchangePeer(101), release.Answer())
 		h.advance(5 * time.Second)
-		for _, e := range h.effects { // answer the probes, so that the links stay connected
-			if e.Kind == EffectSend && e.Message.Command == signal.AuditValue && e.Message.Kind == signal.Request {
-				h.receive(e.Peer, e.Message.Answer())
+		for _, effect := range h.effects { // answer the probes, so that the links stay connected
+			if effect.Kind == EffectSend && effect.Message.Command == signal.AuditValue && effect.Message.Kind == signal.Request {
+				h.receive(effect.Peer, effect.Message.Answer())
 			}
 		}
 	}
@@ -498,8 +498,8 @@
 	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("more")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.TooManyOpen || reply.Get("Taken") != "no" {
 		t.Fatalf("unexpected reply over the limit: %s", reply)
 	}
-	if s := h.controller.Stats(); s.Accepted != 10000 || s.AddsRejected != 1 {
-		t.Fatalf("unexpected counters: %+v", s)
+	if stats := h.controller.Stats(); stats.Accepted != 10000 || stats.AddsRejected != 1 {
+		t.Fatalf("unexpected counters: %+v", stats)
 	}
 	if effects := h.receive(callerPeer(2), addRequest("other")); len(messagesTo(effects, callerPeer(2), signal.Reply, signal.Add)) != 0 {
 		t.Fatal("limit of one caller applied to another caller")
@@ -581,9 +581,9 @@
 	module := &script{respond: sendEachTo(101, 3*time.Second)}
 	h := newHarness(t, module)
 	h.announceList(0, 1)
-	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("stands")), exchangePeer(101), signal.Request, signal.Add))
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("established")), exchangePeer(101), signal.Request, signal.Add))
 	h.receive(exchangePeer(101), setUp.Answer())
-	pending := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("out")), exchangePeer(101), signal.Request, signal.Add))
+	pending := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("pending")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputShutdown})
 	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("new")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NotReady || reply.Get("Taken") != "no" {
 		t.Fatalf("unexpected reply during the shutdown: %s", reply)
@@ -664,8 +664,8 @@
 	}
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 	h.receive(exchangePeer(101), release.Answer())
-	if e := module.ended(); len(e) != 1 || !e[0].Final {
-		t.Fatalf("reported outcomes %+v, want one final outcome", e)
+	if ended := module.ended(); len(ended) != 1 || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final outcome", ended)
 	}
 	h.requireNothingLeft()
 }
@@ -681,8 +681,8 @@
 	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Term != "a" {
 		t.Fatalf("unexpected notification: %s", notice)
 	}
-	if e := module.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeReset || !e[0].Final {
-		t.Fatalf("reported outcomes %+v, want one final Reset", e)
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final Reset", ended)
 	}
 	h.requireNothingLeft()
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -20,7 +20,7 @@
 type linkState struct {
 	peer                 Peer
 	connected            bool
-	connection           int // number of connections so far
+	connectionCount      int // number of connections so far
 	lastHeard, lastProbe time.Duration
 	lastTransaction      uint32
 	faults               guard.FaultLimiter
@@ -66,7 +66,7 @@
 		state = &link.state
 	}
 	state.connected, state.lastHeard, state.lastProbe = true, c.now, 0
-	state.connection++
+	state.connectionCount++
 	state.lastTransaction++
 	msg := &signal.Message{ID: state.lastTransaction, Command: signal.ServiceChange, Term: signal.Root}
 	msg.Put("Method", "restart").PutInt("Controller", c.config.ControllerNumber).PutInt("From", c.config.ExchangeNumber)
@@ -149,7 +149,7 @@
 		state.lastTransaction++
 		c.sendMessage(state.peer, &signal.Message{ID: state.lastTransaction, Command: signal.AuditValue, Term: signal.Root})
 	}
-	c.timers.Set(next, timer{link: state, connection: state.connection})
+	c.timers.Set(next, timer{link: state, connection: state.connectionCount})
 }
 
 // dropIfUnused removes a link that is no longer listed and has no attempts.
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -36,29 +36,29 @@
 
 // check fails the test if an effect breaks a rule.
 func (checker *ruleChecker) check(effects []Effect) {
-	for _, e := range effects {
-		id := e.Peer.ID
-		switch e.Kind {
+	for _, effect := range effects {
+		id := effect.Peer.ID
+		switch effect.Kind {
 		case EffectBlock:
 			checker.draining[id] = true
 		case EffectUnblock:
 			checker.draining[id] = false
 		case EffectClose:
-			if e.Peer.Role == RoleExchange {
+			if effect.Peer.Role == RoleExchange {
 				checker.disconnect(id)
 			}
 		}
-		if e.Kind != EffectSend {
+		if effect.Kind != EffectSend {
 			continue
 		}
-		msg := e.Message
+		msg := effect.Message
 		switch {
-		case e.Peer.Role == RoleCaller && msg.Kind == signal.Reply && msg.Command == signal.Add:
+		case effect.Peer.Role == RoleCaller && msg.Kind == signal.Reply && msg.Command == signal.Add:
 			if checker.answered[msg.Term]++; checker.answered[msg.Term] > 1 {
 				checker.t.Fatalf("call %s got two final replies", msg.Term)
 			}
 			checker.established[msg.Term] = msg.Code == 0
-		case e.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Add:
+		case effect.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Add:
 			switch {
 			case checker.answered[msg.Term] > 0 || checker.abandoned[msg.Term]:
 				checker.t.Fatalf("call %s sent after its end", msg.Term)
@@ -70,12 +70,12 @@
 				checker.t.Fatalf("call %s sent over a link that is down", msg.Term)
 			case checker.harness.now < checker.blockedUntil[msg.Term]:
 				checker.t.Fatalf("call %s sent %v before the end of the release time", msg.Term, checker.blockedUntil[msg.Term]-checker.harness.now)
-			case e.Deadline <= checker.harness.now:
+			case effect.Deadline <= checker.harness.now:
 				checker.t.Fatalf("call %s sent after its deadline", msg.Term)
 			}
 			checker.inFlight[msg.Term] = id
 			checker.setUps[id][msg.ID] = msg
-		case e.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Subtract:
+		case effect.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Subtract:
 			if checker.inFlight[msg.Term] == id {
 				checker.endAttempt(msg.Term, true)
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -351,7 +351,7 @@
 // acceptCallers accepts the connections of callers until the listener is closed.
 func (d *Daemon) acceptCallers() {
 	for id := uint64(1); ; id++ {
-		nc, err := d.network.Listener.Accept()
+		netConn, err := d.network.Listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) && !errors.Is(err, io.EOF) {
 				d.log.Error("accepting a connection failed", "error", err)
@@ -367,17 +367,17 @@
 		}
 		d.mu.Unlock()
 		if full {
-			d.log.Warn("connection rejected: limit reached", "from", nc.RemoteAddr(), "limit", d.settings.Limits.Connections)
-			nc.Close()
+			d.log.Warn("connection rejected: limit reached", "from", netConn.RemoteAddr(), "limit", d.settings.Limits.Connections)
+			netConn.Close()
 			continue
 		}
 		peer := controller.Peer{Role: controller.RoleCaller, ID: id}
 		d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputConnected, Peer: peer})
 		announced := make(chan struct{})
 		close(announced)
-		observer := d.capture.Open(transport.ConnectionKey(nc, false), capture.Ends{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
+		observer := d.capture.Open(transport.ConnectionKey(netConn, false), capture.Ends{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
 		d.mu.Lock()
-		d.callers[id] = transport.Start(nc, d.connectionOptions(observer), &connectionHandler{d, peer, announced})
+		d.callers[id] = transport.Start(netConn, d.connectionOptions(observer), &connectionHandler{d, peer, announced})
 		d.mu.Unlock()
 	}
 }
@@ -501,28 +501,28 @@
 		// Used for jitter only; no decision depends on it.
 		Random: rand.New(rand.NewPCG(d.settings.Seed, uint64(d.settings.Number)<<32^keeper.peer.ID)),
 	}
-	for n := 1; ctx.Err() == nil; n++ {
-		nc, err := d.network.Dial(ctx, addr)
+	for attempts := 1; ctx.Err() == nil; attempts++ {
+		netConn, err := d.network.Dial(ctx, addr)
 		if err == nil {
 			connectedAt := time.Now()
-			keeper.serve(ctx, nc)
+			keeper.serve(ctx, netConn)
 			if time.Since(connectedAt) > d.settings.Peers.RetryMost {
-				n = 1
+				attempts = 1
 			}
 		} else if ctx.Err() == nil {
 			d.log.Debug("dialling", "peer", keeper.peer.Role, "id", keeper.peer.ID, "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry.Delay(n)):
+		case <-time.After(retry.Delay(attempts)):
 		}
 	}
 }
 
 // serve runs one connection until it is closed or ctx ends.
-func (keeper *linkKeeper) serve(ctx context.Context, nc net.Conn) {
+func (keeper *linkKeeper) serve(ctx context.Context, netConn net.Conn) {
 	d := keeper.daemon
-	observer := d.capture.Open(transport.ConnectionKey(nc, true), capture.Ends{
+	observer := d.capture.Open(transport.ConnectionKey(netConn, true), capture.Ends{
 		Owner:  CaptureOwner(d.settings.Number),
 		Role:   keeper.peer.Role.String(),
 		Peer:   keeper.peer.ID,
@@ -530,7 +530,7 @@
 	})
 	announced := make(chan struct{})
 	keeper.mu.Lock()
-	conn := transport.Start(nc, d.connectionOptions(observer), &connectionHandler{d, keeper.peer, announced})
+	conn := transport.Start(netConn, d.connectionOptions(observer), &connectionHandler{d, keeper.peer, announced})
 	if keeper.connection = conn; keeper.blocked {
 		conn.BlockSetUps()
 	}
