--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -87,14 +87,14 @@
 	c.stats.HeldAttempts++
 	attempt.link.held[attempt] = true
 	msg := &signal.Message{
-		ID:      attempt.transaction,
-		Context: call.context,
-		Command: signal.Add,
-		Term:    call.name,
-		Fields:  make([]signal.Field, 0, 9),
+		ID:          attempt.transaction,
+		Context:     call.context,
+		Command:     signal.Add,
+		Termination: call.name,
+		Descriptors: make([]signal.Field, 0, 9),
 	}
 	msg.PutInt("Attempt", attempt.number).PutInt("From", c.config.ExchangeNumber).PutInt("Dest", call.destination).Put("Class", c.config.Classes[call.class].Name)
-	msg.PutInt("Width", call.circuits).PutSpan("Left", call.deadline-c.now)
+	msg.PutInt("Width", call.circuits).PutDuration("Left", call.deadline-c.now)
 	if call.number != "" {
 		msg.Put("Number", call.number)
 	}
@@ -168,10 +168,10 @@
 	attempt.transaction = attempt.link.nextTransaction()
 	attempt.link.pending[attempt.transaction] = attempt
 	msg := &signal.Message{
-		ID:      attempt.transaction,
-		Context: attempt.call.context,
-		Command: signal.Subtract,
-		Term:    attempt.call.name,
+		ID:          attempt.transaction,
+		Context:     attempt.call.context,
+		Command:     signal.Subtract,
+		Termination: attempt.call.name,
 	}
 	msg.PutInt("Attempt", attempt.number)
 	c.effects = append(c.effects, Effect{Kind: EffectSend, Peer: attempt.link.peer(), Message: msg, RecallID: recall})
@@ -262,7 +262,7 @@
 		return
 	}
 	attempt.stage = stageEstablished
-	msg := &signal.Message{Fields: make([]signal.Field, 0, 3)}
+	msg := &signal.Message{Descriptors: make([]signal.Field, 0, 3)}
 	msg.PutInt("Attempts", call.attempts)
 	if attempt.link.number == call.destination {
 		msg.Put("Via", "direct")
@@ -285,7 +285,7 @@
 	switch msg.Kind {
 	case signal.Pending:
 		return
-	case signal.Fault:
+	case signal.ErrorMessage:
 		c.log(slog.LevelWarn, "", fmt.Sprintf("exchange %d reported error %d %s", link.id, msg.Code, msg.Text))
 		return
 	case signal.Request:
@@ -316,16 +316,16 @@
 func (c *Controller) handleExchangeRequest(link *exchangeLink, msg *signal.Message) {
 	switch {
 	case msg.Command == signal.ServiceChange:
-		c.sendMessage(link.peer(), msg.Answer())
+		c.sendMessage(link.peer(), msg.NewReply())
 	case msg.Command != signal.Notify:
-		c.sendMessage(link.peer(), msg.Refuse(signal.BadCommand, "not a command for a controller"))
-	case msg.Term == signal.Root:
-		c.sendMessage(link.peer(), msg.Answer())
+		c.sendMessage(link.peer(), msg.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
+	case msg.Termination == signal.Root:
+		c.sendMessage(link.peer(), msg.NewReply())
 		c.handleGroupReports(msg)
 	default:
-		c.sendMessage(link.peer(), msg.Answer())
+		c.sendMessage(link.peer(), msg.NewReply())
 		call := c.calls[contextID(msg.Context)]
-		if call == nil || call.name != msg.Term || call.attempt == nil || call.attempt.link != link {
+		if call == nil || call.name != msg.Termination || call.attempt == nil || call.attempt.link != link {
 			return
 		}
 		outcome := brain.OutcomeCompleted
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -32,7 +32,7 @@
 			h.handle(Input{
 				Kind: InputMessage,
 				Peer: exchangePeer(100),
-				Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+				Message: (&signal.Message{ID: 9, Command: signal.Notify, Termination: signal.Root}).
 					Put("Group", "1 1000000 1000000"),
 			})
 			n := 0
@@ -45,7 +45,7 @@
 				if len(setUps) != 1 {
 					b.Fatalf("call %d: got %d set-ups, want 1", n, len(setUps))
 				}
-				h.receive(exchangePeer(101), setUps[0].Answer())
+				h.receive(exchangePeer(101), setUps[0].NewReply())
 				return name
 			}
 			for range established {
@@ -54,9 +54,9 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				name := setUpCall()
-				effects := h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name})
+				effects := h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: name})
 				releases := messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract)
-				h.receive(exchangePeer(101), releases[0].Answer())
+				h.receive(exchangePeer(101), releases[0].NewReply())
 			}
 		})
 	}
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -91,7 +91,7 @@
 // handleCallerMessage handles a message of a caller.
 func (c *Controller) handleCallerMessage(caller *callerConn, msg *signal.Message) {
 	switch msg.Kind {
-	case signal.Reply, signal.Pending, signal.Fault:
+	case signal.Reply, signal.Pending, signal.ErrorMessage:
 		return // replies to notifications; nothing waits for them
 	}
 	if msg.ID <= caller.lastReceived { // IDs increase on a connection: this one was used before
@@ -100,7 +100,7 @@
 			c.sendMessage(caller.peer, &signal.Message{Kind: signal.Pending, ID: msg.ID})
 			return
 		}
-		c.sendMessage(caller.peer, &signal.Message{Kind: signal.Fault, Code: signal.BadIdentifier,
+		c.sendMessage(caller.peer, &signal.Message{Kind: signal.ErrorMessage, Code: signal.BadIdentifier,
 			Text: fmt.Sprintf("transaction %d was used before", msg.ID)})
 		return
 	}
@@ -117,9 +117,9 @@
 	case signal.AuditValue:
 		c.sendMessage(caller.peer, c.auditReply(msg))
 	case signal.ServiceChange:
-		c.sendMessage(caller.peer, msg.Answer())
+		c.sendMessage(caller.peer, msg.NewReply())
 	default:
-		c.sendMessage(caller.peer, msg.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.sendMessage(caller.peer, msg.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 	}
 }
 
@@ -128,27 +128,27 @@
 func (c *Controller) acceptCall(caller *callerConn, msg *signal.Message) *signal.Message {
 	switch {
 	case c.shuttingDown:
-		return msg.Refuse(signal.NotReady, "going out of service")
-	case caller.calls[msg.Term] != nil:
-		return msg.Refuse(signal.TermInContext, "the call is there already")
+		return msg.NewErrorReply(signal.NotReady, "going out of service")
+	case caller.calls[msg.Termination] != nil:
+		return msg.NewErrorReply(signal.TerminationInContext, "the call is there already")
 	case len(caller.pending) >= c.config.MaxPendingPerCaller:
-		return msg.Refuse(signal.TooManyOpen, fmt.Sprintf("%d transactions are open", len(caller.pending)))
+		return msg.NewErrorReply(signal.TooManyPending, fmt.Sprintf("%d transactions are open", len(caller.pending)))
 	case len(c.calls) >= c.config.MaxCalls:
-		return msg.Refuse(signal.NoResources, fmt.Sprintf("%d calls are held", len(c.calls)))
+		return msg.NewErrorReply(signal.InsufficientResources, fmt.Sprintf("%d calls are held", len(c.calls)))
 	}
 	call, event, err := c.parseCall(msg)
-	if errors.Is(err, signal.ErrMissing) {
-		return msg.Refuse(signal.NoDescriptor, err.Error())
+	if errors.Is(err, signal.ErrMissingDescriptor) {
+		return msg.NewErrorReply(signal.MissingDescriptor, err.Error())
 	} else if err != nil {
-		return msg.Refuse(signal.BadValue, err.Error())
+		return msg.NewErrorReply(signal.BadValue, err.Error())
 	}
 	for c.lastContext++; c.lastContext == 0 || c.lastContext >= signal.ContextChoose || c.calls[contextID(c.lastContext)] != nil; c.lastContext++ {
 	}
 	call.context, call.id = c.lastContext, contextID(c.lastContext)
-	call.name, call.caller, call.transaction, call.acceptedAt = msg.Term, caller, msg.ID, c.now
+	call.name, call.caller, call.transaction, call.acceptedAt = msg.Termination, caller, msg.ID, c.now
 	call.deadline = c.now + event.Remaining
 	event.ID = call.id
-	caller.pending[msg.ID], caller.calls[msg.Term], c.calls[call.id] = call, call, call
+	caller.pending[msg.ID], caller.calls[msg.Termination], c.calls[call.id] = call, call, call
 	c.stats.Accepted++
 	c.stats.Pending++
 	c.notifyModule(event)
@@ -173,13 +173,13 @@
 	}
 	call.class, event.Class = class, class
 	var err error
-	if event.Remaining, err = msg.Span("Left"); err != nil {
+	if event.Remaining, err = msg.Duration("Left"); err != nil {
 		return nil, event, err
 	}
 	if event.Destination, err = msg.Int("Dest", 0, maxExchangeNumber); err != nil {
 		return nil, event, err
 	}
-	if event.Width, err = msg.IntOr("Width", 1, maxCircuitsPerCall, c.config.Classes[class].Width); err != nil {
+	if event.Width, err = msg.IntOrDefault("Width", 1, maxCircuitsPerCall, c.config.Classes[class].Width); err != nil {
 		return nil, event, err
 	}
 	if call.number != "" {
@@ -192,7 +192,7 @@
 	if event.Transit = msg.Get("Source") != ""; event.Transit {
 		name = "Source"
 	}
-	if event.Via, err = msg.IntOr(name, 0, maxExchangeNumber, -1); err != nil {
+	if event.Via, err = msg.IntOrDefault(name, 0, maxExchangeNumber, -1); err != nil {
 		return nil, event, err
 	}
 	event.Repeat, event.Reconnect = msg.Flag("Repeat"), msg.Flag("Again")
@@ -206,12 +206,12 @@
 
 // handleSubtract handles a release by the caller, before the answer or of an established call.
 func (c *Controller) handleSubtract(caller *callerConn, msg *signal.Message) {
-	call := caller.calls[msg.Term]
+	call := caller.calls[msg.Termination]
 	if call == nil {
-		c.sendMessage(caller.peer, msg.Refuse(signal.NoSuchTerm, "no such call"))
+		c.sendMessage(caller.peer, msg.NewErrorReply(signal.UnknownTermination, "no such call"))
 		return
 	}
-	reply := msg.Answer()
+	reply := msg.NewReply()
 	reply.Context = call.context
 	c.sendMessage(caller.peer, reply)
 	c.endByCaller(call)
@@ -225,7 +225,7 @@
 		call.state = stateEnded
 		c.recordCallEnd(call, flow.Left)
 		c.notifyModule(brain.CallAbandoned{CallID: call.id}) // cancels the attempt in flight before the final reply
-		c.sendFinalReply(call, &signal.Message{Code: signal.Gone, Text: "the caller left"})
+		c.sendFinalReply(call, &signal.Message{Code: signal.DoesNotExist, Text: "the caller left"})
 		if call.attempt == nil || call.attempt.stage == stageReleased {
 			c.removeCall(call)
 		}
@@ -243,7 +243,7 @@
 	if call.caller == nil {
 		return
 	}
-	reply.Kind, reply.ID, reply.Context, reply.Command, reply.Term = signal.Reply, call.transaction, call.context, signal.Add, call.name
+	reply.Kind, reply.ID, reply.Context, reply.Command, reply.Termination = signal.Reply, call.transaction, call.context, signal.Add, call.name
 	c.sendMessage(call.caller.peer, reply)
 	delete(call.caller.pending, call.transaction)
 	if reply.Code != 0 {
@@ -257,11 +257,11 @@
 		return
 	}
 	c.sendMessage(call.caller.peer, &signal.Message{
-		ID:      call.caller.nextTransaction(),
-		Context: call.context,
-		Command: signal.Notify,
-		Term:    call.name,
-		Fields:  []signal.Field{{Name: "Event", Value: event}},
+		ID:          call.caller.nextTransaction(),
+		Context:     call.context,
+		Command:     signal.Notify,
+		Termination: call.name,
+		Descriptors: []signal.Field{{Name: "Event", Value: event}},
 	})
 }
 
@@ -295,11 +295,11 @@
 // auditReply returns the reply to an AuditValue: counters for operators and load
 // generators, or the offered traffic.
 func (c *Controller) auditReply(msg *signal.Message) *signal.Message {
-	if msg.Term == trafficTerm {
+	if msg.Termination == trafficTerm {
 		return c.trafficReply(msg)
 	}
 	stats := c.stats
-	return msg.Answer().
+	return msg.NewReply().
 		PutInt("Open", stats.Pending).
 		PutInt("Standing", stats.Established).
 		PutInt("Held", stats.HeldAttempts).
@@ -323,11 +323,11 @@
 // measurement span, by destination and class, in decreasing order of Erlangs.
 func (c *Controller) trafficReply(msg *signal.Message) *signal.Message {
 	if c.config.TrafficMeter == nil {
-		return msg.Refuse(signal.BadValue, "traffic is not measured")
+		return msg.NewErrorReply(signal.BadValue, "traffic is not measured")
 	}
 	estimates, from, to := c.config.TrafficMeter.Estimates(c.now)
 	slices.SortStableFunc(estimates, func(a, b measure.Estimate) int { return cmp.Compare(b.Erlang, a.Erlang) })
-	reply := msg.Answer().PutSpan("Span", to-from).PutInt("Left", max(len(estimates)-maxTrafficLines, 0))
+	reply := msg.NewReply().PutDuration("Span", to-from).PutInt("Left", max(len(estimates)-maxTrafficLines, 0))
 	for _, estimate := range estimates[:min(len(estimates), maxTrafficLines)] {
 		erlang := "unknown"
 		if estimate.Known {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -337,15 +337,15 @@
 		c.effects = append(c.effects, Effect{Kind: EffectClose, Peer: peer, Text: "too many messages that can't be read"})
 		return
 	}
-	msg := &signal.Message{Kind: signal.Fault, Code: syntaxError.Code, Text: syntaxError.What}
+	msg := &signal.Message{Kind: signal.ErrorMessage, Code: syntaxError.Code, Text: syntaxError.Reason}
 	if syntaxError.ID != 0 && peer.Role == RoleCaller && !c.callerFor(peer.ID).isPending(syntaxError.ID) {
 		msg = &signal.Message{
-			Kind:    signal.Reply,
-			ID:      syntaxError.ID,
-			Command: signal.Add,
-			Term:    signal.Root,
-			Code:    syntaxError.Code,
-			Text:    syntaxError.What,
+			Kind:        signal.Reply,
+			ID:          syntaxError.ID,
+			Command:     signal.Add,
+			Termination: signal.Root,
+			Code:        syntaxError.Code,
+			Text:        syntaxError.Reason,
 		}
 		c.callerFor(peer.ID).lastReceived = max(c.callerFor(peer.ID).lastReceived, syntaxError.ID)
 	}
@@ -361,10 +361,10 @@
 	c.shuttingDown = true
 	for _, id := range sortedKeys(c.callers) {
 		c.sendMessage(Peer{RoleCaller, id}, &signal.Message{
-			ID:      c.callers[id].nextTransaction(),
-			Command: signal.ServiceChange,
-			Term:    signal.Root,
-			Fields:  []signal.Field{{Name: "Method", Value: "graceful"}},
+			ID:          c.callers[id].nextTransaction(),
+			Command:     signal.ServiceChange,
+			Termination: signal.Root,
+			Descriptors: []signal.Field{{Name: "Method", Value: "graceful"}},
 		})
 	}
 	c.timers.Set(c.now+c.config.ShutdownGrace, timer{endEstablished: true})
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -124,14 +124,14 @@
 
 // addRequest returns the Add of a call of class fetch to exchange 1.
 func addRequest(name string) *signal.Message {
-	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: name}).Put("Class", "fetch").
-		PutInt("Dest", 1).Put("Number", "77").PutSpan("Left", 4*time.Second)
+	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: name}).Put("Class", "fetch").
+		PutInt("Dest", 1).Put("Number", "77").PutDuration("Left", 4*time.Second)
 }
 
 // announceList sends a complete exchange list and connects the links: the exchange
 // with number n has ID 100+n and is in service.
 func (h *harness) announceList(numbers ...int) {
-	msg := &signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}
+	msg := &signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}
 	msg.PutFlag("Complete", true)
 	for _, number := range numbers {
 		msg.Put("Exchange", listEntry(100+number, number, "in"))
@@ -152,7 +152,7 @@
 	return h.handle(Input{
 		Kind: InputMessage,
 		Peer: Peer{Role: RoleExchangeList},
-		Message: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
+		Message: (&signal.Message{ID: 9, Command: signal.Notify, Termination: signal.Root}).
 			Put("Exchange", listEntry(id, number, state)),
 	})
 }
@@ -161,7 +161,7 @@
 func messagesTo(effects []Effect, peer Peer, kind signal.Kind, command signal.Command) (all []*signal.Message) {
 	for _, effect := range effects {
 		if effect.Kind == EffectSend && effect.Peer == peer && effect.Message.Kind == kind &&
-			(effect.Message.Command == command || kind == signal.Pending || kind == signal.Fault) {
+			(effect.Message.Command == command || kind == signal.Pending || kind == signal.ErrorMessage) {
 			all = append(all, effect.Message)
 		}
 	}
@@ -217,18 +217,18 @@
 		t.Fatalf("unexpected set-up: %s", setUp)
 	}
 	h.now += 50 * time.Millisecond
-	effects = h.receive(exchangePeer(101), setUp.Answer().Put("Group", "1 9 10"))
+	effects = h.receive(exchangePeer(101), setUp.NewReply().Put("Group", "1 9 10"))
 	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != 0 ||
 		reply.Get("Via") != "direct" || reply.Context != setUp.Context {
 		t.Fatalf("unexpected final reply: %s", reply)
 	}
-	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
+	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
 	requireOne(t, "reply to the Subtract", messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract))
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
 	if len(module.ended()) != 0 {
 		t.Fatal("outcome reported before the exchange has released the call")
 	}
-	h.receive(exchangePeer(101), release.Answer())
+	h.receive(exchangePeer(101), release.NewReply())
 	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final Completed", ended)
 	}
@@ -249,8 +249,8 @@
 				t.Fatalf("%d replies to a closed connection", n)
 			}
 		} else {
-			effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-			if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Gone {
+			effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+			if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.DoesNotExist {
 				t.Fatalf("unexpected final reply: %s", reply)
 			}
 		}
@@ -259,12 +259,12 @@
 			t.Fatalf("reported outcomes %+v, want one final Cancelled", ended)
 		}
 		// The exchange's reply crosses the release: it counts as late and has no effect.
-		if effects = h.receive(exchangePeer(101), setUp.Answer()); len(effects) != 0 || h.controller.Stats().LateReplies != 1 {
+		if effects = h.receive(exchangePeer(101), setUp.NewReply()); len(effects) != 0 || h.controller.Stats().LateReplies != 1 {
 			t.Fatalf("late reply: effects %+v", effects)
 		}
 		// The release is repeated until it is answered.
 		release := requireOne(t, "repeated release", messagesTo(h.advance(1100*time.Millisecond), exchangePeer(101), signal.Request, signal.Subtract))
-		h.receive(exchangePeer(101), release.Answer())
+		h.receive(exchangePeer(101), release.NewReply())
 		h.requireNothingLeft()
 		for _, effect := range h.advance(10 * time.Second) {
 			if effect.Kind == EffectSend && effect.Message.Command == signal.Add {
@@ -306,7 +306,7 @@
 	if !hasEffect(effects, EffectBlock, exchangePeer(101)) {
 		t.Fatal("set-ups to a draining exchange not blocked")
 	}
-	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NoResources {
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.InsufficientResources {
 		t.Fatalf("unexpected final reply: %s", reply)
 	}
 	h.handle(Input{Kind: InputConnected, Peer: exchangePeer(101)})
@@ -322,7 +322,7 @@
 		outcomes = append(outcomes, ended.Outcome)
 	}
 	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
-		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Term)
+		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Termination)
 	}
 	// Back in service: set-ups are sent again.
 	if !hasEffect(h.announceExchange(101, 1, "in"), EffectUnblock, exchangePeer(101)) {
@@ -361,7 +361,7 @@
 	effects = h.advance(1100 * time.Millisecond)
 	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	for range 2 {
-		if effects = h.receive(exchangePeer(101), setUp.Answer()); len(effects) != 0 {
+		if effects = h.receive(exchangePeer(101), setUp.NewReply()); len(effects) != 0 {
 			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
@@ -369,15 +369,15 @@
 		t.Fatalf("reported outcomes %+v, want one TimedOut", ended)
 	}
 	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
-	if replies := messagesTo(effects, callerPeer(1), signal.Fault, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier ||
+	if replies := messagesTo(effects, callerPeer(1), signal.ErrorMessage, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier ||
 		len(effects) != 1 {
 		t.Fatalf("ID of a completed transaction used again: %+v", effects)
 	}
 	if stats := h.controller.Stats(); stats.LateReplies != 2 || stats.DuplicateIDs != 2 || stats.Accepted != 1 {
 		t.Fatalf("unexpected counters: %+v", stats)
 	}
-	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); requireOne(t, "reply",
-		messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
+	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "nobody"}); requireOne(t, "reply",
+		messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.UnknownTermination {
 		t.Fatalf("Subtract of an unknown call: %+v", effects)
 	}
 }
@@ -421,9 +421,9 @@
 		t.Fatalf("events %+v, want a transit call from exchange 3 last", module.events)
 	}
 	requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
-	effects = h.receive(callerPeer(7), &signal.Message{Command: signal.Subtract, Term: "c3-1/3.0"})
+	effects = h.receive(callerPeer(7), &signal.Message{Command: signal.Subtract, Termination: "c3-1/3.0"})
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-	h.receive(exchangePeer(101), release.Answer())
+	h.receive(exchangePeer(101), release.NewReply())
 	h.requireNothingLeft()
 }
 
@@ -434,7 +434,7 @@
 	h.announceList(0, 1)
 	closed := 0
 	for n := range 100 {
-		effects := h.handle(Input{Kind: InputMalformed, Peer: callerPeer(5), SyntaxError: signal.SyntaxError{ID: uint32(n), Code: signal.BadCommand, What: "no command"}})
+		effects := h.handle(Input{Kind: InputMalformed, Peer: callerPeer(5), SyntaxError: signal.SyntaxError{ID: uint32(n), Code: signal.UnknownCommand, Reason: "no command"}})
 		switch {
 		case hasEffect(effects, EffectClose, callerPeer(5)):
 			closed++
@@ -446,7 +446,7 @@
 		t.Fatalf("connection closed after only %d of 100 messages", closed)
 	}
 	// Other callers are still served.
-	if h.receive(callerPeer(6), &signal.Message{Command: signal.AuditValue, Term: signal.Root}); len(h.effects) != 1 {
+	if h.receive(callerPeer(6), &signal.Message{Command: signal.AuditValue, Termination: signal.Root}); len(h.effects) != 1 {
 		t.Fatalf("audit of another caller: effects %+v", h.effects)
 	}
 }
@@ -455,7 +455,7 @@
 // while traffic is not measured.
 func TestTrafficAudit(t *testing.T) {
 	h := newHarness(t, &script{respond: sendEachTo(101, 3*time.Second)})
-	audit := &signal.Message{Command: signal.AuditValue, Term: trafficTerm}
+	audit := &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}
 	if reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), audit), callerPeer(1), signal.Reply, signal.AuditValue)); reply.Code != signal.BadValue {
 		t.Fatalf("audit without a measurement: %s", reply)
 	}
@@ -463,20 +463,20 @@
 	h.announceList(0, 1)
 	for i := range 61 { // a call of 5 s every 10 s: 0.5 Erlang
 		msg := addRequest(fmt.Sprint("c", i))
-		msg.Fields[2].Value = fmt.Sprint(1000 + i)
+		msg.Descriptors[2].Value = fmt.Sprint(1000 + i)
 		setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), msg), exchangePeer(101), signal.Request, signal.Add))
-		h.receive(exchangePeer(101), setUp.Answer())
+		h.receive(exchangePeer(101), setUp.NewReply())
 		h.advance(5 * time.Second)
-		release := requireOne(t, "release", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: msg.Term}), exchangePeer(101), signal.Request, signal.Subtract))
-		h.receive(exchangePeer(101), release.Answer())
+		release := requireOne(t, "release", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: msg.Termination}), exchangePeer(101), signal.Request, signal.Subtract))
+		h.receive(exchangePeer(101), release.NewReply())
 		h.advance(5 * time.Second)
 		for _, effect := range h.effects { // answer the probes, so that the links stay connected
 			if effect.Kind == EffectSend && effect.Message.Command == signal.AuditValue && effect.Message.Kind == signal.Request {
-				h.receive(effect.Peer, effect.Message.Answer())
+				h.receive(effect.Peer, effect.Message.NewReply())
 			}
 		}
 	}
-	reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.AuditValue, Term: trafficTerm}), callerPeer(1), signal.Reply, signal.AuditValue))
+	reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}), callerPeer(1), signal.Reply, signal.AuditValue))
 	var dest, tries, first, lost int
 	var class string
 	var erlang, low, high float64
@@ -495,7 +495,7 @@
 	for n := range 10000 {
 		h.receive(callerPeer(1), addRequest(fmt.Sprint("c", n)))
 	}
-	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("more")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.TooManyOpen || reply.Get("Taken") != "no" {
+	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("more")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.TooManyPending || reply.Get("Taken") != "no" {
 		t.Fatalf("unexpected reply over the limit: %s", reply)
 	}
 	if stats := h.controller.Stats(); stats.Accepted != 10000 || stats.AddsRejected != 1 {
@@ -511,11 +511,11 @@
 	module := &script{}
 	h := newHarness(t, module)
 	cases := map[string]*signal.Message{
-		"Class":  {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
-		"Left":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
-		"Dest":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
+		"Class":  {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
+		"Left":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
+		"Dest":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
 		"Width":  addRequest("a").Put("Width", "0"),
-		"Number": {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
+		"Number": {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
 		"Source": addRequest("a").Put("Source", "x"),
 	}
 	for descriptor, request := range cases {
@@ -540,9 +540,9 @@
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputDisconnected, Peer: Peer{Role: RoleExchangeList}})
-	h.receive(exchangePeer(101), setUp.Answer()) // the last list stays in force
+	h.receive(exchangePeer(101), setUp.NewReply()) // the last list stays in force
 	h.handle(Input{Kind: InputConnected, Peer: Peer{Role: RoleExchangeList}})
-	update := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
+	update := (&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Complete", "yes").
 		Put("Exchange", listEntry(200, 0, "in")).Put("Exchange", listEntry(201, 1, "in"))
 	effects = h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: update})
 	if !hasEffect(effects, EffectConnect, exchangePeer(201)) || !hasEffect(effects, EffectBlock, exchangePeer(101)) ||
@@ -550,12 +550,12 @@
 		t.Fatalf("effects of the new list: %+v", effects)
 	}
 	// The call established at the old exchange ends there; then the link is removed.
-	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-	effects = h.receive(exchangePeer(101), requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract)).Answer())
+	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+	effects = h.receive(exchangePeer(101), requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract)).NewReply())
 	if !hasEffect(effects, EffectDisconnect, exchangePeer(101)) || h.controller.links[101] != nil {
 		t.Fatal("unused link of a delisted exchange not removed")
 	}
-	bad := (&signal.Message{ID: 2, Command: signal.Notify, Term: signal.Root}).Put("Exchange", "7 cell=x")
+	bad := (&signal.Message{ID: 2, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", "7 cell=x")
 	if reply := requireOne(t, "error", messagesTo(h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: bad}), Peer{Role: RoleExchangeList}, signal.Reply, signal.Notify)); reply.Code != signal.BadValue {
 		t.Fatalf("unexpected reply to an invalid list: %s", reply)
 	}
@@ -582,20 +582,20 @@
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("established")), exchangePeer(101), signal.Request, signal.Add))
-	h.receive(exchangePeer(101), setUp.Answer())
+	h.receive(exchangePeer(101), setUp.NewReply())
 	pending := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("pending")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputShutdown})
 	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("new")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NotReady || reply.Get("Taken") != "no" {
 		t.Fatalf("unexpected reply during the shutdown: %s", reply)
 	}
-	h.receive(exchangePeer(101), pending.Refuse(signal.NoResources, "").Put("Note", "processor-full"))
+	h.receive(exchangePeer(101), pending.NewErrorReply(signal.InsufficientResources, "").Put("Note", "processor-full"))
 	all := h.advance(2100 * time.Millisecond)
 	notice := requireOne(t, "notification", messagesTo(all, callerPeer(1), signal.Request, signal.Notify))
 	if notice.Get("Event") != "cut" {
 		t.Fatalf("unexpected notification: %s", notice)
 	}
 	release := requireOne(t, "release", messagesTo(all, exchangePeer(101), signal.Request, signal.Subtract))
-	if !hasEffect(h.receive(exchangePeer(101), release.Answer()), EffectStopped, Peer{}) {
+	if !hasEffect(h.receive(exchangePeer(101), release.NewReply()), EffectStopped, Peer{}) {
 		t.Fatal("shutdown not completed")
 	}
 	h.requireNothingLeft()
@@ -616,11 +616,11 @@
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("late")), exchangePeer(101), signal.Request, signal.Add))
 	h.handle(Input{Kind: InputShutdown})
 	h.advance(2500 * time.Millisecond)
-	h.receive(exchangePeer(101), setUp.Answer())
+	h.receive(exchangePeer(101), setUp.NewReply())
 	effects := h.advance(300 * time.Millisecond)
 	requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify))
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-	if !hasEffect(h.receive(exchangePeer(101), release.Answer()), EffectStopped, Peer{}) {
+	if !hasEffect(h.receive(exchangePeer(101), release.NewReply()), EffectStopped, Peer{}) {
 		t.Fatal("shutdown not completed")
 	}
 	h.requireNothingLeft()
@@ -663,7 +663,7 @@
 		t.Fatalf("unexpected final reply: %s", reply)
 	}
 	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-	h.receive(exchangePeer(101), release.Answer())
+	h.receive(exchangePeer(101), release.NewReply())
 	if ended := module.ended(); len(ended) != 1 || !ended[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final outcome", ended)
 	}
@@ -676,9 +676,9 @@
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
-	h.receive(exchangePeer(101), setUp.Answer())
+	h.receive(exchangePeer(101), setUp.NewReply())
 	effects := h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)})
-	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Term != "a" {
+	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Termination != "a" {
 		t.Fatalf("unexpected notification: %s", notice)
 	}
 	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset || !ended[0].Final {
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -35,9 +35,9 @@
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Refused++
 			c.recordCallEnd(call, flow.Refused)
-			msg := &signal.Message{Code: signal.NoResources, Text: "refused"}
+			msg := &signal.Message{Code: signal.InsufficientResources, Text: "refused"}
 			if action.RetryAfter > 0 {
-				msg.PutSpan("Backoff", action.RetryAfter)
+				msg.PutDuration("Backoff", action.RetryAfter)
 			}
 			c.finishCall(call, msg)
 		}
@@ -142,9 +142,9 @@
 		return failure.outcome
 	}
 	switch msg.Code {
-	case signal.NotReady, signal.Unavailable, signal.TooManyOpen, signal.InService:
+	case signal.NotReady, signal.Unavailable, signal.TooManyPending, signal.ServiceStateChanging:
 		return brain.OutcomeUnreachable
-	case signal.NoResources:
+	case signal.InsufficientResources:
 		return brain.OutcomeRejected
 	}
 	return brain.OutcomeFailed
@@ -156,7 +156,7 @@
 // processorNote returns the Note of a failed set-up and the Wait that an overloaded
 // processor asks for.
 func processorNote(msg *signal.Message) (brain.Note, time.Duration) {
-	wait, err := msg.Span("Wait")
+	wait, err := msg.Duration("Wait")
 	if err != nil {
 		wait = 0
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -68,7 +68,7 @@
 	state.connected, state.lastHeard, state.lastProbe = true, c.now, 0
 	state.connectionCount++
 	state.lastTransaction++
-	msg := &signal.Message{ID: state.lastTransaction, Command: signal.ServiceChange, Term: signal.Root}
+	msg := &signal.Message{ID: state.lastTransaction, Command: signal.ServiceChange, Termination: signal.Root}
 	msg.Put("Method", "restart").PutInt("Controller", c.config.ControllerNumber).PutInt("From", c.config.ExchangeNumber)
 	c.sendMessage(peer, msg)
 	state.lastTransaction++
@@ -76,7 +76,7 @@
 	if peer.Role == RoleExchangeList {
 		events = "list"
 	}
-	c.sendMessage(peer, (&signal.Message{ID: state.lastTransaction, Command: signal.Modify, Term: signal.Root}).Put("Events", events))
+	c.sendMessage(peer, (&signal.Message{ID: state.lastTransaction, Command: signal.Modify, Termination: signal.Root}).Put("Events", events))
 	c.checkLiveness(state)
 	if peer.Role == RoleExchange {
 		link := c.links[peer.ID]
@@ -147,7 +147,7 @@
 	if probe {
 		state.lastProbe = c.now
 		state.lastTransaction++
-		c.sendMessage(state.peer, &signal.Message{ID: state.lastTransaction, Command: signal.AuditValue, Term: signal.Root})
+		c.sendMessage(state.peer, &signal.Message{ID: state.lastTransaction, Command: signal.AuditValue, Termination: signal.Root})
 	}
 	c.timers.Set(next, timer{link: state, connection: state.connectionCount})
 }
@@ -170,16 +170,16 @@
 		return
 	}
 	if msg.Command != signal.Notify {
-		c.sendMessage(c.listLink.peer, msg.Refuse(signal.BadCommand, "not a command for a controller"))
+		c.sendMessage(c.listLink.peer, msg.NewErrorReply(signal.UnknownCommand, "not a command for a controller"))
 		return
 	}
 	update, addresses, err := c.parseExchangeList(msg)
 	if err != nil {
 		c.log(slog.LevelError, "", "invalid exchange list: "+err.Error())
-		c.sendMessage(c.listLink.peer, msg.Refuse(signal.BadValue, err.Error()))
+		c.sendMessage(c.listLink.peer, msg.NewErrorReply(signal.BadValue, err.Error()))
 		return
 	}
-	c.sendMessage(c.listLink.peer, msg.Answer())
+	c.sendMessage(c.listLink.peer, msg.NewReply())
 	listed := map[uint64]bool{}
 	for i, entry := range update.Entries {
 		listed[uint64(entry.ID)] = true
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -54,30 +54,30 @@
 		msg := effect.Message
 		switch {
 		case effect.Peer.Role == RoleCaller && msg.Kind == signal.Reply && msg.Command == signal.Add:
-			if checker.answered[msg.Term]++; checker.answered[msg.Term] > 1 {
-				checker.t.Fatalf("call %s got two final replies", msg.Term)
+			if checker.answered[msg.Termination]++; checker.answered[msg.Termination] > 1 {
+				checker.t.Fatalf("call %s got two final replies", msg.Termination)
 			}
-			checker.established[msg.Term] = msg.Code == 0
+			checker.established[msg.Termination] = msg.Code == 0
 		case effect.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Add:
 			switch {
-			case checker.answered[msg.Term] > 0 || checker.abandoned[msg.Term]:
-				checker.t.Fatalf("call %s sent after its end", msg.Term)
-			case checker.inFlight[msg.Term] != 0:
-				checker.t.Fatalf("call %s has two attempts in flight", msg.Term)
+			case checker.answered[msg.Termination] > 0 || checker.abandoned[msg.Termination]:
+				checker.t.Fatalf("call %s sent after its end", msg.Termination)
+			case checker.inFlight[msg.Termination] != 0:
+				checker.t.Fatalf("call %s has two attempts in flight", msg.Termination)
 			case checker.draining[id]:
-				checker.t.Fatalf("call %s sent to draining exchange %d", msg.Term, id)
+				checker.t.Fatalf("call %s sent to draining exchange %d", msg.Termination, id)
 			case !checker.connected[id]:
-				checker.t.Fatalf("call %s sent over a link that is down", msg.Term)
-			case checker.harness.now < checker.blockedUntil[msg.Term]:
-				checker.t.Fatalf("call %s sent %v before the end of the release time", msg.Term, checker.blockedUntil[msg.Term]-checker.harness.now)
+				checker.t.Fatalf("call %s sent over a link that is down", msg.Termination)
+			case checker.harness.now < checker.blockedUntil[msg.Termination]:
+				checker.t.Fatalf("call %s sent %v before the end of the release time", msg.Termination, checker.blockedUntil[msg.Termination]-checker.harness.now)
 			case effect.Deadline <= checker.harness.now:
-				checker.t.Fatalf("call %s sent after its deadline", msg.Term)
+				checker.t.Fatalf("call %s sent after its deadline", msg.Termination)
 			}
-			checker.inFlight[msg.Term] = id
+			checker.inFlight[msg.Termination] = id
 			checker.setUps[id][msg.ID] = msg
 		case effect.Peer.Role == RoleExchange && msg.Kind == signal.Request && msg.Command == signal.Subtract:
-			if checker.inFlight[msg.Term] == id {
-				checker.endAttempt(msg.Term, true)
+			if checker.inFlight[msg.Termination] == id {
+				checker.endAttempt(msg.Termination, true)
 			}
 			checker.releases[id] = append(checker.releases[id], msg)
 		}
@@ -100,8 +100,8 @@
 	}
 	checker.connected[id] = false
 	for _, msg := range checker.setUps[id] {
-		if checker.inFlight[msg.Term] == id {
-			checker.endAttempt(msg.Term, true)
+		if checker.inFlight[msg.Termination] == id {
+			checker.endAttempt(msg.Termination, true)
 		}
 	}
 	checker.setUps[id], checker.releases[id] = map[uint32]*signal.Message{}, nil
@@ -151,7 +151,7 @@
 			checker.connected[id], checker.setUps[id] = true, map[uint32]*signal.Message{}
 		}
 		reportGroups := func(free ...int) {
-			msg := &signal.Message{ID: 50, Command: signal.Notify, Term: signal.Root}
+			msg := &signal.Message{ID: 50, Command: signal.Notify, Termination: signal.Root}
 			for i, circuits := range free {
 				msg.Put("Group", fmt.Sprintf("%d %d 20", i+1, circuits))
 			}
@@ -165,10 +165,10 @@
 			case 0, 1, 2:
 				name := fmt.Sprint("c", len(calls))
 				calls = append(calls, name)
-				msg := &signal.Message{Command: signal.Add, Term: name}
+				msg := &signal.Message{Command: signal.Add, Termination: name}
 				msg.Put("Class", rapid.SampledFrom([]string{"fetch", "wide"}).Draw(t, "class"))
 				msg.PutInt("Dest", rapid.IntRange(1, 3).Draw(t, "dest")).
-					PutSpan("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
+					PutDuration("Left", time.Duration(rapid.IntRange(0, 4000).Draw(t, "left"))*time.Millisecond)
 				if rapid.Bool().Draw(t, "transit") {
 					msg.PutInt("Source", 9)
 				}
@@ -177,7 +177,7 @@
 				if len(calls) > 0 {
 					name := rapid.SampledFrom(calls).Draw(t, "released call")
 					checker.abandoned[name] = true
-					checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name}))
+					checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 				}
 			case 4, 5:
 				checker.answerOldest(t, id, rapid.SampledFrom(append(notes, "", "", "", "")).Draw(t, "note"))
@@ -185,7 +185,7 @@
 				if n := len(checker.releases[id]); n > 0 {
 					msg := checker.releases[id][n-1]
 					checker.releases[id] = checker.releases[id][:n-1]
-					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.Answer()}))
+					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.NewReply()}))
 				}
 			case 7:
 				if checker.connected[id] {
@@ -211,7 +211,7 @@
 			}
 			if checker.established[name] && !checker.abandoned[name] {
 				checker.abandoned[name] = true
-				checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Term: name}))
+				checker.check(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: name}))
 			}
 		}
 		for round := 0; h.controller.Stats().HeldAttempts > 0; round++ {
@@ -220,7 +220,7 @@
 			}
 			for _, id := range []uint64{100, 101, 102, 103} {
 				for _, msg := range checker.releases[id] {
-					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.Answer()}))
+					checker.check(h.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: msg.NewReply()}))
 				}
 				checker.releases[id] = nil
 			}
@@ -279,13 +279,13 @@
 		return
 	}
 	delete(checker.setUps[id], oldest.ID)
-	reply := oldest.Answer()
+	reply := oldest.NewReply()
 	if note != "" {
-		reply = oldest.Refuse(signal.NoResources, note).Put("Note", note)
+		reply = oldest.NewErrorReply(signal.InsufficientResources, note).Put("Note", note)
 	}
-	if checker.inFlight[oldest.Term] == id {
-		if checker.endAttempt(oldest.Term, note == "cut"); note == "" {
-			delete(checker.blockedUntil, oldest.Term)
+	if checker.inFlight[oldest.Termination] == id {
+		if checker.endAttempt(oldest.Termination, note == "cut"); note == "" {
+			delete(checker.blockedUntil, oldest.Termination)
 		}
 	}
 	checker.check(checker.harness.handle(Input{Kind: InputMessage, Peer: Peer{RoleExchange, id}, Message: reply}))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	dialer := net.Dialer{Timeout: set.Peers.Dial}
+	dialer := net.Dialer{Timeout: set.Peers.DialTimeout}
 	var sink flow.Sink
 	var exporter *export.Exporter
 	if len(set.Flows.Collectors) > 0 {
@@ -190,7 +190,7 @@
 func (d *Daemon) Serve(ctx context.Context) {
 	// The connections outlive ctx until the core has stopped.
 	connCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
-	d.keepLink(connCtx, controller.Peer{Role: controller.RoleExchangeList}, d.settings.List)
+	d.keepLink(connCtx, controller.Peer{Role: controller.RoleExchangeList}, d.settings.ListAddress)
 	d.wg.Go(func() { d.acceptCallers() })
 	coreDone := make(chan struct{})
 	go func() {
@@ -337,11 +337,11 @@
 }
 
 // connectionOptions returns the options of a connection that observer captures.
-func (d *Daemon) connectionOptions(observer *capture.Tap) transport.Options[*signal.Message] {
+func (d *Daemon) connectionOptions(observer *capture.ConnRecorder) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{
-		Reader:       signal.Reading(signal.Limits{Line: d.settings.Limits.Line, Block: d.settings.Limits.Block}),
+		Reader:       signal.NewReadFunc(signal.Limits{MaxLineBytes: d.settings.Limits.LineBytes, MaxMessageBytes: d.settings.Limits.MessageBytes}),
 		Outbox:       guard.Outbox{Most: d.settings.Limits.Outbox},
-		WriteTimeout: d.settings.Peers.Write,
+		WriteTimeout: d.settings.Peers.WriteTimeout,
 		DrainGrace:   d.settings.Rules.DrainGrace,
 		Capture:      observer,
 		Now:          d.now,
@@ -375,7 +375,7 @@
 		d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputConnected, Peer: peer})
 		announced := make(chan struct{})
 		close(announced)
-		observer := d.capture.Open(transport.ConnectionKey(netConn, false), capture.Ends{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
+		observer := d.capture.Open(transport.ConnectionKey(netConn, false), capture.Endpoint{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
 		d.mu.Lock()
 		d.callers[id] = transport.Start(netConn, d.connectionOptions(observer), &connectionHandler{d, peer, announced})
 		d.mu.Unlock()
@@ -396,7 +396,7 @@
 		return
 	}
 	if msg.Kind == signal.Request && msg.Command == signal.Add { // shed, not accepted
-		conn.Send(msg.Refuse(signal.NoResources, "the controller can't keep up").Put("Taken", "no"), 0)
+		conn.Send(msg.NewErrorReply(signal.InsufficientResources, "the controller can't keep up").Put("Taken", "no"), 0)
 	}
 }
 
@@ -496,8 +496,8 @@
 func (keeper *linkKeeper) run(ctx context.Context, addr string) {
 	d := keeper.daemon
 	retry := guard.Backoff{
-		Min: d.settings.Peers.RetryFrom,
-		Max: d.settings.Peers.RetryMost,
+		Min: d.settings.Peers.MinRetryDelay,
+		Max: d.settings.Peers.MaxRetryDelay,
 		// Used for jitter only; no decision depends on it.
 		Random: rand.New(rand.NewPCG(d.settings.Seed, uint64(d.settings.Number)<<32^keeper.peer.ID)),
 	}
@@ -506,7 +506,7 @@
 		if err == nil {
 			connectedAt := time.Now()
 			keeper.serve(ctx, netConn)
-			if time.Since(connectedAt) > d.settings.Peers.RetryMost {
+			if time.Since(connectedAt) > d.settings.Peers.MaxRetryDelay {
 				attempts = 1
 			}
 		} else if ctx.Err() == nil {
@@ -522,7 +522,7 @@
 // serve runs one connection until it is closed or ctx ends.
 func (keeper *linkKeeper) serve(ctx context.Context, netConn net.Conn) {
 	d := keeper.daemon
-	observer := d.capture.Open(transport.ConnectionKey(netConn, true), capture.Ends{
+	observer := d.capture.Open(transport.ConnectionKey(netConn, true), capture.Endpoint{
 		Owner:  CaptureOwner(d.settings.Number),
 		Role:   keeper.peer.Role.String(),
 		Peer:   keeper.peer.ID,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -34,7 +34,7 @@
 			scenario := *loadScenario(t, "bad-day")
 			// Ample circuits and a low processor load: only the stalled exchange can delay the others.
 			scenario.Seed, scenario.Length, scenario.Troubles, scenario.Fleet.Exchanges, scenario.Load.Level = seed, 32*time.Second, troubles, 5, 0.6
-			scenario.Fleet.Spare, scenario.Fleet.Missed, scenario.Fleet.Drift, scenario.Load.Swing = 3, 0, 0, 0
+			scenario.Fleet.SpareFactor, scenario.Fleet.ForecastError, scenario.Fleet.DriftPeriod, scenario.Load.Swing = 3, 0, 0, 0
 			sim := &simulation{scenario: &scenario, policy: "brain"}
 			report, result := sim.run(t)
 			requireRulesKept(t, report, result, sim)
@@ -50,7 +50,7 @@
 			})
 			return setUpTimes
 		}
-		with = append(with, run(settings.Trouble{Kind: "stalled-reader", At: time.Second, For: 30 * time.Second, Size: 0.01})...)
+		with = append(with, run(settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})...)
 		without = append(without, run()...)
 	}
 	percentile99 := func(times []time.Duration) time.Duration {
@@ -91,7 +91,7 @@
 	scenario := loadScenario(t, "bad-day")
 	set := scenario.Controller(0, "127.0.0.1:1") // address without a listener
 	set.Listen = "127.0.0.1:0"
-	set.Defaults()
+	set.SetDefaults()
 	ctx, stop := context.WithCancel(t.Context())
 	var log syncBuffer
 	ended := make(chan error, 1)
@@ -128,15 +128,15 @@
 		}
 	}
 	send("Transaction=1 Context=$ Add=a\nClass: fetch\nDest: 1\nLeft: 3s")
-	if msg := receive(); msg.ID != 1 || msg.Code != signal.NoResources || msg.Get("Verdict") == "" {
+	if msg := receive(); msg.ID != 1 || msg.Code != signal.InsufficientResources || msg.Get("Verdict") == "" {
 		t.Fatalf("reply to an Add: %s", msg)
 	}
 	send("Transaction=2 Context=$ Frob=a")
-	if msg := receive(); msg.ID != 2 || msg.Code != signal.BadCommand {
+	if msg := receive(); msg.ID != 2 || msg.Code != signal.UnknownCommand {
 		t.Fatalf("reply to an unknown command: %s", msg)
 	}
 	send("nonsense")
-	if msg := receive(); msg.Kind != signal.Fault || msg.Code != signal.BadSyntax {
+	if msg := receive(); msg.Kind != signal.ErrorMessage || msg.Code != signal.BadSyntax {
 		t.Fatalf("reply to a malformed message: %s", msg)
 	}
 	send("Transaction=3 Context=- AuditValue=ROOT")
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -73,7 +73,7 @@
 		for number := range sim.scenario.Fleet.Exchanges {
 			set := sim.scenario.Controller(number, environment.ListAddr())
 			set.Policy = sim.policy
-			set.Defaults()
+			set.SetDefaults()
 			if sim.configure != nil {
 				sim.configure(set)
 			}
--- a/internal/daemon/flows.go
+++ b/internal/daemon/flows.go
@@ -27,11 +27,11 @@
 	}
 	config := export.Config{
 		Copies:   flows.Mode == "copies",
-		Ring:     flows.Ring,
-		Queue:    flows.Queue,
-		Replay:   flows.Replay,
-		Interval: flows.Interval,
-		Confirm:  flows.Confirm,
+		Ring:     flows.RingCapacity,
+		Queue:    flows.QueueCapacity,
+		Replay:   flows.ReplayRate,
+		Interval: flows.SummaryInterval,
+		Confirm:  flows.ConfirmAfter,
 		Log:      log,
 		Now:      func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 	}
@@ -53,12 +53,12 @@
 			MTU:       collector.MTU,
 		})
 		if collector.Transport == "tls" {
-			if dialers[collector.Address], err = export.NewTLS(collector.CA, collector.Cert, collector.Key, collector.Name, log); err != nil {
+			if dialers[collector.Address], err = export.NewTLS(collector.CA, collector.Cert, collector.Key, collector.ServerName, log); err != nil {
 				return nil, fmt.Errorf("flows: collector %s: %w", collector.Address, err)
 			}
 		}
 	}
-	dialer := net.Dialer{Timeout: set.Peers.Dial}
+	dialer := net.Dialer{Timeout: set.Peers.DialTimeout}
 	config.Dial = func(ctx context.Context, collector export.Collector) (net.Conn, error) {
 		if tlsDialer := dialers[collector.Address]; tlsDialer != nil {
 			return tlsDialer.Dial(ctx, &dialer, collector.Address)
@@ -70,20 +70,20 @@
 		return dialer.DialContext(ctx, network, collector.Address)
 	}
 	codec := flow.NewCodec(uint32(set.Number), uint64(time.Now().UnixMilli()), classes, key)
-	if flows.Spool != "" {
+	if flows.SpoolDirectory != "" {
 		spoolCount := 1
 		if config.Copies {
 			spoolCount = len(flows.Collectors)
 		}
 		for i := range spoolCount {
-			dir, err := spool.MakeDir(filepath.Join(flows.Spool, fmt.Sprint("lane-", i)))
+			dir, err := spool.MakeDir(filepath.Join(flows.SpoolDirectory, fmt.Sprint("lane-", i)))
 			if err != nil {
 				return nil, err
 			}
 			opened, err := spool.Open(dir, spool.Config{
-				Most:    flows.SpoolMost,
-				Segment: min(max(flows.SpoolMost/16, 64<<10), 8<<20),
-				Age:     flows.SpoolAge,
+				Most:    flows.MaxSpoolBytes,
+				Segment: min(max(flows.MaxSpoolBytes/16, 64<<10), 8<<20),
+				Age:     flows.MaxSpoolAge,
 				Sync:    time.Second,
 			}, codec)
 			if err != nil {
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -81,7 +81,7 @@
 // inputKind classifies an input by the effect of its loss.
 func inputKind(input controller.Input) guard.Kind {
 	switch {
-	case input.Kind != controller.InputMessage || input.Message.Ends():
+	case input.Kind != controller.InputMessage || input.Message.FreesResources():
 		return guard.Completion
 	case input.Peer.Role == controller.RoleCaller && input.Message.Command == signal.Add:
 		return guard.NewCall
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -59,12 +59,12 @@
 		msg  signal.Message
 		want guard.Kind
 	}{
-		{caller, signal.Message{Command: signal.Add, Term: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Term: "a"}, guard.Completion},
-		{caller, signal.Message{Command: signal.AuditValue, Term: signal.Root}, guard.StatusUpdate},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Term: "a"}, guard.Completion},
-		{exchange, signal.Message{Command: signal.Notify, Term: "a"}, guard.Completion},
-		{exchange, signal.Message{Command: signal.Notify, Term: signal.Root}, guard.StatusUpdate},
+		{caller, signal.Message{Command: signal.Add, Termination: "a"}, guard.NewCall},
+		{caller, signal.Message{Command: signal.Subtract, Termination: "a"}, guard.Completion},
+		{caller, signal.Message{Command: signal.AuditValue, Termination: signal.Root}, guard.StatusUpdate},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: signal.Root}, guard.StatusUpdate},
 	} {
 		if got := inputKind(controller.Input{Kind: controller.InputMessage, Peer: test.peer, Message: &test.msg}); got != test.want {
 			t.Errorf("%s from peer %s: got kind %d, want %d", &test.msg, test.peer.Role, got, test.want)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -34,7 +34,7 @@
 	WriteTimeout time.Duration
 	// DrainGrace is the drain grace, for writes under way when the fence is shut.
 	DrainGrace time.Duration
-	Capture    *capture.Tap
+	Capture    *capture.ConnRecorder
 	// Now is the clock of NotAfter.
 	Now func() time.Duration
 	// LingerTimeout is how long Finish waits for the peer's end after its own (half-close); 0 ends both at once.
