--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -40,26 +40,26 @@
 	reported         bool          // the outcome was reported to the routing module
 }
 
-// startAttempt carries out a Send of the routing module.
-func (c *Controller) startAttempt(send brain.StartAttempt) {
-	call := c.calls[send.CallID]
+// startAttempt carries out a StartAttempt of the routing module.
+func (c *Controller) startAttempt(action brain.StartAttempt) {
+	call := c.calls[action.CallID]
 	if call == nil || call.state != statePending || call.attempt != nil && !call.attempt.reported {
 		// The call has ended or has an attempt in flight: logged, not sent.
-		c.log(slog.LevelError, send.CallID, "the routing module sent a call that has ended or has an attempt in flight")
+		c.log(slog.LevelError, action.CallID, "the routing module sent a call that has ended or has an attempt in flight")
 		if call != nil && call.state == statePending {
 			return
 		}
-		c.notifyModule(brain.AttemptEnded{CallID: send.CallID, ExchangeID: send.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
+		c.notifyModule(brain.AttemptEnded{CallID: action.CallID, ExchangeID: action.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
 		return
 	}
 	c.stats.Attempts++
 	attempt := &attempt{
 		call:       call,
 		number:     call.attempts,
-		exchangeID: send.ExchangeID,
-		link:       c.links[uint64(send.ExchangeID)],
+		exchangeID: action.ExchangeID,
+		link:       c.links[uint64(action.ExchangeID)],
 		startedAt:  c.now,
-		deadline:   c.now + send.Timeout,
+		deadline:   c.now + action.Timeout,
 	}
 	call.attempts++
 	call.attempt = attempt
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -164,8 +164,8 @@
 	// Accepted counts the calls; Answered, Refused, Failed and Abandoned (by the
 	// caller) are their final outcomes.
 	Accepted, Answered, Refused, Failed, Abandoned int
-	// Ended and Cut count the answered calls that are over: ended by a party, or
-	// cut by a failure or by the shutdown.
+	// Ended and Cut count answered calls that were ended by a party or cut by a
+	// failure. Calls that the shutdown ends are in neither.
 	Ended, Cut int
 	// Attempts counts the set-ups at exchanges; the others count the ways in which they failed.
 	Attempts, TimedOut, Reset, NoLink, Cancelled int
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -626,12 +626,12 @@
 	h.requireNothingLeft()
 }
 
-// A second Send for a call with an attempt in flight is ignored.
-func TestSecondSendIsIgnored(t *testing.T) {
+// A second StartAttempt for a call with an attempt in flight is ignored.
+func TestSecondStartAttemptIsIgnored(t *testing.T) {
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		if event, ok := e.(brain.Call); ok {
-			send := brain.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
-			return []brain.Action{send, send}
+			action := brain.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
+			return []brain.Action{action, action}
 		}
 		return nil
 	}}
@@ -643,9 +643,9 @@
 	}
 }
 
-// The routing module gives up a call with an attempt in flight: the caller gets one
+// The routing module fails a call with an attempt in flight: the caller gets one
 // final reply and the attempt is withdrawn.
-func TestGiveUpWithdrawsAttempt(t *testing.T) {
+func TestFailCallWithdrawsAttempt(t *testing.T) {
 	module := &script{respond: func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -336,14 +336,14 @@
 	return nil
 }
 
-// connectionOptions returns the options of a connection that observer captures.
-func (d *Daemon) connectionOptions(observer *capture.ConnRecorder) transport.Options[*signal.Message] {
+// connectionOptions returns the options of a connection that recorder captures.
+func (d *Daemon) connectionOptions(recorder *capture.ConnRecorder) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{
 		Reader:       signal.NewReadFunc(signal.Limits{MaxLineBytes: d.settings.Limits.LineBytes, MaxMessageBytes: d.settings.Limits.MessageBytes}),
 		Outbox:       guard.Outbox{Most: d.settings.Limits.Outbox},
 		WriteTimeout: d.settings.Peers.WriteTimeout,
 		DrainGrace:   d.settings.Rules.DrainGrace,
-		Capture:      observer,
+		Capture:      recorder,
 		Now:          d.now,
 	}
 }
@@ -375,9 +375,9 @@
 		d.inbox.put(guard.Completion, controller.Input{Kind: controller.InputConnected, Peer: peer})
 		announced := make(chan struct{})
 		close(announced)
-		observer := d.capture.Open(transport.ConnectionKey(netConn, false), capture.Endpoint{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
+		recorder := d.capture.Open(transport.ConnectionKey(netConn, false), capture.Endpoint{Owner: CaptureOwner(d.settings.Number), Role: "caller"})
 		d.mu.Lock()
-		d.callers[id] = transport.Start(netConn, d.connectionOptions(observer), &connectionHandler{d, peer, announced})
+		d.callers[id] = transport.Start(netConn, d.connectionOptions(recorder), &connectionHandler{d, peer, announced})
 		d.mu.Unlock()
 	}
 }
@@ -522,7 +522,7 @@
 // serve runs one connection until it is closed or ctx ends.
 func (keeper *linkKeeper) serve(ctx context.Context, netConn net.Conn) {
 	d := keeper.daemon
-	observer := d.capture.Open(transport.ConnectionKey(netConn, true), capture.Endpoint{
+	recorder := d.capture.Open(transport.ConnectionKey(netConn, true), capture.Endpoint{
 		Owner:  CaptureOwner(d.settings.Number),
 		Role:   keeper.peer.Role.String(),
 		Peer:   keeper.peer.ID,
@@ -530,7 +530,7 @@
 	})
 	announced := make(chan struct{})
 	keeper.mu.Lock()
-	conn := transport.Start(netConn, d.connectionOptions(observer), &connectionHandler{d, keeper.peer, announced})
+	conn := transport.Start(netConn, d.connectionOptions(recorder), &connectionHandler{d, keeper.peer, announced})
 	if keeper.connection = conn; keeper.blocked {
 		conn.BlockSetUps()
 	}
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -10,9 +10,9 @@
 	"dahliaspindle/internal/signal"
 )
 
-// A full inbox sheds new calls and counts them, makes answers wait for room and loses
+// A full inbox sheds new calls and counts them, makes completions wait for room and loses
 // none, and releases waiting callers of put when it is closed.
-func TestInboxShedsCallsAndKeepsAnswers(t *testing.T) {
+func TestInboxShedsCallsAndKeepsCompletions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newInbox(20)
 		put := func(kind guard.Kind, n int) (taken int) {
@@ -27,7 +27,7 @@
 			t.Fatalf("%d of 30 new calls queued, want 10, half of the capacity", n)
 		}
 		if n := put(guard.Completion, 10); n != 10 {
-			t.Fatalf("%d answers queued, want 10", n)
+			t.Fatalf("%d completions queued, want 10", n)
 		}
 		queued := make(chan bool)
 		go func() { queued <- b.put(guard.Completion, controller.Input{Kind: controller.InputDisconnected}) }()
@@ -37,10 +37,10 @@
 			t.Fatalf("%d inputs, the last %+v; want 21, the last a count of 20 shed", len(inputs), inputs[len(inputs)-1])
 		}
 		if !<-queued {
-			t.Fatal("waiting answer lost")
+			t.Fatal("waiting completion lost")
 		}
 		if inputs = b.take(); len(inputs) != 1 || inputs[0].Kind != controller.InputDisconnected {
-			t.Fatalf("inputs %+v, want the waiting answer", inputs)
+			t.Fatalf("inputs %+v, want the waiting completion", inputs)
 		}
 		put(guard.Completion, 20)
 		go func() { queued <- b.put(guard.Completion, controller.Input{}) }()
@@ -71,6 +71,6 @@
 		}
 	}
 	if inputKind(controller.Input{Kind: controller.InputDisconnected}) != guard.Completion {
-		t.Error("the end of a connection is not classified as an answer")
+		t.Error("the end of a connection is not classified as a completion")
 	}
 }
