--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -312,7 +312,7 @@
 
 func (d *Daemon) options(tap *capture.Tap) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{Line: d.set.Limits.Line, Block: d.set.Limits.Block}),
-		Outbox: guard.Outbox{Most: d.set.Limits.Outbox}, WriteTimeout: d.set.Peers.Write, DrainGrace: d.set.Rules.DrainGrace,
+		Outbox: guard.Outbox{Capacity: d.set.Limits.Outbox}, WriteTimeout: d.set.Peers.Write, DrainGrace: d.set.Rules.DrainGrace,
 		Capture: tap, Now: d.now}
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,8 +1,8 @@
-// Package guard holds the decisions at the edge that are not the module's: what
-// is shed when the controller itself can't keep up, how long an unsent set-up
-// may still leave, when a peer counts as lost and when it is tried again. All
-// of it is free of I/O and clocks; nothing here chooses a route or answers a
-// call that was taken.
+// Package guard holds the overload and fault policies of the network edge: what
+// is shed when the controller cannot keep up, how long an unsent set-up may
+// still be sent, when a peer counts as lost and when to contact it again. The
+// package does no I/O and reads no clock. It neither chooses routes nor answers
+// accepted calls; that is the routing module's task.
 package guard
 
 import (
@@ -10,128 +10,135 @@
 	"time"
 )
 
-// Kind orders what waits for the controller by what its loss would cost.
+// Kind classifies an incoming message by the cost of losing it.
 type Kind uint8
 
+// Kinds, from the cheapest loss to the most costly.
 const (
-	NewCall      Kind = iota // a call that is not taken yet: it can be turned away with a word
-	StatusUpdate             // circuits, list, signs of life: a later one replaces it, but a peer may wait for the reply
-	Completion               // the end of something that is counted: a reply, a release, a lost connection
+	NewCall      Kind = iota // a call that is not accepted yet and can be refused with a reply
+	StatusUpdate             // circuit counts, exchange lists, signs of life: superseded by later ones, but a peer may wait for the reply
+	Completion               // ends something that is counted: a reply, a release, a lost connection
 )
 
-// Intake says what is let into the controller's inbox, by its depth.
+// Intake decides which messages enter the controller's inbox, by its depth.
 type Intake struct {
-	Capacity int // messages in the inbox, at the most
+	Capacity int // maximum number of messages in the inbox
 }
 
-// Admission of Intake.
+// Admission is a decision of Intake.
 type Admission uint8
 
+// Decisions of Intake.Admit.
 const (
 	Accept Admission = iota
-	Shed             // turn it away with a word now
-	Wait             // don't read on from that peer until there is room
+	Shed             // refuse the message with an immediate reply
+	Wait             // stop reading from the peer until there is room
 )
 
-// Admit decides on one message when the inbox holds depth others. New calls go
-// first, from half; a word waits from nine tenths; an answer or a release has
-// the whole inbox and then waits, but is never dropped.
-func (i Intake) Admit(k Kind, depth int) Admission {
+// Admit decides on one message when the inbox holds depth others. New calls are
+// shed once the inbox is half full; status updates wait once it is nine tenths
+// full; completions may fill the whole inbox and then wait, but are never dropped.
+func (i Intake) Admit(kind Kind, depth int) Admission {
 	switch {
-	case k == NewCall && depth >= i.Capacity/2:
+	case kind == NewCall && depth >= i.Capacity/2:
 		return Shed
-	case k == StatusUpdate && depth >= i.Capacity-i.Capacity/10, depth >= i.Capacity:
+	case kind == StatusUpdate && depth >= i.Capacity-i.Capacity/10, depth >= i.Capacity:
 		return Wait
 	}
 	return Accept
 }
 
-// Outbox says what may still be queued towards one peer, by the queue's length.
+// Outbox bounds the queue of messages to one peer.
 type Outbox struct {
-	Most int
+	Capacity int // maximum number of queued messages
 }
 
-// ShouldReject tells whether a message is not to be queued: a set-up from half of the
-// bound, so that answers and releases always find room behind set-ups.
-func (o Outbox) ShouldReject(setup bool, queued int) bool { return setup && queued >= o.Most/2 }
+// ShouldReject reports whether a message must not be queued behind queued
+// others. Set-ups may fill only half of the queue, so that replies and releases
+// always find room.
+func (o Outbox) ShouldReject(setUp bool, queued int) bool { return setUp && queued >= o.Capacity/2 }
 
-// IsFull tells whether the peer reads so slowly that the connection is to be closed.
-func (o Outbox) IsFull(queued int) bool { return queued >= o.Most }
+// IsFull reports whether the peer reads so slowly that the connection must be closed.
+func (o Outbox) IsFull(queued int) bool { return queued >= o.Capacity }
 
-// SetUpBlock keeps the third rule at the very edge: what was decided before an
-// exchange was told to be draining may not leave long after.
+// SetUpBlock keeps set-ups from being sent to an exchange after it was reported
+// as draining: what was decided before must not leave long after.
 type SetUpBlock struct {
 	Active bool
-	Since  time.Duration // when the word came
+	Since  time.Duration // when the exchange was reported as draining
 }
 
-// MaySend tells whether a set-up may be written now. notAfter is the set-up's
-// own time-out. Nothing leaves once the fence is shut: the grace is for what
-// had been handed to the socket by then.
-func (f SetUpBlock) MaySend(now, notAfter time.Duration) bool { return !f.Active && now < notAfter }
+// MaySend reports whether a set-up may be written now. notAfter is the set-up's
+// own time-out. An active block stops every set-up at once: the drain grace only
+// covers what had already been handed to the socket.
+func (b SetUpBlock) MaySend(now, notAfter time.Duration) bool { return !b.Active && now < notAfter }
 
-// WriteDeadline is the moment by which a write that was under way when the
-// fence was shut has to be over; half of the grace is left for the wire.
-func (f SetUpBlock) WriteDeadline(grace time.Duration) time.Duration { return f.Since + grace/2 }
+// WriteDeadline is the time by which a write that was in progress when the
+// block began must be over. The other half of the drain grace is left for the
+// transmission.
+func (b SetUpBlock) WriteDeadline(grace time.Duration) time.Duration { return b.Since + grace/2 }
 
-// Liveness watches one peer: silence for After asks for a sign of life, silence for
-// Lost counts as a lost peer, even if the connection seems to stand (half open).
+// Liveness decides when to probe a silent peer and when to count it as lost,
+// even if its connection seems open (a half-open connection).
 type Liveness struct {
-	ProbeAfter, LostAfter time.Duration
+	ProbeAfter, LostAfter time.Duration // silence before a probe, and before the peer counts as lost
 }
 
-// Check tells what the time since the peer was last heard calls for, and when to look again.
-func (l Liveness) Check(now, heard, asked time.Duration) (ask, lost bool, again time.Duration) {
-	quiet := now - heard
+// Check decides what to do about a peer that was last heard at lastHeard and
+// last probed at lastProbe, and when to check again.
+func (l Liveness) Check(now, lastHeard, lastProbe time.Duration) (probe, lost bool, nextCheck time.Duration) {
+	silence := now - lastHeard
 	switch {
-	case quiet >= l.LostAfter:
+	case silence >= l.LostAfter:
 		return false, true, 0
-	case quiet >= l.ProbeAfter && now-asked >= l.ProbeAfter:
+	case silence >= l.ProbeAfter && now-lastProbe >= l.ProbeAfter:
 		return true, false, now + l.ProbeAfter
 	}
-	return false, false, min(max(heard, asked)+l.ProbeAfter, heard+l.LostAfter)
+	return false, false, min(max(lastHeard, lastProbe)+l.ProbeAfter, lastHeard+l.LostAfter)
 }
 
-// Backoff paces further tries to reach a peer: doubling gaps with jitter, so that
-// many senders don't come back to one peer in step.
+// Backoff paces attempts to reach a peer with exponentially growing delays and
+// jitter, so that many senders do not return to one peer at the same time.
 type Backoff struct {
 	Min, Max time.Duration
 	Random   *rand.Rand
 }
 
-// Delay is the wait before try n, counted from 1.
-func (r Backoff) Delay(n int) time.Duration {
-	gap := r.Min << min(max(n-1, 0), 20)
-	if gap > r.Max || gap <= 0 {
-		gap = r.Max
+// Delay returns the wait before the given attempt, counted from 1.
+func (b Backoff) Delay(attempt int) time.Duration {
+	delay := b.Min << min(max(attempt-1, 0), 20)
+	if delay > b.Max || delay <= 0 {
+		delay = b.Max
 	}
-	return gap/2 + time.Duration(r.Random.Int64N(int64(gap/2)+1))
+	return delay/2 + time.Duration(b.Random.Int64N(int64(delay/2)+1))
 }
 
-// FaultLimiter bounds the messages of one peer that can't be read: a budget that
-// fills up again with time.
+// FaultLimiter bounds the unreadable messages of one peer with a budget that
+// recovers over time.
 type FaultLimiter struct {
-	Burst        int           // in a row
-	ForgiveEvery time.Duration // one is forgiven after so long
-	have         float64
-	at           time.Duration
+	Burst        int           // unreadable messages tolerated in a row
+	ForgiveEvery time.Duration // time after which one of them is forgiven
+	level        float64       // unreadable messages not forgiven yet
+	updated      time.Duration // time of level
 }
 
-// Allow books one bad message and tells whether the peer is still heard.
+// Allow records one unreadable message and reports whether the peer's messages
+// are still accepted.
 func (f *FaultLimiter) Allow(now time.Duration) bool {
-	f.have = max(f.have-float64(now-f.at)/float64(f.ForgiveEvery), 0) + 1
-	f.at = now
-	return f.have <= float64(f.Burst)
+	f.level = max(f.level-float64(now-f.updated)/float64(f.ForgiveEvery), 0) + 1
+	f.updated = now
+	return f.level <= float64(f.Burst)
 }
 
-// ReleaseRetry says when a withdrawn attempt's release is asked for again, and after
-// how many askings the peer counts as lost.
+// ReleaseRetry says when the release of a withdrawn attempt is requested again,
+// and after how many requests the peer counts as lost.
 type ReleaseRetry struct {
 	Interval    time.Duration
 	MaxRequests int
 }
 
-// Next returns when to ask again after asking n times, and whether to give the peer up.
-func (r ReleaseRetry) Next(now time.Duration, n int) (at time.Duration, lost bool) {
-	return now + r.Interval<<min(n-1, 4), n >= r.MaxRequests
+// Next returns when to send the next request after the given number of
+// requests, and whether the peer counts as lost.
+func (r ReleaseRetry) Next(now time.Duration, requests int) (at time.Duration, lost bool) {
+	return now + r.Interval<<min(requests-1, 4), requests >= r.MaxRequests
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -8,133 +8,133 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the depth: an answer is never shed, and nothing is refused while
-// something that matters less is let in.
-func TestIntakeOrder(t *testing.T) {
+// At any depth completions and status updates are never shed, and no message is
+// refused while a cheaper one is accepted.
+func TestIntakeAdmitsByCostOfLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		i := Intake{Capacity: rapid.IntRange(10, 10000).Draw(t, "most")}
+		intake := Intake{Capacity: rapid.IntRange(10, 10000).Draw(t, "capacity")}
 		depth := rapid.IntRange(0, 11000).Draw(t, "depth")
-		n, w, a := i.Admit(NewCall, depth), i.Admit(StatusUpdate, depth), i.Admit(Completion, depth)
-		if w == Shed || a == Shed {
-			t.Fatalf("depth %d: a word %v, an answer %v", depth, w, a)
+		newCall, status, completion := intake.Admit(NewCall, depth), intake.Admit(StatusUpdate, depth), intake.Admit(Completion, depth)
+		if status == Shed || completion == Shed {
+			t.Fatalf("depth %d: status update got %v, completion got %v; want neither shed", depth, status, completion)
 		}
-		if n == Accept && w != Accept || w == Accept && a != Accept {
-			t.Fatalf("depth %d: new %v, word %v, answer %v", depth, n, w, a)
+		if newCall == Accept && status != Accept || status == Accept && completion != Accept {
+			t.Fatalf("depth %d: new call got %v, status update %v, completion %v; the order of priority is violated", depth, newCall, status, completion)
 		}
-		if depth >= i.Capacity && a == Accept {
-			t.Fatalf("depth %d of %d is taken", depth, i.Capacity)
+		if depth >= intake.Capacity && completion == Accept {
+			t.Fatalf("a full inbox (%d of %d) accepts a completion", depth, intake.Capacity)
 		}
 	})
-	i := Intake{Capacity: 100}
+	intake := Intake{Capacity: 100}
 	for _, c := range []struct {
-		k     Kind
+		kind  Kind
 		depth int
 		want  Admission
 	}{{NewCall, 49, Accept}, {NewCall, 50, Shed}, {StatusUpdate, 89, Accept}, {StatusUpdate, 90, Wait}, {Completion, 99, Accept}, {Completion, 100, Wait}} {
-		if got := i.Admit(c.k, c.depth); got != c.want {
-			t.Errorf("kind %d at %d: %d, want %d", c.k, c.depth, got, c.want)
+		if got := intake.Admit(c.kind, c.depth); got != c.want {
+			t.Errorf("Admit(kind %d, depth %d) = %d, want %d", c.kind, c.depth, got, c.want)
 		}
 	}
 }
 
 func TestOutboxKeepsRoomForReleases(t *testing.T) {
-	o := Outbox{Most: 100}
-	if o.ShouldReject(true, 49) || !o.ShouldReject(true, 50) || o.ShouldReject(false, 99) || o.IsFull(99) || !o.IsFull(100) {
-		t.Fatal("set-ups to half, the rest to the end")
+	outbox := Outbox{Capacity: 100}
+	if outbox.ShouldReject(true, 49) || !outbox.ShouldReject(true, 50) || outbox.ShouldReject(false, 99) || outbox.IsFull(99) || !outbox.IsFull(100) {
+		t.Fatal("want set-ups accepted up to half of the capacity and other messages up to the whole")
 	}
 }
 
-func TestFence(t *testing.T) {
-	var f SetUpBlock
-	if !f.MaySend(10, 11) || f.MaySend(11, 11) {
-		t.Error("an open fence lets through what has not timed out")
+func TestSetUpBlock(t *testing.T) {
+	var block SetUpBlock
+	if !block.MaySend(10, 11) || block.MaySend(11, 11) {
+		t.Error("an inactive block must let exactly the set-ups through that have not timed out")
 	}
-	f = SetUpBlock{Active: true, Since: time.Second}
-	if f.MaySend(time.Second, time.Minute) {
-		t.Error("a shut fence lets nothing through, also in the same instant")
+	block = SetUpBlock{Active: true, Since: time.Second}
+	if block.MaySend(time.Second, time.Minute) {
+		t.Error("an active block lets a set-up through at the instant it began")
 	}
-	if f.WriteDeadline(250*time.Millisecond) >= f.Since+250*time.Millisecond {
-		t.Error("a write under way ends within the grace")
+	if block.WriteDeadline(250*time.Millisecond) >= block.Since+250*time.Millisecond {
+		t.Error("the deadline of a write in progress is not within the drain grace")
 	}
 }
 
-// A peer that is silent is found lost within Lost and one step, one that
-// answers each question never.
-func TestLife(t *testing.T) {
+// A silent peer is reported as lost at most one check after LostAfter; a peer
+// that answers every probe never is.
+func TestLiveness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		after := time.Duration(rapid.IntRange(1, 1000).Draw(t, "after")) * time.Millisecond
-		l := Liveness{ProbeAfter: after, LostAfter: after * time.Duration(rapid.IntRange(2, 5).Draw(t, "times"))}
-		answers := rapid.Bool().Draw(t, "answers")
-		now, heard, asked := time.Second, time.Second, time.Duration(0)
+		probeAfter := time.Duration(rapid.IntRange(1, 1000).Draw(t, "probe after")) * time.Millisecond
+		liveness := Liveness{ProbeAfter: probeAfter, LostAfter: probeAfter * time.Duration(rapid.IntRange(2, 5).Draw(t, "lost after, in probe intervals"))}
+		answers := rapid.Bool().Draw(t, "peer answers")
+		now, lastHeard, lastProbe := time.Second, time.Second, time.Duration(0)
 		for range 50 {
-			ask, lost, again := l.Check(now, heard, asked)
+			probe, lost, nextCheck := liveness.Check(now, lastHeard, lastProbe)
 			if lost {
 				if answers {
-					t.Fatal("one that answers is lost")
+					t.Fatal("a peer that answers every probe is reported as lost")
 				}
-				if now-heard > l.LostAfter+l.ProbeAfter {
-					t.Fatalf("found after %v", now-heard)
+				if now-lastHeard > liveness.LostAfter+liveness.ProbeAfter {
+					t.Fatalf("a silent peer is reported as lost only after %v", now-lastHeard)
 				}
 				return
 			}
-			if ask {
-				if asked = now; answers {
-					heard = now + time.Millisecond/2
+			if probe {
+				if lastProbe = now; answers {
+					lastHeard = now + time.Millisecond/2
 				}
 			}
-			if again <= now {
-				t.Fatalf("look again at %v, now %v", again, now)
+			if nextCheck <= now {
+				t.Fatalf("next check at %v is not after now, %v", nextCheck, now)
 			}
-			now = again
+			now = nextCheck
 		}
 		if !answers {
-			t.Fatal("a silent one is never found")
+			t.Fatal("a silent peer is never reported as lost")
 		}
 	})
 }
 
-func TestRetryGapsGrowAndDiffer(t *testing.T) {
-	a := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 1))}
-	b := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 2))}
-	same := 0
-	for n := 1; n < 80; n++ {
-		x, y := a.Delay(n), b.Delay(n)
-		if x < a.Min/2 || x > a.Max {
-			t.Fatalf("try %d: %v", n, x)
+func TestBackoffDelaysGrowAndVary(t *testing.T) {
+	first := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 1))}
+	second := Backoff{Min: 100 * time.Millisecond, Max: 3 * time.Second, Random: rand.New(rand.NewPCG(1, 2))}
+	equal := 0
+	for attempt := 1; attempt < 80; attempt++ {
+		delay, otherDelay := first.Delay(attempt), second.Delay(attempt)
+		if delay < first.Min/2 || delay > first.Max {
+			t.Fatalf("attempt %d: delay %v, want at least Min/2 and at most Max", attempt, delay)
 		}
-		if n > 6 && x < a.Max/2 {
-			t.Fatalf("try %d: %v", n, x)
+		if attempt > 6 && delay < first.Max/2 {
+			t.Fatalf("attempt %d: delay %v, want at least Max/2", attempt, delay)
 		}
-		if x == y {
-			same++
+		if delay == otherDelay {
+			equal++
 		}
 	}
-	if same > 2 {
-		t.Errorf("%d gaps of two senders are the same", same)
+	if equal > 2 {
+		t.Errorf("%d delays of two senders are equal, want at most 2", equal)
 	}
 }
 
-func TestFaultsAreForgiven(t *testing.T) {
-	f := FaultLimiter{Burst: 3, ForgiveEvery: time.Second}
+func TestFaultLimiterForgives(t *testing.T) {
+	limiter := FaultLimiter{Burst: 3, ForgiveEvery: time.Second}
 	for n, want := range []bool{true, true, true, false} {
-		if f.Allow(time.Second) != want {
-			t.Fatalf("fault %d", n)
+		if limiter.Allow(time.Second) != want {
+			t.Fatalf("fault %d: unexpected result of Allow", n)
 		}
 	}
-	if !f.Allow(10 * time.Second) {
-		t.Error("not forgiven")
+	if !limiter.Allow(10 * time.Second) {
+		t.Error("earlier faults are not forgiven after 9 s")
 	}
 }
 
-func TestReleaseGivesUp(t *testing.T) {
-	r := ReleaseRetry{Interval: time.Second, MaxRequests: 3}
-	if at, lost := r.Next(0, 1); lost || at != time.Second {
+func TestReleaseRetryGivesUp(t *testing.T) {
+	retry := ReleaseRetry{Interval: time.Second, MaxRequests: 3}
+	if at, lost := retry.Next(0, 1); lost || at != time.Second {
 		t.Error(at, lost)
 	}
-	if at, lost := r.Next(0, 2); lost || at != 2*time.Second {
+	if at, lost := retry.Next(0, 2); lost || at != 2*time.Second {
 		t.Error(at, lost)
 	}
-	if _, lost := r.Next(0, 3); !lost {
-		t.Error("never lost")
+	if _, lost := retry.Next(0, 3); !lost {
+		t.Error("after request 3 of 3 the peer does not count as lost")
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -114,7 +114,7 @@
 				return nil, fmt.Errorf("load: %w", err)
 			}
 			c := &client{r: r, open: map[uint32]began{}}
-			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}, WriteTimeout: time.Minute}, c)
+			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}, WriteTimeout: time.Minute}, c)
 			r.clients = append(r.clients, c)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -335,7 +335,7 @@
 		}
 		n.held.Add(1)
 		e := &callerEdge{n: n, id: id, known: make(chan struct{})}
-		c := transport.Start(nc, transport.Options[*isup.Message]{Reader: e.reader, Outbox: guard.Outbox{Most: outboxMost},
+		c := transport.Start(nc, transport.Options[*isup.Message]{Reader: e.reader, Outbox: guard.Outbox{Capacity: outboxMost},
 			WriteTimeout: writeWithin, LingerTimeout: lingerWithin, Now: n.now}, e)
 		select {
 		case n.inbox <- accepted{id: id, c: c, known: e.known}:
@@ -419,7 +419,7 @@
 		return
 	}
 	e := &linkEdge{n: n, id: in.id}
-	n.links[in.id] = transport.Start(in.nc, transport.Options[*sip.Message]{Reader: e.reader, Outbox: guard.Outbox{Most: outboxMost},
+	n.links[in.id] = transport.Start(in.nc, transport.Options[*sip.Message]{Reader: e.reader, Outbox: guard.Outbox{Capacity: outboxMost},
 		WriteTimeout: writeWithin, DrainGrace: n.cfg.ModuleSettings.DrainGrace, RecallTimeout: recallWithin, AbortOnClose: true, Now: n.now}, e)
 	n.step(interwork.LinkUp{Link: in.id})
 }
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 20}}, peer{on})
+		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}}, peer{on})
 		in.mu.Lock()
 		in.conns = append(in.conns, c)
 		in.mu.Unlock()
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -99,7 +99,7 @@
 // serve starts a stand-in's end of a connection.
 func (w *World) serve(nc net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
 	tap := w.capture.Open(transport.ConnectionKey(nc, dialed), capture.Ends{Owner: owner, Role: role, Dialed: dialed})
-	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 1 << 16}, WriteTimeout: time.Minute, Capture: tap, Now: w.loop.clock},
+	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 16}, WriteTimeout: time.Minute, Capture: tap, Now: w.loop.clock},
 		&handler{w, message, closed})
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -90,8 +90,8 @@
 
 // Start takes over a connection.
 func Start[M Message](nc net.Conn, opt Options[M], h Handler[M]) *Conn[M] {
-	if opt.Outbox.Most <= 0 {
-		opt.Outbox.Most = 4096
+	if opt.Outbox.Capacity <= 0 {
+		opt.Outbox.Capacity = 4096
 	}
 	if opt.WriteTimeout <= 0 {
 		opt.WriteTimeout = 2 * time.Second
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, k)
 		c.Send(setup(1), time.Hour) // is being written
 		synctest.Wait()
 		taken := 0
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := pipe(t)
 		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Most: 100}, WriteTimeout: time.Minute}, k)
+		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute}, k)
 		for i := 0; c.Send(release(uint32(i+1)), 0); i++ {
 			if i > 200 {
 				t.Fatal("takes messages without end")
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -1,7 +1,7 @@
-// Package wheel keeps many short timers: a hierarchical timing wheel
-// (G. Varghese and T. Lauck, "Hashed and hierarchical timing wheels", 1987)
-// that sets and stops in constant time and tells its next moment from a few
-// words of bits. It has no clock of its own.
+// Package wheel implements a hierarchical timing wheel for many short timers
+// (G. Varghese and T. Lauck, "Hashed and hierarchical timing wheels", 1987).
+// Setting and stopping a timer takes constant time, and the next expiry is found
+// from one occupancy bitmap per level. The wheel has no clock of its own.
 package wheel
 
 import (
@@ -10,42 +10,43 @@
 )
 
 const (
-	// Tick is the grain: a timer fires at the first tick not before its time.
-	Tick     = time.Millisecond
-	slotBits = 6
-	slots    = 1 << slotBits
-	levels   = 7 // 64^7 ticks: over a hundred years
-	none     = int32(-1)
+	// Tick is the resolution: a timer fires at the first tick not before its time.
+	Tick          = time.Millisecond
+	slotBits      = 6
+	slotsPerLevel = 1 << slotBits
+	levels        = 7         // 64^7 ticks: over a hundred years
+	none          = int32(-1) // no entry or no list
 )
 
-// Handle names a set timer. The zero Handle names none.
+// Handle identifies a timer that was set. The zero Handle identifies none.
 type Handle struct {
-	at  int32 // index of the node, from 1
-	gen uint32
+	index      int32 // index of the entry, from 1
+	generation uint32
 }
 
-type node[T any] struct {
+// entry is one timer, linked into the list of its slot.
+type entry[T any] struct {
 	value      T
-	when       uint64
-	gen        uint32
+	expiry     uint64 // in ticks
+	generation uint32 // number of timers that have used this entry
 	prev, next int32
-	list       int32 // head that it hangs on, or none
+	list       int32 // the list that holds the entry, or none
 }
 
 // Wheel is a set of timers that each carry a value. It is not safe for
 // concurrent use.
 type Wheel[T any] struct {
-	base     time.Duration // the time of tick 0
-	elapsed  uint64        // ticks gone by
+	base     time.Duration // time of tick 0
+	elapsed  uint64        // current tick
 	occupied [levels]uint64
-	heads    [levels*slots + 1]int32 // the last is of timers already due
-	tails    [levels*slots + 1]int32
-	nodes    []node[T]
+	heads    [levels*slotsPerLevel + 1]int32 // the last list holds timers that are already due
+	tails    [levels*slotsPerLevel + 1]int32
+	entries  []entry[T]
 	free     []int32
 	len      int
 }
 
-// New starts a wheel whose time is now.
+// New returns an empty wheel whose current time is now.
 func New[T any](now time.Duration) *Wheel[T] {
 	w := &Wheel[T]{base: now}
 	for i := range w.heads {
@@ -54,142 +55,148 @@
 	return w
 }
 
-// Len is the number of timers set.
+// Len returns the number of timers that are set.
 func (w *Wheel[T]) Len() int { return w.len }
 
-// Set starts a timer for a time.
-func (w *Wheel[T]) Set(at time.Duration, v T) Handle {
-	var i int32
+// Set starts a timer that expires at the given time and carries value.
+func (w *Wheel[T]) Set(at time.Duration, value T) Handle {
+	var index int32
 	if n := len(w.free); n > 0 {
-		i, w.free = w.free[n-1], w.free[:n-1]
+		index, w.free = w.free[n-1], w.free[:n-1]
 	} else {
-		i = int32(len(w.nodes))
-		w.nodes = append(w.nodes, node[T]{})
+		index = int32(len(w.entries))
+		w.entries = append(w.entries, entry[T]{})
 	}
-	n := &w.nodes[i]
-	n.value, n.when = v, 0
+	e := &w.entries[index]
+	e.value, e.expiry = value, 0
 	if at > w.base {
-		n.when = uint64((at - w.base + Tick - 1) / Tick)
+		e.expiry = uint64((at - w.base + Tick - 1) / Tick)
 	}
-	n.gen++
-	w.hang(i)
+	e.generation++
+	w.link(index)
 	w.len++
-	return Handle{i + 1, n.gen}
+	return Handle{index + 1, e.generation}
 }
 
-// Stop ends a timer; false if it has fired or was stopped before.
+// Stop cancels a timer. It returns false if the timer has fired or was stopped before.
 func (w *Wheel[T]) Stop(h Handle) bool {
-	if h.at == 0 || w.nodes[h.at-1].gen != h.gen || w.nodes[h.at-1].list == none {
+	if h.index == 0 || w.entries[h.index-1].generation != h.generation || w.entries[h.index-1].list == none {
 		return false
 	}
-	w.unhang(h.at - 1)
-	w.drop(h.at - 1)
+	w.unlink(h.index - 1)
+	w.release(h.index - 1)
 	return true
 }
 
-func (w *Wheel[T]) drop(i int32) {
+// release returns an unlinked entry to the free list.
+func (w *Wheel[T]) release(index int32) {
 	var zero T
-	w.nodes[i].value = zero
-	w.free = append(w.free, i)
+	w.entries[index].value = zero
+	w.free = append(w.free, index)
 	w.len--
 }
 
-const due = levels * slots
-
-func (w *Wheel[T]) hang(i int32) {
-	n := &w.nodes[i]
-	list := int32(due)
-	if n.when > w.elapsed {
-		level := min((bits.Len64(w.elapsed^n.when)-1)/slotBits, levels-1)
-		slot := int(n.when>>(level*slotBits)) & (slots - 1)
-		list = int32(level*slots + slot)
+// dueList is the list of timers that are already due.
+const dueList = levels * slotsPerLevel
+
+// link appends an entry to the list of the slot that its expiry falls into.
+func (w *Wheel[T]) link(index int32) {
+	e := &w.entries[index]
+	list := int32(dueList)
+	if e.expiry > w.elapsed {
+		level := min((bits.Len64(w.elapsed^e.expiry)-1)/slotBits, levels-1)
+		slot := int(e.expiry>>(level*slotBits)) & (slotsPerLevel - 1)
+		list = int32(level*slotsPerLevel + slot)
 		w.occupied[level] |= 1 << slot
 	}
-	n.list, n.next, n.prev = list, none, w.tails[list]
-	if n.prev != none {
-		w.nodes[n.prev].next = i
+	e.list, e.next, e.prev = list, none, w.tails[list]
+	if e.prev != none {
+		w.entries[e.prev].next = index
 	} else {
-		w.heads[list] = i
+		w.heads[list] = index
 	}
-	w.tails[list] = i
+	w.tails[list] = index
 }
 
-func (w *Wheel[T]) unhang(i int32) {
-	n := &w.nodes[i]
-	if n.prev != none {
-		w.nodes[n.prev].next = n.next
+// unlink removes an entry from its list.
+func (w *Wheel[T]) unlink(index int32) {
+	e := &w.entries[index]
+	if e.prev != none {
+		w.entries[e.prev].next = e.next
 	} else {
-		w.heads[n.list] = n.next
+		w.heads[e.list] = e.next
 	}
-	if n.next != none {
-		w.nodes[n.next].prev = n.prev
+	if e.next != none {
+		w.entries[e.next].prev = e.prev
 	} else {
-		w.tails[n.list] = n.prev
+		w.tails[e.list] = e.prev
 	}
-	if w.heads[n.list] == none && n.list != due {
-		w.occupied[n.list/slots] &^= 1 << (n.list % slots)
+	if w.heads[e.list] == none && e.list != dueList {
+		w.occupied[e.list/slotsPerLevel] &^= 1 << (e.list % slotsPerLevel)
 	}
-	n.list = none
+	e.list = none
 }
 
-// next is the first occupied slot: its level, its list and the tick it begins at.
-func (w *Wheel[T]) next() (level int, list int32, at uint64, ok bool) {
+// firstOccupied finds the first occupied slot: its level, its list and the tick at which it begins.
+func (w *Wheel[T]) firstOccupied() (level int, list int32, tick uint64, ok bool) {
 	for level = range levels {
 		if w.occupied[level] == 0 {
 			continue
 		}
 		shift := level * slotBits
-		here := int(w.elapsed>>shift) & (slots - 1)
-		ahead := bits.TrailingZeros64(bits.RotateLeft64(w.occupied[level], -here))
-		return level, int32(level*slots + (here+ahead)%slots), (w.elapsed>>shift + uint64(ahead)) << shift, true
+		current := int(w.elapsed>>shift) & (slotsPerLevel - 1)
+		distance := bits.TrailingZeros64(bits.RotateLeft64(w.occupied[level], -current))
+		return level, int32(level*slotsPerLevel + (current+distance)%slotsPerLevel), (w.elapsed>>shift + uint64(distance)) << shift, true
 	}
 	return 0, 0, 0, false
 }
 
-// Next is a time before which no timer fires, and at or shortly after which one
-// may; false if none is set. Calling Advance then leads to the next such time.
+// Next returns a time before which no timer fires. A timer may fire then or
+// shortly after; calling Advance at that time makes Next return the following
+// such time. It returns false if no timer is set.
 func (w *Wheel[T]) Next() (time.Duration, bool) {
-	if w.heads[due] != none {
+	if w.heads[dueList] != none {
 		return w.base + time.Duration(w.elapsed)*Tick, true
 	}
-	_, _, at, ok := w.next()
-	return w.base + time.Duration(at)*Tick, ok
+	_, _, tick, ok := w.firstOccupied()
+	return w.base + time.Duration(tick)*Tick, ok
 }
 
-// Advance moves the time on and hands out what is due: tick by tick, and within
-// a tick as they were set. Timers that fire sets are handed out by the next call.
+// Advance moves the current time to now and calls fire for each timer that is
+// due, tick by tick, and within a tick in the order in which they were set.
+// Timers set by fire are handled by the next call.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(T)) {
 	until := w.elapsed
 	if now > w.base {
 		until = max(until, uint64((now-w.base)/Tick))
 	}
-	var out []T
-	take := func(list int32) {
-		for i := w.heads[list]; i != none; i = w.heads[list] {
-			out = append(out, w.nodes[i].value)
-			w.unhang(i)
-			w.drop(i)
+	var expired []T
+	expireAll := func(list int32) {
+		for index := w.heads[list]; index != none; index = w.heads[list] {
+			expired = append(expired, w.entries[index].value)
+			w.unlink(index)
+			w.release(index)
 		}
 	}
-	take(due)
+	expireAll(dueList)
 	for {
-		level, list, at, ok := w.next()
-		if !ok || at > until {
+		level, list, tick, ok := w.firstOccupied()
+		if !ok || tick > until {
 			break
 		}
-		w.elapsed = max(w.elapsed, at)
+		w.elapsed = max(w.elapsed, tick)
 		if level == 0 {
-			take(list)
+			expireAll(list)
 			continue
 		}
-		for i := w.heads[list]; i != none; i = w.heads[list] { // to finer slots
-			w.unhang(i)
-			w.hang(i)
+		for index := w.heads[list]; index != none; index = w.heads[list] { // move the slot's timers to finer slots
+			w.unlink(index)
+			w.link(index)
 		}
-		take(due)
+		expireAll(dueList)
 	}
 	w.elapsed = until
-	for _, v := range out {
-		fire(v)
+	for _, value := range expired {
+		fire(value)
 	}
 }
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -9,66 +9,66 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the structure that the wheel is held against: a heap of timers.
-type plain struct{ items []*item }
-type item struct {
-	at   time.Duration
-	v    int
-	gone bool
+// timerHeap is the reference implementation that the wheel is compared with.
+type timerHeap struct{ items []*heapTimer }
+type heapTimer struct {
+	at    time.Duration
+	value int
+	done  bool // fired or stopped
 }
 
-func (p *plain) Len() int           { return len(p.items) }
-func (p *plain) Less(a, b int) bool { return p.items[a].at < p.items[b].at }
-func (p *plain) Swap(a, b int)      { p.items[a], p.items[b] = p.items[b], p.items[a] }
-func (p *plain) Push(x any)         { p.items = append(p.items, x.(*item)) }
-func (p *plain) Pop() any {
-	x := p.items[len(p.items)-1]
-	p.items = p.items[:len(p.items)-1]
-	return x
+func (h *timerHeap) Len() int           { return len(h.items) }
+func (h *timerHeap) Less(a, b int) bool { return h.items[a].at < h.items[b].at }
+func (h *timerHeap) Swap(a, b int)      { h.items[a], h.items[b] = h.items[b], h.items[a] }
+func (h *timerHeap) Push(x any)         { h.items = append(h.items, x.(*heapTimer)) }
+func (h *timerHeap) Pop() any {
+	last := h.items[len(h.items)-1]
+	h.items = h.items[:len(h.items)-1]
+	return last
 }
 
-// TestFiresAsThePlainOne plays random sets, stops and steps and asks for the
-// same timers in the same step, none early, none late, none forgotten.
-func TestFiresAsThePlainOne(t *testing.T) {
+// TestWheelFiresLikeHeap sets and stops random timers and advances the time by
+// random steps. The wheel must fire the same timers as a heap in each step.
+func TestWheelFiresLikeHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1<<60).Draw(t, "start"))
-		w, p := New[int](now), &plain{}
+		wheel, reference := New[int](now), &timerHeap{}
 		handles := map[int]Handle{}
-		items := map[int]*item{}
-		for v := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+		timers := map[int]*heapTimer{}
+		for value := range rapid.IntRange(1, 120).Draw(t, "steps") {
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0, 1:
 				span := rapid.SampledFrom([]int64{0, 1e5, 1e6, 63e6, 64e6, 65e6, 1e9, 4096e6, 1e11, 1e15}).Draw(t, "span")
-				at := now + time.Duration(span+rapid.Int64Range(-1e6, 1e6).Draw(t, "more"))
-				handles[v] = w.Set(at, v)
-				items[v] = &item{at: at, v: v}
-				heap.Push(p, items[v])
+				at := now + time.Duration(span+rapid.Int64Range(-1e6, 1e6).Draw(t, "offset"))
+				handles[value] = wheel.Set(at, value)
+				timers[value] = &heapTimer{at: at, value: value}
+				heap.Push(reference, timers[value])
 			case 2:
 				if len(handles) == 0 {
 					continue
 				}
-				some := rapid.SampledFrom(sorted(handles)).Draw(t, "stop")
-				if w.Stop(handles[some]) != !items[some].gone {
-					t.Fatalf("stop of %d: the wheel and the heap differ", some)
+				stopped := rapid.SampledFrom(sortedKeys(handles)).Draw(t, "stopped")
+				if wheel.Stop(handles[stopped]) != !timers[stopped].done {
+					t.Fatalf("stop of timer %d: the wheel and the heap differ", stopped)
 				}
-				items[some].gone = true
+				timers[stopped].done = true
 			case 3:
 				now += time.Duration(rapid.SampledFrom([]int64{0, 3e5, 1e6, 7e6, 64e6, 1e9, 3e11}).Draw(t, "step"))
-				if next, ok := w.Next(); ok && rapid.Bool().Draw(t, "to next") {
+				if next, ok := wheel.Next(); ok && rapid.Bool().Draw(t, "advance to next") {
 					now = max(now, next)
 				}
 				var got, want []int
-				w.Advance(now, func(v int) { got = append(got, v) })
-				tick := func(at time.Duration) time.Duration { // the moment it is due: rounded up to a tick
-					if at <= w.base {
-						return w.base
+				wheel.Advance(now, func(value int) { got = append(got, value) })
+				expiry := func(at time.Duration) time.Duration { // at, rounded up to a tick
+					if at <= wheel.base {
+						return wheel.base
 					}
-					return w.base + (at-w.base+Tick-1)/Tick*Tick
+					return wheel.base + (at-wheel.base+Tick-1)/Tick*Tick
 				}
-				for p.Len() > 0 && tick(p.items[0].at) <= now {
-					if it := heap.Pop(p).(*item); !it.gone {
-						it.gone = true
-						want = append(want, it.v)
+				for reference.Len() > 0 && expiry(reference.items[0].at) <= now {
+					if timer := heap.Pop(reference).(*heapTimer); !timer.done {
+						timer.done = true
+						want = append(want, timer.value)
 					}
 				}
 				slices.Sort(got)
@@ -76,9 +76,9 @@
 				if !slices.Equal(got, want) {
 					t.Fatalf("at %v: fired %v, want %v", now, got, want)
 				}
-				for _, it := range p.items { // no moment later than the first timer's is told
-					if next, ok := w.Next(); !it.gone && (!ok || next > tick(it.at)) {
-						t.Fatalf("next is %v, %v; timer %d is due at %v", next, ok, it.v, tick(it.at))
+				for _, timer := range reference.items { // Next must not be later than any timer's expiry
+					if next, ok := wheel.Next(); !timer.done && (!ok || next > expiry(timer.at)) {
+						t.Fatalf("Next() = %v, %v; timer %d expires at %v", next, ok, timer.value, expiry(timer.at))
 					}
 				}
 			}
@@ -86,56 +86,57 @@
 	})
 }
 
-func sorted(m map[int]Handle) []int {
-	var all []int
-	for v := range m {
-		all = append(all, v)
+func sortedKeys(m map[int]Handle) []int {
+	var keys []int
+	for key := range m {
+		keys = append(keys, key)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
 
-func TestOrderWithinATickIsThatOfSetting(t *testing.T) {
-	w := New[int](0)
-	for v := range 5 {
-		w.Set(3*time.Millisecond-time.Duration(v), v)
+func TestTimersOfOneTickFireInOrderOfSetting(t *testing.T) {
+	wheel := New[int](0)
+	for value := range 5 {
+		wheel.Set(3*time.Millisecond-time.Duration(value), value)
 	}
 	var got []int
-	w.Advance(time.Second, func(v int) { got = append(got, v) })
+	wheel.Advance(time.Second, func(value int) { got = append(got, value) })
 	if !slices.Equal(got, []int{0, 1, 2, 3, 4}) {
-		t.Fatalf("%v", got)
+		t.Fatalf("fired %v, want 0 to 4 in order", got)
 	}
 }
 
-// The life of a call's timers: one for the attempt, stopped by its answer, one
-// wake-up that fires; 10,000 others are set.
+// BenchmarkWheel measures the timers of one call while 10,000 others are set:
+// an attempt's timer that is stopped by the answer, and a timer that fires.
 func BenchmarkWheel(b *testing.B) {
-	w := New[int](0)
-	for v := range 10000 {
-		w.Set(time.Duration(v)*time.Millisecond+time.Hour, v)
+	wheel := New[int](0)
+	for value := range 10000 {
+		wheel.Set(time.Duration(value)*time.Millisecond+time.Hour, value)
 	}
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * 100 * time.Microsecond
-		h := w.Set(now+4*time.Second, i)
-		w.Set(now+50*time.Millisecond, i)
-		w.Advance(now, func(int) {})
-		w.Stop(h)
+		attempt := wheel.Set(now+4*time.Second, i)
+		wheel.Set(now+50*time.Millisecond, i)
+		wheel.Advance(now, func(int) {})
+		wheel.Stop(attempt)
 	}
 }
 
-func BenchmarkPlainHeap(b *testing.B) {
-	p := &plain{}
-	for v := range 10000 {
-		heap.Push(p, &item{at: time.Duration(v)*time.Millisecond + time.Hour})
+// BenchmarkHeap measures the same timers as BenchmarkWheel on the reference heap.
+func BenchmarkHeap(b *testing.B) {
+	reference := &timerHeap{}
+	for value := range 10000 {
+		heap.Push(reference, &heapTimer{at: time.Duration(value)*time.Millisecond + time.Hour})
 	}
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * 100 * time.Microsecond
-		long := &item{at: now + 4*time.Second}
-		heap.Push(p, long)
-		heap.Push(p, &item{at: now + 50*time.Millisecond})
-		for p.Len() > 0 && (p.items[0].at <= now || p.items[0].gone) {
-			heap.Pop(p)
+		attempt := &heapTimer{at: now + 4*time.Second}
+		heap.Push(reference, attempt)
+		heap.Push(reference, &heapTimer{at: now + 50*time.Millisecond})
+		for reference.Len() > 0 && (reference.items[0].at <= now || reference.items[0].done) {
+			heap.Pop(reference)
 		}
-		long.gone = true
+		attempt.done = true
 	}
 }
