--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -40,19 +40,19 @@
 }
 
 // send carries out the module's Send.
-func (c *Controller) send(a brain.Send) {
-	k := c.calls[a.ID]
+func (c *Controller) send(a brain.StartAttempt) {
+	k := c.calls[a.CallID]
 	if k == nil || k.state != open || k.att != nil && !k.att.told {
 		// the module names a call that is over or has an attempt out: told, not obeyed
-		c.log(slog.LevelError, a.ID, "the module sends a call that can't be sent")
+		c.log(slog.LevelError, a.CallID, "the module sends a call that can't be sent")
 		if k != nil && k.state == open {
 			return
 		}
-		c.feed(brain.Ended{ID: a.ID, Exchange: a.Exchange, Outcome: brain.Moot, Final: true})
+		c.feed(brain.AttemptEnded{CallID: a.CallID, ExchangeID: a.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
 		return
 	}
 	c.stats.Attempts++
-	t := &attempt{call: k, n: k.attempts, to: a.Exchange, link: c.links[uint64(a.Exchange)], began: c.now, till: c.now + a.Timeout}
+	t := &attempt{call: k, n: k.attempts, to: a.ExchangeID, link: c.links[uint64(a.ExchangeID)], began: c.now, till: c.now + a.Timeout}
 	k.attempts++
 	k.att = t
 	if t.link != nil && t.link.cell != k.dest {
@@ -60,12 +60,12 @@
 	}
 	switch {
 	case t.link == nil || t.link.fenced:
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case t.link.life.up:
 		c.post(t)
 	default:
 		t.link.waiting = append(t.link.waiting, t)
-		t.timer = c.timers.Set(min(t.till, c.now+c.cfg.Connect), timer{attempt: t})
+		t.timer = c.timers.Set(min(t.till, c.now+c.cfg.LinkTimeout), timer{attempt: t})
 	}
 }
 
@@ -76,16 +76,16 @@
 	t.tx = t.link.tx()
 	t.add = t.tx
 	t.link.out[t.tx] = t
-	c.stats.Held++
+	c.stats.HeldAttempts++
 	t.link.held[t] = true
 	m := &signal.Message{ID: t.tx, Context: k.context, Command: signal.Add, Term: k.name, Fields: make([]signal.Field, 0, 9)}
-	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.Self).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
+	m.PutInt("Attempt", t.n).PutInt("From", c.cfg.ExchangeNumber).PutInt("Dest", k.dest).Put("Class", c.cfg.Classes[k.class].Name)
 	m.PutInt("Width", k.width).PutSpan("Left", k.due-c.now)
 	if k.number != "" {
 		m.Put("Number", k.number)
 	}
 	m.PutFlag("Transit", k.transit).PutFlag("Again", k.again)
-	c.out = append(c.out, Effect{Do: Say, Peer: t.link.peer(), Msg: m, NotAfter: t.till, Call: k.name})
+	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, Deadline: t.till, Call: k.name})
 	t.timer = c.timers.Set(t.till, timer{attempt: t})
 }
 
@@ -96,18 +96,18 @@
 	case queued:
 		t.link.waiting = without(t.link.waiting, t)
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case sent:
 		c.stats.TimedOut++
-		c.withdraw(t, brain.TimedOut)
+		c.withdraw(t, brain.OutcomeTimedOut)
 	case freeing:
-		at, lost := c.cfg.Release.Next(c.now, t.tries)
+		at, lost := c.cfg.ReleaseRetry.Next(c.now, t.tries)
 		if lost {
 			c.log(slog.LevelWarn, t.call.name, fmt.Sprintf("exchange %d does not answer releases", t.link.id))
-			c.out = append(c.out, Effect{Do: Close, Peer: t.link.peer(), Text: "releases are not answered"})
+			c.out = append(c.out, Effect{Kind: EffectClose, Peer: t.link.peer(), Text: "releases are not answered"})
 			return // its Down frees what it holds
 		}
-		c.stats.ReleasesRepeat++
+		c.stats.ReleaseRetries++
 		c.askRelease(t, at, 0)
 	}
 }
@@ -134,7 +134,7 @@
 func (c *Controller) free(t *attempt, recall uint32) {
 	t.stage = freeing
 	c.stats.Releases++
-	at, _ := c.cfg.Release.Next(c.now, 1)
+	at, _ := c.cfg.ReleaseRetry.Next(c.now, 1)
 	c.askRelease(t, at, recall)
 }
 
@@ -146,7 +146,7 @@
 	t.link.out[t.tx] = t
 	m := &signal.Message{ID: t.tx, Context: t.call.context, Command: signal.Subtract, Term: t.call.name}
 	m.PutInt("Attempt", t.n)
-	c.out = append(c.out, Effect{Do: Say, Peer: t.link.peer(), Msg: m, Recall: recall})
+	c.out = append(c.out, Effect{Kind: EffectSend, Peer: t.link.peer(), Message: m, RecallID: recall})
 	t.timer = c.timers.Set(again, timer{attempt: t})
 }
 
@@ -156,7 +156,7 @@
 	if t.stage != queued && t.stage != freed {
 		delete(t.link.out, t.tx)
 		delete(t.link.held, t)
-		c.stats.Held--
+		c.stats.HeldAttempts--
 	}
 	t.stage = freed
 	c.tell(t, o, r)
@@ -177,14 +177,14 @@
 	k := t.call
 	stood := t.stage == carrying || k.state == standing && k.att == t
 	if stood {
-		c.stats.Standing--
+		c.stats.Established--
 		k.state = over
 	}
-	e := brain.Ended{ID: k.id, Attempt: t.n, Exchange: t.to, Outcome: o, After: c.now - t.began, Final: k.state == over}
+	e := brain.AttemptEnded{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Outcome: o, Elapsed: c.now - t.began, Final: k.state == over}
 	c.attemptEnded(t, e.Outcome, &r)
 	k.cause = ""
 	if r.Kind == signal.Reply {
-		e.Note, e.Wait = note(&r)
+		e.Note, e.RetryAfter = note(&r)
 		e.Report = c.report(&r)
 		k.cause = r.Get("Note")
 	}
@@ -192,10 +192,10 @@
 		k.att = nil
 	}
 	switch o {
-	case brain.Reset:
+	case brain.OutcomeReset:
 		c.stats.Reset++
-	case brain.Cancelled:
-		c.stats.Withdrawn++
+	case brain.OutcomeCancelled:
+		c.stats.Cancelled++
 	}
 	c.feed(e)
 }
@@ -205,7 +205,7 @@
 func (c *Controller) release(k *call, o brain.Outcome) {
 	t := k.att
 	k.state = over
-	c.stats.Standing--
+	c.stats.Established--
 	if k.from != nil {
 		delete(k.from.calls, k.name)
 	}
@@ -220,8 +220,8 @@
 	c.timers.Stop(t.timer)
 	if k.state != open { // its caller left and the module did not call it off
 		t.told = true
-		c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
-		t.told, t.outcome = false, brain.OK
+		c.feed(brain.CallEstablished{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Elapsed: c.now - t.began})
+		t.told, t.outcome = false, brain.OutcomeCompleted
 		c.free(t, 0)
 		return
 	}
@@ -236,12 +236,12 @@
 	c.answer(k, m)
 	k.state = standing
 	k.stood = c.now
-	c.stats.Stood++
-	c.stats.Standing++
-	if c.cfg.Interim > 0 {
-		c.timers.Set(c.now+c.cfg.Interim, timer{interim: k})
+	c.stats.Answered++
+	c.stats.Established++
+	if c.cfg.InterimInterval > 0 {
+		c.timers.Set(c.now+c.cfg.InterimInterval, timer{interim: k})
 	}
-	c.feed(brain.Standing{ID: k.id, Attempt: t.n, Exchange: t.to, After: c.now - t.began})
+	c.feed(brain.CallEstablished{CallID: k.id, Attempt: t.n, ExchangeID: t.to, Elapsed: c.now - t.began})
 }
 
 // fromExchange reads what an exchange says.
@@ -259,7 +259,7 @@
 	t := l.out[m.ID]
 	if t == nil {
 		if m.Command == signal.Add || m.Command == signal.Subtract {
-			c.stats.Late++ // it was withdrawn, or is told twice
+			c.stats.LateReplies++ // it was withdrawn, or is told twice
 		}
 		return
 	}
@@ -292,13 +292,13 @@
 		if k == nil || k.name != m.Term || k.att == nil || k.att.link != l {
 			return
 		}
-		o := brain.OK
+		o := brain.OutcomeCompleted
 		if m.Get("Event") == "cut" {
-			o = brain.Reset
+			o = brain.OutcomeReset
 		}
 		switch t := k.att; {
 		case k.state == standing:
-			if o == brain.Reset {
+			if o == brain.OutcomeReset {
 				c.stats.Cut++
 				c.callEnded(k, flow.Cut)
 				c.notifyEnd(k, "cut")
@@ -312,7 +312,7 @@
 			}
 			c.end(t, o, signal.Message{}) // the exchange has let go by itself
 		case t.stage == sent:
-			c.end(t, brain.Reset, signal.Message{})
+			c.end(t, brain.OutcomeReset, signal.Message{})
 		case t.stage == freeing:
 			c.end(t, t.outcome, signal.Message{})
 		}
@@ -322,14 +322,14 @@
 // unsent is a set-up that the edge could not send.
 func (c *Controller) unsent(p Peer, m *signal.Message) {
 	l := c.links[p.ID]
-	if l == nil || p.Role != Exchange {
+	if l == nil || p.Role != RoleExchange {
 		return
 	}
 	switch t := l.out[m.ID]; {
 	case t == nil:
 	case t.stage == sent:
 		c.stats.NoLink++
-		c.end(t, brain.NoConnect, signal.Message{})
+		c.end(t, brain.OutcomeUnreachable, signal.Message{})
 	case t.stage == freeing: // withdrawn before it left: there is nothing to let go
 		c.end(t, t.outcome, signal.Message{})
 	}
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -219,7 +219,7 @@
 			}
 			out += len(l.open)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.Free, "size", p.told.Size,
+		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.FreeCircuits, "size", p.told.GroupSize,
 			"links", len(p.links), "up", up, "out", out, "waiting", len(p.waiting), "standing", len(p.calls), "fails", p.fails,
 			"heard", c.now-p.heard)
 	}
@@ -234,7 +234,7 @@
 	now     time.Duration
 	timers  *wheel.Wheel[timer]
 	out     []Effect
-	module  policy.Feed
+	module  policy.Dispatcher
 	random  *rand.Rand // jitter of tries to reach an exchange
 	retry   guard.Backoff
 
@@ -272,7 +272,7 @@
 
 // New starts a core.
 func New(cfg Config, now time.Duration) *Core {
-	c := &Core{cfg: cfg, module: policy.Feed{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[ConnID]*caller{},
+	c := &Core{cfg: cfg, module: policy.Dispatcher{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[ConnID]*caller{},
 		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
 		links: map[LinkID]*link{}, recent: map[uint64]ending{},
 		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
@@ -330,7 +330,7 @@
 	case t.try != nil:
 		c.timedOut(t.try)
 	default:
-		c.feed(brain.Alarm{Token: t.token})
+		c.feed(brain.TimerExpired{Token: t.token})
 	}
 }
 
@@ -387,7 +387,7 @@
 
 // lastWord answers a set-up that can't be waited for: failed, or refused if it was never sent on.
 func (c *Core) lastWord(x *call) {
-	c.feed(brain.CallGone{ID: x.name})
+	c.feed(brain.CallAbandoned{CallID: x.name})
 	if x.attempts > 0 {
 		c.Stats.Failed++
 		c.answer(x, release(x.id, isup.TemporaryFailure))
