--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -12,118 +12,119 @@
 	"dahliaspindle/internal/signal"
 )
 
-// sockets are the two ends of a loopback connection.
-func sockets(t *testing.T) (*net.TCPConn, *net.TCPConn) {
+// newTCPPair returns the two ends of a loopback connection.
+func newTCPPair(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	a, err := net.Dial("tcp", ln.Addr().String())
+	local, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := ln.Accept()
+	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Close(); b.Close() })
-	_ = b.SetDeadline(time.Now().Add(10 * time.Second)) // fails only on a closed connection
-	return a.(*net.TCPConn), b.(*net.TCPConn)
+	t.Cleanup(func() { local.Close(); peer.Close() })
+	_ = peer.SetDeadline(time.Now().Add(10 * time.Second)) // fails only on a closed connection
+	return local.(*net.TCPConn), peer.(*net.TCPConn)
 }
 
-// stuck is a handler that stays in its first message until it is let go.
-type stuck struct {
-	keeper
-	in, leave chan struct{}
+// blockingHandler blocks in Message until unblock is closed.
+type blockingHandler struct {
+	recorder
+	entered, unblock chan struct{}
 }
 
-func (s *stuck) Message(c *Conn[*signal.Message], m *signal.Message) {
+func (h *blockingHandler) Message(c *Conn[*signal.Message], m *signal.Message) {
 	select {
-	case <-s.in:
+	case <-h.entered:
 	default:
-		close(s.in)
+		close(h.entered)
 	}
-	<-s.leave
+	<-h.unblock
 }
 
-// A connection that is finished while bytes of the peer are unread ends in order: what was written is
-// read, then comes the end, not a reset.
-func TestFinishingDoesNotResetWhatWasWritten(t *testing.T) {
-	a, b := sockets(t)
-	h := &stuck{in: make(chan struct{}), leave: make(chan struct{})}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), LingerTimeout: 10 * time.Second}, h)
-	if _, err := b.Write(release(1).Append(nil)); err != nil {
+// FlushAndClose must end a connection in order while bytes of the peer are
+// unread: a reset could overtake the data that was written.
+func TestFlushAndCloseDoesNotReset(t *testing.T) {
+	local, peer := newTCPPair(t)
+	handler := &blockingHandler{entered: make(chan struct{}), unblock: make(chan struct{})}
+	c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), LingerTimeout: 10 * time.Second}, handler)
+	if _, err := peer.Write(newRelease(1).Append(nil)); err != nil {
 		t.Fatal(err)
 	}
-	<-h.in
-	big := make([]byte, 128<<10) // more than the reader has taken from the socket
-	if _, err := b.Write(big); err != nil {
+	<-handler.entered
+	unread := make([]byte, 128<<10) // more than the reader has taken from the socket
+	if _, err := peer.Write(unread); err != nil {
 		t.Fatal(err)
 	}
-	answer := release(2)
+	answer := newRelease(2)
 	c.Send(answer, 0)
 	c.FlushAndClose(ErrClosed)
-	got, err := io.ReadAll(b)
+	got, err := io.ReadAll(peer)
 	if err != nil || string(got) != string(answer.Append(nil)) {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("the peer read %q, %v; want the queued message", got, err)
 	}
-	b.Close()
-	close(h.leave)
+	peer.Close()
+	close(handler.unblock)
 	select {
 	case <-c.Done():
 	case <-time.After(5 * time.Second):
-		t.Error("the peer's end did not end the connection")
+		t.Error("the connection did not end within 5 s after the peer closed it")
 	}
 }
 
-// Closing a connection that aborts takes back what the peer has not been given: nothing arrives later.
-func TestAbortingTakesBackWhatIsOnItsWay(t *testing.T) {
-	a, b := sockets(t)
-	for _, err := range []error{a.SetWriteBuffer(256 << 10), b.SetReadBuffer(4 << 10)} {
+// With AbortOnClose, Close must discard the data that the peer has not received:
+// it must not arrive later.
+func TestAbortOnCloseDiscardsUndeliveredData(t *testing.T) {
+	local, peer := newTCPPair(t)
+	for _, err := range []error{local.SetWriteBuffer(256 << 10), peer.SetReadBuffer(4 << 10)} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), AbortOnClose: true, WriteTimeout: time.Minute}, &keeper{})
-	m := setup(1)
+	c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), AbortOnClose: true, WriteTimeout: time.Minute}, &recorder{})
+	m := newSetUp(1)
 	m.Term = string(make([]byte, 4000))
-	for range 30 { // more than the peer, which does not read, has room for; all of it fits on the way
+	for range 30 { // more than the receive buffer of the peer, which does not read; the send buffer holds all of it
 		c.Send(m, time.Hour)
 	}
-	for late := time.Now().Add(5 * time.Second); c.QueueLen() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("it was not written")
+	for deadline := time.Now().Add(5 * time.Second); c.QueueLen() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the queue was not written within 5 s")
 		}
 	}
-	time.Sleep(20 * time.Millisecond) // the write itself ends
+	time.Sleep(20 * time.Millisecond) // the last write call returns
 	c.Close(ErrClosed)
 	<-c.Done()
-	if _, err := io.Copy(io.Discard, b); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the peer read on to %v; want a reset", err)
+	if _, err := io.Copy(io.Discard, peer); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the peer's read ended with %v; want a connection reset", err)
 	}
 }
 
-// A set-up that is called back while it is part of a write that does not end: the write is given a short
-// time, then the connection ends.
-func TestARecalledSetUpDoesNotRestInABlockedWrite(t *testing.T) {
+// A recalled set-up that is part of a blocked write must not stay there: the
+// write gets RecallTimeout, then the connection is closed.
+func TestRecallBoundsBlockedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second, RecallTimeout: 50 * time.Millisecond}, &keeper{})
-		c.Send(setup(1), time.Hour)
-		synctest.Wait() // in the write
+		local, peer := newPipe(t)
+		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second, RecallTimeout: 50 * time.Millisecond}, &recorder{})
+		c.Send(newSetUp(1), time.Hour)
+		synctest.Wait() // until the writer blocks
 		time.Sleep(time.Second)
-		if c.Recall(id(1)) {
-			t.Fatal("called back from a write under way")
+		if c.Recall(matchID(1)) {
+			t.Fatal("Recall returned true for a set-up that is being written")
 		}
-		began := time.Now()
+		recalledAt := time.Now()
 		time.Sleep(30 * time.Millisecond)
-		c.Recall(id(1)) // once more gives no more time
+		c.Recall(matchID(1)) // a second call must not extend the deadline
 		<-c.Done()
-		if d := time.Since(began); d != 50*time.Millisecond {
-			t.Errorf("ended after %v", d)
+		if d := time.Since(recalledAt); d != 50*time.Millisecond {
+			t.Errorf("the connection ended %v after Recall, want 50ms", d)
 		}
-		b.Close()
+		peer.Close()
 	})
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,6 @@
-// Package transport carries messages over connections: one reader and one
-// writer goroutine each, a bounded queue, a tap. It knows no call.
+// Package transport carries messages over connections. Each connection has a
+// reader and a writer goroutine, a bounded send queue and an optional capture.
+// The package knows nothing about calls.
 package transport
 
 import (
@@ -14,252 +15,268 @@
 
 // Message is what a connection carries.
 type Message interface {
-	Append([]byte) []byte // its wire form, behind what is there
-	IsSetUp() bool        // opens a call: held back by the fence and after its time
+	// Append appends the wire format to a buffer.
+	Append([]byte) []byte
+	// IsSetUp reports whether the message starts a call. Set-ups are not sent
+	// after their time-out or while set-ups are blocked.
+	IsSetUp() bool
 }
 
-// RecoverableError is an error of a reader after which it may read on.
+// RecoverableError is an error of a message reader that may read on afterwards.
 type RecoverableError interface {
 	error
 	Recoverable()
 }
 
-// Options of a connection. Reader must be set; other zero fields take the defaults.
+// Options configures a connection. Reader must be set; other zero fields take their defaults.
 type Options[M Message] struct {
-	// Reader makes what reads messages from the connection. Its errors end the
-	// connection unless they are Skipped.
+	// Reader returns a function that reads the messages from the connection. Its
+	// errors end the connection unless they are RecoverableErrors.
 	Reader func(net.Conn) func() (M, error)
 	Outbox guard.Outbox
-	// WriteTimeout bounds one write: a peer that takes nothing for so long is cut off.
+	// WriteTimeout bounds one write. A peer that accepts no data for that long is disconnected.
 	WriteTimeout time.Duration
-	// DrainGrace is the drain grace, for writes under way when the fence is shut.
+	// DrainGrace is the drain grace that bounds a write in progress when set-ups are blocked.
 	DrainGrace time.Duration
 	Capture    *capture.Tap
-	// Now is the clock of NotAfter.
+	// Now is the clock to which the notAfter of Send refers.
 	Now func() time.Duration
-	// LingerTimeout is how long Finish waits for the peer's end after its own (half-close); 0 ends both at once.
+	// LingerTimeout is how long FlushAndClose waits for the peer to close its
+	// side after this side was closed (half-close); 0 closes both sides at once.
 	LingerTimeout time.Duration
-	// RecallTimeout bounds the write under way that a set-up which is called back is part of; 0 leaves it.
+	// RecallTimeout bounds a write in progress that may contain a recalled set-up; 0 leaves it unchanged.
 	RecallTimeout time.Duration
-	// AbortOnClose makes Close discard what the peer has not been given yet.
+	// AbortOnClose makes Close discard the data that the peer has not received yet.
 	AbortOnClose bool
 }
 
-// Handler is told what happens on a connection. Message, Bad come from the
-// reader's goroutine, Unsent from the writer's; Closed comes once, after all others.
+// Handler receives the events of a connection. Message and Unreadable are called
+// by the reader goroutine, Unsent by the writer goroutine; Closed is called once,
+// after all others.
 type Handler[M Message] interface {
+	// Message is called for each message that was read.
 	Message(c *Conn[M], m M)
+	// Unreadable is called for each error after which the reader continues.
 	Unreadable(c *Conn[M], e RecoverableError)
-	Unsent(c *Conn[M], m M) // a set-up that was not sent and won't be
-	Closed(c *Conn[M], why error)
+	// Unsent is called for each queued set-up that was not sent and never will be.
+	Unsent(c *Conn[M], m M)
+	// Closed is called when the connection is closed.
+	Closed(c *Conn[M], reason error)
 }
 
-// Reasons for which this end closes a connection.
+// Reasons for which this side closes a connection.
 var (
 	ErrSlowPeer = errors.New("the peer reads too slowly")
 	ErrClosed   = errors.New("closed by this end")
 )
 
-type item[M Message] struct {
-	m        M
+// queuedMessage is a message that waits to be written.
+type queuedMessage[M Message] struct {
+	message  M
 	notAfter time.Duration
-	setup    bool
+	setUp    bool
 }
 
-// Conn is one connection with its goroutines. They end with it.
+// Conn is one connection with its goroutines, which run until it is closed.
 type Conn[M Message] struct {
-	nc  net.Conn
-	opt Options[M]
-	h   Handler[M]
+	netConn net.Conn
+	options Options[M]
+	handler Handler[M]
 
-	mu      sync.Mutex
-	queue   []item[M]
-	fence   guard.SetUpBlock
-	writing bool // a batch with set-ups is being written
-	hurried bool // and has had its time cut
-	closed  bool
-	last    bool // closes once the queue is written
-	why     error
-	loops   int // of reader and writer, how many run
-	wake    chan struct{}
-	done    chan struct{}
+	mu            sync.Mutex
+	queue         []queuedMessage[M]
+	setUpBlock    guard.SetUpBlock
+	writingSetUps bool // a batch with set-ups is being written
+	deadlineCut   bool // Recall has shortened the deadline of that write
+	closed        bool
+	closeOnEmpty  bool // close once the queue is written
+	closeReason   error
+	runningLoops  int // goroutines that have not ended
+	wakeWriter    chan struct{}
+	done          chan struct{}
 }
 
-// batchBytes is about how much goes into one write.
+// batchBytes is the approximate size of one write.
 const batchBytes = 32 << 10
 
-// Start takes over a connection.
-func Start[M Message](nc net.Conn, opt Options[M], h Handler[M]) *Conn[M] {
-	if opt.Outbox.Capacity <= 0 {
-		opt.Outbox.Capacity = 4096
+// Start begins reading from and writing to netConn, which it owns from then on.
+func Start[M Message](netConn net.Conn, options Options[M], handler Handler[M]) *Conn[M] {
+	if options.Outbox.Capacity <= 0 {
+		options.Outbox.Capacity = 4096
 	}
-	if opt.WriteTimeout <= 0 {
-		opt.WriteTimeout = 2 * time.Second
+	if options.WriteTimeout <= 0 {
+		options.WriteTimeout = 2 * time.Second
 	}
-	if opt.Now == nil {
+	if options.Now == nil {
 		start := time.Now()
-		opt.Now = func() time.Duration { return time.Since(start) }
+		options.Now = func() time.Duration { return time.Since(start) }
 	}
-	c := &Conn[M]{nc: nc, opt: opt, h: h, loops: 2, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	go c.run(c.read)
-	go c.run(c.write)
+	c := &Conn[M]{netConn: netConn, options: options, handler: handler, runningLoops: 2, wakeWriter: make(chan struct{}, 1), done: make(chan struct{})}
+	go c.run(c.readLoop)
+	go c.run(c.writeLoop)
 	return c
 }
 
-// run owns one of the loops; the last to end tells the handler.
+// run executes one of the loops. The last one to end reports the unsent set-ups
+// and the end of the connection to the handler.
 func (c *Conn[M]) run(loop func()) {
 	loop()
 	c.mu.Lock()
-	c.loops--
-	rest, why, last := c.queue, c.why, c.loops == 0
+	c.runningLoops--
+	unsent, reason, isLast := c.queue, c.closeReason, c.runningLoops == 0
 	c.mu.Unlock()
-	if !last {
+	if !isLast {
 		return
 	}
-	for _, it := range rest {
-		if it.setup {
-			c.h.Unsent(c, it.m)
+	for _, queued := range unsent {
+		if queued.setUp {
+			c.handler.Unsent(c, queued.message)
 		}
 	}
-	c.opt.Capture.Closed(why.Error())
-	c.h.Closed(c, why)
+	c.options.Capture.Closed(reason.Error())
+	c.handler.Closed(c, reason)
 	close(c.done)
 }
 
-// Done is closed when the connection is over and its handler has been told.
+// Done returns a channel that is closed once the handler's Closed method has returned.
 func (c *Conn[M]) Done() <-chan struct{} { return c.done }
 
-// Send queues a message; false if it was not taken. notAfter matters for
-// set-ups: one that can't leave by then comes back as Unsent. A connection whose
-// queue is full is closed.
+// Send queues a message and reports whether it was accepted. notAfter only
+// matters for set-ups: one that cannot be sent before then is passed to
+// Handler.Unsent. A connection whose queue is full is closed.
 func (c *Conn[M]) Send(m M, notAfter time.Duration) bool {
-	it := item[M]{m, notAfter, m.IsSetUp()}
+	queued := queuedMessage[M]{m, notAfter, m.IsSetUp()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.closed, c.last, it.setup && c.fence.Active, c.opt.Outbox.ShouldReject(it.setup, len(c.queue)):
+	case c.closed, c.closeOnEmpty, queued.setUp && c.setUpBlock.Active, c.options.Outbox.ShouldReject(queued.setUp, len(c.queue)):
 		return false
-	case c.opt.Outbox.IsFull(len(c.queue)):
+	case c.options.Outbox.IsFull(len(c.queue)):
 		c.closeLocked(ErrSlowPeer)
 		return false
 	}
-	c.queue = append(c.queue, it)
+	c.queue = append(c.queue, queued)
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// Recall takes the set-up that is meant back if it has not left; false if it has, or is leaving. A
-// write of set-ups under way is given Options.Recall from then on, or the connection ends.
-func (c *Conn[M]) Recall(meant func(M) bool) bool {
+// Recall removes the first queued set-up that match accepts. It returns false if
+// the set-up was sent or is being written. In that case a write of set-ups in
+// progress must end within Options.RecallTimeout, or the connection is closed.
+func (c *Conn[M]) Recall(match func(M) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, it := range c.queue {
-		if it.setup && meant(it.m) {
+	for i, queued := range c.queue {
+		if queued.setUp && match(queued.message) {
 			c.queue = append(c.queue[:i:i], c.queue[i+1:]...)
 			return true
 		}
 	}
-	if c.writing && !c.closed && !c.hurried && c.opt.RecallTimeout > 0 {
-		c.hurried = true
-		_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.RecallTimeout)) // fails only on a closed connection
+	if c.writingSetUps && !c.closed && !c.deadlineCut && c.options.RecallTimeout > 0 {
+		c.deadlineCut = true
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.options.RecallTimeout)) // fails only on a closed connection
 	}
 	return false
 }
 
-// IsClosed tells whether the connection has ended, at either end; its handler may not have been told yet.
+// IsClosed reports whether either side has closed the connection. The handler
+// may not have been notified yet.
 func (c *Conn[M]) IsClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// QueueLen is the number of messages waiting to be written.
+// QueueLen returns the number of messages waiting to be written.
 func (c *Conn[M]) QueueLen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue)
 }
 
-// BlockSetUps keeps set-ups that have not left from leaving; they come back as Unsent.
+// BlockSetUps keeps queued set-ups from being sent; they are passed to
+// Handler.Unsent. Send rejects set-ups until UnblockSetUps is called.
 func (c *Conn[M]) BlockSetUps() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence = guard.SetUpBlock{Active: true, Since: c.opt.Now()}
-	if c.writing && !c.closed {
-		left := c.fence.WriteDeadline(c.opt.DrainGrace) - c.opt.Now()
-		_ = c.nc.SetWriteDeadline(time.Now().Add(left)) // fails only on a closed connection
+	c.setUpBlock = guard.SetUpBlock{Active: true, Since: c.options.Now()}
+	if c.writingSetUps && !c.closed {
+		remaining := c.setUpBlock.WriteDeadline(c.options.DrainGrace) - c.options.Now()
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(remaining)) // fails only on a closed connection
 	}
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-// UnblockSetUps lifts the fence.
+// UnblockSetUps lets set-ups be sent again.
 func (c *Conn[M]) UnblockSetUps() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fence = guard.SetUpBlock{}
+	c.setUpBlock = guard.SetUpBlock{}
 }
 
-// Close ends the connection; what is queued is not sent.
-func (c *Conn[M]) Close(why error) {
+// Close closes the connection. Queued messages are not sent.
+func (c *Conn[M]) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closeLocked(why)
+	c.closeLocked(reason)
 }
 
-// FlushAndClose ends the connection once what is queued has been written; nothing more is taken. With
-// Options.Linger this end is closed first and the peer's is read to: a socket closed with bytes
-// unread is reset, and the reset may overtake what was written.
-func (c *Conn[M]) FlushAndClose(why error) {
+// FlushAndClose closes the connection once the queued messages are written; it
+// accepts no more. With Options.LingerTimeout it closes the sending side first
+// and reads until the peer closes: closing a socket with unread data resets the
+// connection, and the reset may overtake the data that was written.
+func (c *Conn[M]) FlushAndClose(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last = true; c.why == nil {
-		c.why = why
+	if c.closeOnEmpty = true; c.closeReason == nil {
+		c.closeReason = reason
 	}
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Conn[M]) closeLocked(why error) {
+// closeLocked closes the connection; c.mu must be held.
+func (c *Conn[M]) closeLocked(reason error) {
 	if c.closed {
 		return
 	}
-	if c.closed = true; c.why == nil {
-		c.why = why
+	if c.closed = true; c.closeReason == nil {
+		c.closeReason = reason
 	}
-	if l, ok := c.nc.(interface{ SetLinger(sec int) error }); ok && c.opt.AbortOnClose && !c.last {
-		_ = l.SetLinger(0) // fails only on a closed connection
+	if socket, ok := c.netConn.(interface{ SetLinger(sec int) error }); ok && c.options.AbortOnClose && !c.closeOnEmpty {
+		_ = socket.SetLinger(0) // fails only on a closed connection
 	}
-	_ = c.nc.Close() // ends both loops; there is nobody to tell
+	_ = c.netConn.Close() // ends both loops; an error changes nothing
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Conn[M]) read() {
-	next := c.opt.Reader(c.nc)
+func (c *Conn[M]) readLoop() {
+	readMessage := c.options.Reader(c.netConn)
 	for {
-		m, err := next()
-		var bad RecoverableError
+		m, err := readMessage()
+		var recoverable RecoverableError
 		switch {
 		case err == nil:
-			if c.opt.Capture != nil {
-				c.opt.Capture.Received(m.Append(nil))
+			if c.options.Capture != nil {
+				c.options.Capture.Received(m.Append(nil))
 			}
-			c.h.Message(c, m)
-		case errors.As(err, &bad):
-			if c.opt.Capture != nil {
-				c.opt.Capture.Received([]byte("unreadable: " + bad.Error()))
+			c.handler.Message(c, m)
+		case errors.As(err, &recoverable):
+			if c.options.Capture != nil {
+				c.options.Capture.Received([]byte("unreadable: " + recoverable.Error()))
 			}
-			c.h.Unreadable(c, bad)
+			c.handler.Unreadable(c, recoverable)
 		default:
 			c.Close(err)
 			return
@@ -267,58 +284,58 @@
 	}
 }
 
-func (c *Conn[M]) write() {
+func (c *Conn[M]) writeLoop() {
 	var buf []byte
-	var ends []int
-	var taken, late []item[M]
+	var messageEnds []int // end of each message in buf
+	var batch, expired []queuedMessage[M]
 	for {
 		c.mu.Lock()
 		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		now := c.opt.Now()
-		buf, ends, taken, late = buf[:0], ends[:0], taken[:0], late[:0]
-		n, setups := 0, false
-		for _, it := range c.queue {
+		now := c.options.Now()
+		buf, messageEnds, batch, expired = buf[:0], messageEnds[:0], batch[:0], expired[:0]
+		dequeued, hasSetUps := 0, false
+		for _, queued := range c.queue {
 			if len(buf) >= batchBytes {
 				break
 			}
-			n++
-			if it.setup && !c.fence.MaySend(now, it.notAfter) {
-				late = append(late, it)
+			dequeued++
+			if queued.setUp && !c.setUpBlock.MaySend(now, queued.notAfter) {
+				expired = append(expired, queued)
 				continue
 			}
-			buf = it.m.Append(buf)
-			ends = append(ends, len(buf))
-			taken = append(taken, it)
-			setups = setups || it.setup
+			buf = queued.message.Append(buf)
+			messageEnds = append(messageEnds, len(buf))
+			batch = append(batch, queued)
+			hasSetUps = hasSetUps || queued.setUp
 		}
-		if c.queue = c.queue[n:]; len(c.queue) == 0 {
+		if c.queue = c.queue[dequeued:]; len(c.queue) == 0 {
 			c.queue = nil
 		}
-		c.writing, c.hurried = setups, false
-		at := c.opt.Capture.Now() // from here on nothing can be recalled
+		c.writingSetUps, c.deadlineCut = hasSetUps, false
+		sentAt := c.options.Capture.Now() // from here on nothing can be recalled
 		if len(buf) > 0 {
-			_ = c.nc.SetWriteDeadline(time.Now().Add(c.opt.WriteTimeout)) // fails only on a closed connection
+			_ = c.netConn.SetWriteDeadline(time.Now().Add(c.options.WriteTimeout)) // fails only on a closed connection
 		}
-		done, why := c.last && len(taken) == 0, c.why
+		flushed, reason := c.closeOnEmpty && len(batch) == 0, c.closeReason
 		c.mu.Unlock()
-		for _, it := range late {
-			c.h.Unsent(c, it.m)
+		for _, queued := range expired {
+			c.handler.Unsent(c, queued.message)
 		}
 		if len(buf) == 0 {
-			if done {
+			if flushed {
 				c.linger()
-				c.Close(why)
+				c.Close(reason)
 				return
 			}
-			if n == 0 {
-				<-c.wake
+			if dequeued == 0 {
+				<-c.wakeWriter
 			}
 			continue
 		}
-		if _, err := c.nc.Write(buf); err != nil {
+		if _, err := c.netConn.Write(buf); err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				err = ErrClosed
 			}
@@ -326,31 +343,31 @@
 			return
 		}
 		c.mu.Lock()
-		c.writing = false
+		c.writingSetUps = false
 		c.mu.Unlock()
-		if c.opt.Capture != nil {
-			from := 0
-			for _, to := range ends {
-				c.opt.Capture.Sent(at, buf[from:to])
-				from = to
+		if c.options.Capture != nil {
+			start := 0
+			for _, end := range messageEnds {
+				c.options.Capture.Sent(sentAt, buf[start:end])
+				start = end
 			}
 		}
 	}
 }
 
-// linger ends this end of the connection and waits for the peer's.
+// linger closes the sending side of the connection and waits for the peer to close its side.
 func (c *Conn[M]) linger() {
-	half, ok := c.nc.(interface{ CloseWrite() error })
-	if c.opt.LingerTimeout <= 0 || !ok || half.CloseWrite() != nil {
+	socket, ok := c.netConn.(interface{ CloseWrite() error })
+	if c.options.LingerTimeout <= 0 || !ok || socket.CloseWrite() != nil {
 		return
 	}
-	late := time.NewTimer(c.opt.LingerTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(c.options.LingerTimeout)
+	defer timeout.Stop()
 	for {
 		select {
-		case <-late.C:
+		case <-timeout.C:
 			return
-		case <-c.wake:
+		case <-c.wakeWriter:
 			c.mu.Lock()
 			closed := c.closed
 			c.mu.Unlock()
@@ -361,10 +378,11 @@
 	}
 }
 
-// ConnectionKey names a connection alike at both ends.
-func ConnectionKey(nc net.Conn, dialed bool) string {
+// ConnectionKey returns an identifier of a connection that is the same on both
+// sides. dialed says whether this side opened the connection.
+func ConnectionKey(netConn net.Conn, dialed bool) string {
 	if dialed {
-		return nc.LocalAddr().String() + ">" + nc.RemoteAddr().String()
+		return netConn.LocalAddr().String() + ">" + netConn.RemoteAddr().String()
 	}
-	return nc.RemoteAddr().String() + ">" + nc.LocalAddr().String()
+	return netConn.RemoteAddr().String() + ">" + netConn.LocalAddr().String()
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -16,218 +16,219 @@
 	"dahliaspindle/internal/signal"
 )
 
-// keeper keeps what a connection tells.
-type keeper struct {
-	mu     sync.Mutex
-	got    []*signal.Message
-	bad    []signal.SyntaxError
-	unsent []uint32
-	closed []error
+// recorder is a handler that records the events of a connection.
+type recorder struct {
+	mu           sync.Mutex
+	messages     []*signal.Message
+	syntaxErrors []signal.SyntaxError
+	unsent       []uint32 // IDs
+	closeReasons []error
 }
 
-func (k *keeper) Message(_ *Conn[*signal.Message], m *signal.Message) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.got = append(k.got, m)
+func (r *recorder) Message(_ *Conn[*signal.Message], m *signal.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.messages = append(r.messages, m)
 }
-func (k *keeper) Unreadable(_ *Conn[*signal.Message], e RecoverableError) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.bad = append(k.bad, *e.(*signal.SyntaxError))
+func (r *recorder) Unreadable(_ *Conn[*signal.Message], e RecoverableError) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.syntaxErrors = append(r.syntaxErrors, *e.(*signal.SyntaxError))
 }
-func (k *keeper) Unsent(_ *Conn[*signal.Message], m *signal.Message) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.closed) > 0 {
-		panic("Unsent after Closed")
+func (r *recorder) Unsent(_ *Conn[*signal.Message], m *signal.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.closeReasons) > 0 {
+		panic("Unsent called after Closed")
 	}
-	k.unsent = append(k.unsent, m.ID)
+	r.unsent = append(r.unsent, m.ID)
 }
-func (k *keeper) Closed(_ *Conn[*signal.Message], err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closed = append(k.closed, err)
+func (r *recorder) Closed(_ *Conn[*signal.Message], err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.closeReasons = append(r.closeReasons, err)
 }
 
-func pipe(t *testing.T) (net.Conn, net.Conn) {
+func newPipe(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
-	var n memnet.Network
-	ln, err := n.Listen()
+	var network memnet.Network
+	ln, err := network.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		c, _ := ln.Accept()
-		got <- c
+		accepted <- c
 	}()
-	a, err := n.Dial(context.Background(), ln.Addr().String())
+	local, err := network.Dial(context.Background(), ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a, <-got
+	return local, <-accepted
 }
 
-func setup(id uint32) *signal.Message {
+func newSetUp(id uint32) *signal.Message {
 	return &signal.Message{ID: id, Context: 1, Command: signal.Add, Term: fmt.Sprint("c", id)}
 }
 
-func id(n uint32) func(*signal.Message) bool {
-	return func(m *signal.Message) bool { return m.ID == n }
+func matchID(id uint32) func(*signal.Message) bool {
+	return func(m *signal.Message) bool { return m.ID == id }
 }
 
-func release(id uint32) *signal.Message {
+func newRelease(id uint32) *signal.Message {
 	return &signal.Message{ID: id, Context: 1, Command: signal.Subtract, Term: fmt.Sprint("c", id)}
 }
 
-func TestMessagesPassInOrderBothWays(t *testing.T) {
+func TestMessagesArriveInOrderBothWays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		ka, kb := &keeper{}, &keeper{}
-		ca, cb := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, ka), Start(b, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, kb)
+		netConnA, netConnB := newPipe(t)
+		recorderA, recorderB := &recorder{}, &recorder{}
+		connA, connB := Start(netConnA, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, recorderA), Start(netConnB, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, recorderB)
 		for i := range uint32(500) {
-			ca.Send(release(i+1), 0)
-			cb.Send(setup(i+1), time.Hour)
+			connA.Send(newRelease(i+1), 0)
+			connB.Send(newSetUp(i+1), time.Hour)
 		}
 		synctest.Wait()
-		if len(ka.got) != 500 || len(kb.got) != 500 {
-			t.Fatalf("%d and %d", len(ka.got), len(kb.got))
+		if len(recorderA.messages) != 500 || len(recorderB.messages) != 500 {
+			t.Fatalf("%d and %d messages arrived, want 500 each", len(recorderA.messages), len(recorderB.messages))
 		}
 		for i := range 500 {
-			if ka.got[i].ID != uint32(i+1) || kb.got[i].ID != uint32(i+1) {
+			if recorderA.messages[i].ID != uint32(i+1) || recorderB.messages[i].ID != uint32(i+1) {
 				t.Fatalf("message %d is out of order", i)
 			}
 		}
-		ca.Close(ErrClosed)
-		<-ca.Done()
-		<-cb.Done()
-		if len(ka.closed) != 1 || len(kb.closed) != 1 || !errors.Is(ka.closed[0], ErrClosed) {
-			t.Fatalf("%v, %v", ka.closed, kb.closed)
+		connA.Close(ErrClosed)
+		<-connA.Done()
+		<-connB.Done()
+		if len(recorderA.closeReasons) != 1 || len(recorderB.closeReasons) != 1 || !errors.Is(recorderA.closeReasons[0], ErrClosed) {
+			t.Fatalf("close reasons are %v and %v, want one each and ErrClosed at the closing side", recorderA.closeReasons, recorderB.closeReasons)
 		}
-		if ca.Send(release(1), 0) {
-			t.Fatal("a closed connection takes messages")
+		if connA.Send(newRelease(1), 0) {
+			t.Fatal("a closed connection accepts messages")
 		}
 	})
 }
 
-// A peer that reads nothing: set-ups come back at the fence, at their time-out
-// and at the end; releases keep their room; the queue is bounded; the write
-// under way ends within the grace; and the connection is cut.
+// A peer that stops reading must not hold up set-ups or take unbounded memory:
+// the queue is bounded and keeps room for releases, blocked set-ups come back as
+// unsent, the write in progress ends within the drain grace, and the connection
+// is closed.
 func TestPeerThatStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, k)
-		c.Send(setup(1), time.Hour) // is being written
+		local, peer := newPipe(t)
+		rec := &recorder{}
+		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, rec)
+		c.Send(newSetUp(1), time.Hour) // stays in the blocked write
 		synctest.Wait()
-		taken := 0
+		accepted := 0
 		for i := range uint32(200) {
-			if c.Send(setup(i+2), time.Hour) {
-				taken++
+			if c.Send(newSetUp(i+2), time.Hour) {
+				accepted++
 			}
 		}
-		if taken != 50 {
-			t.Fatalf("%d set-ups taken, want half of the queue", taken)
+		if accepted != 50 {
+			t.Fatalf("%d set-ups accepted, want half of the queue capacity, 50", accepted)
 		}
-		if !c.Send(release(1000), 0) || !c.Recall(id(2)) || c.Recall(id(1)) || c.QueueLen() != 50 {
-			t.Fatal("room for releases, recall of what waits and of nothing else")
+		if !c.Send(newRelease(1000), 0) || !c.Recall(matchID(2)) || c.Recall(matchID(1)) || c.QueueLen() != 50 {
+			t.Fatal("want a release accepted, the queued set-up recalled, the set-up being written not recalled, and 50 messages queued")
 		}
-		began := time.Now()
+		blockedAt := time.Now()
 		c.BlockSetUps()
 		<-c.Done()
-		if cut := time.Since(began); cut > 250*time.Millisecond {
-			t.Fatalf("the write under way ended after %v", cut)
+		if elapsed := time.Since(blockedAt); elapsed > 250*time.Millisecond {
+			t.Fatalf("the write in progress ended after %v, want at most 250ms", elapsed)
 		}
-		if len(k.unsent) != 49 || k.unsent[0] != 3 || len(k.closed) != 1 {
-			t.Fatalf("%d came back, %v", len(k.unsent), k.closed)
+		if len(rec.unsent) != 49 || rec.unsent[0] != 3 || len(rec.closeReasons) != 1 {
+			t.Fatalf("%d set-ups unsent, close reasons %v; want 49 from ID 3 on, and one reason", len(rec.unsent), rec.closeReasons)
 		}
-		b.Close()
+		peer.Close()
 	})
 }
 
-func TestQueueThatIsFullCutsThePeer(t *testing.T) {
+func TestFullQueueClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute}, k)
-		for i := 0; c.Send(release(uint32(i+1)), 0); i++ {
+		local, peer := newPipe(t)
+		rec := &recorder{}
+		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute}, rec)
+		for i := 0; c.Send(newRelease(uint32(i+1)), 0); i++ {
 			if i > 200 {
-				t.Fatal("takes messages without end")
+				t.Fatal("the queue accepts more messages than its capacity")
 			}
 		}
 		<-c.Done()
-		if !errors.Is(k.closed[0], ErrSlowPeer) {
-			t.Fatalf("%v", k.closed)
+		if !errors.Is(rec.closeReasons[0], ErrSlowPeer) {
+			t.Fatalf("close reasons are %v, want ErrSlowPeer", rec.closeReasons)
 		}
-		b.Close()
+		peer.Close()
 	})
 }
 
-func TestWriteThatTakesTooLongCutsThePeer(t *testing.T) {
+func TestWriteTimeoutClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		k := &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second}, k)
-		began := time.Now()
-		c.Send(release(1), 0)
+		local, peer := newPipe(t)
+		rec := &recorder{}
+		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second}, rec)
+		sentAt := time.Now()
+		c.Send(newRelease(1), 0)
 		<-c.Done()
-		if d := time.Since(began); d != 2*time.Second {
-			t.Fatalf("cut after %v", d)
+		if d := time.Since(sentAt); d != 2*time.Second {
+			t.Fatalf("the connection was closed after %v, want 2s", d)
 		}
-		b.Close()
+		peer.Close()
 	})
 }
 
-// Set-ups whose time has passed, or that a fence holds, never leave; all else does.
-func TestNothingLeavesTooLate(t *testing.T) {
+// Set-ups that have timed out or are blocked must never be sent; all other messages must be.
+func TestExpiredAndBlockedSetUpsAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		ka, kb := &keeper{}, &keeper{}
-		c := Start(a, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, ka)
+		local, peer := newPipe(t)
+		localRec, peerRec := &recorder{}, &recorder{}
+		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, localRec)
 		time.Sleep(time.Second)
-		c.Send(setup(1), 900*time.Millisecond)
-		c.Send(release(2), 0)
+		c.Send(newSetUp(1), 900*time.Millisecond)
+		c.Send(newRelease(2), 0)
 		c.BlockSetUps()
-		if c.Send(setup(3), time.Hour) {
-			t.Fatal("a fenced connection takes set-ups")
+		if c.Send(newSetUp(3), time.Hour) {
+			t.Fatal("Send accepts a set-up while set-ups are blocked")
 		}
-		peer := Start(b, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, kb)
+		peerConn := Start(peer, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, peerRec)
 		synctest.Wait()
-		if len(ka.unsent) != 1 || ka.unsent[0] != 1 || len(kb.got) != 1 || kb.got[0].ID != 2 {
-			t.Fatalf("unsent %v, got %v", ka.unsent, kb.got)
+		if len(localRec.unsent) != 1 || localRec.unsent[0] != 1 || len(peerRec.messages) != 1 || peerRec.messages[0].ID != 2 {
+			t.Fatalf("unsent set-ups %v, messages at the peer %v; want set-up 1 unsent and message 2 received", localRec.unsent, peerRec.messages)
 		}
 		c.UnblockSetUps()
-		c.Send(setup(4), time.Hour)
+		c.Send(newSetUp(4), time.Hour)
 		synctest.Wait()
-		if len(kb.got) != 2 {
-			t.Fatalf("got %v", kb.got)
+		if len(peerRec.messages) != 2 {
+			t.Fatalf("messages at the peer are %v, want 2 after set-ups were unblocked", peerRec.messages)
 		}
 		c.Close(ErrClosed)
 		<-c.Done()
-		<-peer.Done()
+		<-peerConn.Done()
 	})
 }
 
-// slivers gives what it reads in single bytes.
-type slivers struct{ net.Conn }
+// oneByteConn reads single bytes.
+type oneByteConn struct{ net.Conn }
 
-func (s slivers) Read(p []byte) (int, error) { return iotest.OneByteReader(s.Conn).Read(p) }
+func (c oneByteConn) Read(p []byte) (int, error) { return iotest.OneByteReader(c.Conn).Read(p) }
 
-func TestFragmentsAndGarbage(t *testing.T) {
+func TestReadContinuesAfterUnreadableMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pipe(t)
-		k := &keeper{}
-		c := Start(slivers{a}, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, k)
+		local, peer := newPipe(t)
+		rec := &recorder{}
+		c := Start(oneByteConn{local}, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, rec)
 		for _, text := range []string{"Transaction=7 Context=- Add", "=x\r\nDest: 1\r", "\n\r\nrubbish\r\n\r\nPending=8\r\n\r\n"} {
-			if _, err := b.Write([]byte(text)); err != nil {
+			if _, err := peer.Write([]byte(text)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		synctest.Wait()
-		if len(k.got) != 2 || k.got[0].ID != 7 || k.got[1].ID != 8 || len(k.bad) != 1 {
-			t.Fatalf("got %v, bad %v", k.got, k.bad)
+		if len(rec.messages) != 2 || rec.messages[0].ID != 7 || rec.messages[1].ID != 8 || len(rec.syntaxErrors) != 1 {
+			t.Fatalf("messages %v, syntax errors %v; want messages 7 and 8 and one error", rec.messages, rec.syntaxErrors)
 		}
-		b.Close()
+		peer.Close()
 		<-c.Done()
 	})
 }
