--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,6 +1,7 @@
-// Package node is a controller on the platform: configuration, listener, callers' connections,
-// connections to exchanges, resolver, signals, and the budget of descriptors and memory. It
-// decides nothing about a call: that is the module's, which the core in interwork feeds.
+// Package node runs a controller on the platform. It owns the configuration, the
+// listener, the callers' connections, the connections to exchanges, the resolver
+// client, signal handling and the limits on descriptors and memory. Decisions
+// about calls are made by the routing module, which package interwork drives.
 package node
 
 import (
@@ -17,51 +18,52 @@
 	"dahliaspindle/internal/wire"
 )
 
-// Names of the variables that tell a controller where it is.
+// Environment variables that locate and override the configuration.
 const (
-	EnvConfig = "ROUTER_CONFIG"
-	EnvListen = "ROUTER_LISTEN"
-	EnvName   = "ROUTER_NAME"
+	EnvConfig = "ROUTER_CONFIG" // path of the configuration file
+	EnvListen = "ROUTER_LISTEN" // overrides the listen address
+	EnvName   = "ROUTER_NAME"   // overrides the name
 )
 
-// Config is what the platform tells.
+// Config is the configuration that the platform provides.
 type Config struct {
 	Name, ListenAddr, ResolverAddr string
-	MaxDescriptors                 int   // descriptors
-	MemoryBytes                    int64 // bytes
+	MaxDescriptors                 int // open file descriptors, sockets included
+	MemoryBytes                    int64
 	ModuleSettings                 brain.Settings
-	ConnectTimeout, IdleTimeout    time.Duration // bounds of a connection's making and of its rest
-	ExchangeList                   *srvlist.List
+	ConnectTimeout, IdleTimeout    time.Duration // of connections to exchanges: for opening one, and until an unused one is closed
+	ExchangeList                   *srvlist.List // the list known at the start
 }
 
-// ReadConfig reads the file that the variables name. The error is one line that names the place.
+// ReadConfig reads the file that EnvConfig names and applies the other
+// variables. The error is a single line that names the invalid setting.
 func ReadConfig(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
-		return nil, errors.New(EnvConfig + " is not set: it names the configuration file")
+		return nil, errors.New(EnvConfig + " is not set: it must name the configuration file")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvConfig, err)
 	}
-	c, err := parse(raw)
+	cfg, err := parseConfig(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if v := env(EnvListen); v != "" {
-		if _, _, err := net.SplitHostPort(v); err != nil {
+	if addr := env(EnvListen); addr != "" {
+		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: %w", EnvListen, err)
 		}
-		c.ListenAddr = v
+		cfg.ListenAddr = addr
 	}
-	if v := env(EnvName); v != "" {
-		c.Name = v
+	if name := env(EnvName); name != "" {
+		cfg.Name = name
 	}
-	return c, nil
+	return cfg, nil
 }
 
-func parse(raw []byte) (*Config, error) {
-	var f struct {
+func parseConfig(raw []byte) (*Config, error) {
+	var file struct {
 		Name, Listen, Seed, Resolver string
 		Limits                       struct {
 			Memory  int64 `json:"memory_mb"`
@@ -70,35 +72,42 @@
 		Known    json.RawMessage
 		Settings *wire.Settings
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
 	}
-	if f.Settings == nil {
+	if file.Settings == nil {
 		return nil, errors.New("settings are missing")
 	}
-	for _, a := range []struct{ name, addr string }{{"listen", f.Listen}, {"resolver", f.Resolver}} {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.name, err)
+	for _, address := range []struct{ setting, addr string }{{"listen", file.Listen}, {"resolver", file.Resolver}} {
+		if _, _, err := net.SplitHostPort(address.addr); err != nil {
+			return nil, fmt.Errorf("%s: %w", address.setting, err)
 		}
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if f.Limits.Sockets < 64 || f.Limits.Memory < 16 {
-		return nil, fmt.Errorf("limits: %d sockets and %d MB: at least 64 and 16 are needed", f.Limits.Sockets, f.Limits.Memory)
+	if file.Limits.Sockets < 64 || file.Limits.Memory < 16 {
+		return nil, fmt.Errorf("limits: %d sockets and %d MB are too low, the minimum is 64 sockets and 16 MB", file.Limits.Sockets, file.Limits.Memory)
 	}
-	c := &Config{Name: f.Name, ListenAddr: f.Listen, ResolverAddr: f.Resolver, MaxDescriptors: f.Limits.Sockets,
-		MemoryBytes: f.Limits.Memory << 20, ConnectTimeout: time.Duration(f.Settings.Limits.Connect), IdleTimeout: time.Duration(f.Settings.Limits.Idle)}
-	if c.ModuleSettings, err = f.Settings.Module(seed); err != nil {
+	cfg := &Config{
+		Name:           file.Name,
+		ListenAddr:     file.Listen,
+		ResolverAddr:   file.Resolver,
+		MaxDescriptors: file.Limits.Sockets,
+		MemoryBytes:    file.Limits.Memory << 20,
+		ConnectTimeout: time.Duration(file.Settings.Limits.Connect),
+		IdleTimeout:    time.Duration(file.Settings.Limits.Idle),
+	}
+	if cfg.ModuleSettings, err = file.Settings.Module(seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.ConnectTimeout <= 0 {
+	if cfg.ConnectTimeout <= 0 {
 		return nil, errors.New("settings: connect_timeout_ns is missing")
 	}
-	if len(f.Known) == 0 {
+	if len(file.Known) == 0 {
 		return nil, errors.New("known is missing")
 	}
-	c.ExchangeList, err = srvlist.ParseKnown(f.Known)
-	return c, err
+	cfg.ExchangeList, err = srvlist.ParseKnown(file.Known)
+	return cfg, err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,24 +24,24 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Bounds of the edge.
+// Limits of a node.
 const (
-	ownSockets   = 24              // listener, resolver, the runtime's and room
-	perConnMost  = 128             // set-ups open on one caller's connection
-	callsMost    = 1 << 16         // open and standing
-	inboxMost    = 512             // inputs waiting for the core
-	outboxMost   = 2048            // messages waiting on one connection
-	writeWithin  = 2 * time.Second // a peer that takes nothing for so long is cut off
-	beginWithin  = 2 * time.Second // a caller's message is whole by then
-	answerWithin = time.Second     // an exchange's message is whole by then
-	clockStart   = time.Hour       // so that what started before has a positive time
-	flushWithin  = 200 * time.Millisecond
-	lingerWithin = 500 * time.Millisecond // a caller ends its side within that of a connection that we end
-	recallWithin = 50 * time.Millisecond  // a write that holds a set-up which is called back
+	reservedDescriptors     = 24              // for the listener, the resolver socket and the Go runtime, with a margin
+	maxPendingSetUpsPerConn = 128             // unanswered set-ups on one caller's connection
+	maxCalls                = 1 << 16         // unanswered and established calls
+	inboxCapacity           = 512             // inputs waiting for the core
+	outboxCapacity          = 2048            // messages waiting on one connection
+	writeTimeout            = 2 * time.Second // a peer that accepts no data for that long is disconnected
+	callerMessageTimeout    = 2 * time.Second // from the first to the last byte of a caller's message
+	exchangeMessageTimeout  = time.Second     // from the first to the last byte of an exchange's message
+	clockStart              = time.Hour       // clock value at the start, so that earlier events have positive times
+	flushTimeout            = 200 * time.Millisecond
+	lingerTimeout           = 500 * time.Millisecond // time for a caller to close its side of a connection that we close
+	recallTimeout           = 50 * time.Millisecond  // for a write that contains a recalled set-up
 )
 
-// intake sheds new calls where the core does not keep up: they would be answered too late.
-var intake = guard.Intake{Capacity: inboxMost}
+// intake sheds new calls when the core falls behind, because it would answer them too late.
+var intake = guard.Intake{Capacity: inboxCapacity}
 
 type (
 	callerConn = transport.Conn[*isup.Message]
@@ -56,23 +56,24 @@
 	start time.Time
 	inbox chan interwork.Input
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	ln     net.Listener
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
+	listener net.Listener
 
-	callers map[interwork.ConnID]*callerConn // of the core's goroutine
-	links   map[interwork.LinkID]*linkConn
-	dials   map[interwork.LinkID]context.CancelFunc
-	held    atomic.Int64 // callers' connections
-	most    int64
-	turned  atomic.Int64 // connections closed at accept
-	shed    atomic.Int64 // set-ups refused since the core had too much to look at
-	unsaid  int          // messages that a connection did not take any more
-	left    bool
+	callers         map[interwork.ConnID]*callerConn // used by the core's goroutine only, like links and dials
+	links           map[interwork.LinkID]*linkConn
+	dials           map[interwork.LinkID]context.CancelFunc
+	callerConnCount atomic.Int64
+	maxCallerConns  int64
+	rejectedConns   atomic.Int64 // connections closed right after accept
+	shedSetUps      atomic.Int64 // set-ups refused because the core had fallen behind
+	undelivered     int          // messages that no connection accepted
+	stopped         bool
 }
 
-// Run is a controller until it is told to leave.
+// Run runs a controller until it receives SIGTERM or SIGINT and has shut down.
+// SIGHUP makes it read the configuration again.
 func Run(env func(string) string, w io.Writer, level slog.Level) error {
 	hup, term := make(chan os.Signal, 4), make(chan os.Signal, 2)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -84,117 +85,133 @@
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(cfg.MemoryBytes * 6 / 10)
-	ln, err := net.Listen("tcp", cfg.ListenAddr)
+	listener, err := net.Listen("tcp", cfg.ListenAddr)
 	if err != nil {
-		return fmt.Errorf("listening: %w", err)
+		return fmt.Errorf("listen for callers: %w", err)
 	}
-	n := newNode(cfg, ln, log)
+	n := newNode(cfg, listener, log)
 	return n.run(hup, term, func() (*Config, error) { return ReadConfig(env) })
 }
 
-func newNode(cfg *Config, ln net.Listener, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, log: log, ln: ln, start: time.Now(), inbox: make(chan interwork.Input, inboxMost),
-		callers: map[interwork.ConnID]*callerConn{}, links: map[interwork.LinkID]*linkConn{},
-		dials: map[interwork.LinkID]context.CancelFunc{}}
+func newNode(cfg *Config, listener net.Listener, log *slog.Logger) *Node {
+	n := &Node{
+		cfg:      cfg,
+		log:      log,
+		listener: listener,
+		start:    time.Now(),
+		inbox:    make(chan interwork.Input, inboxCapacity),
+		callers:  map[interwork.ConnID]*callerConn{},
+		links:    map[interwork.LinkID]*linkConn{},
+		dials:    map[interwork.LinkID]context.CancelFunc{},
+	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	room := cfg.MaxDescriptors - ownSockets
-	callers := room / 2
-	n.most = int64(callers + callers/8) // while the core makes room
-	n.core = interwork.New(interwork.Config{Module: policy.New("brain", cfg.ModuleSettings), Settings: cfg.ModuleSettings,
-		ConnectTimeout: cfg.ConnectTimeout, EpochUnixNano: n.start.Add(-clockStart).UnixNano(), MaxLinks: room / 3, ExchangeIdleTimeout: cfg.IdleTimeout, MaxConns: callers,
-		MaxPendingPerConn: perConnMost, MaxCalls: callsMost,
-		LogAllVerdicts: log.Enabled(n.ctx, slog.LevelDebug)}, n.now())
+	available := cfg.MaxDescriptors - reservedDescriptors
+	callerConns := available / 2
+	n.maxCallerConns = int64(callerConns + callerConns/8) // the excess is for the time until the core has closed others
+	n.core = interwork.New(interwork.Config{
+		Module:              policy.New("brain", cfg.ModuleSettings),
+		Settings:            cfg.ModuleSettings,
+		ConnectTimeout:      cfg.ConnectTimeout,
+		EpochUnixNano:       n.start.Add(-clockStart).UnixNano(),
+		MaxLinks:            available / 3,
+		ExchangeIdleTimeout: cfg.IdleTimeout,
+		MaxConns:            callerConns,
+		MaxPendingPerConn:   maxPendingSetUpsPerConn,
+		MaxCalls:            maxCalls,
+		LogAllVerdicts:      log.Enabled(n.ctx, slog.LevelDebug),
+	}, n.now())
 	return n
 }
 
-// now is the controller's clock.
+// now returns the time of the controller's clock.
 func (n *Node) now() time.Duration { return clockStart + time.Since(n.start) }
 
-func (n *Node) run(hup, term <-chan os.Signal, again func() (*Config, error)) error {
+func (n *Node) run(hup, term <-chan os.Signal, rereadConfig func() (*Config, error)) error {
 	n.log.Info("starting", "name", n.cfg.Name, "listen", n.cfg.ListenAddr, "resolver", n.cfg.ResolverAddr, "sockets", n.cfg.MaxDescriptors,
 		"memory", n.cfg.MemoryBytes, "exchanges", len(n.cfg.ExchangeList.Entries()))
 	n.log.Debug("settings", "module", fmt.Sprintf("%+v", n.cfg.ModuleSettings))
-	n.step(interwork.ExchangeListUpdate{Complete: true, Changes: n.cfg.ExchangeList.Entries()})
-	res := newResolver(n, n.cfg.ExchangeList)
-	n.wg.Go(func() { res.run(n.cfg.ResolverAddr) })
-	n.wg.Go(n.accept)
+	n.process(interwork.ExchangeListUpdate{Complete: true, Changes: n.cfg.ExchangeList.Entries()})
+	resolver := newResolver(n, n.cfg.ExchangeList)
+	n.wg.Go(func() { resolver.run(n.cfg.ResolverAddr) })
+	n.wg.Go(n.acceptCallers)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for !n.left {
+	for !n.stopped {
 		timer.Reset(max(n.core.NextTick()-n.now(), 0))
 		select {
 		case in := <-n.inbox:
-			n.step(in)
-			if len(n.inbox) > 0 { // what was asked for is written before more is looked at, a CANCEL before its next INVITE
+			n.process(in)
+			if len(n.inbox) > 0 { // lets the writers run first, so that a CANCEL is written before the next INVITE of its call
 				runtime.Gosched()
 			}
 		case <-timer.C:
-			n.step(interwork.Tick{})
+			n.process(interwork.Tick{})
 		case <-hup:
-			cfg, err := again()
+			cfg, err := rereadConfig()
 			if err != nil {
 				n.log.Error("configuration read again, the old one is kept", "error", err)
 				continue
 			}
 			n.log.Info("configuration read again", "resolver", cfg.ResolverAddr)
-			res.use(cfg.ResolverAddr)
+			resolver.use(cfg.ResolverAddr)
 		case <-term:
 			n.log.Info("leaving")
-			n.step(interwork.Shutdown{})
+			n.process(interwork.Shutdown{})
 		}
 	}
-	n.flush()
+	n.closeConnections()
 	n.cancel()
 	n.wg.Wait()
 	for len(n.inbox) > 0 {
 		discard(<-n.inbox)
 	}
-	n.log.Info("left", "stats", n.core.Stats, "turned_away", n.turned.Load(), "shed", n.shed.Load(), "unsaid", n.unsaid)
+	n.log.Info("left", "stats", n.core.Stats, "turned_away", n.rejectedConns.Load(), "shed", n.shedSetUps.Load(), "unsaid", n.undelivered)
 	return nil
 }
 
-var errLeaving = errors.New("leaving")
+var errShuttingDown = errors.New("shutting down")
 
-// discard ends what comes when the core is gone.
+// discard releases the resources of an input that the core will not process any more.
 func discard(in interwork.Input) {
 	switch in := in.(type) {
-	case accepted:
-		in.c.Close(errLeaving)
-		close(in.known)
-	case dialed:
-		if in.nc != nil {
-			in.nc.Close()
+	case callerAccepted:
+		in.conn.Close(errShuttingDown)
+		close(in.registered)
+	case dialResult:
+		if in.netConn != nil {
+			in.netConn.Close()
 		}
 	}
 }
 
-// flush lets what was said be written, then ends all connections.
-func (n *Node) flush() {
-	n.ln.Close()
-	var ends []<-chan struct{}
+// closeConnections closes all connections once their queued messages are
+// written, or after flushTimeout.
+func (n *Node) closeConnections() {
+	n.listener.Close()
+	var pending []<-chan struct{}
 	for _, c := range n.callers {
-		c.FlushAndClose(errLeaving)
-		ends = append(ends, c.Done())
+		c.FlushAndClose(errShuttingDown)
+		pending = append(pending, c.Done())
 	}
 	for _, c := range n.links {
-		c.FlushAndClose(errLeaving)
-		ends = append(ends, c.Done())
+		c.FlushAndClose(errShuttingDown)
+		pending = append(pending, c.Done())
 	}
-	late := time.After(flushWithin)
-	for _, end := range ends {
-		for ended := false; !ended; {
+	timeout := time.After(flushTimeout)
+	for _, done := range pending {
+		for closed := false; !closed; {
 			select {
-			case <-end:
-				ended = true
+			case <-done:
+				closed = true
 			case in := <-n.inbox:
 				discard(in)
-			case <-late:
+			case <-timeout:
 				n.cancel()
 				for _, c := range n.callers {
-					c.Close(errLeaving)
+					c.Close(errShuttingDown)
 				}
 				for _, c := range n.links {
-					c.Close(errLeaving)
+					c.Close(errShuttingDown)
 				}
 				return
 			}
@@ -202,125 +219,129 @@
 	}
 }
 
-// put brings an input to the core.
-func (n *Node) put(in interwork.Input) {
+// enqueue passes an input to the core's goroutine.
+func (n *Node) enqueue(in interwork.Input) {
 	select {
 	case n.inbox <- in:
 	case <-n.ctx.Done():
 	}
 }
 
-// step hands one input to the core and carries out what it asks for.
-func (n *Node) step(in interwork.Input) {
+// process passes one input to the core and carries out the resulting effects.
+func (n *Node) process(in interwork.Input) {
 	switch in := in.(type) {
-	case accepted:
-		n.callers[in.id] = in.c
-		n.step(interwork.CallerConnected{Conn: in.id})
-		close(in.known)
+	case callerAccepted:
+		n.callers[in.id] = in.conn
+		n.process(interwork.CallerConnected{Conn: in.id})
+		close(in.registered)
 		return
-	case dialed:
-		n.dialed(in)
+	case dialResult:
+		n.handleDialResult(in)
 		return
-	case ending:
+	case closeCaller:
 		if c := n.callers[in.id]; c != nil {
-			c.FlushAndClose(errors.New(in.why))
+			c.FlushAndClose(errors.New(in.reason))
 		}
 		return
 	case interwork.CallerMessage:
 		if c := n.callers[in.Conn]; c != nil && c.IsClosed() && interwork.IsNewCall(in.Msg) {
-			return // its caller has gone while it waited here
+			return // the caller disconnected while its set-up waited in the inbox
 		}
 	case interwork.CallerDisconnected:
 		delete(n.callers, in.Conn)
 	case interwork.LinkDown:
 		delete(n.links, in.Link)
 	}
-	for _, e := range n.core.Handle(n.now(), in) {
-		switch e := e.(type) {
+	for _, effect := range n.core.Handle(n.now(), in) {
+		switch effect := effect.(type) {
 		case interwork.SendToCaller:
-			if c := n.callers[e.Conn]; c == nil || !c.Send(e.Msg, 0) {
-				n.unsaid++
+			if c := n.callers[effect.Conn]; c == nil || !c.Send(effect.Msg, 0) {
+				n.undelivered++
 			}
 		case interwork.CloseConn:
-			n.later(ending{id: e.Conn, why: e.Reason}) // behind what was read from it already
+			n.enqueueAsync(closeCaller{id: effect.Conn, reason: effect.Reason}) // after what was already read from the connection
 		case interwork.Dial:
-			n.dial(e)
+			n.dial(effect)
 		case interwork.SendToExchange:
-			switch c := n.links[e.Link]; {
-			case c != nil && c.Send(e.Msg, e.Deadline):
-			case e.Msg.IsSetUp():
-				n.later(interwork.Unsent{Link: e.Link, Msg: e.Msg})
+			switch c := n.links[effect.Link]; {
+			case c != nil && c.Send(effect.Msg, effect.Deadline):
+			case effect.Msg.IsSetUp():
+				n.enqueueAsync(interwork.Unsent{Link: effect.Link, Msg: effect.Msg})
 			default:
-				n.unsaid++
+				n.undelivered++
 			}
 		case interwork.WithdrawSetUp:
-			if c := n.links[e.Link]; c != nil && !c.Recall(func(m *sip.Message) bool { return m.CallID == e.CallID }) {
-				c.Send(e.Cancel, 0)
+			if c := n.links[effect.Link]; c != nil && !c.Recall(func(m *sip.Message) bool { return m.CallID == effect.CallID }) {
+				c.Send(effect.Cancel, 0)
 			}
 		case interwork.HoldSetUps:
-			if c := n.links[e.Link]; c != nil && e.Hold {
+			if c := n.links[effect.Link]; c != nil && effect.Hold {
 				c.BlockSetUps()
 			} else if c != nil {
 				c.UnblockSetUps()
 			}
 		case interwork.CloseLink:
-			if stop := n.dials[e.Link]; stop != nil {
-				stop()
+			if cancelDial := n.dials[effect.Link]; cancelDial != nil {
+				cancelDial()
 			}
-			if c := n.links[e.Link]; c != nil && e.Idle {
-				c.FlushAndClose(errors.New(e.Reason))
+			if c := n.links[effect.Link]; c != nil && effect.Idle {
+				c.FlushAndClose(errors.New(effect.Reason))
 			} else if c != nil {
-				c.Close(errors.New(e.Reason))
+				c.Close(errors.New(effect.Reason))
 			}
 		case interwork.CloseListener:
-			n.ln.Close()
+			n.listener.Close()
 		case interwork.ShutdownComplete:
-			n.left = true
+			n.stopped = true
 		case interwork.Log:
-			n.log.Log(n.ctx, e.Level, e.Message, e.Args...)
+			n.log.Log(n.ctx, effect.Level, effect.Message, effect.Args...)
 		}
 	}
 }
 
-// later brings an input of the core's own goroutine back to it.
-func (n *Node) later(in interwork.Input) {
+// enqueueAsync enqueues an input from the core's own goroutine, which must not
+// block on a full inbox.
+func (n *Node) enqueueAsync(in interwork.Input) {
 	select {
 	case n.inbox <- in:
 	default:
-		n.wg.Go(func() { n.put(in) })
+		n.wg.Go(func() { n.enqueue(in) })
 	}
 }
 
-// accepted, ending and dialed are inputs of the node's own.
+// Inputs that the node handles itself.
 type (
-	accepted struct {
+	// callerAccepted announces a new connection of a caller.
+	callerAccepted struct {
 		interwork.Input
-		id    interwork.ConnID
-		c     *callerConn
-		known chan struct{} // closed once the core knows the connection
+		id         interwork.ConnID
+		conn       *callerConn
+		registered chan struct{} // closed once the core knows the connection
 	}
-	ending struct {
+	// closeCaller closes a caller's connection.
+	closeCaller struct {
 		interwork.Input
-		id  interwork.ConnID
-		why string
+		id     interwork.ConnID
+		reason string
 	}
-	dialed struct {
+	// dialResult is the outcome of opening a connection to an exchange.
+	dialResult struct {
 		interwork.Input
-		id  interwork.LinkID
-		nc  net.Conn
-		err error
+		id      interwork.LinkID
+		netConn net.Conn
+		err     error
 	}
 )
 
-// accept takes callers' connections. Running out of descriptors does not stop it.
-func (n *Node) accept() {
+// acceptCallers accepts callers' connections. It continues when descriptors run out.
+func (n *Node) acceptCallers() {
 	for id := interwork.ConnID(1); ; id++ {
-		nc, err := n.ln.Accept()
+		netConn, err := n.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) || n.ctx.Err() != nil {
 				return
 			}
-			n.log.Warn("accepting connections", "error", err)
+			n.log.Warn("accepting a connection failed", "error", err)
 			select {
 			case <-time.After(10 * time.Millisecond):
 				continue
@@ -328,120 +349,135 @@
 				return
 			}
 		}
-		if n.held.Load() >= n.most {
-			n.turned.Add(1)
-			nc.Close()
+		if n.callerConnCount.Load() >= n.maxCallerConns {
+			n.rejectedConns.Add(1)
+			netConn.Close()
 			continue
 		}
-		n.held.Add(1)
-		e := &callerEdge{n: n, id: id, known: make(chan struct{})}
-		c := transport.Start(nc, transport.Options[*isup.Message]{Reader: e.reader, Outbox: guard.Outbox{Capacity: outboxMost},
-			WriteTimeout: writeWithin, LingerTimeout: lingerWithin, Now: n.now}, e)
+		n.callerConnCount.Add(1)
+		handler := &callerHandler{node: n, id: id, registered: make(chan struct{})}
+		conn := transport.Start(netConn, transport.Options[*isup.Message]{
+			Reader:        handler.reader,
+			Outbox:        guard.Outbox{Capacity: outboxCapacity},
+			WriteTimeout:  writeTimeout,
+			LingerTimeout: lingerTimeout,
+			Now:           n.now,
+		}, handler)
 		select {
-		case n.inbox <- accepted{id: id, c: c, known: e.known}:
+		case n.inbox <- callerAccepted{id: id, conn: conn, registered: handler.registered}:
 		case <-n.ctx.Done():
-			c.Close(errLeaving)
+			conn.Close(errShuttingDown)
 		}
 	}
 }
 
-// callerEdge brings what happens on a caller's connection to the core.
-type callerEdge struct {
-	n     *Node
-	id    interwork.ConnID
-	known chan struct{}
+// callerHandler passes the events of a caller's connection to the core.
+type callerHandler struct {
+	node       *Node
+	id         interwork.ConnID
+	registered chan struct{}
 }
 
-func (e *callerEdge) reader(nc net.Conn) func() (*isup.Message, error) {
-	return isup.NewReader(nc, begun(nc, beginWithin)).Read
+func (h *callerHandler) reader(netConn net.Conn) func() (*isup.Message, error) {
+	return isup.NewReader(netConn, limitMessageTime(netConn, callerMessageTimeout)).Read
 }
 
-// begun bounds the time from a message's first byte to its last.
-func begun(nc net.Conn, within time.Duration) func(bool) {
-	return func(started bool) {
-		at := time.Time{}
-		if started {
-			at = time.Now().Add(within)
+// limitMessageTime returns a function for message readers that limits the time
+// from the first byte of a message to its last.
+func limitMessageTime(netConn net.Conn, timeout time.Duration) func(bool) {
+	return func(partial bool) {
+		deadline := time.Time{}
+		if partial {
+			deadline = time.Now().Add(timeout)
 		}
-		_ = nc.SetReadDeadline(at) // fails only on a closed connection
+		_ = netConn.SetReadDeadline(deadline) // fails only on a closed connection
 	}
 }
 
-func (e *callerEdge) Message(c *callerConn, m *isup.Message) {
-	at := e.n.now()
-	e.wait()
-	if interwork.IsNewCall(m) && intake.Admit(guard.NewCall, len(e.n.inbox)) == guard.Shed {
-		e.n.shed.Add(1)
-		c.Send(interwork.NewRejection(m.CallID, e.n.cfg.ModuleSettings), 0)
+func (h *callerHandler) Message(c *callerConn, m *isup.Message) {
+	receivedAt := h.node.now()
+	h.waitRegistered()
+	if interwork.IsNewCall(m) && intake.Admit(guard.NewCall, len(h.node.inbox)) == guard.Shed {
+		h.node.shedSetUps.Add(1)
+		c.Send(interwork.NewRejection(m.CallID, h.node.cfg.ModuleSettings), 0)
 		return
 	}
-	e.n.put(interwork.CallerMessage{Conn: e.id, ReceivedAt: at, Msg: m})
+	h.node.enqueue(interwork.CallerMessage{Conn: h.id, ReceivedAt: receivedAt, Msg: m})
 }
 
-func (e *callerEdge) wait() {
+// waitRegistered waits until the core knows the connection.
+func (h *callerHandler) waitRegistered() {
 	select {
-	case <-e.known:
-	case <-e.n.ctx.Done():
+	case <-h.registered:
+	case <-h.node.ctx.Done():
 	}
 }
 
-func (e *callerEdge) Unreadable(*callerConn, transport.RecoverableError) {}
-func (e *callerEdge) Unsent(*callerConn, *isup.Message)                  {}
-func (e *callerEdge) Closed(_ *callerConn, why error) {
-	e.n.held.Add(-1)
-	e.n.log.Debug("caller's connection over", "conn", e.id, "why", why)
-	e.wait()
-	e.n.put(interwork.CallerDisconnected{Conn: e.id})
+func (h *callerHandler) Unreadable(*callerConn, transport.RecoverableError) {}
+func (h *callerHandler) Unsent(*callerConn, *isup.Message)                  {}
+func (h *callerHandler) Closed(_ *callerConn, reason error) {
+	h.node.callerConnCount.Add(-1)
+	h.node.log.Debug("caller's connection closed", "conn", h.id, "why", reason)
+	h.waitRegistered()
+	h.node.enqueue(interwork.CallerDisconnected{Conn: h.id})
 }
 
-func (n *Node) dial(e interwork.Dial) {
-	ctx, cancel := context.WithTimeout(n.ctx, e.Timeout)
-	n.dials[e.Link] = cancel
+// dial opens a connection to an exchange in the background.
+func (n *Node) dial(request interwork.Dial) {
+	ctx, cancel := context.WithTimeout(n.ctx, request.Timeout)
+	n.dials[request.Link] = cancel
 	n.wg.Go(func() {
 		defer cancel()
-		var d net.Dialer
-		nc, err := d.DialContext(ctx, "tcp", e.Addr)
+		var dialer net.Dialer
+		netConn, err := dialer.DialContext(ctx, "tcp", request.Addr)
 		select {
-		case n.inbox <- dialed{id: e.Link, nc: nc, err: err}:
+		case n.inbox <- dialResult{id: request.Link, netConn: netConn, err: err}:
 		case <-n.ctx.Done():
-			if nc != nil {
-				nc.Close()
+			if netConn != nil {
+				netConn.Close()
 			}
 		}
 	})
 }
 
-func (n *Node) dialed(in dialed) {
-	delete(n.dials, in.id)
-	if in.err != nil {
-		n.log.Debug("dialling", "link", in.id, "error", in.err)
-		n.step(interwork.LinkDown{Link: in.id, Refused: errors.Is(in.err, syscall.ECONNREFUSED)})
+func (n *Node) handleDialResult(result dialResult) {
+	delete(n.dials, result.id)
+	if result.err != nil {
+		n.log.Debug("dialling", "link", result.id, "error", result.err)
+		n.process(interwork.LinkDown{Link: result.id, Refused: errors.Is(result.err, syscall.ECONNREFUSED)})
 		return
 	}
-	e := &linkEdge{n: n, id: in.id}
-	n.links[in.id] = transport.Start(in.nc, transport.Options[*sip.Message]{Reader: e.reader, Outbox: guard.Outbox{Capacity: outboxMost},
-		WriteTimeout: writeWithin, DrainGrace: n.cfg.ModuleSettings.DrainGrace, RecallTimeout: recallWithin, AbortOnClose: true, Now: n.now}, e)
-	n.step(interwork.LinkUp{Link: in.id})
+	handler := &linkHandler{node: n, id: result.id}
+	n.links[result.id] = transport.Start(result.netConn, transport.Options[*sip.Message]{
+		Reader:        handler.reader,
+		Outbox:        guard.Outbox{Capacity: outboxCapacity},
+		WriteTimeout:  writeTimeout,
+		DrainGrace:    n.cfg.ModuleSettings.DrainGrace,
+		RecallTimeout: recallTimeout,
+		AbortOnClose:  true,
+		Now:           n.now,
+	}, handler)
+	n.process(interwork.LinkUp{Link: result.id})
 }
 
-// linkEdge brings what happens on a connection to an exchange to the core.
-type linkEdge struct {
-	n  *Node
-	id interwork.LinkID
+// linkHandler passes the events of a connection to an exchange to the core.
+type linkHandler struct {
+	node *Node
+	id   interwork.LinkID
 }
 
-func (e *linkEdge) reader(nc net.Conn) func() (*sip.Message, error) {
-	return sip.NewReader(nc, begun(nc, answerWithin)).Read
+func (h *linkHandler) reader(netConn net.Conn) func() (*sip.Message, error) {
+	return sip.NewReader(netConn, limitMessageTime(netConn, exchangeMessageTimeout)).Read
 }
 
-func (e *linkEdge) Message(_ *linkConn, m *sip.Message) {
-	e.n.put(interwork.LinkMessage{Link: e.id, Msg: m})
+func (h *linkHandler) Message(_ *linkConn, m *sip.Message) {
+	h.node.enqueue(interwork.LinkMessage{Link: h.id, Msg: m})
 }
-func (e *linkEdge) Unreadable(*linkConn, transport.RecoverableError) {}
-func (e *linkEdge) Unsent(_ *linkConn, m *sip.Message) {
-	e.n.put(interwork.Unsent{Link: e.id, Msg: m})
+func (h *linkHandler) Unreadable(*linkConn, transport.RecoverableError) {}
+func (h *linkHandler) Unsent(_ *linkConn, m *sip.Message) {
+	h.node.enqueue(interwork.Unsent{Link: h.id, Msg: m})
 }
-func (e *linkEdge) Closed(_ *linkConn, why error) {
-	e.n.log.Debug("link over", "link", e.id, "why", why)
-	e.n.put(interwork.LinkDown{Link: e.id})
+func (h *linkHandler) Closed(_ *linkConn, reason error) {
+	h.node.log.Debug("link over", "link", h.id, "why", reason)
+	h.node.enqueue(interwork.LinkDown{Link: h.id})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,119 +22,120 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// exchange is a stand-in: it tells its group, keeps what it is sent and says what a test says.
-type exchange struct {
-	t     *testing.T
-	ln    net.Listener
-	mu    sync.Mutex
-	conns []net.Conn
-	got   chan sipGot
+// fakeExchange reports 20 idle circuits, answers OPTIONS, records all other
+// requests and sends the responses that a test asks for.
+type fakeExchange struct {
+	t        *testing.T
+	listener net.Listener
+	mu       sync.Mutex
+	conns    []net.Conn
+	requests chan sipRequest
 }
 
-type sipGot struct {
-	nc net.Conn
-	m  *sip.Message
+type sipRequest struct {
+	netConn net.Conn
+	message *sip.Message
 }
 
-func newExchange(t *testing.T) *exchange {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newFakeExchange(t *testing.T) *fakeExchange {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &exchange{t: t, ln: ln, got: make(chan sipGot, 1000)}
-	t.Cleanup(x.stop)
+	x := &fakeExchange{t: t, listener: listener, requests: make(chan sipRequest, 1000)}
+	t.Cleanup(x.close)
 	go func() {
 		for {
-			nc, err := ln.Accept()
+			netConn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			x.mu.Lock()
-			x.conns = append(x.conns, nc)
+			x.conns = append(x.conns, netConn)
 			x.mu.Unlock()
-			go x.serve(nc)
+			go x.serve(netConn)
 		}
 	}()
 	return x
 }
 
-func (x *exchange) stop() {
-	x.ln.Close()
-	x.cut()
+func (x *fakeExchange) close() {
+	x.listener.Close()
+	x.closeConns()
 }
 
-// cut closes all connections.
-func (x *exchange) cut() {
+// closeConns closes all connections.
+func (x *fakeExchange) closeConns() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, nc := range x.conns {
-		nc.Close()
+	for _, netConn := range x.conns {
+		netConn.Close()
 	}
 	x.conns = nil
 }
 
-func (x *exchange) serve(nc net.Conn) {
-	fmt.Fprint(nc, "NOTIFY sip:exchange@net SIP/2.0\r\nCall-ID: 0000000000000000\r\nCSeq: 1 NOTIFY\r\nLink-State: idle:20;circuits:20\r\nContent-Length: 0\r\n\r\n")
-	r := sip.NewReader(nc, nil)
+func (x *fakeExchange) serve(netConn net.Conn) {
+	fmt.Fprint(netConn, "NOTIFY sip:exchange@net SIP/2.0\r\nCall-ID: 0000000000000000\r\nCSeq: 1 NOTIFY\r\nLink-State: idle:20;circuits:20\r\nContent-Length: 0\r\n\r\n")
+	reader := sip.NewReader(netConn, nil)
 	for {
-		m, err := r.Read()
+		m, err := reader.Read()
 		if err != nil {
 			return
 		}
 		if m.Method == sip.Options {
-			x.say(nc, m, 200, "")
+			x.respond(netConn, m, 200, "")
 			continue
 		}
-		x.got <- sipGot{nc, m}
+		x.requests <- sipRequest{netConn, m}
 	}
 }
 
-func (x *exchange) say(nc net.Conn, to *sip.Message, status int, head string) {
-	fmt.Fprintf(nc, "SIP/2.0 %d x\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n%sContent-Length: 4\r\n\r\nmade", status, to.CallID, to.CSeqMethod, head)
+func (x *fakeExchange) respond(netConn net.Conn, request *sip.Message, status int, extraHeader string) {
+	fmt.Fprintf(netConn, "SIP/2.0 %d x\r\nCall-ID: %s\r\nCSeq: 1 %s\r\n%sContent-Length: 4\r\n\r\nmade", status, request.CallID, request.CSeqMethod, extraHeader)
 }
 
-func (x *exchange) bye(nc net.Conn, call string) {
-	fmt.Fprintf(nc, "BYE sip:x@net SIP/2.0\r\nCall-ID: %s\r\nCSeq: 1 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n", call)
+func (x *fakeExchange) sendBye(netConn net.Conn, callID string) {
+	fmt.Fprintf(netConn, "BYE sip:x@net SIP/2.0\r\nCall-ID: %s\r\nCSeq: 1 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n", callID)
 }
 
-// await is the next message of a method.
-func (x *exchange) await(method string) sipGot {
+// expectRequest returns the next request with the given method.
+func (x *fakeExchange) expectRequest(method string) sipRequest {
 	x.t.Helper()
-	for late := time.After(5 * time.Second); ; {
+	for timeout := time.After(5 * time.Second); ; {
 		select {
-		case g := <-x.got:
-			if g.m.Method == method {
-				return g
+		case request := <-x.requests:
+			if request.message.Method == method {
+				return request
 			}
-		case <-late:
-			x.t.Fatalf("no %s came", method)
+		case <-timeout:
+			x.t.Fatalf("no %s arrived within 5 s", method)
 		}
 	}
 }
 
-// resolver is a stand-in that tells a list.
-type standIn struct {
-	pc     net.PacketConn
-	mu     sync.Mutex
-	serial uint32
-	prio   int
-	mute   bool
-	late   time.Duration // an answer comes so long after its question
-	asked  int
-	x      *exchange
+// fakeResolver answers queries with a list of one exchange.
+type fakeResolver struct {
+	packetConn net.PacketConn
+	mu         sync.Mutex
+	serial     uint32
+	priority   int
+	silent     bool
+	delay      time.Duration // from a query to its answer
+	queries    int           // queries received
+	exchange   *fakeExchange
 }
 
-func newDNS(t *testing.T, x *exchange) *standIn {
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+func newFakeResolver(t *testing.T, exchange *fakeExchange) *fakeResolver {
+	packetConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{pc: pc, serial: 1, x: x}
-	t.Cleanup(func() { pc.Close() })
+	r := &fakeResolver{packetConn: packetConn, serial: 1, exchange: exchange}
+	t.Cleanup(func() { packetConn.Close() })
 	go func() {
 		buf := make([]byte, 512)
 		for {
-			n, from, err := pc.ReadFrom(buf)
+			n, from, err := packetConn.ReadFrom(buf)
 			if err != nil {
 				return
 			}
@@ -142,36 +143,36 @@
 			if m.Unpack(buf[:n]) != nil {
 				continue
 			}
-			s.mu.Lock()
+			r.mu.Lock()
 			m.Response = true
-			for _, rr := range []string{fmt.Sprintf("%s 0 IN SRV %d 10 %d s-1.east.hosts.", srvlist.Service, s.prio, x.ln.Addr().(*net.TCPAddr).Port)} {
-				r, _ := dns.NewRR(rr)
-				m.Answer = append(m.Answer, r)
+			for _, text := range []string{fmt.Sprintf("%s 0 IN SRV %d 10 %d s-1.east.hosts.", srvlist.Service, r.priority, exchange.listener.Addr().(*net.TCPAddr).Port)} {
+				record, _ := dns.NewRR(text)
+				m.Answer = append(m.Answer, record)
 			}
-			for _, rr := range []string{"s-1.east.hosts. 0 IN A 127.0.0.1", `s-1.east.hosts. 0 IN TXT "cell=1" "started=0"`} {
-				r, _ := dns.NewRR(rr)
-				m.Extra = append(m.Extra, r)
+			for _, text := range []string{"s-1.east.hosts. 0 IN A 127.0.0.1", `s-1.east.hosts. 0 IN TXT "cell=1" "started=0"`} {
+				record, _ := dns.NewRR(text)
+				m.Extra = append(m.Extra, record)
 			}
-			soa, _ := dns.NewRR(fmt.Sprintf("hosts. 0 IN SOA a. b. %d 1 1 1 1", s.serial))
+			soa, _ := dns.NewRR(fmt.Sprintf("hosts. 0 IN SOA a. b. %d 1 1 1 1", r.serial))
 			m.Ns = []dns.RR{soa}
-			mute, late := s.mute, s.late
-			s.asked++
-			s.mu.Unlock()
-			if p, err := m.Pack(); err == nil && !mute {
-				time.AfterFunc(late, func() { _, _ = pc.WriteTo(p, from) }) // lost answers are asked for again
+			silent, delay := r.silent, r.delay
+			r.queries++
+			r.mu.Unlock()
+			if packet, err := m.Pack(); err == nil && !silent {
+				time.AfterFunc(delay, func() { _, _ = packetConn.WriteTo(packet, from) }) // the node repeats queries whose answers are lost
 			}
 		}
 	}()
-	return s
+	return r
 }
 
-func (s *standIn) set(serial uint32, prio int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.serial, s.prio = serial, prio
+func (r *fakeResolver) setAnswer(serial uint32, priority int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.serial, r.priority = serial, priority
 }
 
-const platform = `{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":256},
+const configTemplate = `{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":256},
 "resolver":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[
 {"host":"s-1","dial":"%s","block":1,"health":"active","born_ms":0}]}}]},
 "settings":{"balancers":2,"me":0,"quantum_ns":1000000,"client_habits":{"marks_retry":true},
@@ -180,420 +181,423 @@
 "profiles":[{"name":"voice","worth":1,"late_worth":0.1,"objective_ns":1000000000,"give_up_ns":4000000000}],
 "rules":{"answer_slack_ns":5000000,"cold_from":0.3,"cold_ns":1000000000,"drain_grace_ns":250000000,"overload_factor":2.5,"overload_for_ns":3000000000}}}`
 
-// bed is a node with its surroundings.
-type bed struct {
-	t         *testing.T
-	x         *exchange
-	res       *standIn
-	addr      string
-	hup, term chan os.Signal
-	file      string
-	ended     chan error
-}
-
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, x: newExchange(t), hup: make(chan os.Signal, 1), term: make(chan os.Signal, 1), ended: make(chan error, 1),
-		file: filepath.Join(t.TempDir(), "config.json")}
-	b.res = newDNS(t, b.x)
-	b.write(b.res.pc.LocalAddr().String())
-	env := func(k string) string { return map[string]string{EnvConfig: b.file}[k] }
+// testNode is a node with a fake exchange and a fake resolver.
+type testNode struct {
+	t          *testing.T
+	exchange   *fakeExchange
+	resolver   *fakeResolver
+	addr       string
+	hup, term  chan os.Signal
+	configFile string
+	exited     chan error
+}
+
+func startTestNode(t *testing.T) *testNode {
+	n := &testNode{t: t, exchange: newFakeExchange(t), hup: make(chan os.Signal, 1), term: make(chan os.Signal, 1), exited: make(chan error, 1),
+		configFile: filepath.Join(t.TempDir(), "config.json")}
+	n.resolver = newFakeResolver(t, n.exchange)
+	n.writeConfig(n.resolver.packetConn.LocalAddr().String())
+	env := func(name string) string { return map[string]string{EnvConfig: n.configFile}[name] }
 	cfg, err := ReadConfig(env)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := b.node(cfg)
-	go func() { b.ended <- n.run(b.hup, b.term, func() (*Config, error) { return ReadConfig(env) }) }()
+	node := n.newListeningNode(cfg)
+	go func() { n.exited <- node.run(n.hup, n.term, func() (*Config, error) { return ReadConfig(env) }) }()
 	t.Cleanup(func() {
-		b.leave()
+		n.stop()
 	})
-	return b
+	return n
 }
 
-// node is one that listens and does not run yet.
-func (b *bed) node(cfg *Config) *Node {
-	b.t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newListeningNode returns a node that listens but does not run yet.
+func (n *testNode) newListeningNode(cfg *Config) *Node {
+	n.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	b.addr = ln.Addr().String()
-	return newNode(cfg, ln, slog.New(slog.DiscardHandler))
+	n.addr = listener.Addr().String()
+	return newNode(cfg, listener, slog.New(slog.DiscardHandler))
 }
 
-func (b *bed) write(resolver string) {
-	if err := os.WriteFile(b.file, fmt.Appendf(nil, platform, resolver, b.x.ln.Addr()), 0o600); err != nil {
-		b.t.Fatal(err)
+func (n *testNode) writeConfig(resolverAddr string) {
+	if err := os.WriteFile(n.configFile, fmt.Appendf(nil, configTemplate, resolverAddr, n.exchange.listener.Addr()), 0o600); err != nil {
+		n.t.Fatal(err)
 	}
 }
 
-// leave tells the node to go and waits for it.
-func (b *bed) leave() {
+// stop sends SIGTERM to the node and waits until it has shut down.
+func (n *testNode) stop() {
 	select {
-	case b.term <- syscall.SIGTERM:
+	case n.term <- syscall.SIGTERM:
 	default:
 	}
 	select {
-	case err := <-b.ended:
+	case err := <-n.exited:
 		if err != nil {
-			b.t.Errorf("run: %v", err)
+			n.t.Errorf("run: %v", err)
 		}
-		close(b.ended)
+		close(n.exited)
 	case <-time.After(10 * time.Second):
-		b.t.Error("the node did not leave")
+		n.t.Error("the node did not shut down within 10 s")
 	}
 }
 
-type phone struct {
-	t  *testing.T
-	nc net.Conn
-	r  *isup.Reader
+// testCaller is a caller with one connection to the node.
+type testCaller struct {
+	t       *testing.T
+	netConn net.Conn
+	reader  *isup.Reader
 }
 
-func (b *bed) phone() *phone {
-	b.t.Helper()
-	nc, err := net.Dial("tcp", b.addr)
+func (n *testNode) newCaller() *testCaller {
+	n.t.Helper()
+	netConn, err := net.Dial("tcp", n.addr)
 	if err != nil {
-		b.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { nc.Close() })
-	_ = nc.SetDeadline(time.Now().Add(20 * time.Second)) // fails only on a closed connection
-	return &phone{b.t, nc, isup.NewReader(nc, nil)}
+	n.t.Cleanup(func() { netConn.Close() })
+	_ = netConn.SetDeadline(time.Now().Add(20 * time.Second)) // fails only on a closed connection
+	return &testCaller{n.t, netConn, isup.NewReader(netConn, nil)}
 }
 
-func (p *phone) say(m *isup.Message) {
-	p.t.Helper()
-	if _, err := p.nc.Write(m.Append(nil)); err != nil {
-		p.t.Fatal(err)
+func (c *testCaller) send(m *isup.Message) {
+	c.t.Helper()
+	if _, err := c.netConn.Write(m.Append(nil)); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-func (p *phone) call(id uint64, patience string) {
-	p.t.Helper()
-	p.say((&isup.Message{Type: isup.SetUp, CallID: id}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte(patience)).
+func (c *testCaller) sendSetUp(callID uint64, patience string) {
+	c.t.Helper()
+	c.send((&isup.Message{Type: isup.SetUp, CallID: callID}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte(patience)).
 		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, []byte("dest:1;width:1;via:-1")).
 		Add(isup.ParamDescription, []byte("offered")))
 }
 
-func (p *phone) hear(kind byte) *isup.Message {
-	p.t.Helper()
-	m, err := p.r.Read()
-	if err != nil || m.Type != kind {
-		p.t.Fatalf("heard %+v, %v; want type %d", m, err, kind)
+// expect reads the next message, which must be of the given type.
+func (c *testCaller) expect(messageType byte) *isup.Message {
+	c.t.Helper()
+	m, err := c.reader.Read()
+	if err != nil || m.Type != messageType {
+		c.t.Fatalf("received %+v, error %v; want a message of type %d", m, err, messageType)
 	}
 	return m
 }
 
-// ready waits until the node passes a test.
-func (b *bed) ready() *phone {
-	p := b.phone()
-	p.say((&isup.Message{Type: isup.Test, CallID: 1}).Add(isup.ParamCause, []byte{0}))
-	if m := p.hear(isup.TestResult); m.Cause() != 1 {
-		b.t.Fatalf("test: %+v", m)
+// newReadyCaller returns a caller whose test message the node has answered.
+func (n *testNode) newReadyCaller() *testCaller {
+	caller := n.newCaller()
+	caller.send((&isup.Message{Type: isup.Test, CallID: 1}).Add(isup.ParamCause, []byte{0}))
+	if m := caller.expect(isup.TestResult); m.Cause() != 1 {
+		n.t.Fatalf("test result is %+v, want cause 1", m)
 	}
-	return p
+	return caller
 }
 
-// ringing is a bed with call 7 out to the exchange.
-func ringing(t *testing.T, patience string) (*bed, *phone, sipGot) {
+// startCall returns a node with call 7, whose INVITE has reached the exchange.
+func startCall(t *testing.T, patience string) (*testNode, *testCaller, sipRequest) {
 	t.Helper()
-	b := newBed(t)
-	p := b.ready()
-	p.call(7, patience)
-	return b, p, b.x.await(sip.Invite)
+	n := startTestNode(t)
+	caller := n.newReadyCaller()
+	caller.sendSetUp(7, patience)
+	return n, caller, n.exchange.expectRequest(sip.Invite)
 }
 
-func TestACallOverSockets(t *testing.T) {
-	b, p, in := ringing(t, "3000")
-	if in.m.CallID != "0000000000000007" || in.m.Get("Call-Kind") != "voice" || string(in.m.Body) != "offered" {
-		t.Fatalf("INVITE %+v", in.m)
+func TestCallOverSockets(t *testing.T) {
+	n, caller, invite := startCall(t, "3000")
+	if invite.message.CallID != "0000000000000007" || invite.message.Get("Call-Kind") != "voice" || string(invite.message.Body) != "offered" {
+		t.Fatalf("the exchange received INVITE %+v", invite.message)
 	}
-	b.x.say(in.nc, in.m, 200, "")
-	if v, _ := p.hear(isup.Answer).Get(isup.ParamDescription); string(v) != "made" {
-		t.Fatalf("description %q", v)
+	n.exchange.respond(invite.netConn, invite.message, 200, "")
+	if description, _ := caller.expect(isup.Answer).Get(isup.ParamDescription); string(description) != "made" {
+		t.Fatalf("answer has description %q, want \"made\"", description)
 	}
-	b.x.await(sip.Ack)
-	// the connection breaks; the release comes on a new one
-	b.x.cut()
+	n.exchange.expectRequest(sip.Ack)
+	// The connection breaks; the release arrives on a new one.
+	n.exchange.closeConns()
 	time.Sleep(300 * time.Millisecond)
-	b.x.mu.Lock()
-	if len(b.x.conns) == 0 {
-		b.x.mu.Unlock()
-		t.Fatal("no new connection")
+	n.exchange.mu.Lock()
+	if len(n.exchange.conns) == 0 {
+		n.exchange.mu.Unlock()
+		t.Fatal("the node did not connect again within 300 ms")
 	}
-	nc := b.x.conns[0]
-	b.x.mu.Unlock()
-	b.x.bye(nc, in.m.CallID)
-	if m := p.hear(isup.Release); m.Cause() != isup.NormalClearing {
-		t.Fatalf("release %+v", m)
+	netConn := n.exchange.conns[0]
+	n.exchange.mu.Unlock()
+	n.exchange.sendBye(netConn, invite.message.CallID)
+	if m := caller.expect(isup.Release); m.Cause() != isup.NormalClearing {
+		t.Fatalf("release is %+v, want normal clearing", m)
 	}
 }
 
-func TestARefusalNamesATimeToComeBack(t *testing.T) {
-	b, p, in := ringing(t, "1000")
-	b.x.say(in.nc, in.m, 486, "Fail-Word: sub\r\n")
-	m := p.hear(isup.Release)
-	if v, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(v) != "2000" {
-		t.Fatalf("cause %d, stay away %q", m.Cause(), v)
+func TestRefusalHasRetryAfter(t *testing.T) {
+	n, caller, invite := startCall(t, "1000")
+	n.exchange.respond(invite.netConn, invite.message, 486, "Fail-Word: sub\r\n")
+	m := caller.expect(isup.Release)
+	if retryAfter, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(retryAfter) != "2000" {
+		t.Fatalf("released with cause %d, retry after %q; want congestion, \"2000\"", m.Cause(), retryAfter)
 	}
-	b.x.await(sip.Ack)
+	n.exchange.expectRequest(sip.Ack)
 }
 
-func TestACallThatTandemsTurnBackIsRefusedAfterFewAttempts(t *testing.T) {
-	b := newBed(t)
-	p := b.ready()
-	p.call(7, "1500")
-	heard := make(chan *isup.Message, 1)
+func TestCrankedBackCallIsRefusedAfterFewAttempts(t *testing.T) {
+	n := startTestNode(t)
+	caller := n.newReadyCaller()
+	caller.sendSetUp(7, "1500")
+	received := make(chan *isup.Message, 1)
 	go func() {
-		m, _ := p.r.Read()
-		heard <- m
+		m, _ := caller.reader.Read()
+		received <- m
 	}()
-	for n := 0; ; {
+	for attempts := 0; ; {
 		select {
-		case g := <-b.x.got:
-			if g.m.Method == sip.Invite {
-				n++
-				b.x.say(g.nc, g.m, 503, "Fail-Word: rtb\r\n")
+		case request := <-n.exchange.requests:
+			if request.message.Method == sip.Invite {
+				attempts++
+				n.exchange.respond(request.netConn, request.message, 503, "Fail-Word: rtb\r\n")
 			}
-		case m := <-heard:
-			if m == nil || m.Type != isup.Release || m.Cause() != isup.Congestion || n < 1 || n > 6 {
-				t.Fatalf("heard %+v after %d attempts", m, n)
+		case m := <-received:
+			if m == nil || m.Type != isup.Release || m.Cause() != isup.Congestion || attempts < 1 || attempts > 6 {
+				t.Fatalf("received %+v after %d attempts, want a release for congestion after 1 to 6", m, attempts)
 			}
 			return
 		}
 	}
 }
 
-// starved is a listener that is out of descriptors for some time.
-type starved struct {
+// exhaustedListener fails the first Accept calls for want of descriptors.
+type exhaustedListener struct {
 	net.Listener
-	times int
+	failures int // failures to come
 }
 
-func (s *starved) Accept() (net.Conn, error) {
-	if s.times > 0 {
-		s.times--
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-func TestRunningOutOfDescriptorsDoesNotStopAccepting(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func TestAcceptContinuesAfterRunningOutOfDescriptors(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := newExchange(t)
-	cfg, err := parse(fmt.Appendf(nil, platform, "127.0.0.1:9", x.ln.Addr()))
+	exchange := newFakeExchange(t)
+	cfg, err := parseConfig(fmt.Appendf(nil, configTemplate, "127.0.0.1:9", exchange.listener.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, x: x, addr: ln.Addr().String(), term: make(chan os.Signal, 1), ended: make(chan error, 1)}
-	n := newNode(cfg, &starved{ln, 5}, slog.New(slog.DiscardHandler))
-	go func() { b.ended <- n.run(nil, b.term, nil) }()
-	t.Cleanup(b.leave)
-	b.ready()
-}
-
-func TestAGiveUpThatCrossesTheAnswer(t *testing.T) {
-	b, p, in := ringing(t, "3000")
-	p.say((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{16}))
-	b.x.await(sip.Cancel)
-	b.x.say(in.nc, in.m, 200, "")
-	b.x.await(sip.Ack)
-	b.x.await(sip.Bye)
-}
-
-func TestNothingNewGoesToAnExchangeThatIsToldToDrain(t *testing.T) {
-	b := newBed(t)
-	p := b.ready()
-	b.res.set(2, 1)
-	time.Sleep(3 * askEvery)
-	p.call(7, "900")
-	p.hear(isup.Release)
+	n := &testNode{t: t, exchange: exchange, addr: listener.Addr().String(), term: make(chan os.Signal, 1), exited: make(chan error, 1)}
+	node := newNode(cfg, &exhaustedListener{listener, 5}, slog.New(slog.DiscardHandler))
+	go func() { n.exited <- node.run(nil, n.term, nil) }()
+	t.Cleanup(n.stop)
+	n.newReadyCaller()
+}
+
+func TestCallerReleaseCrossesAnswer(t *testing.T) {
+	n, caller, invite := startCall(t, "3000")
+	caller.send((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{16}))
+	n.exchange.expectRequest(sip.Cancel)
+	n.exchange.respond(invite.netConn, invite.message, 200, "")
+	n.exchange.expectRequest(sip.Ack)
+	n.exchange.expectRequest(sip.Bye)
+}
+
+func TestDrainingExchangeGetsNoNewCalls(t *testing.T) {
+	n := startTestNode(t)
+	caller := n.newReadyCaller()
+	n.resolver.setAnswer(2, 1)
+	time.Sleep(3 * queryInterval)
+	caller.sendSetUp(7, "900")
+	caller.expect(isup.Release)
 	select {
-	case g := <-b.x.got:
-		t.Fatalf("%s went there", g.m.Method)
+	case request := <-n.exchange.requests:
+		t.Fatalf("the draining exchange received %s", request.message.Method)
 	default:
 	}
 }
 
-func TestANewConfigurationNamesAnotherResolver(t *testing.T) {
-	b := newBed(t)
-	p := b.ready()
-	if err := os.WriteFile(b.file, []byte("{"), 0o600); err != nil {
+func TestNewConfigurationChangesResolver(t *testing.T) {
+	n := startTestNode(t)
+	caller := n.newReadyCaller()
+	if err := os.WriteFile(n.configFile, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b.hup <- syscall.SIGHUP // unreadable: the old one is kept
-	second := newDNS(t, b.x)
-	second.set(2, 1)
+	n.hup <- syscall.SIGHUP // the file is invalid: the node keeps the old configuration
+	newResolver := newFakeResolver(t, n.exchange)
+	newResolver.setAnswer(2, 1)
 	time.Sleep(50 * time.Millisecond)
-	b.write(second.pc.LocalAddr().String())
-	b.hup <- syscall.SIGHUP
-	b.res.mu.Lock()
-	b.res.mute = true
-	b.res.mu.Unlock()
-	time.Sleep(4 * askEvery)
-	p.call(7, "900")
-	p.hear(isup.Release)
-	if len(b.x.got) > 0 {
-		t.Fatal("the second resolver's word was not heard")
-	}
-}
-
-// An answer that takes longer than the time between two questions is heard, over the one socket that
-// all questions go out on.
-func TestASlowResolverIsHeard(t *testing.T) {
-	b := newBed(t)
-	b.ready()
-	b.res.mu.Lock()
-	b.res.late, b.res.serial, b.res.prio = 700*time.Millisecond, 2, 1
-	b.res.mu.Unlock()
-	b.drained()
-}
-
-// A question that is under way when another resolver is named is not answered any more: its word is
-// of an older configuration. Two new configurations at once leave the last one.
-func TestAnOlderResolversLateWordIsNotHeard(t *testing.T) {
-	b := newBed(t)
-	b.ready()
-	b.res.mu.Lock()
-	b.res.late, b.res.serial, b.res.prio = 400*time.Millisecond, 9, 1 // would drain the exchange
-	asked := b.res.asked
-	b.res.mu.Unlock()
-	await(t, func() bool { return b.res.questions() > asked })
-	skipped, last := newDNS(t, b.x), newDNS(t, b.x)
-	skipped.set(8, 1)
+	n.writeConfig(newResolver.packetConn.LocalAddr().String())
+	n.hup <- syscall.SIGHUP
+	n.resolver.mu.Lock()
+	n.resolver.silent = true
+	n.resolver.mu.Unlock()
+	time.Sleep(4 * queryInterval)
+	caller.sendSetUp(7, "900")
+	caller.expect(isup.Release)
+	if len(n.exchange.requests) > 0 {
+		t.Fatal("a call went to the exchange that the new resolver reports as draining")
+	}
+}
+
+// An answer that takes longer than the interval between queries must still be
+// accepted. All queries use one socket for this reason.
+func TestSlowResolverIsAccepted(t *testing.T) {
+	n := startTestNode(t)
+	n.newReadyCaller()
+	n.resolver.mu.Lock()
+	n.resolver.delay, n.resolver.serial, n.resolver.priority = 700*time.Millisecond, 2, 1
+	n.resolver.mu.Unlock()
+	n.waitDraining()
+}
+
+// An answer that a resolver sends after a new configuration has replaced it must
+// be ignored: it belongs to the older configuration. Of two new configurations
+// in quick succession the last one must take effect.
+func TestReplacedResolverIsIgnored(t *testing.T) {
+	n := startTestNode(t)
+	n.newReadyCaller()
+	n.resolver.mu.Lock()
+	n.resolver.delay, n.resolver.serial, n.resolver.priority = 400*time.Millisecond, 9, 1 // would drain the exchange
+	queriesBefore := n.resolver.queries
+	n.resolver.mu.Unlock()
+	eventually(t, func() bool { return n.resolver.queryCount() > queriesBefore })
+	skipped, last := newFakeResolver(t, n.exchange), newFakeResolver(t, n.exchange)
+	skipped.setAnswer(8, 1)
 	skipped.mu.Lock()
-	skipped.late = 200 * time.Millisecond
+	skipped.delay = 200 * time.Millisecond
 	skipped.mu.Unlock()
-	last.set(2, 0)
-	for _, s := range []*standIn{skipped, last} {
-		b.write(s.pc.LocalAddr().String())
-		b.hup <- syscall.SIGHUP
-	}
-	await(t, func() bool { return last.questions() >= 5 }) // the late answers would have come
-	p := b.phone()
-	p.call(7, "3000")
-	b.x.say(b.x.await(sip.Invite).nc, &sip.Message{CallID: "0000000000000007", CSeqMethod: sip.Invite}, 200, "")
-	p.hear(isup.Answer)
-	last.set(3, 1) // its numbers go on
-	b.drained()
-}
-
-// await gives what must come 10 s.
-func await(t *testing.T, come func() bool) {
+	last.setAnswer(2, 0)
+	for _, resolver := range []*fakeResolver{skipped, last} {
+		n.writeConfig(resolver.packetConn.LocalAddr().String())
+		n.hup <- syscall.SIGHUP
+	}
+	eventually(t, func() bool { return last.queryCount() >= 5 }) // the delayed answers would have arrived by then
+	caller := n.newCaller()
+	caller.sendSetUp(7, "3000")
+	n.exchange.respond(n.exchange.expectRequest(sip.Invite).netConn, &sip.Message{CallID: "0000000000000007", CSeqMethod: sip.Invite}, 200, "")
+	caller.expect(isup.Answer)
+	last.setAnswer(3, 1) // continues its serial numbers
+	n.waitDraining()
+}
+
+// eventually waits up to 10 s for a condition.
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for late := time.Now().Add(10 * time.Second); !come(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("it did not come within 10 s")
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the condition did not become true within 10 s")
 		}
 	}
 }
 
-func (s *standIn) questions() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.asked
+func (r *fakeResolver) queryCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.queries
 }
 
-// drained waits until a call to the exchange is refused without having been sent there. The calls before
-// that stand; they are fewer than its circuits.
-func (b *bed) drained() {
-	b.t.Helper()
-	for id := uint64(1000); id < 1012; id++ {
-		p := b.phone()
-		p.call(id, "3000")
-		heard := make(chan *isup.Message, 1)
+// waitDraining waits until a call to the exchange is refused without an INVITE.
+// The calls before are established; they are fewer than its circuits.
+func (n *testNode) waitDraining() {
+	n.t.Helper()
+	for callID := uint64(1000); callID < 1012; callID++ {
+		caller := n.newCaller()
+		caller.sendSetUp(callID, "3000")
+		received := make(chan *isup.Message, 1)
 		go func() {
-			m, _ := p.r.Read()
-			heard <- m
+			m, _ := caller.reader.Read()
+			received <- m
 		}()
 		var m *isup.Message
-		for sent := false; m == nil; {
+		for invited := false; m == nil; {
 			select {
-			case g := <-b.x.got:
-				if g.m.Method == sip.Invite {
-					sent = true
-					b.x.say(g.nc, g.m, 200, "")
+			case request := <-n.exchange.requests:
+				if request.message.Method == sip.Invite {
+					invited = true
+					n.exchange.respond(request.netConn, request.message, 200, "")
 				}
-			case m = <-heard:
+			case m = <-received:
 				if m == nil {
-					b.t.Fatalf("call %d got no answer", id)
+					n.t.Fatalf("call %d got no answer", callID)
 				}
-				if !sent && m.Type == isup.Release && m.Cause() == isup.Congestion {
+				if !invited && m.Type == isup.Release && m.Cause() == isup.Congestion {
 					return
 				}
 			}
 		}
-		p.nc.Close()
+		caller.netConn.Close()
 		time.Sleep(200 * time.Millisecond)
 	}
-	b.t.Fatal("the exchange's draining was not heard")
+	n.t.Fatal("after 12 calls the node still sends calls to the draining exchange")
 }
 
-func TestLeavingAnswersWhatWasTakenOverSockets(t *testing.T) {
-	b := newBed(t)
-	p := b.ready()
-	b.term <- syscall.SIGTERM
+func TestShutdownAnswersPendingCalls(t *testing.T) {
+	n := startTestNode(t)
+	earlyCaller := n.newReadyCaller()
+	n.term <- syscall.SIGTERM
 	time.Sleep(200 * time.Millisecond)
-	q := b.phone()
-	q.call(8, "3000") // on a new connection
-	in := b.x.await(sip.Invite)
+	lateCaller := n.newCaller()
+	lateCaller.sendSetUp(8, "3000") // on a connection opened during the shutdown
+	invite := n.exchange.expectRequest(sip.Invite)
 	time.Sleep(900 * time.Millisecond)
-	b.x.say(in.nc, in.m, 200, "")
-	q.hear(isup.Answer)
-	b.x.bye(in.nc, in.m.CallID) // the end of a call that stands is still told
-	q.hear(isup.Release)
+	n.exchange.respond(invite.netConn, invite.message, 200, "")
+	lateCaller.expect(isup.Answer)
+	n.exchange.sendBye(invite.netConn, invite.message.CallID) // the release of an established call is still reported
+	lateCaller.expect(isup.Release)
 	select {
-	case err := <-b.ended:
+	case err := <-n.exited:
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.ended <- nil
+		n.exited <- nil
 	case <-time.After(2 * time.Second):
-		t.Fatal("it did not leave")
+		t.Fatal("the node did not shut down within 2 s")
 	}
-	if m, err := p.r.Read(); err == nil {
-		t.Fatalf("heard %+v", m)
+	if m, err := earlyCaller.reader.Read(); err == nil {
+		t.Fatalf("received %+v, want the end of the connection", m)
 	}
 }
 
-func TestBadClientsAreClosedAndHurtNobody(t *testing.T) {
-	b, p, in := ringing(t, "3000")
-	began := time.Now()
-	var bad []*phone
-	for _, words := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x03\x01\x02\x03", "\xff\xff\x01" + strings.Repeat("x", 1<<20),
+func TestMalformedClientsAreDisconnected(t *testing.T) {
+	n, caller, invite := startCall(t, "3000")
+	start := time.Now()
+	var clients []*testCaller
+	for _, data := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x03\x01\x02\x03", "\xff\xff\x01" + strings.Repeat("x", 1<<20),
 		"\x00\x20\x01\x00\x00", "", "\x00\x09\x63\x00\x00\x00\x00\x00\x00\x00\x09"} {
-		q := b.phone()
-		_, _ = q.nc.Write([]byte(words)) // it may be closed meanwhile
-		bad = append(bad, q)
+		client := n.newCaller()
+		_, _ = client.netConn.Write([]byte(data)) // the node may have closed the connection
+		clients = append(clients, client)
 	}
-	for i, q := range bad {
-		if m, err := q.r.Read(); err == nil {
-			t.Errorf("client %d heard %+v", i, m)
+	for i, client := range clients {
+		if m, err := client.reader.Read(); err == nil {
+			t.Errorf("client %d received %+v, want the end of the connection", i, m)
 		}
 	}
-	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("closed after %v", took)
+	if elapsed := time.Since(start); elapsed > 3*time.Second {
+		t.Errorf("all clients are disconnected after %v, want at most 3s", elapsed)
 	}
-	b.x.say(in.nc, in.m, 200, "")
-	p.hear(isup.Answer)
+	n.exchange.respond(invite.netConn, invite.message, 200, "")
+	caller.expect(isup.Answer)
 }
 
-func TestASpoiltAnswerEndsItsConnectionOnly(t *testing.T) {
-	b, p, in := ringing(t, "3000")
-	fmt.Fprintf(in.nc, "SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\nxx", in.m.CallID)
-	again := b.x.await(sip.Invite) // after the release time
-	if again.nc == in.nc {
-		t.Fatal("the connection is used again")
+func TestMalformedResponseClosesOnlyItsConnection(t *testing.T) {
+	n, caller, invite := startCall(t, "3000")
+	fmt.Fprintf(invite.netConn, "SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\nxx", invite.message.CallID)
+	retry := n.exchange.expectRequest(sip.Invite) // after the release time
+	if retry.netConn == invite.netConn {
+		t.Fatal("the node uses the connection again")
 	}
-	b.x.say(again.nc, again.m, 200, "")
-	p.hear(isup.Answer)
+	n.exchange.respond(retry.netConn, retry.message, 200, "")
+	caller.expect(isup.Answer)
 }
 
-func TestAConfigurationThatIsNoGoodIsNamed(t *testing.T) {
-	good := fmt.Sprintf(platform, "10.2.0.1:5353", "10.1.0.9:3868")
-	for what, c := range map[string][2]string{
+func TestConfigErrorsNameTheInvalidSetting(t *testing.T) {
+	valid := fmt.Sprintf(configTemplate, "10.2.0.1:5353", "10.1.0.9:3868")
+	for setting, replacement := range map[string][2]string{
 		"listen":   {`"listen":"127.0.0.1:1"`, `"listen":"here"`},
 		"resolver": {`"resolver":"10.2.0.1:5353"`, `"resolver":""`},
 		"seed":     {`8c1f30d27a5be964`, `x`},
@@ -603,14 +607,14 @@
 		"known":    {`"known"`, `"know"`},
 		"connect":  {`"connect_timeout_ns"`, `"connect"`},
 	} {
-		if _, err := parse([]byte(strings.Replace(good, c[0], c[1], 1))); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+		if _, err := parseConfig([]byte(strings.Replace(valid, replacement[0], replacement[1], 1))); err == nil || !strings.Contains(err.Error(), setting) {
+			t.Errorf("invalid %s: error is %v, want one that names it", setting, err)
 		}
 	}
-	if _, err := parse([]byte(good)); err != nil {
+	if _, err := parseConfig([]byte(valid)); err != nil {
 		t.Error(err)
 	}
 	if _, err := ReadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), EnvConfig) {
-		t.Errorf("no variable: %v", err)
+		t.Errorf("without environment variables: error is %v, want one that names the missing variable", err)
 	}
 }
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -12,155 +12,157 @@
 	"dahliaspindle/internal/srvlist"
 )
 
-// The tests here force an order of events: the test is the core's goroutine, and looks at the inputs
-// when it says so. What the sockets do goes on meanwhile.
-type gated struct {
+// steppedNode is a node whose inputs the test processes one by one, in place of
+// the core's goroutine, to force an order of events. The sockets work meanwhile.
+type steppedNode struct {
 	*Node
-	t *testing.T
-	b *bed
+	t        *testing.T
+	testNode *testNode
 }
 
-func newGated(t *testing.T) *gated {
-	b := &bed{t: t, x: newExchange(t)}
-	cfg, err := parse(fmt.Appendf(nil, platform, "127.0.0.1:1", b.x.ln.Addr()))
+func newSteppedNode(t *testing.T) *steppedNode {
+	testNode := &testNode{t: t, exchange: newFakeExchange(t)}
+	cfg, err := parseConfig(fmt.Appendf(nil, configTemplate, "127.0.0.1:1", testNode.exchange.listener.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gated{b.node(cfg), t, b}
-	g.step(interwork.ExchangeListUpdate{Complete: true, Changes: cfg.ExchangeList.Entries()})
-	g.wg.Go(g.accept)
+	n := &steppedNode{testNode.newListeningNode(cfg), t, testNode}
+	n.process(interwork.ExchangeListUpdate{Complete: true, Changes: cfg.ExchangeList.Entries()})
+	n.wg.Go(n.acceptCallers)
 	t.Cleanup(func() {
-		g.flush()
-		g.cancel()
-		g.wg.Wait()
-		for len(g.inbox) > 0 {
-			discard(<-g.inbox)
+		n.closeConnections()
+		n.cancel()
+		n.wg.Wait()
+		for len(n.inbox) > 0 {
+			discard(<-n.inbox)
 		}
 	})
-	return g
+	return n
 }
 
-// next looks at one input.
-func (g *gated) next() interwork.Input {
-	g.t.Helper()
+// processNext processes one input and returns it.
+func (n *steppedNode) processNext() interwork.Input {
+	n.t.Helper()
 	select {
-	case in := <-g.inbox:
-		g.step(in)
+	case in := <-n.inbox:
+		n.process(in)
 		return in
 	case <-time.After(5 * time.Second):
-		g.t.Fatal("no input came")
+		n.t.Fatal("no input arrived within 5 s")
 		return nil
 	}
 }
 
-// until looks at inputs up to one that is meant.
-func (g *gated) until(meant func(interwork.Input) bool) {
-	g.t.Helper()
-	for !meant(g.next()) {
+// processUntil processes inputs up to the first one that match accepts.
+func (n *steppedNode) processUntil(match func(interwork.Input) bool) {
+	n.t.Helper()
+	for !match(n.processNext()) {
 	}
 }
 
-// waiting waits until so many inputs wait.
-func (g *gated) waiting(n int) {
-	g.t.Helper()
-	await(g.t, func() bool { return len(g.inbox) >= n })
+// waitForInputs waits until at least count inputs are in the inbox.
+func (n *steppedNode) waitForInputs(count int) {
+	n.t.Helper()
+	eventually(n.t, func() bool { return len(n.inbox) >= count })
 }
 
-// linked looks at inputs until the exchange has told its group on a link.
-func (g *gated) linked() {
-	g.t.Helper()
-	g.until(func(in interwork.Input) bool { _, is := in.(interwork.LinkMessage); return is })
+// processUntilLinkMessage processes inputs up to the first message of the exchange.
+func (n *steppedNode) processUntilLinkMessage() {
+	n.t.Helper()
+	n.processUntil(func(in interwork.Input) bool { _, ok := in.(interwork.LinkMessage); return ok })
 }
 
-// pass lets time go by and the core see it; inputs wait meanwhile.
-func (g *gated) pass(d time.Duration) {
+// passTime waits and then processes a tick; other inputs stay in the inbox.
+func (n *steppedNode) passTime(d time.Duration) {
 	time.Sleep(d)
-	g.step(interwork.Tick{})
+	n.process(interwork.Tick{})
 }
 
-func saysSetUp(in interwork.Input) bool {
-	s, is := in.(interwork.CallerMessage)
-	return is && s.Msg.Type == isup.SetUp
+func isSetUpInput(in interwork.Input) bool {
+	message, ok := in.(interwork.CallerMessage)
+	return ok && message.Msg.Type == isup.SetUp
 }
 
-// A connection is closed as idle or on the way out while a set-up that was read on it waits for the
-// core: the set-up is refused, and the connection ends in order behind that word.
-func TestASetUpThatCrossesTheCloseOfItsConnectionIsAnswered(t *testing.T) {
-	g := newGated(t)
-	g.linked()
-	p := g.b.phone()
-	g.until(func(in interwork.Input) bool { _, is := in.(accepted); return is })
-	g.step(interwork.Shutdown{})
-	before := len(g.inbox)
-	p.call(7, "3000")
-	g.waiting(before + 1)
-	g.pass(time.Second) // calls are taken no more; the connection has none open
-	g.until(saysSetUp)
-	if m := p.hear(isup.Release); m.Cause() != isup.Congestion {
-		t.Errorf("cause %d", m.Cause())
+// A connection may be closed as idle or during shutdown while a set-up that was
+// read from it waits for the core. The set-up must be refused, and the connection
+// must end in order after the refusal.
+func TestSetUpThatCrossesCloseIsAnswered(t *testing.T) {
+	n := newSteppedNode(t)
+	n.processUntilLinkMessage()
+	caller := n.testNode.newCaller()
+	n.processUntil(func(in interwork.Input) bool { _, ok := in.(callerAccepted); return ok })
+	n.process(interwork.Shutdown{})
+	inputsBefore := len(n.inbox)
+	caller.sendSetUp(7, "3000")
+	n.waitForInputs(inputsBefore + 1)
+	n.passTime(time.Second) // the node accepts no more calls, and the connection has none pending
+	n.processUntil(isSetUpInput)
+	if m := caller.expect(isup.Release); m.Cause() != isup.Congestion {
+		t.Errorf("released with cause %d, want congestion", m.Cause())
 	}
-	for len(g.inbox) > 0 {
-		g.next()
+	for len(n.inbox) > 0 {
+		n.processNext()
 	}
-	if m, err := p.r.Read(); err == nil {
-		t.Errorf("heard %+v", m)
+	if m, err := caller.reader.Read(); err == nil {
+		t.Errorf("received %+v, want the end of the connection", m)
 	}
 }
 
-// A core that does not keep up is not given more calls: they are refused at the edge, at once. What
-// says that a call stands already wants no answer and gets none.
-func TestNewCallsAreShedWhereTheCoreDoesNotKeepUp(t *testing.T) {
-	g := newGated(t)
-	g.linked()
-	p := g.b.phone()
-	g.until(func(in interwork.Input) bool { _, is := in.(accepted); return is })
-	for len(g.inbox) < inboxMost/2 {
-		g.inbox <- interwork.Tick{}
+// When the core falls behind, new calls must be refused at once without passing
+// through it. A set-up for a call that is already established wants no answer and
+// must get none.
+func TestNewCallsAreShedWhenTheCoreFallsBehind(t *testing.T) {
+	n := newSteppedNode(t)
+	n.processUntilLinkMessage()
+	caller := n.testNode.newCaller()
+	n.processUntil(func(in interwork.Input) bool { _, ok := in.(callerAccepted); return ok })
+	for len(n.inbox) < inboxCapacity/2 {
+		n.inbox <- interwork.Tick{}
 	}
-	p.call(7, "3000")
-	m := p.hear(isup.Release)
-	if after, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(after) != "2000" {
-		t.Errorf("cause %d, to stay away %q", m.Cause(), after)
+	caller.sendSetUp(7, "3000")
+	m := caller.expect(isup.Release)
+	if retryAfter, _ := m.Get(isup.ParamRetryAfter); m.Cause() != isup.Congestion || string(retryAfter) != "2000" {
+		t.Errorf("released with cause %d, retry after %q; want congestion, \"2000\"", m.Cause(), retryAfter)
 	}
-	held := (&isup.Message{Type: isup.SetUp, CallID: 8}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte("3000")).
+	established := (&isup.Message{Type: isup.SetUp, CallID: 8}).Add(isup.ParamClass, []byte("voice")).Add(isup.ParamPatience, []byte("3000")).
 		Add(isup.ParamNumber, []byte("7f3a9c21e0b4d655")).Add(isup.ParamRouting, []byte("dest:1;width:1;via:-1;at:s-1")).
 		Add(isup.ParamDescription, []byte("offered"))
-	p.say(held)
-	g.until(saysSetUp)
-	if g.core.Stats.Adopted != 1 || g.core.Stats.Calls != 0 {
-		t.Errorf("%+v", g.core.Stats)
+	caller.send(established)
+	n.processUntil(isSetUpInput)
+	if n.core.Stats.Adopted != 1 || n.core.Stats.Calls != 0 {
+		t.Errorf("statistics are %+v, want 1 adopted call and no new ones", n.core.Stats)
 	}
 }
 
-// invites are the set-ups that reach the exchange within a time.
-func (x *exchange) invites(within time.Duration) (n int) {
-	for late := time.After(within); ; {
+// countInvites counts the INVITEs that reach the exchange within the duration.
+func (x *fakeExchange) countInvites(duration time.Duration) (invites int) {
+	for timeout := time.After(duration); ; {
 		select {
-		case g := <-x.got:
-			if g.m.Method == sip.Invite {
-				n++
+		case request := <-x.requests:
+			if request.message.Method == sip.Invite {
+				invites++
 			}
-		case <-late:
-			return n
+		case <-timeout:
+			return invites
 		}
 	}
 }
 
-// A caller that has gone, by closing its connection or by giving the set-up up, wherever its set-up
-// rests: no attempt begins from then on.
-func TestNoAttemptBeginsForACallerThatHasGone(t *testing.T) {
-	goes := map[string]func(g *gated, p *phone){
-		"closes": func(g *gated, p *phone) {
-			p.nc.Close()
-			await(g.t, func() bool { return g.callers[1] == nil || g.callers[1].IsClosed() })
+// A caller may disconnect or release its set-up while the set-up is in the inbox,
+// in the routing module or waiting for a retry. No attempt must start afterwards.
+func TestNoAttemptStartsForACallerThatHasLeft(t *testing.T) {
+	waysToLeave := map[string]func(n *steppedNode, caller *testCaller){
+		"disconnects": func(n *steppedNode, caller *testCaller) {
+			caller.netConn.Close()
+			eventually(n.t, func() bool { return n.callers[1] == nil || n.callers[1].IsClosed() })
 		},
-		"gives up": func(g *gated, p *phone) {
-			before := len(g.inbox)
-			p.say((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{isup.NormalClearing}))
-			g.waiting(before + 1)
+		"releases": func(n *steppedNode, caller *testCaller) {
+			inputsBefore := len(n.inbox)
+			caller.send((&isup.Message{Type: isup.Release, CallID: 7}).Add(isup.ParamCause, []byte{isup.NormalClearing}))
+			n.waitForInputs(inputsBefore + 1)
 		},
 	}
-	down := func(in interwork.Input) bool {
+	isLeaveInput := func(in interwork.Input) bool {
 		switch in := in.(type) {
 		case interwork.CallerDisconnected:
 			return true
@@ -169,101 +171,102 @@
 		}
 		return false
 	}
-	rests := map[string]func(g *gated, p *phone, leave func()){
-		"inbox": func(g *gated, p *phone, leave func()) {
-			p.call(7, "3000")
-			g.waiting(1)
+	setUpLocations := map[string]func(n *steppedNode, caller *testCaller, leave func()){
+		"inbox": func(n *steppedNode, caller *testCaller, leave func()) {
+			caller.sendSetUp(7, "3000")
+			n.waitForInputs(1)
 			leave()
-			g.until(saysSetUp)
-			if n := g.b.x.invites(100 * time.Millisecond); n != 0 {
-				g.t.Errorf("%d attempts began before the word that the caller has gone", n)
+			n.processUntil(isSetUpInput)
+			if invites := n.testNode.exchange.countInvites(100 * time.Millisecond); invites != 0 {
+				n.t.Errorf("%d attempts started before the node processed that the caller had left, want 0", invites)
 			}
-			g.until(down)
+			n.processUntil(isLeaveInput)
 		},
-		"module": func(g *gated, p *phone, leave func()) {
-			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Number: 1, State: brain.Draining}}})
-			p.call(7, "3000")
-			g.until(saysSetUp)
+		"module": func(n *steppedNode, caller *testCaller, leave func()) {
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: brain.Draining}}})
+			caller.sendSetUp(7, "3000")
+			n.processUntil(isSetUpInput)
 			leave()
-			g.until(down)
-			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: g.b.x.ln.Addr().String(), Number: 1, State: brain.InService}}})
+			n.processUntil(isLeaveInput)
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: brain.InService}}})
 		},
-		"retry timer": func(g *gated, p *phone, leave func()) {
-			p.call(7, "3000")
-			g.until(saysSetUp)
-			in := g.b.x.await(sip.Invite)
-			g.b.x.say(in.nc, in.m, 504, "")
-			g.linked()
+		"retry timer": func(n *steppedNode, caller *testCaller, leave func()) {
+			caller.sendSetUp(7, "3000")
+			n.processUntil(isSetUpInput)
+			invite := n.testNode.exchange.expectRequest(sip.Invite)
+			n.testNode.exchange.respond(invite.netConn, invite.message, 504, "")
+			n.processUntilLinkMessage()
 			leave()
-			g.until(down)
+			n.processUntil(isLeaveInput)
 		},
 	}
-	for where, rest := range rests {
-		for how, goes := range goes {
-			if where == "inbox" && how == "gives up" {
-				continue // the word is behind the set-up in order; the next test has the outbox
+	for location, reach := range setUpLocations {
+		for way, leave := range waysToLeave {
+			if location == "inbox" && way == "releases" {
+				continue // the release is behind the set-up in the inbox, so an attempt may start; the next test covers a set-up that waits for a connection
 			}
-			t.Run(where+", "+how, func(t *testing.T) {
-				g := newGated(t)
-				g.linked()
-				p := g.b.phone()
-				g.until(func(in interwork.Input) bool { _, is := in.(accepted); return is })
-				rest(g, p, func() { goes(g, p) })
+			t.Run(location+", "+way, func(t *testing.T) {
+				n := newSteppedNode(t)
+				n.processUntilLinkMessage()
+				caller := n.testNode.newCaller()
+				n.processUntil(func(in interwork.Input) bool { _, ok := in.(callerAccepted); return ok })
+				reach(n, caller, func() { leave(n, caller) })
 				for range 12 {
-					g.pass(50 * time.Millisecond)
+					n.passTime(50 * time.Millisecond)
 				}
-				if n := g.b.x.invites(100 * time.Millisecond); n != 0 {
-					t.Errorf("%d attempts began", n)
+				if invites := n.testNode.exchange.countInvites(100 * time.Millisecond); invites != 0 {
+					t.Errorf("%d attempts started, want 0", invites)
 				}
-				if s := g.core.Stats; s.Answered+s.Refused+s.Failed != 0 {
-					t.Errorf("an answer that nobody waits for: %+v", s)
+				if stats := n.core.Stats; stats.Answered+stats.Refused+stats.Failed != 0 {
+					t.Errorf("the set-up was answered although its caller had left: %+v", stats)
 				}
 			})
 		}
 	}
 }
 
-// The same while the set-up waits for a connection: the dial ends after the caller has gone, and by then
-// the exchange has been taken off the list.
-func TestADialThatEndsLateBringsNothing(t *testing.T) {
-	for what, crossing := range map[string]func(g *gated){
-		"the caller has gone": func(g *gated) {
-			g.step(interwork.CallerDisconnected{Conn: 1})
+// A set-up may also wait for a connection to its exchange. When the dial succeeds
+// after the caller has left or the exchange was taken off the list, no attempt
+// must start on the new connection.
+func TestDialThatSucceedsLateStartsNoAttempt(t *testing.T) {
+	for name, event := range map[string]func(n *steppedNode){
+		"caller disconnected": func(n *steppedNode) {
+			n.process(interwork.CallerDisconnected{Conn: 1})
 		},
-		"the exchange is gone": func(g *gated) {
-			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Number: 1, State: brain.OutOfService}}})
+		"exchange removed": func(n *steppedNode) {
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Number: 1, State: brain.OutOfService}}})
 		},
-		"a new exchange has its address": func(g *gated) {
-			at := g.b.x.ln.Addr().String()
-			g.step(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: at, Number: 1, State: brain.Draining}, {Name: "s-2", Addr: at, Number: 2}}})
+		"address reused by a new exchange": func(n *steppedNode) {
+			addr := n.testNode.exchange.listener.Addr().String()
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: addr, Number: 1, State: brain.Draining}, {Name: "s-2", Addr: addr, Number: 2}}})
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
-			g := newGated(t)
-			p := g.b.phone()
-			var up interwork.Input // the dial has ended and is not looked at yet
-			known := false
-			for up == nil || !known {
-				switch in := (<-g.inbox).(type) {
-				case dialed:
-					up = in
-				case accepted:
-					g.step(in)
-					known = true
+		t.Run(name, func(t *testing.T) {
+			n := newSteppedNode(t)
+			caller := n.testNode.newCaller()
+			var result interwork.Input // of the dial, not processed yet
+			registered := false
+			for result == nil || !registered {
+				switch in := (<-n.inbox).(type) {
+				case dialResult:
+					result = in
+				case callerAccepted:
+					n.process(in)
+					registered = true
 				}
 			}
-			p.call(7, "3000")
-			g.until(saysSetUp)
-			crossing(g)
-			g.step(up)
-			for len(g.inbox) > 0 {
-				g.next()
+			caller.sendSetUp(7, "3000")
+			n.processUntil(isSetUpInput)
+			event(n)
+			n.process(result)
+			for len(n.inbox) > 0 {
+				n.processNext()
 			}
-			if n := g.b.x.invites(100 * time.Millisecond); n != 0 {
-				t.Errorf("%d attempts began", n)
+			if invites := n.testNode.exchange.countInvites(100 * time.Millisecond); invites != 0 {
+				t.Errorf("%d attempts started, want 0", invites)
 			}
-			if len(g.links) > 2 || len(g.dials) > 1 {
-				t.Errorf("%d links and %d dials are left", len(g.links), len(g.dials))
+			if len(n.links) > 2 || len(n.dials) > 1 {
+				t.Errorf("%d links and %d dials remain, want at most 2 and 1", len(n.links), len(n.dials))
 			}
 		})
 	}
--- a/internal/node/resolver.go
+++ b/internal/node/resolver.go
@@ -14,147 +14,153 @@
 )
 
 const (
-	askEvery   = 200 * time.Millisecond // between two questions, whatever became of the one before
-	askJitter  = 0.1                    // share by which that varies: controllers that start together fall out of step
-	askAgain   = 50 * time.Millisecond  // after an answer that speaks against the list
-	askOpen    = 16                     // so many of the last questions may still be answered
-	askWarning = 2 * time.Second        // without a good answer, one line
+	queryInterval         = 200 * time.Millisecond // between two queries, whether or not the first was answered
+	queryJitter           = 0.1                    // variation of queryInterval as a share of it, so that controllers started together do not query in step
+	staleRetryDelay       = 50 * time.Millisecond  // next query after an answer older than the list
+	maxOutstandingQueries = 16                     // answers to earlier queries are ignored
+	listWarningAfter      = 2 * time.Second        // time without a valid answer before a warning is logged
 )
 
-// resolver asks for the exchange list at steady short intervals, over one socket that it keeps: an
-// answer may come after later questions. The list is its goroutine's.
+// resolver queries for the exchange list at short regular intervals. It keeps one
+// socket, because an answer may arrive after later queries were sent. Only its
+// own goroutine uses the list.
 type resolver struct {
-	n      *Node
-	list   *srvlist.List
-	addr   chan string // another resolver to ask
-	random *rand.Rand
-	asked  uint64 // questions so far; the last 16 bits are the id
-	conn   *asking
+	node    *Node
+	list    *srvlist.List
+	newAddr chan string // address of a resolver to use instead
+	random  *rand.Rand
+	queries uint64 // number of queries sent; its low 16 bits are the ID of the last one
+	conn    *resolverConn
 }
 
-// asking is the socket to one resolver with the goroutine that reads it.
-type asking struct {
+// resolverConn is a socket to one resolver, read by its own goroutine.
+type resolverConn struct {
 	net.Conn
-	heard chan []byte // closed with the socket
+	answers chan []byte // closed when reading ends
 }
 
 func newResolver(n *Node, list *srvlist.List) *resolver {
-	return &resolver{n: n, list: list, addr: make(chan string, 1), random: rand.New(rand.NewPCG(n.cfg.ModuleSettings.Seed, 0xd25))}
+	return &resolver{
+		node:    n,
+		list:    list,
+		newAddr: make(chan string, 1),
+		random:  rand.New(rand.NewPCG(n.cfg.ModuleSettings.Seed, 0xd25)),
+	}
 }
 
-// use names another resolver: what the one before still answers is not heard.
+// use switches to another resolver. Later answers of the previous one are ignored.
 func (r *resolver) use(addr string) {
 	select {
-	case <-r.addr: // one that was not looked at yet
+	case <-r.newAddr: // replaces an address that was not picked up yet
 	default:
 	}
-	r.addr <- addr
+	r.newAddr <- addr
 }
 
 func (r *resolver) run(addr string) {
-	next := time.NewTimer(0)
-	defer next.Stop()
-	good, warned := time.Now(), false
+	nextQuery := time.NewTimer(0)
+	defer nextQuery.Stop()
+	lastValid, warned := time.Now(), false
 	for {
-		var heard <-chan []byte
+		var answers <-chan []byte
 		if r.conn != nil {
-			heard = r.conn.heard
+			answers = r.conn.answers
 		}
 		var err error
 		select {
-		case <-r.n.ctx.Done():
-			r.hangUp()
+		case <-r.node.ctx.Done():
+			r.closeConn()
 			return
-		case addr = <-r.addr:
-			r.hangUp()
-			next.Reset(0)
+		case addr = <-r.newAddr:
+			r.closeConn()
+			nextQuery.Reset(0)
 			continue
-		case <-next.C:
-			next.Reset(time.Duration(float64(askEvery) * (1 + askJitter*(2*r.random.Float64()-1))))
-			err = r.question(addr)
-		case packet, open := <-heard:
+		case <-nextQuery.C:
+			nextQuery.Reset(time.Duration(float64(queryInterval) * (1 + queryJitter*(2*r.random.Float64()-1))))
+			err = r.sendQuery(addr)
+		case packet, open := <-answers:
 			if !open {
-				r.hangUp() // a new socket with the next question
+				r.closeConn() // the next query opens a new socket
 				continue
 			}
-			if err = r.answer(packet); err == nil {
-				good, warned = time.Now(), false
+			if err = r.handleAnswer(packet); err == nil {
+				lastValid, warned = time.Now(), false
 			} else if errors.Is(err, srvlist.ErrStale) {
-				next.Reset(askAgain)
+				nextQuery.Reset(staleRetryDelay)
 			}
 		}
 		if err != nil {
-			r.n.log.Log(r.n.ctx, slog.LevelDebug, "resolver", "error", err)
+			r.node.log.Log(r.node.ctx, slog.LevelDebug, "resolver", "error", err)
 		}
-		if !warned && time.Since(good) > askWarning {
+		if !warned && time.Since(lastValid) > listWarningAfter {
 			warned = true
-			r.n.log.Warn("the exchange list is not told; the last one holds", "resolver", addr, "error", err)
+			r.node.log.Warn("the exchange list is not told; the last one holds", "resolver", addr, "error", err)
 		}
 	}
 }
 
-func (r *resolver) hangUp() {
+func (r *resolver) closeConn() {
 	if r.conn != nil {
 		r.conn.Close()
 		r.conn = nil
 	}
 }
 
-// question sends one of its own id.
-func (r *resolver) question(addr string) error {
+// sendQuery sends a query with a new ID.
+func (r *resolver) sendQuery(addr string) error {
 	if r.conn == nil {
-		nc, err := net.Dial("udp", addr)
+		netConn, err := net.Dial("udp", addr)
 		if err != nil {
-			return fmt.Errorf("asking: %w", err)
+			return fmt.Errorf("open resolver socket: %w", err)
 		}
-		a := &asking{nc, make(chan []byte, askOpen)}
-		r.conn = a
-		r.n.wg.Go(a.read)
+		conn := &resolverConn{netConn, make(chan []byte, maxOutstandingQueries)}
+		r.conn = conn
+		r.node.wg.Go(conn.readAnswers)
 	}
-	r.asked++
-	q, err := srvlist.NewQuery(uint16(r.asked))
+	r.queries++
+	query, err := srvlist.NewQuery(uint16(r.queries))
 	if err != nil {
-		return fmt.Errorf("asking: %w", err)
+		return fmt.Errorf("encode resolver query: %w", err)
 	}
-	if err := r.conn.SetWriteDeadline(time.Now().Add(askEvery)); err != nil {
-		return fmt.Errorf("asking: %w", err)
+	if err := r.conn.SetWriteDeadline(time.Now().Add(queryInterval)); err != nil {
+		return fmt.Errorf("set resolver write deadline: %w", err)
 	}
-	if _, err := r.conn.Write(q); err != nil {
-		return fmt.Errorf("asking: %w", err)
+	if _, err := r.conn.Write(query); err != nil {
+		return fmt.Errorf("send resolver query: %w", err)
 	}
 	return nil
 }
 
-// read hands on what comes until the socket is closed or fails; more than can be looked at is lost,
-// as on the way.
-func (a *asking) read() {
-	defer close(a.heard)
+// readAnswers passes on the packets that arrive until the socket is closed or
+// fails. It drops packets while the channel is full, as a network may do.
+func (c *resolverConn) readAnswers() {
+	defer close(c.answers)
 	buf := make([]byte, srvlist.MaxAnswerBytes)
 	for {
-		k, err := a.Read(buf)
+		n, err := c.Read(buf)
 		if err != nil {
 			return
 		}
 		select {
-		case a.heard <- append([]byte(nil), buf[:k]...):
+		case c.answers <- append([]byte(nil), buf[:n]...):
 		default:
 		}
 	}
 }
 
-// answer folds in what answers one of the last questions.
-func (r *resolver) answer(packet []byte) error {
+// handleAnswer applies an answer to one of the last maxOutstandingQueries queries to the list.
+func (r *resolver) handleAnswer(packet []byte) error {
 	if len(packet) < 2 {
-		return errors.New("resolver's answer: no header")
+		return errors.New("resolver answer without a header")
 	}
 	id := binary.BigEndian.Uint16(packet)
-	age := uint64(uint16(r.asked) - id)
-	if age >= min(askOpen, r.asked) {
-		return fmt.Errorf("resolver's answer: to question %d, not one of the last up to %d", id, uint16(r.asked))
+	age := uint64(uint16(r.queries) - id)
+	if age >= min(maxOutstandingQueries, r.queries) {
+		return fmt.Errorf("resolver answer to query %d, which is not among the latest queries up to %d", id, uint16(r.queries))
 	}
-	changes, err := r.list.ApplyAnswer(r.asked-age, packet)
+	changes, err := r.list.ApplyAnswer(r.queries-age, packet)
 	if len(changes) > 0 {
-		r.n.put(interwork.ExchangeListUpdate{Changes: changes})
+		r.node.enqueue(interwork.ExchangeListUpdate{Changes: changes})
 	}
 	return err
 }
