--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -96,8 +96,8 @@
 		ResolverAddr:   file.Resolver,
 		MaxDescriptors: file.Limits.Sockets,
 		MemoryBytes:    file.Limits.Memory << 20,
-		ConnectTimeout: time.Duration(file.Settings.Limits.Connect),
-		IdleTimeout:    time.Duration(file.Settings.Limits.Idle),
+		ConnectTimeout: time.Duration(file.Settings.Limits.ConnectTimeout),
+		IdleTimeout:    time.Duration(file.Settings.Limits.IdleTimeout),
 	}
 	if cfg.ModuleSettings, err = file.Settings.Module(seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -53,7 +53,7 @@
 func TestFlushAndCloseDoesNotReset(t *testing.T) {
 	local, peer := newTCPPair(t)
 	handler := &blockingHandler{entered: make(chan struct{}), unblock: make(chan struct{})}
-	c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), LingerTimeout: 10 * time.Second}, handler)
+	c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), LingerTimeout: 10 * time.Second}, handler)
 	if _, err := peer.Write(newRelease(1).Append(nil)); err != nil {
 		t.Fatal(err)
 	}
@@ -87,9 +87,9 @@
 			t.Fatal(err)
 		}
 	}
-	c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), AbortOnClose: true, WriteTimeout: time.Minute}, &recorder{})
+	c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), AbortOnClose: true, WriteTimeout: time.Minute}, &recorder{})
 	m := newSetUp(1)
-	m.Term = string(make([]byte, 4000))
+	m.Termination = string(make([]byte, 4000))
 	for range 30 { // more than the receive buffer of the peer, which does not read; the send buffer holds all of it
 		c.Send(m, time.Hour)
 	}
@@ -111,7 +111,7 @@
 func TestRecallBoundsBlockedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
-		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second, RecallTimeout: 50 * time.Millisecond}, &recorder{})
+		c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), WriteTimeout: 2 * time.Second, RecallTimeout: 50 * time.Millisecond}, &recorder{})
 		c.Send(newSetUp(1), time.Hour)
 		synctest.Wait() // until the writer blocks
 		time.Sleep(time.Second)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -38,7 +38,7 @@
 	WriteTimeout time.Duration
 	// DrainGrace is the drain grace that bounds a write in progress when set-ups are blocked.
 	DrainGrace time.Duration
-	Capture    *capture.Tap
+	Capture    *capture.ConnRecorder
 	// Now is the clock to which the notAfter of Send refers.
 	Now func() time.Duration
 	// LingerTimeout is how long FlushAndClose waits for the peer to close its
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -69,7 +69,7 @@
 }
 
 func newSetUp(id uint32) *signal.Message {
-	return &signal.Message{ID: id, Context: 1, Command: signal.Add, Term: fmt.Sprint("c", id)}
+	return &signal.Message{ID: id, Context: 1, Command: signal.Add, Termination: fmt.Sprint("c", id)}
 }
 
 func matchID(id uint32) func(*signal.Message) bool {
@@ -77,14 +77,14 @@
 }
 
 func newRelease(id uint32) *signal.Message {
-	return &signal.Message{ID: id, Context: 1, Command: signal.Subtract, Term: fmt.Sprint("c", id)}
+	return &signal.Message{ID: id, Context: 1, Command: signal.Subtract, Termination: fmt.Sprint("c", id)}
 }
 
 func TestMessagesArriveInOrderBothWays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		netConnA, netConnB := newPipe(t)
 		recorderA, recorderB := &recorder{}, &recorder{}
-		connA, connB := Start(netConnA, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, recorderA), Start(netConnB, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, recorderB)
+		connA, connB := Start(netConnA, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, recorderA), Start(netConnB, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, recorderB)
 		for i := range uint32(500) {
 			connA.Send(newRelease(i+1), 0)
 			connB.Send(newSetUp(i+1), time.Hour)
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
 		rec := &recorder{}
-		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, rec)
+		c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute, DrainGrace: 250 * time.Millisecond}, rec)
 		c.Send(newSetUp(1), time.Hour) // stays in the blocked write
 		synctest.Wait()
 		accepted := 0
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
 		rec := &recorder{}
-		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute}, rec)
+		c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 100}, WriteTimeout: time.Minute}, rec)
 		for i := 0; c.Send(newRelease(uint32(i+1)), 0); i++ {
 			if i > 200 {
 				t.Fatal("the queue accepts more messages than its capacity")
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
 		rec := &recorder{}
-		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{}), WriteTimeout: 2 * time.Second}, rec)
+		c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), WriteTimeout: 2 * time.Second}, rec)
 		sentAt := time.Now()
 		c.Send(newRelease(1), 0)
 		<-c.Done()
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
 		localRec, peerRec := &recorder{}, &recorder{}
-		c := Start(local, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, localRec)
+		c := Start(local, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, localRec)
 		time.Sleep(time.Second)
 		c.Send(newSetUp(1), 900*time.Millisecond)
 		c.Send(newRelease(2), 0)
@@ -192,7 +192,7 @@
 		if c.Send(newSetUp(3), time.Hour) {
 			t.Fatal("Send accepts a set-up while set-ups are blocked")
 		}
-		peerConn := Start(peer, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, peerRec)
+		peerConn := Start(peer, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, peerRec)
 		synctest.Wait()
 		if len(localRec.unsent) != 1 || localRec.unsent[0] != 1 || len(peerRec.messages) != 1 || peerRec.messages[0].ID != 2 {
 			t.Fatalf("unsent set-ups %v, messages at the peer %v; want set-up 1 unsent and message 2 received", localRec.unsent, peerRec.messages)
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		local, peer := newPipe(t)
 		rec := &recorder{}
-		c := Start(oneByteConn{local}, Options[*signal.Message]{Reader: signal.Reading(signal.Limits{})}, rec)
+		c := Start(oneByteConn{local}, Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, rec)
 		for _, text := range []string{"Transaction=7 Context=- Add", "=x\r\nDest: 1\r", "\n\r\nrubbish\r\n\r\nPending=8\r\n\r\n"} {
 			if _, err := peer.Write([]byte(text)); err != nil {
 				t.Fatal(err)
