--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -62,7 +62,7 @@
 func (o Outbox) IsFull(queued int) bool { return queued >= o.Capacity }
 
 // SetUpBlock keeps set-ups from being sent to an exchange after it was reported
-// as draining: what was decided before must not leave long after.
+// as draining: set-ups decided before then must not be sent long afterwards.
 type SetUpBlock struct {
 	Active bool
 	Since  time.Duration // when the exchange was reported as draining
@@ -78,23 +78,23 @@
 // transmission.
 func (b SetUpBlock) WriteDeadline(grace time.Duration) time.Duration { return b.Since + grace/2 }
 
-// Liveness decides when to probe a silent peer and when to count it as lost,
+// Liveness decides when to probe an unresponsive peer and when to count it as lost,
 // even if its connection seems open (a half-open connection).
 type Liveness struct {
-	ProbeAfter, LostAfter time.Duration // silence before a probe, and before the peer counts as lost
+	ProbeAfter, LostAfter time.Duration // time without a message before a probe, and before the peer counts as lost
 }
 
-// Check decides what to do about a peer that was last heard at lastHeard and
-// last probed at lastProbe, and when to check again.
-func (l Liveness) Check(now, lastHeard, lastProbe time.Duration) (probe, lost bool, nextCheck time.Duration) {
-	silence := now - lastHeard
+// Check decides what to do about a peer whose last message arrived at
+// lastReceived and whose last probe was sent at lastProbe, and when to check again.
+func (l Liveness) Check(now, lastReceived, lastProbe time.Duration) (probe, lost bool, nextCheck time.Duration) {
+	elapsed := now - lastReceived
 	switch {
-	case silence >= l.LostAfter:
+	case elapsed >= l.LostAfter:
 		return false, true, 0
-	case silence >= l.ProbeAfter && now-lastProbe >= l.ProbeAfter:
+	case elapsed >= l.ProbeAfter && now-lastProbe >= l.ProbeAfter:
 		return true, false, now + l.ProbeAfter
 	}
-	return false, false, min(max(lastHeard, lastProbe)+l.ProbeAfter, lastHeard+l.LostAfter)
+	return false, false, min(max(lastReceived, lastProbe)+l.ProbeAfter, lastReceived+l.LostAfter)
 }
 
 // Backoff paces attempts to reach a peer with exponentially growing delays and
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -58,28 +58,28 @@
 	}
 }
 
-// A silent peer is reported as lost at most one check after LostAfter; a peer
+// An unresponsive peer is reported as lost at most one check after LostAfter; a peer
 // that answers every probe never is.
 func TestLiveness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		probeAfter := time.Duration(rapid.IntRange(1, 1000).Draw(t, "probe after")) * time.Millisecond
 		liveness := Liveness{ProbeAfter: probeAfter, LostAfter: probeAfter * time.Duration(rapid.IntRange(2, 5).Draw(t, "lost after, in probe intervals"))}
 		answers := rapid.Bool().Draw(t, "peer answers")
-		now, lastHeard, lastProbe := time.Second, time.Second, time.Duration(0)
+		now, lastReceived, lastProbe := time.Second, time.Second, time.Duration(0)
 		for range 50 {
-			probe, lost, nextCheck := liveness.Check(now, lastHeard, lastProbe)
+			probe, lost, nextCheck := liveness.Check(now, lastReceived, lastProbe)
 			if lost {
 				if answers {
 					t.Fatal("a peer that answers every probe is reported as lost")
 				}
-				if now-lastHeard > liveness.LostAfter+liveness.ProbeAfter {
-					t.Fatalf("a silent peer is reported as lost only after %v", now-lastHeard)
+				if now-lastReceived > liveness.LostAfter+liveness.ProbeAfter {
+					t.Fatalf("an unresponsive peer is reported as lost only after %v", now-lastReceived)
 				}
 				return
 			}
 			if probe {
 				if lastProbe = now; answers {
-					lastHeard = now + time.Millisecond/2
+					lastReceived = now + time.Millisecond/2
 				}
 			}
 			if nextCheck <= now {
@@ -88,7 +88,7 @@
 			now = nextCheck
 		}
 		if !answers {
-			t.Fatal("a silent peer is never reported as lost")
+			t.Fatal("an unresponsive peer is never reported as lost")
 		}
 	})
 }
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -30,7 +30,7 @@
 const (
 	ParamClass       = 64
 	ParamPatience    = 67 // time that the caller waits for an answer, in milliseconds
-	ParamRetry       = 73
+	ParamRetry       = 73 // "1" if the caller repeats an earlier call, otherwise "0" or missing
 	ParamNumber      = 76
 	ParamRouting     = 79 // destination, circuits, tandem and flags, as in dest:2;width:1;via:-1
 	ParamRetryAfter  = 82 // milliseconds
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -116,7 +116,7 @@
 			n := &testNode{t: t, exchange: newFakeExchange(t)}
 			n.resolver = newFakeResolver(t, n.exchange)
 			n.resolver.mu.Lock()
-			n.resolver.silent = true
+			n.resolver.unresponsive = true
 			n.resolver.mu.Unlock()
 			n.exchange.listener.Close() // the listed exchange does not exist
 			start := time.Now()
@@ -134,13 +134,13 @@
 }
 
 // Idle callers that take all the connections they can get while the resolver is
-// silent must leave descriptors for the node: it goes on querying the resolver,
+// unresponsive must leave descriptors for the node: it goes on querying the resolver,
 // dials exchanges and serves other callers.
 func TestIdleCallersLeaveDescriptorsForTheNode(t *testing.T) {
 	n := &testNode{t: t, exchange: newFakeExchange(t)}
 	n.resolver = newFakeResolver(t, n.exchange)
 	n.resolver.mu.Lock()
-	n.resolver.silent = true
+	n.resolver.unresponsive = true
 	n.resolver.mu.Unlock()
 	n.startWith(nil, `"sockets":256`, `"sockets":64`)
 	n.newReadyCaller()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -115,14 +115,14 @@
 
 // fakeResolver answers queries with a list of one exchange.
 type fakeResolver struct {
-	packetConn net.PacketConn
-	mu         sync.Mutex
-	serial     uint32
-	priority   int
-	silent     bool
-	delay      time.Duration // from a query to its answer
-	queries    int           // queries received
-	exchange   *fakeExchange
+	packetConn   net.PacketConn
+	mu           sync.Mutex
+	serial       uint32
+	priority     int
+	unresponsive bool
+	delay        time.Duration // from a query to its answer
+	queries      int           // queries received
+	exchange     *fakeExchange
 }
 
 func newFakeResolver(t *testing.T, exchange *fakeExchange) *fakeResolver {
@@ -155,10 +155,10 @@
 			}
 			soa, _ := dns.NewRR(fmt.Sprintf("hosts. 0 IN SOA a. b. %d 1 1 1 1", r.serial))
 			m.Ns = []dns.RR{soa}
-			silent, delay := r.silent, r.delay
+			unresponsive, delay := r.unresponsive, r.delay
 			r.queries++
 			r.mu.Unlock()
-			if packet, err := m.Pack(); err == nil && !silent {
+			if packet, err := m.Pack(); err == nil && !unresponsive {
 				time.AfterFunc(delay, func() { _, _ = packetConn.WriteTo(packet, from) }) // the node repeats queries whose answers are lost
 			}
 		}
@@ -433,7 +433,7 @@
 	n.writeConfig(newResolver.packetConn.LocalAddr().String())
 	n.hup <- syscall.SIGHUP
 	n.resolver.mu.Lock()
-	n.resolver.silent = true
+	n.resolver.unresponsive = true
 	n.resolver.mu.Unlock()
 	time.Sleep(4 * queryInterval)
 	caller.sendSetUp(7, "900")
