--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -340,7 +340,7 @@
 func (d *Daemon) connectionOptions(recorder *capture.ConnRecorder) transport.Options[*signal.Message] {
 	return transport.Options[*signal.Message]{
 		Reader:       signal.NewReadFunc(signal.Limits{MaxLineBytes: d.settings.Limits.LineBytes, MaxMessageBytes: d.settings.Limits.MessageBytes}),
-		Outbox:       guard.Outbox{Most: d.settings.Limits.Outbox},
+		Outbox:       guard.Outbox{Capacity: d.settings.Limits.Outbox},
 		WriteTimeout: d.settings.Peers.WriteTimeout,
 		DrainGrace:   d.settings.Rules.DrainGrace,
 		Capture:      recorder,
