--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -102,21 +102,21 @@
 
 // Writer writes one file of a capture. A nil Writer writes nothing.
 type Writer struct {
-	source func() int64
-	last   atomic.Int64
-
-	mu    sync.Mutex
-	buf   *bufio.Writer
-	enc   *cbor.Encoder
-	file  io.WriteCloser
-	conns uint64
-	err   error
-	stop  chan struct{}
-	done  chan struct{}
+	clock         func() int64
+	lastTimestamp atomic.Int64
+
+	mu          sync.Mutex
+	buffer      *bufio.Writer
+	encoder     *cbor.Encoder
+	file        io.WriteCloser
+	connections uint64
+	err         error
+	stop        chan struct{}
+	done        chan struct{}
 }
 
-// flushEvery bounds what a killed process takes with it.
-const flushEvery = 5 * time.Millisecond
+// flushInterval bounds what a killed process takes with it.
+const flushInterval = 5 * time.Millisecond
 
 // Create starts a file.
 func Create(path, who string) (*Writer, error) {
@@ -128,13 +128,13 @@
 	w.stop, w.done = make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(w.done)
-		tick := time.NewTicker(flushEvery)
+		tick := time.NewTicker(flushInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
 				w.mu.Lock()
-				w.fail(w.buf.Flush())
+				w.recordError(w.buffer.Flush())
 				w.mu.Unlock()
 			case <-w.stop:
 				return
@@ -156,38 +156,38 @@
 // NewWriter writes to a stream; it is flushed by Close only.
 func NewWriter(f io.WriteCloser, who string, clock func() int64) *Writer {
 	buf := bufio.NewWriterSize(f, 1<<16)
-	w := &Writer{source: clock, buf: buf, enc: cbor.NewEncoder(buf), file: f}
-	w.put(Record{Kind: Header, Name: who, Text: []byte(Format)})
+	w := &Writer{clock: clock, buffer: buf, encoder: cbor.NewEncoder(buf), file: f}
+	w.writeRecord(Record{Kind: Header, Name: who, Text: []byte(Format)})
 	return w
 }
 
-// clock never tells the same moment twice: what was stamped first came first.
-func (w *Writer) clock() int64 {
+// timestamp never tells the same moment twice: what was stamped first came first.
+func (w *Writer) timestamp() int64 {
 	for {
-		last := w.last.Load()
-		now := max(w.source(), last+1)
-		if w.last.CompareAndSwap(last, now) {
+		last := w.lastTimestamp.Load()
+		now := max(w.clock(), last+1)
+		if w.lastTimestamp.CompareAndSwap(last, now) {
 			return now
 		}
 	}
 }
 
-func (w *Writer) fail(err error) {
+func (w *Writer) recordError(err error) {
 	if w.err == nil && err != nil {
 		w.err = err
 	}
 }
 
-func (w *Writer) put(r Record) {
+func (w *Writer) writeRecord(r Record) {
 	if w == nil {
 		return
 	}
 	if r.At == 0 {
-		r.At = w.clock()
+		r.At = w.timestamp()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fail(w.enc.Encode(r))
+	w.recordError(w.encoder.Encode(r))
 }
 
 // Fact keeps something that the wire doesn't show.
@@ -199,12 +199,12 @@
 	if err != nil {
 		b = []byte(`"` + err.Error() + `"`)
 	}
-	w.put(Record{Kind: Fact, Name: name, Text: b})
+	w.writeRecord(Record{Kind: Fact, Name: name, Text: b})
 }
 
 // Verdict keeps the module's word on a call.
 func (w *Writer) Verdict(call, text string) {
-	w.put(Record{Kind: Verdict, Name: call, Text: []byte(text)})
+	w.writeRecord(Record{Kind: Verdict, Name: call, Text: []byte(text)})
 }
 
 // Close flushes and closes the file and returns the first error met.
@@ -218,8 +218,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fail(w.buf.Flush())
-	w.fail(w.file.Close())
+	w.recordError(w.buffer.Flush())
+	w.recordError(w.file.Close())
 	if w.err != nil {
 		return fmt.Errorf("capture: %w", w.err)
 	}
@@ -228,8 +228,8 @@
 
 // ConnRecorder is one end of one connection. A nil ConnRecorder keeps nothing.
 type ConnRecorder struct {
-	w    *Writer
-	conn uint64
+	writer     *Writer
+	connection uint64
 }
 
 // Open starts a connection; key is the same at both ends.
@@ -239,10 +239,10 @@
 	}
 	b, _ := json.Marshal(e) // a struct of plain values
 	w.mu.Lock()
-	w.conns++
-	t := &ConnRecorder{w, w.conns}
+	w.connections++
+	t := &ConnRecorder{w, w.connections}
 	w.mu.Unlock()
-	w.put(Record{Kind: Opened, Conn: t.conn, Name: key, Text: b})
+	w.writeRecord(Record{Kind: Opened, Conn: t.connection, Name: key, Text: b})
 	return t
 }
 
@@ -251,27 +251,27 @@
 	if t == nil {
 		return 0
 	}
-	return t.w.clock()
+	return t.writer.timestamp()
 }
 
 // Sent keeps a message that the system has taken.
 func (t *ConnRecorder) Sent(at int64, text []byte) {
 	if t != nil {
-		t.w.put(Record{At: at, Kind: Sent, Conn: t.conn, SendDuration: t.w.clock() - at, Text: text})
+		t.writer.writeRecord(Record{At: at, Kind: Sent, Conn: t.connection, SendDuration: t.writer.timestamp() - at, Text: text})
 	}
 }
 
 // Received keeps a message that was read.
 func (t *ConnRecorder) Received(text []byte) {
 	if t != nil {
-		t.w.put(Record{Kind: Received, Conn: t.conn, Text: text})
+		t.writer.writeRecord(Record{Kind: Received, Conn: t.connection, Text: text})
 	}
 }
 
 // Closed ends the connection.
 func (t *ConnRecorder) Closed(why string) {
 	if t != nil {
-		t.w.put(Record{Kind: Closed, Conn: t.conn, Text: []byte(why)})
+		t.writer.writeRecord(Record{Kind: Closed, Conn: t.connection, Text: []byte(why)})
 	}
 }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -15,23 +15,23 @@
 )
 
 type instance struct {
-	brain   *brain.Controller
-	classes map[string]int
-	widths  []int
+	controller      *brain.Controller
+	classIndex      map[string]int
+	circuitsByClass []int
 }
 
-type host struct {
+type server struct {
 	now       time.Duration
 	instances map[int]*instance
-	sheets    map[int][]brain.Exchange
-	out       *json.Encoder
+	lists     map[int][]brain.Exchange
+	encoder   *json.Encoder
 }
 
 // Run serves batches until the end of input. Its error is one plain line.
 func Run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := &host{instances: map[int]*instance{}, sheets: map[int][]brain.Exchange{}, out: json.NewEncoder(w)}
+	h := &server{instances: map[int]*instance{}, lists: map[int][]brain.Exchange{}, encoder: json.NewEncoder(w)}
 	open := false
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
@@ -63,7 +63,7 @@
 				return fmt.Errorf("line %d: End without Clock", n)
 			}
 			open = false
-			if err := h.out.Encode(wire.Action{Type: "Finished"}); err != nil {
+			if err := h.encoder.Encode(wire.Action{Type: "Finished"}); err != nil {
 				return err
 			}
 			if err := w.Flush(); err != nil {
@@ -74,21 +74,21 @@
 		if !open {
 			return fmt.Errorf("line %d: %s outside a batch", n, e.Type)
 		}
-		if err := h.event(e); err != nil {
+		if err := h.handleEvent(e); err != nil {
 			return fmt.Errorf("line %d: %s: %v", n, e.Type, err)
 		}
 	}
 }
 
-func (h *host) event(e *wire.Event) error {
+func (h *server) handleEvent(e *wire.Event) error {
 	if e.Type == "Ledger" {
-		rows, err := ledger(*e.ListEntries)
-		h.sheets[*e.ListNumber] = rows
+		rows, err := exchangeList(*e.ListEntries)
+		h.lists[*e.ListNumber] = rows
 		return err
 	}
 	id := *e.Controller
 	if e.Type == "Launch" {
-		inst, err := launch(*e.Seed, e.Settings)
+		inst, err := newInstance(*e.Seed, e.Settings)
 		h.instances[id] = inst
 		return err
 	}
@@ -100,19 +100,19 @@
 		delete(h.instances, id)
 		return nil
 	}
-	ev, err := h.translate(inst, e)
+	ev, err := h.moduleEvent(inst, e)
 	if err != nil || ev == nil {
 		return err
 	}
-	for _, a := range inst.brain.Handle(h.now, ev) {
-		if err := h.say(id, inst, a); err != nil {
+	for _, a := range inst.controller.Handle(h.now, ev) {
+		if err := h.writeAction(id, inst, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func ledger(rows []wire.ListEntry) ([]brain.Exchange, error) {
+func exchangeList(rows []wire.ListEntry) ([]brain.Exchange, error) {
 	states := map[string]brain.State{"IN": brain.In, "LAME": brain.Draining, "OUT": brain.Out}
 	var list []brain.Exchange
 	for i, r := range rows {
@@ -128,20 +128,20 @@
 	return list, nil
 }
 
-func launch(seed uint64, s *wire.Settings) (*instance, error) {
+func newInstance(seed uint64, s *wire.Settings) (*instance, error) {
 	b, err := s.Module(seed)
 	if err != nil {
 		return nil, fmt.Errorf("field settings: %w", err)
 	}
-	inst := &instance{brain: brain.New(b), classes: map[string]int{}}
+	inst := &instance{controller: brain.New(b), classIndex: map[string]int{}}
 	for i, c := range b.Classes {
-		inst.classes[c.Name] = i
-		inst.widths = append(inst.widths, c.Width)
+		inst.classIndex[c.Name] = i
+		inst.circuitsByClass = append(inst.circuitsByClass, c.Width)
 	}
 	return inst, nil
 }
 
-func (h *host) translate(inst *instance, e *wire.Event) (brain.Event, error) {
+func (h *server) moduleEvent(inst *instance, e *wire.Event) (brain.Event, error) {
 	switch e.Type {
 	case "Discovery":
 		if *e.UpdateKind == "unavailable" {
@@ -150,7 +150,7 @@
 		if e.ListNumber == nil {
 			return nil, errors.New("field sheet is missing")
 		}
-		rows, ok := h.sheets[*e.ListNumber]
+		rows, ok := h.lists[*e.ListNumber]
 		if !ok {
 			return nil, fmt.Errorf("field sheet: no list %d", *e.ListNumber)
 		}
@@ -160,12 +160,12 @@
 		}
 		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
-		class, ok := inst.classes[*e.Class]
+		class, ok := inst.classIndex[*e.Class]
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
 		c := brain.Call{ID: *e.CallID, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Destination),
-			Width: inst.widths[class], Through: -1, Transit: e.Transit, Repeat: e.Retry, Again: e.AfterCut}
+			Width: inst.circuitsByClass[class], Through: -1, Transit: e.Transit, Repeat: e.Retry, Again: e.AfterCut}
 		if e.CalledNumber != nil {
 			c.Number, c.Numbered = *e.CalledNumber, true
 		}
@@ -183,17 +183,17 @@
 	case "PeerData":
 		return brain.Peer{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Status == 200, Asked: span(e.Elapsed) > 0,
-			After: span(e.Elapsed), Report: report(e.Load)}, nil
+		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Status == 200, Asked: durationOf(e.Elapsed) > 0,
+			After: durationOf(e.Elapsed), Report: loadReport(e.Load)}, nil
 	case "Started":
-		return brain.Standing{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, After: span(e.Elapsed)}, nil
+		return brain.Standing{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, After: durationOf(e.Elapsed)}, nil
 	case "Reply":
-		oc, ok := outcomes[*e.Status]
+		oc, ok := outcomesByStatus[*e.Status]
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
 		ended := brain.Ended{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, Outcome: oc,
-			After: span(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: report(e.Load)}
+			After: durationOf(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: loadReport(e.Load)}
 		if e.Note > 16 && e.Note%16 == int(brain.ProcFull) {
 			ended.Note, ended.Wait = brain.ProcFull, time.Duration(e.Note/16)*time.Millisecond
 		}
@@ -202,17 +202,17 @@
 	return nil, nil
 }
 
-var outcomes = map[int]brain.Outcome{200: brain.OK, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
+var outcomesByStatus = map[int]brain.Outcome{200: brain.OK, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
 	502: brain.NoConnect, 598: brain.Reset, 499: brain.Cancelled, 410: brain.Moot}
 
-func span(ns *int64) time.Duration {
+func durationOf(ns *int64) time.Duration {
 	if ns == nil {
 		return 0
 	}
 	return time.Duration(*ns)
 }
 
-func report(l wire.LoadReport) brain.Report {
+func loadReport(l wire.LoadReport) brain.Report {
 	var r brain.Report
 	free, okFree := l.Get("idle")
 	size, okSize := l.Get("circuits")
@@ -221,7 +221,7 @@
 	return r
 }
 
-func (h *host) say(id int, inst *instance, a brain.Action) error {
+func (h *server) writeAction(id int, inst *instance, a brain.Action) error {
 	w := wire.Action{Controller: &id}
 	switch a := a.(type) {
 	case brain.Send:
@@ -245,5 +245,5 @@
 	default:
 		return fmt.Errorf("no wire form for %T", a)
 	}
-	return h.out.Encode(w)
+	return h.encoder.Encode(w)
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -8,25 +8,25 @@
 	"testing"
 )
 
-const launch1 = `{"what":"Launch","controller":1,"entropy":9,"unknown":1,"settings":{"balancers":3,"me":1,"quantum_ns":5000000,"new_key":{"a":[1]},` +
+const launchMessage = `{"what":"Launch","controller":1,"entropy":9,"unknown":1,"settings":{"balancers":3,"me":1,"quantum_ns":5000000,"new_key":{"a":[1]},` +
 	`"domain":{"call_length_ns":[10000000000],"circuits_by_class":[1],"release_ns":300000000,"self_no":0,"shape":"network"},` +
 	`"policy_limits":{"attempts_cap":4,"max_retry_after_ns":2000000000,"retry_after":true},` +
 	`"profiles":[{"name":"plain","worth":1,"late_worth":0.1,"objective_ns":1500000000,"give_up_ns":9000000000}],` +
 	`"rules":{"cold_from":0.3,"cold_ns":13000000000,"overload_factor":2,"overload_for_ns":2000000000}}}`
 
-const list1 = `{"what":"Ledger","sheet":0,"rows":[{"exchange":7,"cell":0,"stage_state":"IN"},{"exchange":8,"cell":1,"stage_state":"IN"}]}
+const listMessages = `{"what":"Ledger","sheet":0,"rows":[{"exchange":7,"cell":0,"stage_state":"IN"},{"exchange":8,"cell":1,"stage_state":"IN"}]}
 {"what":"Discovery","controller":1,"how":"restored","seq_no":1,"sheet":0}
 {"what":"ProbeResult","controller":1,"exchange":8,"reason":200,"cost_time_ns":0,"load":{"idle":5,"circuits":9,"novel":-1}}`
 
-func ask(job string) string {
+func callMessage(job string) string {
 	return `{"what":"Ask","controller":1,"job":"` + job + `","priority":"plain","object":5,"time_left_ns":3000000000,"dest":1,"slots_needed":1,"through":-1}`
 }
 
-func batch(at int, lines ...string) string {
+func batchMessages(at int, lines ...string) string {
 	return fmt.Sprintf("{\"what\":\"Clock\",\"at_time_ns\":%d}\n", at) + strings.Join(append(lines, `{"what":"End"}`), "\n") + "\n"
 }
 
-func run(t *testing.T, in string) (string, error) {
+func runHost(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := Run(strings.NewReader(in), &out)
@@ -39,12 +39,12 @@
 }
 
 func TestCallIsSentAndEnds(t *testing.T) {
-	in := batch(0) + batch(1e9, launch1, list1) + batch(2e9, ask("a")) +
-		batch(3e9, `{"what":"Started","controller":1,"job":"a","trial":0,"exchange":8,"cost_time_ns":100}`) +
-		batch(4e9, `{"what":"Reply","controller":1,"job":"a","trial":0,"exchange":8,"reason":200,"cost_time_ns":100,"final":true}`,
+	in := batchMessages(0) + batchMessages(1e9, launchMessage, listMessages) + batchMessages(2e9, callMessage("a")) +
+		batchMessages(3e9, `{"what":"Started","controller":1,"job":"a","trial":0,"exchange":8,"cost_time_ns":100}`) +
+		batchMessages(4e9, `{"what":"Reply","controller":1,"job":"a","trial":0,"exchange":8,"reason":200,"cost_time_ns":100,"final":true}`,
 			`{"what":"Hangup","controller":1,"job":"a"}`) +
-		batch(5e9, `{"what":"Killed","controller":1}`, launch1, list1, ask("b"))
-	out, err := run(t, in)
+		batchMessages(5e9, `{"what":"Killed","controller":1}`, launchMessage, listMessages, callMessage("b"))
+	out, err := runHost(t, in)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,29 +59,29 @@
 func TestListNumberIsReusedInOrder(t *testing.T) {
 	second := `{"what":"Ledger","sheet":0,"rows":[{"exchange":8,"cell":1,"stage_state":"LAME"}]}
 {"what":"Discovery","controller":1,"how":"update","seq_no":2,"sheet":0}`
-	out, err := run(t, batch(1e9, launch1, list1, second, ask("a")))
+	out, err := runHost(t, batchMessages(1e9, launchMessage, listMessages, second, callMessage("a")))
 	if err != nil || strings.Contains(out, `"Send"`) {
 		t.Fatalf("a draining exchange was sent to: %v\n%s", err, out)
 	}
 }
 
 func TestBadInput(t *testing.T) {
-	ok := func(l string) string { return batch(1e9, launch1, list1, l) }
+	ok := func(l string) string { return batchMessages(1e9, launchMessage, listMessages, l) }
 	for name, c := range map[string]struct{ in, want string }{
 		"malformed":        {ok(`{"what":"Ask"`), "not a message"},
 		"unknown event":    {ok(`{"what":"Dance","controller":1}`), `unknown event "Dance"`},
 		"missing field":    {ok(`{"what":"Ask","controller":1,"priority":"plain","time_left_ns":1,"dest":1}`), "Ask: field job is missing"},
 		"wrong type":       {ok(`{"what":"Bell","controller":1,"nonce":"x"}`), "Bell: field nonce"},
 		"unknown instance": {ok(`{"what":"Bell","controller":4,"nonce":1}`), "Bell: field controller: no instance 4"},
-		"unknown class":    {ok(strings.Replace(ask("a"), "plain", "odd", 1)), `Ask: field priority: unknown class "odd"`},
+		"unknown class":    {ok(strings.Replace(callMessage("a"), "plain", "odd", 1)), `Ask: field priority: unknown class "odd"`},
 		"unknown list":     {ok(`{"what":"Discovery","controller":1,"how":"update","sheet":9}`), "Discovery: field sheet: no list 9"},
-		"no classes":       {batch(1, strings.Replace(launch1, `"profiles":[`, `"profiles":[],"x":[`, 1)), "no classes"},
-		"negative time":    {batch(1, strings.Replace(launch1, `"release_ns":3`, `"release_ns":-3`, 1)), "release_ns is negative"},
-		"outside a batch":  {launch1 + "\n", "Launch outside a batch"},
+		"no classes":       {batchMessages(1, strings.Replace(launchMessage, `"profiles":[`, `"profiles":[],"x":[`, 1)), "no classes"},
+		"negative time":    {batchMessages(1, strings.Replace(launchMessage, `"release_ns":3`, `"release_ns":-3`, 1)), "release_ns is negative"},
+		"outside a batch":  {launchMessage + "\n", "Launch outside a batch"},
 		"cut short":        {`{"what":"Clock","at_time_ns":1}` + "\n", "input ends within a batch"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := run(t, c.in)
+			_, err := runHost(t, c.in)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Fatalf("got %v, want one line with %q", err, c.want)
 			}
@@ -90,13 +90,13 @@
 }
 
 func TestOddButLegal(t *testing.T) {
-	in := batch(0) + batch(1e9, launch1) + // no exchange known
-		batch(2e9, ask("lonely"), `{"what":"Hangup","controller":1,"job":"never"}`,
+	in := batchMessages(0) + batchMessages(1e9, launchMessage) + // no exchange known
+		batchMessages(2e9, callMessage("lonely"), `{"what":"Hangup","controller":1,"job":"never"}`,
 			`{"what":"Reply","controller":1,"job":"never","trial":3,"exchange":99,"reason":503}`) +
-		batch(3e9, list1, `{"what":"ProbeResult","controller":1,"exchange":8,"reason":200,"load":{"idle":0,"circuits":0}}`,
-			strings.Replace(ask("late"), "3000000000", "0", 1)) +
-		batch(9e9, `{"what":"Bell","controller":1,"nonce":77}`)
-	out, err := run(t, in)
+		batchMessages(3e9, listMessages, `{"what":"ProbeResult","controller":1,"exchange":8,"reason":200,"load":{"idle":0,"circuits":0}}`,
+			strings.Replace(callMessage("late"), "3000000000", "0", 1)) +
+		batchMessages(9e9, `{"what":"Bell","controller":1,"nonce":77}`)
+	out, err := runHost(t, in)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -35,20 +35,20 @@
 	return strings.Join(lines, "\n")
 }
 
-// node is one element with its place.
-type node struct {
-	name  string
-	line  int
-	attrs []xml.Attr
-	kids  []*node
-	text  bool // holds words
+// element is one element with its place.
+type element struct {
+	name     string
+	line     int
+	attrs    []xml.Attr
+	children []*element
+	hasText  bool // holds words
 }
 
-// parse reads the elements of a document.
-func parse(file string, r io.Reader) (*node, error) {
+// parseDocument reads the elements of a document.
+func parseDocument(file string, r io.Reader) (*element, error) {
 	d := xml.NewDecoder(r)
-	var root *node
-	var stack []*node
+	var root *element
+	var stack []*element
 	for {
 		t, err := d.Token()
 		if errors.Is(err, io.EOF) {
@@ -64,10 +64,10 @@
 			if len(stack) > 64 {
 				return nil, ValidationErrors{{file, line, t.Name.Local, "elements nest too deeply"}}
 			}
-			n := &node{name: t.Name.Local, line: line, attrs: t.Copy().Attr}
+			n := &element{name: t.Name.Local, line: line, attrs: t.Copy().Attr}
 			if len(stack) > 0 {
 				top := stack[len(stack)-1]
-				top.kids = append(top.kids, n)
+				top.children = append(top.children, n)
 			} else {
 				root = n
 			}
@@ -76,7 +76,7 @@
 			stack = stack[:len(stack)-1]
 		case xml.CharData:
 			if len(stack) > 0 && strings.TrimSpace(string(t)) != "" {
-				stack[len(stack)-1].text = true
+				stack[len(stack)-1].hasText = true
 			}
 		}
 	}
@@ -86,28 +86,28 @@
 	return root, nil
 }
 
-// reader fills structs from elements and collects the faults. Scalars are
+// decoder fills structs from elements and collects the faults. Scalars are
 // attributes, structs and slices of structs elements, by their xml tags; a field
 // without ",omitempty" must be there.
-type reader struct {
+type decoder struct {
 	file   string
-	faults ValidationErrors
+	errors ValidationErrors
 	lines  map[any]int // where each element stood, by the address of its struct
 }
 
-func (r *reader) fault(n *node, path, what string) {
-	r.faults = append(r.faults, ValidationError{r.file, n.line, path, what})
+func (r *decoder) addError(n *element, path, what string) {
+	r.errors = append(r.errors, ValidationError{r.file, n.line, path, what})
 }
 
-func (r *reader) fill(n *node, path string, v reflect.Value) {
+func (r *decoder) decodeElement(n *element, path string, v reflect.Value) {
 	r.lines[v.Addr().Interface()] = n.line
-	if n.text {
-		r.fault(n, path, "holds words; only attributes and elements are read")
+	if n.hasText {
+		r.addError(n, path, "holds words; only attributes and elements are read")
 	}
 	attrs, elems := map[string]int{}, map[string]int{}
 	t := v.Type()
 	for i := range t.NumField() {
-		name, isAttr, _ := tag(t.Field(i))
+		name, isAttr, _ := parseTag(t.Field(i))
 		switch {
 		case name == "":
 		case isAttr:
@@ -124,30 +124,30 @@
 		}
 		i, ok := attrs[name]
 		if !ok {
-			r.fault(n, path+"/@"+name, "unknown attribute")
+			r.addError(n, path+"/@"+name, "unknown attribute")
 			continue
 		}
 		seen["@"+name] = true
-		if err := scalar(v.Field(i), a.Value); err != nil {
-			r.fault(n, path+"/@"+name, err.Error())
+		if err := setScalar(v.Field(i), a.Value); err != nil {
+			r.addError(n, path+"/@"+name, err.Error())
 		}
 	}
-	for _, kid := range n.kids {
+	for _, kid := range n.children {
 		i, ok := elems[kid.name]
 		if !ok {
-			r.fault(kid, path+"/"+kid.name, "unknown element")
+			r.addError(kid, path+"/"+kid.name, "unknown element")
 			continue
 		}
 		f := v.Field(i)
 		if f.Kind() == reflect.Slice {
 			item := reflect.New(f.Type().Elem())
-			r.fill(kid, path+"/"+kid.name, item.Elem())
+			r.decodeElement(kid, path+"/"+kid.name, item.Elem())
 			f.Set(reflect.Append(f, item.Elem()))
 			places[i] = append(places[i], kid.line)
 		} else if seen[kid.name] {
-			r.fault(kid, path+"/"+kid.name, "stands twice")
+			r.addError(kid, path+"/"+kid.name, "stands twice")
 		} else {
-			r.fill(kid, path+"/"+kid.name, f)
+			r.decodeElement(kid, path+"/"+kid.name, f)
 		}
 		seen[kid.name] = true
 	}
@@ -157,20 +157,20 @@
 		}
 	}
 	for i := range t.NumField() {
-		name, isAttr, optional := tag(t.Field(i))
+		name, isAttr, optional := parseTag(t.Field(i))
 		if name == "" || optional {
 			continue
 		}
 		if isAttr && !seen["@"+name] {
-			r.fault(n, path+"/@"+name, "is missing")
+			r.addError(n, path+"/@"+name, "is missing")
 		} else if !isAttr && !seen[name] {
-			r.fault(n, path+"/"+name, "is missing")
+			r.addError(n, path+"/"+name, "is missing")
 		}
 	}
 }
 
-// tag reads a field's xml tag.
-func tag(f reflect.StructField) (name string, attr, optional bool) {
+// parseTag reads a field's xml parseTag.
+func parseTag(f reflect.StructField) (name string, attr, optional bool) {
 	name, rest, _ := strings.Cut(f.Tag.Get("xml"), ",")
 	if name == "-" {
 		name = ""
@@ -178,11 +178,11 @@
 	return name, strings.Contains(rest, "attr"), strings.Contains(rest, "omitempty")
 }
 
-var span = reflect.TypeFor[time.Duration]()
+var durationType = reflect.TypeFor[time.Duration]()
 
-func scalar(f reflect.Value, s string) error {
+func setScalar(f reflect.Value, s string) error {
 	switch {
-	case f.Type() == span:
+	case f.Type() == durationType:
 		d, err := time.ParseDuration(s)
 		if err != nil {
 			return fmt.Errorf("%q is no duration such as 300ms or 4.5s", s)
@@ -223,14 +223,14 @@
 	return nil
 }
 
-// rootOf tells the name of a document's root element.
-func rootOf(path string) (string, error) {
+// rootElementName tells the name of a document's root element.
+func rootElementName(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", fmt.Errorf("reading settings: %w", err)
 	}
 	defer f.Close()
-	n, err := parse(path, f)
+	n, err := parseDocument(path, f)
 	if err != nil {
 		return "", err
 	}
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -92,14 +92,14 @@
 }
 
 // Kind of trouble and what its size means.
-type kind struct {
-	name, size  string
-	least, most float64
-	long        bool // lasts
+type troubleKind struct {
+	name, sizeMeaning string
+	minSize, maxSize  float64
+	hasDuration       bool // lasts
 }
 
 // Kinds lists the troubles. docs/operators/demo.md tells of each.
-var kinds = []kind{
+var troubleKinds = []troubleKind{
 	{"burst", "calls become so many times the usual", 1, 10, true},
 	{"flood", "share of all calls that goes to one controller", 0.01, 0.9, true},
 	{"hot-number", "share of all calls that goes to one number", 0.01, 0.9, true},
@@ -122,18 +122,18 @@
 	{"list-away", "", 0, 1, true},
 }
 
-func (r *reader) trouble(t *Trouble, length time.Duration) {
-	i := slices.IndexFunc(kinds, func(k kind) bool { return k.name == t.Kind })
+func (r *decoder) checkTrouble(t *Trouble, length time.Duration) {
+	i := slices.IndexFunc(troubleKinds, func(k troubleKind) bool { return k.name == t.Kind })
 	if i < 0 {
-		r.check(t, false, "trouble["+t.Kind+"]@kind", "is not a kind of trouble")
+		r.require(t, false, "trouble["+t.Kind+"]@kind", "is not a kind of trouble")
 		return
 	}
-	k, at := kinds[i], fmt.Sprintf("trouble[%s at %v]", t.Kind, t.At)
-	r.check(t, t.At >= 0 && t.At < length, at+"@at", "is not within the day")
-	r.check(t, t.Duration >= 0, at+"@for", "is negative")
-	r.check(t, !k.long || t.Duration > 0, at+"@for", "must be above 0")
-	r.check(t, k.size == "" || t.Size >= k.least && t.Size <= k.most, at+"@size",
-		fmt.Sprintf("(%s) must be from %g to %g", k.size, k.least, k.most))
+	k, at := troubleKinds[i], fmt.Sprintf("trouble[%s at %v]", t.Kind, t.At)
+	r.require(t, t.At >= 0 && t.At < length, at+"@at", "is not within the day")
+	r.require(t, t.Duration >= 0, at+"@for", "is negative")
+	r.require(t, !k.hasDuration || t.Duration > 0, at+"@for", "must be above 0")
+	r.require(t, k.sizeMeaning == "" || t.Size >= k.minSize && t.Size <= k.maxSize, at+"@size",
+		fmt.Sprintf("(%s) must be from %g to %g", k.sizeMeaning, k.minSize, k.maxSize))
 }
 
 // ReadScenario reads a scenario's file.
@@ -143,64 +143,64 @@
 	if err != nil {
 		return nil, err
 	}
-	return s, r.scenario(s)
+	return s, r.checkScenario(s)
 }
 
 // ParseScenario reads a scenario from a stream.
 func ParseScenario(name string, in io.Reader) (*Scenario, error) {
 	s := &Scenario{}
-	r, err := read(name, in, "scenario", s)
+	r, err := readDocument(name, in, "scenario", s)
 	if err != nil {
 		return nil, err
 	}
-	return s, r.scenario(s)
+	return s, r.checkScenario(s)
 }
 
-func (r *reader) scenario(s *Scenario) error {
-	r.check(s, s.Length >= time.Second && s.Length <= time.Hour, "@length", "must be from 1s to 1h")
-	r.classes(s.Classes)
-	r.rules(&s.Rules)
+func (r *decoder) checkScenario(s *Scenario) error {
+	r.require(s, s.Length >= time.Second && s.Length <= time.Hour, "@length", "must be from 1s to 1h")
+	r.checkClasses(s.Classes)
+	r.checkRules(&s.Rules)
 	share := 0.0
 	for _, c := range s.Classes {
 		share += c.Share
 	}
-	r.check(s, share > 0, "class@share", "no class has a share of the calls")
+	r.require(s, share > 0, "class@share", "no class has a share of the calls")
 	f := &s.Fleet
-	r.check(f, f.Exchanges >= 3 && f.Exchanges <= 1000, "fleet@exchanges", "must be from 3 to 1000")
-	r.check(f, f.Regions >= 1 && f.Regions <= f.Exchanges, "fleet@regions", "must be from 1 to the exchanges")
-	r.check(f, f.IntraRegionDelay >= 0 && f.InterRegionDelay >= 0, "fleet@near", "delays can't be negative")
-	r.check(f, f.ErlangPerExchange > 0 && f.ErlangPerExchange <= 10000, "fleet@erlang", "must be above 0, 10000 at the most")
+	r.require(f, f.Exchanges >= 3 && f.Exchanges <= 1000, "fleet@exchanges", "must be from 3 to 1000")
+	r.require(f, f.Regions >= 1 && f.Regions <= f.Exchanges, "fleet@regions", "must be from 1 to the exchanges")
+	r.require(f, f.IntraRegionDelay >= 0 && f.InterRegionDelay >= 0, "fleet@near", "delays can't be negative")
+	r.require(f, f.ErlangPerExchange > 0 && f.ErlangPerExchange <= 10000, "fleet@erlang", "must be above 0, 10000 at the most")
 	for name, v := range map[string]float64{"spread": f.PairVariation, "missed": f.ForecastError, "spare": f.SpareFactor} {
-		r.check(f, v >= 0 && v <= 10, "fleet@"+name, "must be from 0 to 10")
+		r.require(f, v >= 0 && v <= 10, "fleet@"+name, "must be from 0 to 10")
 	}
-	r.check(f, f.UnlinkedShare >= 0 && f.UnlinkedShare <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
-	r.check(f, f.DriftPeriod >= 0, "fleet@drift", "is negative")
+	r.require(f, f.UnlinkedShare >= 0 && f.UnlinkedShare <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
+	r.require(f, f.DriftPeriod >= 0, "fleet@drift", "is negative")
 	p := &s.Processor
-	r.check(p, p.Utilization > 0 && p.Utilization < 2, "processor@use", "must be above 0 and below 2")
-	r.check(p, p.MaxQueueWait > 0, "processor@queue", "must be above 0")
+	r.require(p, p.Utilization > 0 && p.Utilization < 2, "processor@use", "must be above 0 and below 2")
+	r.require(p, p.MaxQueueWait > 0, "processor@queue", "must be above 0")
 	for name, v := range map[string]float64{"look": p.ExamineWork, "reject": p.RejectWork, "follow": p.FollowUpWork, "repeat": p.ResendWork} {
-		r.check(p, v >= 0 && v <= 10, "processor@"+name, "must be from 0 to 10")
+		r.require(p, v >= 0 && v <= 10, "processor@"+name, "must be from 0 to 10")
 	}
-	r.check(p, p.ResendAfter >= 0, "processor@resend", "is negative")
-	r.check(&s.Load, s.Load.Level > 0 && s.Load.Level <= 10, "load@level", "must be above 0, 10 at the most")
-	r.check(&s.Load, s.Load.Swing >= 0 && s.Load.Swing < 1, "load@swing", "must be from 0, below 1")
+	r.require(p, p.ResendAfter >= 0, "processor@resend", "is negative")
+	r.require(&s.Load, s.Load.Level > 0 && s.Load.Level <= 10, "load@level", "must be above 0, 10 at the most")
+	r.require(&s.Load, s.Load.Swing >= 0 && s.Load.Swing < 1, "load@swing", "must be from 0, below 1")
 	c := &s.Callers
-	r.check(c, c.Connections > 0 && c.Connections <= 100, "callers@connections", "must be from 1 to 100")
-	r.check(c, c.MaxRedials >= 0 && c.MaxRedials <= 20, "callers@redials", "must be from 0 to 20")
-	r.check(c, c.MeanRedialDelay > 0, "callers@redial-after", "must be above 0")
-	r.check(c, c.AttemptShare > 0 && c.AttemptShare <= 1, "callers@try-share", "must be above 0, 1 at the most")
-	r.check(c, c.ImpatientShare >= 0 && c.ImpatientShare <= 1, "callers@impatient", "must be from 0 to 1")
-	r.check(c, c.HonourShare >= 0 && c.HonourShare <= 1, "callers@honour", "must be from 0 to 1")
-	r.check(&s.List, s.List.MeanDelay >= 0 && s.List.AdviceAge >= 0, "list@notice", "is negative")
+	r.require(c, c.Connections > 0 && c.Connections <= 100, "callers@connections", "must be from 1 to 100")
+	r.require(c, c.MaxRedials >= 0 && c.MaxRedials <= 20, "callers@redials", "must be from 0 to 20")
+	r.require(c, c.MeanRedialDelay > 0, "callers@redial-after", "must be above 0")
+	r.require(c, c.AttemptShare > 0 && c.AttemptShare <= 1, "callers@try-share", "must be above 0, 1 at the most")
+	r.require(c, c.ImpatientShare >= 0 && c.ImpatientShare <= 1, "callers@impatient", "must be from 0 to 1")
+	r.require(c, c.HonourShare >= 0 && c.HonourShare <= 1, "callers@honour", "must be from 0 to 1")
+	r.require(&s.List, s.List.MeanDelay >= 0 && s.List.AdviceAge >= 0, "list@notice", "is negative")
 	for i := range s.Troubles {
-		r.trouble(&s.Troubles[i], s.Length)
+		r.checkTrouble(&s.Troubles[i], s.Length)
 	}
-	return r.err()
+	return r.validationError()
 }
 
 // Check reads a file of either kind and returns all that is wrong with it.
 func Check(path string) error {
-	n, err := rootOf(path)
+	n, err := rootElementName(path)
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	start := xml.StartElement{Name: xml.Name{Local: name}}
 	t := v.Type()
 	for i := range t.NumField() {
-		name, isAttr, optional := tag(t.Field(i))
+		name, isAttr, optional := parseTag(t.Field(i))
 		if f := v.Field(i); isAttr && !(optional && f.IsZero()) {
 			start.Attr = append(start.Attr, xml.Attr{Name: xml.Name{Local: name}, Value: fmt.Sprint(f.Interface())})
 		}
@@ -241,7 +241,7 @@
 		return err
 	}
 	for i := range t.NumField() {
-		name, isAttr, optional := tag(t.Field(i))
+		name, isAttr, optional := parseTag(t.Field(i))
 		f := v.Field(i)
 		if isAttr || name == "" || optional && f.IsZero() {
 			continue
--- a/internal/settings/schema_test.go
+++ b/internal/settings/schema_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write dahliaspindle.xsd from the types")
+var updateSchema = flag.Bool("update", false, "write dahliaspindle.xsd from the types")
 
-// enums are the attributes that take one of some words.
-var enums = map[string][]string{"Controller.policy": Policies, "Log.format": {"text", "json"},
+// enumValues are the attributes that take one of some words.
+var enumValues = map[string][]string{"Controller.policy": Policies, "Log.format": {"text", "json"},
 	"Log.level": {"debug", "info", "warn", "error"}, "Flows.mode": FlowModes, "Collector.transport": Transports,
 	"Collector.protocol": FlowProtocols}
 
-// schemaOf writes the XSD that the Go types stand for.
-func schemaOf() string {
-	for _, k := range kinds {
-		enums["Trouble.kind"] = append(enums["Trouble.kind"], k.name)
+// generateSchema writes the XSD that the Go types stand for.
+func generateSchema() string {
+	for _, k := range troubleKinds {
+		enumValues["Trouble.kind"] = append(enumValues["Trouble.kind"], k.name)
 	}
 	var b strings.Builder
 	b.WriteString(`<?xml version="1.0" encoding="UTF-8"?>
@@ -44,7 +44,7 @@
 		elems, attrs := "", ""
 		for i := range t.NumField() {
 			f := t.Field(i)
-			name, attr, optional := tag(f)
+			name, attr, optional := parseTag(f)
 			if !attr {
 				ft, most := f.Type, "1"
 				if ft.Kind() == reflect.Slice {
@@ -62,7 +62,7 @@
 			if optional {
 				use = "optional"
 			}
-			if words := enums[t.Name()+"."+name]; words != nil {
+			if words := enumValues[t.Name()+"."+name]; words != nil {
 				attrs += fmt.Sprintf("    <xs:attribute name=\"%s\" use=\"%s\">\n      <xs:simpleType>\n        <xs:restriction base=\"xs:string\">\n", name, use)
 				for _, w := range words {
 					attrs += fmt.Sprintf("          <xs:enumeration value=\"%s\"/>\n", w)
@@ -72,7 +72,7 @@
 			}
 			typ := map[reflect.Kind]string{reflect.Int: "xs:integer", reflect.Uint64: "xs:nonNegativeInteger",
 				reflect.Int64: "xs:integer", reflect.Float64: "xs:double", reflect.String: "xs:string", reflect.Bool: "xs:boolean"}[f.Type.Kind()]
-			if f.Type == span {
+			if f.Type == durationType {
 				typ = "duration"
 			}
 			attrs += fmt.Sprintf("    <xs:attribute name=\"%s\" type=\"%s\" use=\"%s\"/>\n", name, typ, use)
@@ -92,8 +92,8 @@
 }
 
 func TestSchemaIsThatOfTheTypes(t *testing.T) {
-	want := schemaOf()
-	if *update {
+	want := generateSchema()
+	if *updateSchema {
 		if err := os.WriteFile("dahliaspindle.xsd", []byte(want), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,7 +135,7 @@
 	ServerName string `xml:"name,attr,omitempty"` // in the collector's certificate; else the address's host
 }
 
-func def[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
@@ -144,37 +144,37 @@
 
 // SetDefaults fills in what a file leaves open.
 func (c *Controller) SetDefaults() {
-	def(&c.Limits.Calls, 200000)
-	def(&c.Limits.TransactionsPerPeer, 10000)
-	def(&c.Limits.Connections, 1000)
-	def(&c.Limits.Exchanges, 4096)
-	def(&c.Limits.Inbox, 16384)
-	def(&c.Limits.Outbox, 16384)
-	def(&c.Limits.LineBytes, 1024)
-	def(&c.Limits.MessageBytes, 16<<10)
-	def(&c.Limits.UnreadableMessages, 100)
-	def(&c.Limits.ShutdownGrace, 2*time.Second)
-	def(&c.Limits.MeasurementPeriod, 15*time.Minute)
-	def(&c.Peers.ConnectWait, 300*time.Millisecond)
-	def(&c.Peers.DialTimeout, time.Second)
-	def(&c.Peers.WriteTimeout, 2*time.Second)
-	def(&c.Peers.ProbeAfter, time.Second)
-	def(&c.Peers.LostAfter, 3*time.Second)
-	def(&c.Peers.MinRetryDelay, 50*time.Millisecond)
-	def(&c.Peers.MaxRetryDelay, 2*time.Second)
-	def(&c.Peers.ReleaseRetryAfter, time.Second)
-	def(&c.Peers.MaxReleaseAttempts, 4)
-	def(&c.Log.Format, "text")
-	def(&c.Log.Level, "info")
-	def(&c.Policy, "brain")
-	def(&c.Flows.Mode, "failover")
-	def(&c.Flows.MaxSpoolBytes, 256<<20)
-	def(&c.Flows.MaxSpoolAge, 72*time.Hour)
+	setDefault(&c.Limits.Calls, 200000)
+	setDefault(&c.Limits.TransactionsPerPeer, 10000)
+	setDefault(&c.Limits.Connections, 1000)
+	setDefault(&c.Limits.Exchanges, 4096)
+	setDefault(&c.Limits.Inbox, 16384)
+	setDefault(&c.Limits.Outbox, 16384)
+	setDefault(&c.Limits.LineBytes, 1024)
+	setDefault(&c.Limits.MessageBytes, 16<<10)
+	setDefault(&c.Limits.UnreadableMessages, 100)
+	setDefault(&c.Limits.ShutdownGrace, 2*time.Second)
+	setDefault(&c.Limits.MeasurementPeriod, 15*time.Minute)
+	setDefault(&c.Peers.ConnectWait, 300*time.Millisecond)
+	setDefault(&c.Peers.DialTimeout, time.Second)
+	setDefault(&c.Peers.WriteTimeout, 2*time.Second)
+	setDefault(&c.Peers.ProbeAfter, time.Second)
+	setDefault(&c.Peers.LostAfter, 3*time.Second)
+	setDefault(&c.Peers.MinRetryDelay, 50*time.Millisecond)
+	setDefault(&c.Peers.MaxRetryDelay, 2*time.Second)
+	setDefault(&c.Peers.ReleaseRetryAfter, time.Second)
+	setDefault(&c.Peers.MaxReleaseAttempts, 4)
+	setDefault(&c.Log.Format, "text")
+	setDefault(&c.Log.Level, "info")
+	setDefault(&c.Policy, "brain")
+	setDefault(&c.Flows.Mode, "failover")
+	setDefault(&c.Flows.MaxSpoolBytes, 256<<20)
+	setDefault(&c.Flows.MaxSpoolAge, 72*time.Hour)
 	for i := range c.Flows.Collectors {
 		f := &c.Flows.Collectors[i]
-		def(&f.Transport, "tcp")
-		def(&f.Protocol, "ipfix")
-		def(&f.MTU, 1400)
+		setDefault(&f.Transport, "tcp")
+		setDefault(&f.Protocol, "ipfix")
+		setDefault(&f.MTU, 1400)
 	}
 }
 
@@ -189,48 +189,48 @@
 		return nil, err
 	}
 	c.SetDefaults()
-	r.check(c, c.Self >= 0, "@self", "is negative")
-	r.check(c, c.Number >= 0 && c.Number < c.Controllers, "@number", "is not below controllers")
-	r.check(c, c.Listen != "", "@listen", "is empty")
-	r.check(c, c.ListAddress != "", "@list", "is empty")
-	r.check(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("is none of %v", Policies))
-	r.classes(c.Classes)
-	r.rules(&c.Rules)
+	r.require(c, c.Self >= 0, "@self", "is negative")
+	r.require(c, c.Number >= 0 && c.Number < c.Controllers, "@number", "is not below controllers")
+	r.require(c, c.Listen != "", "@listen", "is empty")
+	r.require(c, c.ListAddress != "", "@list", "is empty")
+	r.require(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("is none of %v", Policies))
+	r.checkClasses(c.Classes)
+	r.checkRules(&c.Rules)
 	for name, v := range map[string]int{"calls": c.Limits.Calls, "per-peer": c.Limits.TransactionsPerPeer, "connections": c.Limits.Connections,
 		"exchanges": c.Limits.Exchanges, "inbox": c.Limits.Inbox, "outbox": c.Limits.Outbox, "line": c.Limits.LineBytes,
 		"block": c.Limits.MessageBytes, "faults": c.Limits.UnreadableMessages} {
-		r.check(&c.Limits, v > 0, "@"+name, "must be above 0")
+		r.require(&c.Limits, v > 0, "@"+name, "must be above 0")
 	}
-	r.check(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be above 0")
-	r.check(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox hold 16 at the least")
+	r.require(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be above 0")
+	r.require(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox hold 16 at the least")
 	p := &c.Peers
 	for name, d := range map[string]time.Duration{"connect": p.ConnectWait, "dial": p.DialTimeout, "write": p.WriteTimeout, "sign-after": p.ProbeAfter,
 		"lost-after": p.LostAfter, "retry-from": p.MinRetryDelay, "retry-most": p.MaxRetryDelay, "release": p.ReleaseRetryAfter} {
-		r.check(p, d > 0, "@"+name, "must be above 0")
+		r.require(p, d > 0, "@"+name, "must be above 0")
 	}
-	r.check(p, p.LostAfter > p.ProbeAfter, "@lost-after", "must be above sign-after")
-	r.check(p, p.MaxReleaseAttempts > 0, "@releases", "must be above 0")
-	r.check(&c.Log, slices.Contains([]string{"text", "json"}, c.Log.Format), "@format", "is neither text nor json")
-	r.check(&c.Log, slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "@level", "is none of debug, info, warn, error")
-	r.flows(&c.Flows)
-	return c, r.err()
+	r.require(p, p.LostAfter > p.ProbeAfter, "@lost-after", "must be above sign-after")
+	r.require(p, p.MaxReleaseAttempts > 0, "@releases", "must be above 0")
+	r.require(&c.Log, slices.Contains([]string{"text", "json"}, c.Log.Format), "@format", "is neither text nor json")
+	r.require(&c.Log, slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "@level", "is none of debug, info, warn, error")
+	r.checkFlows(&c.Flows)
+	return c, r.validationError()
 }
 
-func (r *reader) flows(f *Flows) {
-	r.check(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("is none of %v", FlowModes))
+func (r *decoder) checkFlows(f *Flows) {
+	r.require(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("is none of %v", FlowModes))
 	for name, v := range map[string]float64{"interim": float64(f.InterimInterval), "interval": float64(f.SummaryInterval), "confirm": float64(f.ConfirmAfter),
 		"queue": float64(f.QueueCapacity), "ring": float64(f.RingCapacity), "replay": f.ReplayRate, "spool-most": float64(f.MaxSpoolBytes), "spool-age": float64(f.MaxSpoolAge)} {
-		r.check(f, v >= 0, "flows@"+name, "is negative")
+		r.require(f, v >= 0, "flows@"+name, "is negative")
 	}
 	for i := range f.Collectors {
 		c := &f.Collectors[i]
 		at := "collector[" + c.Address + "]"
-		r.check(c, c.Address != "", at+"@address", "is empty")
-		r.check(c, slices.Contains(Transports, c.Transport), at+"@transport", fmt.Sprintf("is none of %v", Transports))
-		r.check(c, slices.Contains(FlowProtocols, c.Protocol), at+"@protocol", fmt.Sprintf("is none of %v", FlowProtocols))
-		r.check(c, c.Protocol != "netflow9" || c.Transport == "udp", at+"@protocol", "netflow9 goes over udp only")
-		r.check(c, c.MTU >= 256 && c.MTU <= 65507, at+"@mtu", "must be from 256 to 65507")
-		r.check(c, c.Transport != "tls" || c.CA != "" && c.Cert != "" && c.Key != "", at+"@transport", "tls needs ca, cert and key")
+		r.require(c, c.Address != "", at+"@address", "is empty")
+		r.require(c, slices.Contains(Transports, c.Transport), at+"@transport", fmt.Sprintf("is none of %v", Transports))
+		r.require(c, slices.Contains(FlowProtocols, c.Protocol), at+"@protocol", fmt.Sprintf("is none of %v", FlowProtocols))
+		r.require(c, c.Protocol != "netflow9" || c.Transport == "udp", at+"@protocol", "netflow9 goes over udp only")
+		r.require(c, c.MTU >= 256 && c.MTU <= 65507, at+"@mtu", "must be from 256 to 65507")
+		r.require(c, c.Transport != "tls" || c.CA != "" && c.Cert != "" && c.Key != "", at+"@transport", "tls needs ca, cert and key")
 	}
 }
 
@@ -241,75 +241,75 @@
 	FlowProtocols = []string{"ipfix", "netflow9"}
 )
 
-func readFile(path, root string, v any) (*reader, error) {
+func readFile(path, root string, v any) (*decoder, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
 	defer f.Close()
-	return read(path, f, root, v)
+	return readDocument(path, f, root, v)
 }
 
-// read fills v; its error is only for a document that is none of ours.
-func read(file string, in io.Reader, root string, v any) (*reader, error) {
-	n, err := parse(file, in)
+// readDocument fills v; its error is only for a document that is none of ours.
+func readDocument(file string, in io.Reader, root string, v any) (*decoder, error) {
+	n, err := parseDocument(file, in)
 	if err != nil {
 		return nil, err
 	}
 	if n.name != root {
 		return nil, ValidationErrors{{file, n.line, n.name, fmt.Sprintf("the root element must be %s", root)}}
 	}
-	r := &reader{file: file, lines: map[any]int{}}
-	r.fill(n, root, reflect.ValueOf(v).Elem())
+	r := &decoder{file: file, lines: map[any]int{}}
+	r.decodeElement(n, root, reflect.ValueOf(v).Elem())
 	return r, nil
 }
 
-func (r *reader) check(at any, ok bool, path, what string) {
+func (r *decoder) require(at any, ok bool, path, what string) {
 	if ok {
 		return
 	}
-	if slices.ContainsFunc(r.faults, func(f ValidationError) bool { return f.Path == path }) {
+	if slices.ContainsFunc(r.errors, func(f ValidationError) bool { return f.Path == path }) {
 		return
 	}
-	r.faults = append(r.faults, ValidationError{r.file, r.lines[at], path, what})
+	r.errors = append(r.errors, ValidationError{r.file, r.lines[at], path, what})
 }
 
-func (r *reader) err() error {
-	if len(r.faults) == 0 {
+func (r *decoder) validationError() error {
+	if len(r.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b ValidationError) int {
+	slices.SortStableFunc(r.errors, func(a, b ValidationError) int {
 		if a.Line != b.Line {
 			return a.Line - b.Line
 		}
 		return cmp.Compare(a.Path, b.Path)
 	})
-	return r.faults
+	return r.errors
 }
 
-func (r *reader) classes(all []Class) {
+func (r *decoder) checkClasses(all []Class) {
 	names := map[string]bool{}
 	for i := range all {
 		c := &all[i]
 		at := "class[" + c.Name + "]"
-		r.check(c, c.Name != "" && !names[c.Name], at+"@name", "is empty or stands twice")
+		r.require(c, c.Name != "" && !names[c.Name], at+"@name", "is empty or stands twice")
 		names[c.Name] = true
-		r.check(c, c.Worth > 0, at+"@worth", "must be above 0")
-		r.check(c, c.LateWorth >= 0 && c.LateWorth <= 1, at+"@late-worth", "must be from 0 to 1")
-		r.check(c, c.SetUpTarget > 0, at+"@aim", "must be above 0")
-		r.check(c, c.Patience >= c.SetUpTarget, at+"@patience", "is below the aim")
-		r.check(c, c.HoldingTime > 0, at+"@holding", "must be above 0")
-		r.check(c, c.Circuits > 0 && c.Circuits <= 1024, at+"@circuits", "must be from 1 to 1024")
-		r.check(c, c.Share >= 0, at+"@share", "is negative")
+		r.require(c, c.Worth > 0, at+"@worth", "must be above 0")
+		r.require(c, c.LateWorth >= 0 && c.LateWorth <= 1, at+"@late-worth", "must be from 0 to 1")
+		r.require(c, c.SetUpTarget > 0, at+"@aim", "must be above 0")
+		r.require(c, c.Patience >= c.SetUpTarget, at+"@patience", "is below the aim")
+		r.require(c, c.HoldingTime > 0, at+"@holding", "must be above 0")
+		r.require(c, c.Circuits > 0 && c.Circuits <= 1024, at+"@circuits", "must be from 1 to 1024")
+		r.require(c, c.Share >= 0, at+"@share", "is negative")
 	}
 }
 
-func (r *reader) rules(u *Rules) {
+func (r *decoder) checkRules(u *Rules) {
 	for name, d := range map[string]time.Duration{"release": u.ReleaseTime, "drain-grace": u.DrainGrace, "cold-for": u.ColdDuration,
 		"overload-for": u.OverloadDuration, "answer-slack": u.AnswerSlack, "resend-after": u.ResendAfter, "backoff-most": u.MaxBackoff} {
-		r.check(u, d >= 0, "rules@"+name, "is negative")
+		r.require(u, d >= 0, "rules@"+name, "is negative")
 	}
-	r.check(u, u.ColdCapacity > 0 && u.ColdCapacity <= 1, "rules@cold-from", "must be above 0, 1 at the most")
-	r.check(u, u.OverloadFactor >= 1, "rules@overload-factor", "must be 1 or more")
-	r.check(u, u.MaxAttempts > 0, "rules@attempts", "must be above 0")
+	r.require(u, u.ColdCapacity > 0 && u.ColdCapacity <= 1, "rules@cold-from", "must be above 0, 1 at the most")
+	r.require(u, u.OverloadFactor >= 1, "rules@overload-factor", "must be 1 or more")
+	r.require(u, u.MaxAttempts > 0, "rules@attempts", "must be above 0")
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func shipped(t *testing.T) []string {
+func shippedScenarios(t *testing.T) []string {
 	files, err := filepath.Glob("../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no shipped scenario: %v", err)
@@ -19,7 +19,7 @@
 }
 
 func TestShippedScenariosReadBackTheSame(t *testing.T) {
-	for _, file := range shipped(t) {
+	for _, file := range shippedScenarios(t) {
 		s, err := ReadScenario(file)
 		if err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 }
 
 func TestFaultsNameTheirPlace(t *testing.T) {
-	good, err := os.ReadFile(shipped(t)[0])
+	good, err := os.ReadFile(shippedScenarios(t)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -34,7 +34,7 @@
 	AuditValue    Command = "AuditValue"    // ask for figures; also the sign of life
 )
 
-var commands = map[string]Command{"Add": Add, "Modify": Modify, "Subtract": Subtract, "Notify": Notify,
+var commandsByName = map[string]Command{"Add": Add, "Modify": Modify, "Subtract": Subtract, "Notify": Notify,
 	"ServiceChange": ServiceChange, "AuditValue": AuditValue}
 
 // Root names the whole of a peer where a command concerns no single call.
@@ -186,7 +186,7 @@
 		b = append(b, "Error="...)
 		b = strconv.AppendInt(b, int64(m.Code), 10)
 		b = append(b, ' ')
-		b = appendClean(b, m.Text)
+		b = appendSanitized(b, m.Text)
 		return append(b, "\r\n\r\n"...)
 	case Pending:
 		b = append(b, "Pending="...)
@@ -210,25 +210,25 @@
 	b = append(b, ' ')
 	b = append(b, m.Command...)
 	b = append(b, '=')
-	b = appendClean(b, m.Termination)
+	b = appendSanitized(b, m.Termination)
 	b = append(b, "\r\n"...)
 	if m.Code != 0 {
 		b = append(b, "Error: "...)
 		b = strconv.AppendInt(b, int64(m.Code), 10)
 		b = append(b, ' ')
-		b = appendClean(b, m.Text)
+		b = appendSanitized(b, m.Text)
 		b = append(b, "\r\n"...)
 	}
 	for _, f := range m.Descriptors {
-		b = appendClean(b, f.Name)
+		b = appendSanitized(b, f.Name)
 		b = append(b, ": "...)
-		b = appendClean(b, f.Value)
+		b = appendSanitized(b, f.Value)
 		b = append(b, "\r\n"...)
 	}
 	return append(b, "\r\n"...)
 }
 
-func appendClean(b []byte, s string) []byte {
+func appendSanitized(b []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' || s[i] == 0x7f {
 			b = append(b, ' ')
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -22,7 +22,7 @@
 // DefaultLimits are far above what the commands need.
 var DefaultLimits = Limits{MaxLineBytes: 1024, MaxMessageBytes: 16 << 10, MaxDescriptors: 128}
 
-func (l Limits) orDefault() Limits {
+func (l Limits) withDefaults() Limits {
 	if l.MaxLineBytes <= 0 {
 		l.MaxLineBytes = DefaultLimits.MaxLineBytes
 	}
@@ -52,25 +52,25 @@
 var ErrFraming = errors.New("framing lost")
 
 const (
-	buffer = 4096
-	// skipBlocks is how many times the largest block is read over to find the
+	readBufferBytes = 4096
+	// maxSkippedMessages is how many times the largest block is read over to find the
 	// end of one that is too large.
-	skipBlocks = 4
+	maxSkippedMessages = 4
 )
 
 // Reader reads messages from a stream. Its memory is bounded by Limits,
 // whatever comes.
 type Reader struct {
-	limit  Limits
-	budget *io.LimitedReader
-	text   *textproto.Reader
+	limits     Limits
+	byteBudget *io.LimitedReader
+	text       *textproto.Reader
 }
 
 // NewReader reads from r.
 func NewReader(r io.Reader, limit Limits) *Reader {
-	limit = limit.orDefault()
+	limit = limit.withDefaults()
 	budget := &io.LimitedReader{R: r}
-	return &Reader{limit: limit, budget: budget, text: textproto.NewReader(bufio.NewReaderSize(budget, buffer))}
+	return &Reader{limits: limit, byteBudget: budget, text: textproto.NewReader(bufio.NewReaderSize(budget, readBufferBytes))}
 }
 
 // Read returns the next message. It returns io.EOF at the end between two
@@ -79,15 +79,15 @@
 func (r *Reader) Read() (*Message, error) {
 	// Bytes are counted as they are taken from the stream, so up to a buffer
 	// more than the block may be taken: the check by lines below is exact.
-	r.budget.N = int64(r.limit.MaxMessageBytes + buffer)
+	r.byteBudget.N = int64(r.limits.MaxMessageBytes + readBufferBytes)
 	m := &Message{}
 	size, fields := 0, 0
 	var bad *SyntaxError
 	for {
 		line, err := r.text.ReadLine()
 		if err != nil {
-			if r.budget.N <= 0 {
-				return nil, r.skip(m.ID, bad)
+			if r.byteBudget.N <= 0 {
+				return nil, r.skipMessage(m.ID, bad)
 			}
 			if size > 0 && errors.Is(err, io.EOF) {
 				return nil, io.ErrUnexpectedEOF
@@ -107,48 +107,48 @@
 		size += len(line) + 2
 		switch {
 		case bad != nil: // read on to the end of the block
-		case len(line) > r.limit.MaxLineBytes:
-			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a line of over %d bytes", r.limit.MaxLineBytes)}
-		case size > r.limit.MaxMessageBytes:
-			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.MaxMessageBytes)}
+		case len(line) > r.limits.MaxLineBytes:
+			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a line of over %d bytes", r.limits.MaxLineBytes)}
+		case size > r.limits.MaxMessageBytes:
+			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
 		case first:
-			bad = m.head(line)
+			bad = m.parseHeader(line)
 		default:
-			if fields++; fields > r.limit.MaxDescriptors {
-				bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("over %d descriptors", r.limit.MaxDescriptors)}
+			if fields++; fields > r.limits.MaxDescriptors {
+				bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("over %d descriptors", r.limits.MaxDescriptors)}
 				break
 			}
-			bad = m.field(line)
+			bad = m.parseDescriptor(line)
 		}
-		if size > r.limit.MaxMessageBytes*(1+skipBlocks) {
+		if size > r.limits.MaxMessageBytes*(1+maxSkippedMessages) {
 			return nil, fmt.Errorf("%w: a message of over %d bytes", ErrFraming, size)
 		}
 	}
 }
 
-// skip reads over the rest of a block that is too large, up to a bound.
-func (r *Reader) skip(id uint32, bad *SyntaxError) error {
-	r.budget.N = int64(r.limit.MaxMessageBytes * skipBlocks)
+// skipMessage reads over the rest of a block that is too large, up to a bound.
+func (r *Reader) skipMessage(id uint32, bad *SyntaxError) error {
+	r.byteBudget.N = int64(r.limits.MaxMessageBytes * maxSkippedMessages)
 	for {
 		part, err := r.text.R.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			if r.budget.N <= 0 {
-				return fmt.Errorf("%w: no end of a message within %d bytes", ErrFraming, r.limit.MaxMessageBytes*skipBlocks)
+			if r.byteBudget.N <= 0 {
+				return fmt.Errorf("%w: no end of a message within %d bytes", ErrFraming, r.limits.MaxMessageBytes*maxSkippedMessages)
 			}
 			return err
 		}
 		if err == nil && len(bytes.TrimRight(part, "\r\n")) == 0 {
 			if bad == nil {
-				bad = &SyntaxError{id, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limit.MaxMessageBytes)}
+				bad = &SyntaxError{id, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
 			}
 			return bad
 		}
 	}
 }
 
-// head reads the first line.
-func (m *Message) head(line string) *SyntaxError {
-	if i := strings.IndexFunc(line, control); i >= 0 {
+// parseHeader reads the first line.
+func (m *Message) parseHeader(line string) *SyntaxError {
+	if i := strings.IndexFunc(line, isControl); i >= 0 {
 		return &SyntaxError{0, BadSyntax, fmt.Sprintf("control character at byte %d of the first line", i+1)}
 	}
 	word, rest, _ := strings.Cut(line, " ")
@@ -198,7 +198,7 @@
 		m.Context = uint32(c)
 	}
 	name, value, _ = strings.Cut(rest, "=")
-	command, ok := commands[name]
+	command, ok := commandsByName[name]
 	if !ok {
 		return &SyntaxError{m.ID, UnknownCommand, fmt.Sprintf("%.40q is no command", name)}
 	}
@@ -212,12 +212,12 @@
 // MaxTerminationBytes is the longest name of a termination, in bytes.
 const MaxTerminationBytes = 64
 
-func (m *Message) field(line string) *SyntaxError {
+func (m *Message) parseDescriptor(line string) *SyntaxError {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || m.Kind == Pending || m.Kind == ErrorMessage {
 		return &SyntaxError{m.ID, BadTransaction, fmt.Sprintf("%.40q is no descriptor", line)}
 	}
-	if strings.IndexFunc(line, control) >= 0 {
+	if strings.IndexFunc(line, isControl) >= 0 {
 		return &SyntaxError{m.ID, BadTransaction, fmt.Sprintf("control character in %.40q", name)}
 	}
 	value = strings.TrimPrefix(value, " ")
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func control(c rune) bool { return c < ' ' || c == 0x7f }
+func isControl(c rune) bool { return c < ' ' || c == 0x7f }
 
 // NewReadFunc makes readers within limits, one for each connection.
 func NewReadFunc(l Limits) func(net.Conn) func() (*Message, error) {
--- a/internal/signal/signal_test.go
+++ b/internal/signal/signal_test.go
@@ -64,22 +64,22 @@
 
 func TestEndlessMessageLosesFraming(t *testing.T) {
 	for name, unit := range map[string]string{"one line": "x", "many lines": "A: b\r\n"} {
-		src := io.MultiReader(strings.NewReader("Transaction=4 Context=- Add=x\r\n"), &endless{unit: unit})
+		src := io.MultiReader(strings.NewReader("Transaction=4 Context=- Add=x\r\n"), &endlessReader{pattern: unit})
 		if _, err := NewReader(src, Limits{}).Read(); !errors.Is(err, ErrFraming) {
 			t.Errorf("%s: %v, want ErrFraming", name, err)
 		}
 	}
 }
 
-type endless struct {
-	unit string
-	at   int
+type endlessReader struct {
+	pattern string
+	offset  int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
-		p[i] = e.unit[e.at%len(e.unit)]
-		e.at++
+		p[i] = e.pattern[e.offset%len(e.pattern)]
+		e.offset++
 	}
 	return len(p), nil
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-func genMessage() *rapid.Generator[*Message] {
+func messageGenerator() *rapid.Generator[*Message] {
 	word := rapid.StringMatching(`[A-Za-z0-9/._-]{1,20}`)
 	value := rapid.StringMatching(`[!-~]([ -~]{0,40}[!-~])?`)
 	return rapid.Custom(func(t *rapid.T) *Message {
@@ -120,7 +120,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOfN(genMessage(), 1, 5).Draw(t, "messages")
+		all := rapid.SliceOfN(messageGenerator(), 1, 5).Draw(t, "messages")
 		var b []byte
 		for _, m := range all {
 			b = m.Append(b)
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	for name, c := range commands {
+	for name, c := range commandsByName {
 		if !seen[c] {
 			t.Errorf("no example of %s", name)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -105,44 +105,46 @@
 	} `json:"rules"`
 }
 
-// known names every event with the fields that it must carry.
-var known = map[string]func(*Event) []field{
-	"Clock": func(e *Event) []field { return []field{{"at_time_ns", e.AtTime != nil}} },
-	"End":   func(e *Event) []field { return nil },
-	"Launch": func(e *Event) []field {
-		return with(e, field{"entropy", e.Seed != nil}, field{"settings", e.Settings != nil})
+// requiredFields names every event with the fields that it must carry.
+var requiredFields = map[string]func(*Event) []requiredField{
+	"Clock": func(e *Event) []requiredField { return []requiredField{{"at_time_ns", e.AtTime != nil}} },
+	"End":   func(e *Event) []requiredField { return nil },
+	"Launch": func(e *Event) []requiredField {
+		return withController(e, requiredField{"entropy", e.Seed != nil}, requiredField{"settings", e.Settings != nil})
 	},
-	"Ledger":    func(e *Event) []field { return []field{{"sheet", e.ListNumber != nil}, {"rows", e.ListEntries != nil}} },
-	"Discovery": func(e *Event) []field { return with(e, field{"how", e.UpdateKind != nil}) },
-	"Killed":    func(e *Event) []field { return with(e) },
-	"PeerData": func(e *Event) []field {
-		return with(e, field{"by", e.Sender != nil}, field{"payload", e.Payload != nil})
+	"Ledger": func(e *Event) []requiredField {
+		return []requiredField{{"sheet", e.ListNumber != nil}, {"rows", e.ListEntries != nil}}
 	},
-	"Bell":   func(e *Event) []field { return with(e, field{"nonce", e.Token != nil}) },
-	"Hangup": func(e *Event) []field { return with(e, field{"job", e.CallID != nil}) },
-	"ProbeResult": func(e *Event) []field {
-		return with(e, field{"exchange", e.Exchange != nil}, field{"reason", e.Status != nil})
+	"Discovery": func(e *Event) []requiredField { return withController(e, requiredField{"how", e.UpdateKind != nil}) },
+	"Killed":    func(e *Event) []requiredField { return withController(e) },
+	"PeerData": func(e *Event) []requiredField {
+		return withController(e, requiredField{"by", e.Sender != nil}, requiredField{"payload", e.Payload != nil})
 	},
-	"Ask": func(e *Event) []field {
-		return with(e, field{"job", e.CallID != nil}, field{"priority", e.Class != nil},
-			field{"time_left_ns", e.TimeLeft != nil}, field{"dest", e.Destination != nil})
+	"Bell":   func(e *Event) []requiredField { return withController(e, requiredField{"nonce", e.Token != nil}) },
+	"Hangup": func(e *Event) []requiredField { return withController(e, requiredField{"job", e.CallID != nil}) },
+	"ProbeResult": func(e *Event) []requiredField {
+		return withController(e, requiredField{"exchange", e.Exchange != nil}, requiredField{"reason", e.Status != nil})
 	},
-	"Started": func(e *Event) []field {
-		return with(e, field{"job", e.CallID != nil}, field{"trial", e.Attempt != nil}, field{"exchange", e.Exchange != nil})
+	"Ask": func(e *Event) []requiredField {
+		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"priority", e.Class != nil},
+			requiredField{"time_left_ns", e.TimeLeft != nil}, requiredField{"dest", e.Destination != nil})
 	},
-	"Reply": func(e *Event) []field {
-		return with(e, field{"job", e.CallID != nil}, field{"trial", e.Attempt != nil},
-			field{"exchange", e.Exchange != nil}, field{"reason", e.Status != nil})
+	"Started": func(e *Event) []requiredField {
+		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"trial", e.Attempt != nil}, requiredField{"exchange", e.Exchange != nil})
+	},
+	"Reply": func(e *Event) []requiredField {
+		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"trial", e.Attempt != nil},
+			requiredField{"exchange", e.Exchange != nil}, requiredField{"reason", e.Status != nil})
 	},
 }
 
-type field struct {
-	name  string
-	there bool
+type requiredField struct {
+	name    string
+	present bool
 }
 
-func with(e *Event, fs ...field) []field {
-	return append([]field{{"controller", e.Controller != nil}}, fs...)
+func withController(e *Event, fs ...requiredField) []requiredField {
+	return append([]requiredField{{"controller", e.Controller != nil}}, fs...)
 }
 
 // Decode reads one line. The error is one plain line that names what is wrong.
@@ -154,12 +156,12 @@
 		}
 		return nil, fmt.Errorf("not a message: %v", err)
 	}
-	need, ok := known[e.Type]
+	need, ok := requiredFields[e.Type]
 	if !ok {
 		return nil, fmt.Errorf("unknown event %q", e.Type)
 	}
 	for _, f := range need(e) {
-		if !f.there {
+		if !f.present {
 			return nil, fmt.Errorf("%s: field %s is missing", e.Type, f.name)
 		}
 	}
