--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,7 +1,7 @@
-// Package capture keeps what passed over the connections: a CBOR sequence
-// (RFC 8742) of records, one file a process. Each end of a connection writes
-// what it sent and received; read together, the files of a directory tell of
-// each message when it left and when it came.
+// Package capture records the traffic of connections in files, one for each
+// process. A file is a CBOR sequence (RFC 8742) of records. Each end of a connection
+// records what it sent and received, so that the files of a directory together show
+// when each message was sent and when it arrived.
 package capture
 
 import (
@@ -21,42 +21,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind of a record.
+// Kind is the type of a record.
 type Kind uint8
 
+// The record kinds, and what Name and Text of such a record hold.
 const (
-	Header   Kind = iota // Name: who writes; Text: the format
-	Opened               // Name: the connection's key; Text: JSON of Ends
-	Closed               // the connection is over; Text: why
-	Sent                 // Text: a message as it stood on the wire
-	Received             // the same, as read
-	Verdict              // Name: the call; Text: the module's word on it
-	Fact                 // Name: what of; Text: JSON
+	Header   Kind = iota // Name: the recording process; Text: the format version
+	Opened               // Name: the connection's key; Text: an Endpoint as JSON
+	Closed               // Text: why the connection was closed
+	Sent                 // Text: a message as written to the connection
+	Received             // Text: a message as read from the connection
+	Verdict              // Name: the call; Text: the routing module's decision on it
+	Fact                 // Name: the subject; Text: a value as JSON
 )
 
-// Format is the version of the files.
+// Format is the format version, recorded in the header of each file.
 const Format = "dahliaspindle capture 1"
 
-// Record is one line of a capture.
+// Record is one entry of a capture file.
 type Record struct {
 	_            struct{} `cbor:",toarray"`
-	At           int64    // nanoseconds of the machine's monotonic clock
+	At           int64    // time in nanoseconds of the machine's monotonic clock
 	Kind         Kind
-	Conn         uint64 // number of the connection in this file, from 1
-	SendDuration int64  // Sent: nanoseconds until the system had taken it
+	Conn         uint64 // number of the connection in this file, from 1; 0 if the record concerns none
+	SendDuration int64  // Sent: nanoseconds that the write took
 	Name         string
 	Text         []byte
 }
 
-// Endpoint says who holds a connection.
+// Endpoint describes the recording end of a connection.
 type Endpoint struct {
-	Owner  string `json:"owner"`            // who writes this file, such as "controller 3"
-	Role   string `json:"role"`             // what the other end is: caller, exchange, list, controller
-	Peer   uint64 `json:"peer,omitempty"`   // exchange id, with role exchange
-	Dialed bool   `json:"dialed,omitempty"` // the owner called
+	Owner  string `json:"owner"`            // process that records this file, such as "controller 3"
+	Role   string `json:"role"`             // kind of the peer: caller, exchange, list or controller
+	Peer   uint64 `json:"peer,omitempty"`   // exchange id if Role is exchange
+	Dialed bool   `json:"dialed,omitempty"` // the owner opened the connection
 }
 
-// Rules are the figures by which a capture is judged.
+// Rules holds the limits of the network's rules that an audit checks a capture
+// against.
 type Rules struct {
 	AnswerSlack      time.Duration `json:"answer_slack"`
 	DrainGrace       time.Duration `json:"drain_grace"`
@@ -65,23 +67,23 @@
 	OverloadDuration time.Duration `json:"overload_for"`
 }
 
-// Capacity is what an exchange can do from its start on: set-ups a second when
-// warm, and how it gets there.
+// Capacity describes the processor capacity of an exchange: set-ups per second when
+// warm, and how it reaches that after its start.
 type Capacity struct {
 	ExchangeID      uint32        `json:"exchange"`
 	ExchangeNumber  int           `json:"cell"`
 	SetUpsPerSecond float64       `json:"per_s"`
-	InitialShare    float64       `json:"from"`  // share of it at the start
-	WarmUpTime      time.Duration `json:"warm"`  // time until it has all; 0: at once
-	Since           int64         `json:"since"` // as the exchange list tells it
+	InitialShare    float64       `json:"from"`  // share of the capacity available at the start
+	WarmUpTime      time.Duration `json:"warm"`  // time from the start until the full capacity is available
+	Since           int64         `json:"since"` // start of the exchange as given by the exchange list
 }
 
-// Killed says that a controller's process was ended at once.
+// Killed records that a controller's process was killed.
 type Killed struct {
 	Owner string `json:"owner"`
 }
 
-// Trouble is one that a scenario made.
+// Trouble records that a scenario started a trouble or, with Ended, ended it.
 type Trouble struct {
 	Kind        string        `json:"kind"`
 	Description string        `json:"what"`
@@ -89,7 +91,8 @@
 	Ended       bool          `json:"ended,omitempty"`
 }
 
-// MonotonicClock returns the machine's monotonic clock, the same for all its processes.
+// MonotonicClock returns a function that reads the machine's monotonic clock in
+// nanoseconds; all processes of a machine share this clock.
 func MonotonicClock() func() int64 {
 	var ts unix.Timespec
 	start := time.Now()
@@ -100,7 +103,7 @@
 	return func() int64 { return base + int64(time.Since(start)) }
 }
 
-// Writer writes one file of a capture. A nil Writer writes nothing.
+// Writer writes one capture file. A nil Writer discards all records.
 type Writer struct {
 	clock         func() int64
 	lastTimestamp atomic.Int64
@@ -115,24 +118,26 @@
 	done        chan struct{}
 }
 
-// flushInterval bounds what a killed process takes with it.
+// flushInterval bounds the time for which records are lost when the process is
+// killed.
 const flushInterval = 5 * time.Millisecond
 
-// Create starts a file.
-func Create(path, who string) (*Writer, error) {
+// Create creates a capture file in which owner is the recording process. Records
+// are flushed periodically until Close.
+func Create(path, owner string) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	w := NewWriter(f, who, MonotonicClock())
+	w := NewWriter(f, owner, MonotonicClock())
 	w.stop, w.done = make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(w.done)
-		tick := time.NewTicker(flushInterval)
-		defer tick.Stop()
+		ticker := time.NewTicker(flushInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-tick.C:
+			case <-ticker.C:
 				w.mu.Lock()
 				w.recordError(w.buffer.Flush())
 				w.mu.Unlock()
@@ -144,24 +149,26 @@
 	return w, nil
 }
 
-// CreateWithClock starts a file whose times are those of a clock that is handed in.
-func CreateWithClock(path, who string, clock func() int64) (*Writer, error) {
+// CreateWithClock is like Create, but takes the times from the given clock and
+// flushes the file only on Close.
+func CreateWithClock(path, owner string, clock func() int64) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return NewWriter(f, who, clock), nil
+	return NewWriter(f, owner, clock), nil
 }
 
-// NewWriter writes to a stream; it is flushed by Close only.
-func NewWriter(f io.WriteCloser, who string, clock func() int64) *Writer {
-	buf := bufio.NewWriterSize(f, 1<<16)
-	w := &Writer{clock: clock, buffer: buf, encoder: cbor.NewEncoder(buf), file: f}
-	w.writeRecord(Record{Kind: Header, Name: who, Text: []byte(Format)})
+// NewWriter returns a Writer to a stream, which is flushed only by Close.
+func NewWriter(file io.WriteCloser, owner string, clock func() int64) *Writer {
+	buffer := bufio.NewWriterSize(file, 1<<16)
+	w := &Writer{clock: clock, buffer: buffer, encoder: cbor.NewEncoder(buffer), file: file}
+	w.writeRecord(Record{Kind: Header, Name: owner, Text: []byte(Format)})
 	return w
 }
 
-// timestamp never tells the same moment twice: what was stamped first came first.
+// timestamp returns the current time. No two results are equal, so that records can
+// be ordered by their times.
 func (w *Writer) timestamp() int64 {
 	for {
 		last := w.lastTimestamp.Load()
@@ -172,12 +179,14 @@
 	}
 }
 
+// recordError keeps the first error for Close. The caller holds the mutex.
 func (w *Writer) recordError(err error) {
 	if w.err == nil && err != nil {
 		w.err = err
 	}
 }
 
+// writeRecord writes a record, with the current time if it has none.
 func (w *Writer) writeRecord(r Record) {
 	if w == nil {
 		return
@@ -190,24 +199,24 @@
 	w.recordError(w.encoder.Encode(r))
 }
 
-// Fact keeps something that the wire doesn't show.
-func (w *Writer) Fact(name string, v any) {
+// Fact records a value that no message shows, as JSON.
+func (w *Writer) Fact(name string, value any) {
 	if w == nil {
 		return
 	}
-	b, err := json.Marshal(v)
+	text, err := json.Marshal(value)
 	if err != nil {
-		b = []byte(`"` + err.Error() + `"`)
+		text = []byte(`"` + err.Error() + `"`)
 	}
-	w.writeRecord(Record{Kind: Fact, Name: name, Text: b})
+	w.writeRecord(Record{Kind: Fact, Name: name, Text: text})
 }
 
-// Verdict keeps the module's word on a call.
+// Verdict records the routing module's decision on a call.
 func (w *Writer) Verdict(call, text string) {
 	w.writeRecord(Record{Kind: Verdict, Name: call, Text: []byte(text)})
 }
 
-// Close flushes and closes the file and returns the first error met.
+// Close flushes and closes the file. It returns the first error of the Writer.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
@@ -226,95 +235,101 @@
 	return nil
 }
 
-// ConnRecorder is one end of one connection. A nil ConnRecorder keeps nothing.
+// ConnRecorder records the traffic at one end of one connection. A nil ConnRecorder
+// discards it.
 type ConnRecorder struct {
 	writer     *Writer
 	connection uint64
 }
 
-// Open starts a connection; key is the same at both ends.
-func (w *Writer) Open(key string, e Endpoint) *ConnRecorder {
+// Open records the opening of a connection and returns the recorder of its traffic.
+// Both ends of a connection use the same key.
+func (w *Writer) Open(key string, endpoint Endpoint) *ConnRecorder {
 	if w == nil {
 		return nil
 	}
-	b, _ := json.Marshal(e) // a struct of plain values
+	text, _ := json.Marshal(endpoint) // cannot fail: the fields are strings, a number and a bool
 	w.mu.Lock()
 	w.connections++
-	t := &ConnRecorder{w, w.connections}
+	recorder := &ConnRecorder{w, w.connections}
 	w.mu.Unlock()
-	w.writeRecord(Record{Kind: Opened, Conn: t.connection, Name: key, Text: b})
-	return t
+	w.writeRecord(Record{Kind: Opened, Conn: recorder.connection, Name: key, Text: text})
+	return recorder
 }
 
-// Now is the time for Sent, before the message is handed to the system.
-func (t *ConnRecorder) Now() int64 {
-	if t == nil {
+// Now returns the time to pass to Sent, taken before the message is written.
+func (r *ConnRecorder) Now() int64 {
+	if r == nil {
 		return 0
 	}
-	return t.writer.timestamp()
+	return r.writer.timestamp()
 }
 
-// Sent keeps a message that the system has taken.
-func (t *ConnRecorder) Sent(at int64, text []byte) {
-	if t != nil {
-		t.writer.writeRecord(Record{At: at, Kind: Sent, Conn: t.connection, SendDuration: t.writer.timestamp() - at, Text: text})
+// Sent records a message whose write began at the time at, as returned by Now, and
+// has completed.
+func (r *ConnRecorder) Sent(at int64, text []byte) {
+	if r != nil {
+		r.writer.writeRecord(Record{At: at, Kind: Sent, Conn: r.connection, SendDuration: r.writer.timestamp() - at, Text: text})
 	}
 }
 
-// Received keeps a message that was read.
-func (t *ConnRecorder) Received(text []byte) {
-	if t != nil {
-		t.writer.writeRecord(Record{Kind: Received, Conn: t.connection, Text: text})
+// Received records a message that was read.
+func (r *ConnRecorder) Received(text []byte) {
+	if r != nil {
+		r.writer.writeRecord(Record{Kind: Received, Conn: r.connection, Text: text})
 	}
 }
 
-// Closed ends the connection.
-func (t *ConnRecorder) Closed(why string) {
-	if t != nil {
-		t.writer.writeRecord(Record{Kind: Closed, Conn: t.connection, Text: []byte(why)})
+// Closed records that the connection was closed, and why.
+func (r *ConnRecorder) Closed(reason string) {
+	if r != nil {
+		r.writer.writeRecord(Record{Kind: Closed, Conn: r.connection, Text: []byte(reason)})
 	}
 }
 
-// ErrTruncated says that a file ends within a record, as after a kill: what came before is good.
+// ErrTruncated reports that a file ends within a record, as after its process was
+// killed. The records before that are valid.
 var ErrTruncated = errors.New("ends within a record")
 
-// ReadFile hands out the records of one file in order.
-func ReadFile(path string, each func(Record)) error {
+// ReadFile calls visit with each record of a file in order.
+func ReadFile(path string, visit func(Record)) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
 	defer f.Close()
-	return Read(f, path, each)
+	return Read(f, path, visit)
 }
 
-// Read hands out the records of a stream in order.
-func Read(r io.Reader, name string, each func(Record)) error {
-	dec := cbor.NewDecoder(bufio.NewReaderSize(r, 1<<16))
+// Read calls visit with each record of a stream in order. Errors contain the given
+// name of the stream.
+func Read(r io.Reader, name string, visit func(Record)) error {
+	decoder := cbor.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	for n := 1; ; n++ {
-		var rec Record
-		err := dec.Decode(&rec)
+		var record Record
+		err := decoder.Decode(&record)
 		switch {
 		case errors.Is(err, io.EOF):
 			if n == 1 {
-				return fmt.Errorf("capture %s: empty", name)
+				return fmt.Errorf("capture %s: the file is empty", name)
 			}
 			return nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
 			return fmt.Errorf("capture %s: record %d: %w", name, n, ErrTruncated)
 		case err != nil:
 			return fmt.Errorf("capture %s: record %d: %w", name, n, err)
-		case n == 1 && (rec.Kind != Header || string(rec.Text) != Format):
-			return fmt.Errorf("capture %s: not a file of %q", name, Format)
+		case n == 1 && (record.Kind != Header || string(record.Text) != Format):
+			return fmt.Errorf("capture %s: the file does not have the format %q", name, Format)
 		}
-		each(rec)
+		visit(record)
 	}
 }
 
-// FileSuffix of the files of a capture directory.
+// FileSuffix is the suffix of the names of capture files.
 const FileSuffix = ".cap"
 
-// Files lists the files of a capture: a directory's, or the one named.
+// Files returns the capture files in a directory, or path itself if it is not a
+// directory.
 func Files(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -334,7 +349,7 @@
 		}
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("capture %s: holds no *%s file", path, FileSuffix)
+		return nil, fmt.Errorf("capture %s: the directory has no *%s file", path, FileSuffix)
 	}
 	return files, nil
 }
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -1,7 +1,8 @@
-// Package signal is the command language: text transactions in the style of
-// H.248 (ITU-T H.248.1), one block of lines each, over any byte stream. It
-// frames, reads and writes messages and knows no call, route or clock.
-// docs/protocol.md has the grammar and an example of every command.
+// Package signal implements the command language: text transactions in the
+// style of H.248 (ITU-T H.248.1). Each message is one block of lines and can be
+// sent over any byte stream. The package frames, parses and writes messages; it
+// holds no state of calls, routes or timers. docs/protocol.md gives the grammar
+// and an example of every command.
 package signal
 
 import (
@@ -12,35 +13,38 @@
 	"time"
 )
 
-// Kind tells what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
+// The message types and the first words of their first lines.
 const (
-	Request      Kind = iota // Transaction=ID: a command
-	Reply                    // Reply=ID: its one final answer
-	Pending                  // Pending=ID: received, the final answer comes later
-	ErrorMessage             // Error=CODE: says what was wrong with something that has no usable id
+	Request      Kind = iota // Transaction=ID: carries a command
+	Reply                    // Reply=ID: the single final answer to a request
+	Pending                  // Pending=ID: the request was received; the final answer follows
+	ErrorMessage             // Error=CODE: reports an error in a message without a usable transaction id
 )
 
 // Command is the verb of a transaction (H.248.1, clause 7.2).
 type Command string
 
+// The commands. Their values are written on the wire.
 const (
-	Add           Command = "Add"           // set a call up
-	Modify        Command = "Modify"        // ask for events
+	Add           Command = "Add"           // set up a call
+	Modify        Command = "Modify"        // request notification of events
 	Subtract      Command = "Subtract"      // release a call
-	Notify        Command = "Notify"        // tell an event
-	ServiceChange Command = "ServiceChange" // introduce oneself, or say that service ends
-	AuditValue    Command = "AuditValue"    // ask for figures; also the sign of life
+	Notify        Command = "Notify"        // report an event
+	ServiceChange Command = "ServiceChange" // announce that service starts or ends
+	AuditValue    Command = "AuditValue"    // request statistics; also used as a keep-alive
 )
 
 var commandsByName = map[string]Command{"Add": Add, "Modify": Modify, "Subtract": Subtract, "Notify": Notify,
 	"ServiceChange": ServiceChange, "AuditValue": AuditValue}
 
-// Root names the whole of a peer where a command concerns no single call.
+// Root is the termination of a command that concerns the peer as a whole and no
+// single call.
 const Root = "ROOT"
 
-// Contexts with a meaning of their own (H.248.1, clause 6.1).
+// Reserved context ids (H.248.1, clause 6.1) and how they are written.
 const (
 	ContextNull   uint32 = 0          // "-"
 	ContextChoose uint32 = 0xFFFFFFFE // "$"
@@ -49,7 +53,7 @@
 // Code is an error code of H.248.8.
 type Code int
 
-// The codes in use, with the words of docs/protocol.md.
+// The error codes in use. docs/protocol.md describes each.
 const (
 	BadSyntax             Code = 400 // syntax error in message
 	BadTransaction        Code = 403 // syntax error in transaction request
@@ -70,22 +74,23 @@
 	DoesNotExist          Code = 581 // does not exist
 )
 
-// Field is one descriptor: a name, and its value on one line.
+// Field is one descriptor, written as a line with its name and value.
 type Field struct{ Name, Value string }
 
-// Message is one block of the language.
+// Message is one message of the command language.
 type Message struct {
 	Kind        Kind
-	ID          uint32 // of the transaction, from 1; 0 with Fault
+	ID          uint32 // transaction id, 1 or greater; 0 in an ErrorMessage
 	Context     uint32
 	Command     Command
-	Termination string // termination: a call id, or Root
-	Code        Code   // with Fault, and in a Reply that is an error; 0 else
-	Text        string // to Code
+	Termination string // call id, or Root
+	Code        Code   // set in an ErrorMessage and in an error Reply, else 0
+	Text        string // describes Code
 	Descriptors []Field
 }
 
-// Get returns the first descriptor of a name, "" if there is none.
+// Get returns the value of the first descriptor with the given name, or "" if
+// there is none.
 func (m *Message) Get(name string) string {
 	for i := range m.Descriptors {
 		if m.Descriptors[i].Name == name {
@@ -95,30 +100,31 @@
 	return ""
 }
 
-// All returns every value of a descriptor, in order.
+// All returns the values of all descriptors with the given name, in order.
 func (m *Message) All(name string) []string {
-	var all []string
-	for _, f := range m.Descriptors {
-		if f.Name == name {
-			all = append(all, f.Value)
+	var values []string
+	for _, d := range m.Descriptors {
+		if d.Name == name {
+			values = append(values, d.Value)
 		}
 	}
-	return all
+	return values
 }
 
-// Put adds a descriptor.
+// Put appends a descriptor and returns the message.
 func (m *Message) Put(name, value string) *Message {
 	m.Descriptors = append(m.Descriptors, Field{name, value})
 	return m
 }
 
-// PutInt adds a descriptor with a whole number.
-func (m *Message) PutInt(name string, v int) *Message { return m.Put(name, strconv.Itoa(v)) }
+// PutInt appends a descriptor with an integer value.
+func (m *Message) PutInt(name string, value int) *Message { return m.Put(name, strconv.Itoa(value)) }
 
-// PutDuration adds a descriptor with a duration.
+// PutDuration appends a descriptor with a duration in the format of time.Duration.
 func (m *Message) PutDuration(name string, d time.Duration) *Message { return m.Put(name, d.String()) }
 
-// PutFlag adds a descriptor with the value yes, or none.
+// PutFlag appends a descriptor with the value yes if set is true, and nothing
+// otherwise.
 func (m *Message) PutFlag(name string, set bool) *Message {
 	if set {
 		m.Put(name, "yes")
@@ -126,31 +132,33 @@
 	return m
 }
 
-// ErrMissingDescriptor says that a descriptor is not there.
+// ErrMissingDescriptor is wrapped by errors about a descriptor that is absent or
+// empty.
 var ErrMissingDescriptor = errors.New("is missing")
 
-// Int reads a whole number between least and most.
-func (m *Message) Int(name string, least, most int) (int, error) {
+// Int returns the value of a descriptor as an integer from minValue to maxValue.
+func (m *Message) Int(name string, minValue, maxValue int) (int, error) {
 	s := m.Get(name)
 	if s == "" {
 		return 0, fmt.Errorf("%s %w", name, ErrMissingDescriptor)
 	}
 	v, err := strconv.Atoi(s)
-	if err != nil || v < least || v > most {
-		return 0, fmt.Errorf("%s: %.40q is not a whole number from %d to %d", name, s, least, most)
+	if err != nil || v < minValue || v > maxValue {
+		return 0, fmt.Errorf("%s: %.40q is not a whole number from %d to %d", name, s, minValue, maxValue)
 	}
 	return v, nil
 }
 
-// IntOrDefault reads a whole number, or returns what stands for none; a bad one is an error.
-func (m *Message) IntOrDefault(name string, least, most, none int) (int, error) {
+// IntOrDefault is like Int, but returns defaultValue if the descriptor is absent
+// or empty.
+func (m *Message) IntOrDefault(name string, minValue, maxValue, defaultValue int) (int, error) {
 	if m.Get(name) == "" {
-		return none, nil
+		return defaultValue, nil
 	}
-	return m.Int(name, least, most)
+	return m.Int(name, minValue, maxValue)
 }
 
-// Duration reads a duration that is not negative.
+// Duration returns the value of a descriptor as a non-negative duration.
 func (m *Message) Duration(name string) (time.Duration, error) {
 	s := m.Get(name)
 	if s == "" {
@@ -163,23 +171,23 @@
 	return d, nil
 }
 
-// Flag tells whether a descriptor has the value yes.
+// Flag reports whether a descriptor has the value yes.
 func (m *Message) Flag(name string) bool { return m.Get(name) == "yes" }
 
-// NewReply starts the reply to a request, with its ids.
+// NewReply returns an empty reply to a request, with the request's ids.
 func (m *Message) NewReply() *Message {
 	return &Message{Kind: Reply, ID: m.ID, Context: m.Context, Command: m.Command, Termination: m.Termination}
 }
 
-// NewErrorReply is the reply to a request that says an error.
-func (m *Message) NewErrorReply(c Code, text string) *Message {
-	r := m.NewReply()
-	r.Code, r.Text = c, text
-	return r
+// NewErrorReply returns a reply that rejects a request with an error code.
+func (m *Message) NewErrorReply(code Code, text string) *Message {
+	reply := m.NewReply()
+	reply.Code, reply.Text = code, text
+	return reply
 }
 
-// Append writes the message in its text form. Words that would break the
-// framing (line ends, control characters) are replaced by spaces.
+// Append appends the text form of the message to b. Line ends and control
+// characters within values would break the framing; each is replaced by a space.
 func (m *Message) Append(b []byte) []byte {
 	switch m.Kind {
 	case ErrorMessage:
@@ -228,6 +236,7 @@
 	return append(b, "\r\n"...)
 }
 
+// appendSanitized appends s with control characters replaced by spaces.
 func appendSanitized(b []byte, s string) []byte {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' || s[i] == 0x7f {
@@ -239,13 +248,14 @@
 	return b
 }
 
+// String returns the text form of the message without the line ends that close it.
 func (m *Message) String() string { return strings.TrimRight(string(m.Append(nil)), "\r\n") }
 
-// FreesResources tells whether the message ends something that is counted: a reply, a
-// release, or the end of a call.
+// FreesResources reports whether the message ends something that counts against
+// a limit: it is a reply, a release or the notification that a call has ended.
 func (m *Message) FreesResources() bool {
 	return m.Kind == Reply || m.Command == Subtract || m.Command == Notify && m.Termination != Root
 }
 
-// SetUp tells whether the message opens a call.
+// SetUp reports whether the message is a request to set up a call.
 func (m *Message) SetUp() bool { return m.Kind == Request && m.Command == Add }
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -12,14 +12,16 @@
 	"strings"
 )
 
-// Limits bound what one message may be. A zero field takes the default.
+// Limits bounds the size of one message. A field that is zero or negative takes
+// its value from DefaultLimits.
 type Limits struct {
-	MaxLineBytes    int // bytes of one line
-	MaxMessageBytes int // bytes of one message
-	MaxDescriptors  int // descriptors of one message
+	MaxLineBytes    int // of one line, without its line end
+	MaxMessageBytes int // of one message, line ends included
+	MaxDescriptors  int // of one message
 }
 
-// DefaultLimits are far above what the commands need.
+// DefaultLimits are the limits of a Reader for which none are given; the commands
+// need far less.
 var DefaultLimits = Limits{MaxLineBytes: 1024, MaxMessageBytes: 16 << 10, MaxDescriptors: 128}
 
 func (l Limits) withDefaults() Limits {
@@ -35,59 +37,65 @@
 	return l
 }
 
-// SyntaxError is a message that can't be read while its framing holds: the
-// next one can be. ID is the transaction's where that much could be read.
+// SyntaxError reports a malformed message whose end was found, so that the reader
+// can continue with the next one. ID is the transaction id if it could be parsed,
+// else 0.
 type SyntaxError struct {
 	ID     uint32
 	Code   Code
 	Reason string
 }
 
-// Skipped marks it as an error after which the reader reads on.
+// Skipped marks SyntaxError as an error after which reading can continue.
 func (e *SyntaxError) Skipped() {}
 
+// Error returns the code and the reason.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%d %s", int(e.Code), e.Reason) }
 
-// ErrFraming says that no next message can be found: the connection is to be closed.
+// ErrFraming reports that the start of the next message cannot be found. The
+// connection must be closed.
 var ErrFraming = errors.New("framing lost")
 
 const (
 	readBufferBytes = 4096
-	// maxSkippedMessages is how many times the largest block is read over to find the
-	// end of one that is too large.
+	// maxSkippedMessages limits the search for the end of an oversized message, in
+	// multiples of the maximum message size.
 	maxSkippedMessages = 4
 )
 
-// Reader reads messages from a stream. Its memory is bounded by Limits,
-// whatever comes.
+// Reader reads messages from a stream. Limits bounds its memory for any input.
 type Reader struct {
 	limits     Limits
-	byteBudget *io.LimitedReader
+	byteBudget *io.LimitedReader // bytes that may still be read from the stream
 	text       *textproto.Reader
 }
 
-// NewReader reads from r.
-func NewReader(r io.Reader, limit Limits) *Reader {
-	limit = limit.withDefaults()
-	budget := &io.LimitedReader{R: r}
-	return &Reader{limits: limit, byteBudget: budget, text: textproto.NewReader(bufio.NewReaderSize(budget, readBufferBytes))}
+// NewReader returns a Reader of the messages in r.
+func NewReader(r io.Reader, limits Limits) *Reader {
+	limits = limits.withDefaults()
+	byteBudget := &io.LimitedReader{R: r}
+	return &Reader{
+		limits:     limits,
+		byteBudget: byteBudget,
+		text:       textproto.NewReader(bufio.NewReaderSize(byteBudget, readBufferBytes)),
+	}
 }
 
-// Read returns the next message. It returns io.EOF at the end between two
-// messages, *SyntaxError where the stream goes on behind a bad message, and
-// ErrFraming or the stream's own error where it does not.
+// Read returns the next message. The error is io.EOF if the stream ends between
+// two messages, a *SyntaxError if the message is malformed and the next one can be
+// read, and ErrFraming or the error of the stream if reading cannot continue.
 func (r *Reader) Read() (*Message, error) {
-	// Bytes are counted as they are taken from the stream, so up to a buffer
-	// more than the block may be taken: the check by lines below is exact.
+	// The budget counts bytes as the buffer takes them from the stream, which can be
+	// one buffer more than the message. The check by lines below is exact.
 	r.byteBudget.N = int64(r.limits.MaxMessageBytes + readBufferBytes)
 	m := &Message{}
-	size, fields := 0, 0
-	var bad *SyntaxError
+	size, descriptors := 0, 0
+	var syntaxErr *SyntaxError
 	for {
 		line, err := r.text.ReadLine()
 		if err != nil {
 			if r.byteBudget.N <= 0 {
-				return nil, r.skipMessage(m.ID, bad)
+				return nil, r.skipMessage(m.ID, syntaxErr)
 			}
 			if size > 0 && errors.Is(err, io.EOF) {
 				return nil, io.ErrUnexpectedEOF
@@ -96,29 +104,29 @@
 		}
 		if len(line) == 0 {
 			if size == 0 {
-				continue // blank lines between messages say nothing
+				continue // blank lines between messages are allowed
 			}
-			if bad != nil {
-				return nil, bad
+			if syntaxErr != nil {
+				return nil, syntaxErr
 			}
 			return m, nil
 		}
-		first := size == 0
+		isHeader := size == 0
 		size += len(line) + 2
 		switch {
-		case bad != nil: // read on to the end of the block
+		case syntaxErr != nil: // read on to the end of the message
 		case len(line) > r.limits.MaxLineBytes:
-			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a line of over %d bytes", r.limits.MaxLineBytes)}
+			syntaxErr = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a line of over %d bytes", r.limits.MaxLineBytes)}
 		case size > r.limits.MaxMessageBytes:
-			bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
-		case first:
-			bad = m.parseHeader(line)
+			syntaxErr = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
+		case isHeader:
+			syntaxErr = m.parseHeader(line)
 		default:
-			if fields++; fields > r.limits.MaxDescriptors {
-				bad = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("over %d descriptors", r.limits.MaxDescriptors)}
+			if descriptors++; descriptors > r.limits.MaxDescriptors {
+				syntaxErr = &SyntaxError{m.ID, MessageTooLarge, fmt.Sprintf("over %d descriptors", r.limits.MaxDescriptors)}
 				break
 			}
-			bad = m.parseDescriptor(line)
+			syntaxErr = m.parseDescriptor(line)
 		}
 		if size > r.limits.MaxMessageBytes*(1+maxSkippedMessages) {
 			return nil, fmt.Errorf("%w: a message of over %d bytes", ErrFraming, size)
@@ -126,27 +134,29 @@
 	}
 }
 
-// skipMessage reads over the rest of a block that is too large, up to a bound.
-func (r *Reader) skipMessage(id uint32, bad *SyntaxError) error {
+// skipMessage discards the rest of an oversized message. The result is syntaxErr or
+// a new SyntaxError if the end of the message is found within the limit, and
+// ErrFraming otherwise.
+func (r *Reader) skipMessage(id uint32, syntaxErr *SyntaxError) error {
 	r.byteBudget.N = int64(r.limits.MaxMessageBytes * maxSkippedMessages)
 	for {
-		part, err := r.text.R.ReadSlice('\n')
+		line, err := r.text.R.ReadSlice('\n')
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if r.byteBudget.N <= 0 {
 				return fmt.Errorf("%w: no end of a message within %d bytes", ErrFraming, r.limits.MaxMessageBytes*maxSkippedMessages)
 			}
 			return err
 		}
-		if err == nil && len(bytes.TrimRight(part, "\r\n")) == 0 {
-			if bad == nil {
-				bad = &SyntaxError{id, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
+		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
+			if syntaxErr == nil {
+				syntaxErr = &SyntaxError{id, MessageTooLarge, fmt.Sprintf("a message of over %d bytes", r.limits.MaxMessageBytes)}
 			}
-			return bad
+			return syntaxErr
 		}
 	}
 }
 
-// parseHeader reads the first line.
+// parseHeader parses the first line of a message into m.
 func (m *Message) parseHeader(line string) *SyntaxError {
 	if i := strings.IndexFunc(line, isControl); i >= 0 {
 		return &SyntaxError{0, BadSyntax, fmt.Sprintf("control character at byte %d of the first line", i+1)}
@@ -191,11 +201,11 @@
 	case "$":
 		m.Context = ContextChoose
 	default:
-		c, err := strconv.ParseUint(value, 10, 32)
-		if err != nil || c == 0 || uint32(c) >= ContextChoose {
+		context, err := strconv.ParseUint(value, 10, 32)
+		if err != nil || context == 0 || uint32(context) >= ContextChoose {
 			return &SyntaxError{m.ID, UnknownContext, fmt.Sprintf("%.40q is no context", value)}
 		}
-		m.Context = uint32(c)
+		m.Context = uint32(context)
 	}
 	name, value, _ = strings.Cut(rest, "=")
 	command, ok := commandsByName[name]
@@ -209,9 +219,11 @@
 	return nil
 }
 
-// MaxTerminationBytes is the longest name of a termination, in bytes.
+// MaxTerminationBytes is the maximum length of a termination.
 const MaxTerminationBytes = 64
 
+// parseDescriptor parses one line after the first and adds its descriptor to m. The
+// Error descriptor of a reply sets the code and the text instead.
 func (m *Message) parseDescriptor(line string) *SyntaxError {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || m.Kind == Pending || m.Kind == ErrorMessage {
@@ -237,9 +249,11 @@
 	return nil
 }
 
+// isControl reports whether c is an ASCII control character.
 func isControl(c rune) bool { return c < ' ' || c == 0x7f }
 
-// NewReadFunc makes readers within limits, one for each connection.
-func NewReadFunc(l Limits) func(net.Conn) func() (*Message, error) {
-	return func(nc net.Conn) func() (*Message, error) { return NewReader(nc, l).Read }
+// NewReadFunc returns a function that creates a Reader with the given limits for a
+// connection and returns its Read method.
+func NewReadFunc(limits Limits) func(net.Conn) func() (*Message, error) {
+	return func(conn net.Conn) func() (*Message, error) { return NewReader(conn, limits).Read }
 }
--- a/internal/signal/seed_test.go
+++ b/internal/signal/seed_test.go
@@ -2,7 +2,8 @@
 
 import "flag"
 
-// Properties are drawn from one seed: the same verdict every time.
+// init fixes the seed of the property tests, so that every run draws the same
+// cases.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/signal/signal_test.go
+++ b/internal/signal/signal_test.go
@@ -13,20 +13,20 @@
 	"pgregory.net/rapid"
 )
 
-func TestReadsAndRefuses(t *testing.T) {
-	long := strings.Repeat("x", DefaultLimits.MaxLineBytes+1)
+func TestReaderParsesAndRejects(t *testing.T) {
+	longLine := strings.Repeat("x", DefaultLimits.MaxLineBytes+1)
 	cases := []struct {
 		name, in string
 		id       uint32
-		code     Code // 0: read well
+		code     Code // expected error code; 0 if the message is valid
 	}{
 		{"request", "Transaction=17 Context=$ Add=c-1\r\nClass: grid-fetch\r\nLeft: 4.5s\r\n\r\n", 17, 0},
 		{"reply", "Reply=17 Context=12 Add=c-1\nVia: direct\n\n", 17, 0},
 		{"error reply", "Reply=17 Context=- Add=c-1\r\nError: 510 no circuit\r\n\r\n", 17, 0},
 		{"pending", "Pending=17\r\n\r\n", 17, 0},
-		{"fault", "Error=403 what\r\n\r\n", 0, 0},
+		{"error message", "Error=403 what\r\n\r\n", 0, 0},
 		{"blank lines first", "\r\n\r\nPending=3\r\n\r\n", 3, 0},
-		{"no opening", "Hello=1\r\n\r\n", 0, BadSyntax},
+		{"unknown message type", "Hello=1\r\n\r\n", 0, BadSyntax},
 		{"id 0", "Transaction=0 Context=- Add=x\r\n\r\n", 0, BadTransaction},
 		{"id too large", "Transaction=4294967296 Context=- Add=x\r\n\r\n", 0, BadTransaction},
 		{"no context", "Transaction=4 Add=x\r\n\r\n", 4, BadTransaction},
@@ -36,41 +36,43 @@
 		{"long termination", "Transaction=4 Context=- Add=" + strings.Repeat("y", 65) + "\r\n\r\n", 4, BadIdentifier},
 		{"no colon", "Transaction=4 Context=- Add=x\r\nClass\r\n\r\n", 4, BadTransaction},
 		{"control character", "Transaction=4 Context=- Add=x\r\nClass: a\x00b\r\n\r\n", 4, BadTransaction},
-		{"long line", "Transaction=4 Context=- Add=x\r\nClass: " + long + "\r\n\r\n", 4, MessageTooLarge},
+		{"long line", "Transaction=4 Context=- Add=x\r\nClass: " + longLine + "\r\n\r\n", 4, MessageTooLarge},
 		{"many descriptors", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: b\r\n", 129) + "\r\n", 4, MessageTooLarge},
-		{"large block", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: "+long[:900]+"\r\n", 40) + "\r\n", 4, MessageTooLarge},
+		{"large block", "Transaction=4 Context=- Add=x\r\n" + strings.Repeat("A: "+longLine[:900]+"\r\n", 40) + "\r\n", 4, MessageTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// whatever comes first, in whatever pieces, the next message is read
+			// The message arrives byte by byte, and the message after it must be read
+			// whether or not the first one is valid.
 			r := NewReader(iotest.OneByteReader(strings.NewReader(c.in+"Pending=99\r\n\r\n")), Limits{})
 			m, err := r.Read()
-			var bad *SyntaxError
+			var syntaxErr *SyntaxError
 			switch {
 			case c.code == 0 && (err != nil || m.ID != c.id):
-				t.Fatalf("read %v, %v", m, err)
-			case c.code != 0 && (!errors.As(err, &bad) || bad.Code != c.code || bad.ID != c.id):
-				t.Fatalf("error %v, want code %d for transaction %d", err, c.code, c.id)
+				t.Fatalf("got %v, %v, want a valid message", m, err)
+			case c.code != 0 && (!errors.As(err, &syntaxErr) || syntaxErr.Code != c.code || syntaxErr.ID != c.id):
+				t.Fatalf("got error %v, want code %d for transaction %d", err, c.code, c.id)
 			}
 			if next, err := r.Read(); err != nil || next.ID != 99 {
-				t.Fatalf("next message: %v, %v", next, err)
+				t.Fatalf("next message: got %v, %v, want transaction 99", next, err)
 			}
 			if _, err := r.Read(); !errors.Is(err, io.EOF) {
-				t.Fatalf("end: %v", err)
+				t.Fatalf("at the end: got %v, want EOF", err)
 			}
 		})
 	}
 }
 
-func TestEndlessMessageLosesFraming(t *testing.T) {
-	for name, unit := range map[string]string{"one line": "x", "many lines": "A: b\r\n"} {
-		src := io.MultiReader(strings.NewReader("Transaction=4 Context=- Add=x\r\n"), &endlessReader{pattern: unit})
-		if _, err := NewReader(src, Limits{}).Read(); !errors.Is(err, ErrFraming) {
-			t.Errorf("%s: %v, want ErrFraming", name, err)
+func TestReaderRejectsUnboundedMessage(t *testing.T) {
+	for name, pattern := range map[string]string{"one line": "x", "many lines": "A: b\r\n"} {
+		stream := io.MultiReader(strings.NewReader("Transaction=4 Context=- Add=x\r\n"), &endlessReader{pattern: pattern})
+		if _, err := NewReader(stream, Limits{}).Read(); !errors.Is(err, ErrFraming) {
+			t.Errorf("%s: got %v, want ErrFraming", name, err)
 		}
 	}
 }
 
+// endlessReader is a stream that repeats a pattern without end.
 type endlessReader struct {
 	pattern string
 	offset  int
@@ -84,12 +86,13 @@
 	return len(p), nil
 }
 
-func TestEndWithinAMessage(t *testing.T) {
+func TestReaderReportsEndWithinMessage(t *testing.T) {
 	if _, err := NewReader(strings.NewReader("Transaction=4 Context=- Add=x\r\n"), Limits{}).Read(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got %v, want ErrUnexpectedEOF", err)
 	}
 }
 
+// messageGenerator draws valid messages of every kind.
 func messageGenerator() *rapid.Generator[*Message] {
 	word := rapid.StringMatching(`[A-Za-z0-9/._-]{1,20}`)
 	value := rapid.StringMatching(`[!-~]([ -~]{0,40}[!-~])?`)
@@ -118,27 +121,27 @@
 	})
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOfN(messageGenerator(), 1, 5).Draw(t, "messages")
-		var b []byte
-		for _, m := range all {
-			b = m.Append(b)
+		messages := rapid.SliceOfN(messageGenerator(), 1, 5).Draw(t, "messages")
+		var encoded []byte
+		for _, m := range messages {
+			encoded = m.Append(encoded)
 		}
-		r := NewReader(bytes.NewReader(b), Limits{})
-		for i, want := range all {
+		r := NewReader(bytes.NewReader(encoded), Limits{})
+		for i, want := range messages {
 			got, err := r.Read()
 			if err != nil {
-				t.Fatalf("message %d: %v\n%s", i, err, b)
+				t.Fatalf("message %d: %v in\n%s", i, err, encoded)
 			}
 			if got.String() != want.String() || got.Kind != want.Kind || got.Code != want.Code {
-				t.Fatalf("message %d: %q, want %q", i, got, want)
+				t.Fatalf("message %d: got %q, want %q", i, got, want)
 			}
 		}
 	})
 }
 
-func TestValuesNameThePlace(t *testing.T) {
+func TestValueErrorsNameTheDescriptor(t *testing.T) {
 	m := (&Message{}).PutInt("Dest", 7).PutDuration("Left", 3*time.Second).Put("Bad", "x")
 	if v, err := m.Int("Dest", 0, 10); v != 7 || err != nil {
 		t.Error(v, err)
@@ -148,14 +151,14 @@
 	}
 	for _, name := range []string{"Bad", "None"} {
 		if _, err := m.Int(name, 0, 10); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one that names the descriptor", name, err)
 		}
 		if _, err := m.Duration(name); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one that names the descriptor", name, err)
 		}
 	}
 	if _, err := m.Int("Dest", 0, 6); err == nil {
-		t.Error("7 is above 6")
+		t.Error("got no error for 7 with a maximum of 6")
 	}
 }
 
@@ -169,26 +172,27 @@
 		r := NewReader(bytes.NewReader(in), Limits{MaxLineBytes: 64, MaxMessageBytes: 256, MaxDescriptors: 4})
 		for n := 0; ; n++ {
 			m, err := r.Read()
-			var bad *SyntaxError
-			if err != nil && !errors.As(err, &bad) {
+			var syntaxErr *SyntaxError
+			if err != nil && !errors.As(err, &syntaxErr) {
 				return
 			}
 			if n > len(in) {
-				t.Fatal("more messages than bytes")
+				t.Fatal("the reader returned more messages than there are input bytes")
 			}
 			if m == nil {
 				continue
 			}
-			again, err := NewReader(bytes.NewReader(m.Append(nil)), Limits{MaxLineBytes: 100, MaxMessageBytes: 512, MaxDescriptors: 5}).Read()
-			if err != nil || again.String() != m.String() {
-				t.Fatalf("%q reads back as %q, %v", m, again, err)
+			reread, err := NewReader(bytes.NewReader(m.Append(nil)), Limits{MaxLineBytes: 100, MaxMessageBytes: 512, MaxDescriptors: 5}).Read()
+			if err != nil || reread.String() != m.String() {
+				t.Fatalf("%q is read back as %q, %v", m, reread, err)
 			}
 		}
 	})
 }
 
-// Every example of docs/protocol.md is a message that reads back the same.
-func TestExamplesOfTheProtocolPage(t *testing.T) {
+// Every example in docs/protocol.md must be a valid message that is written back
+// unchanged, and there must be one of every command.
+func TestProtocolPageExamplesRoundTrip(t *testing.T) {
 	page, err := os.ReadFile("../../docs/protocol.md")
 	if err != nil {
 		t.Fatal(err)
@@ -208,16 +212,16 @@
 			examples++
 			seen[m.Command] = true
 			if !strings.Contains(strings.ReplaceAll(blocks[i], "\r", ""), strings.ReplaceAll(m.String(), "\r", "")) {
-				t.Errorf("%s reads otherwise than it stands", m)
+				t.Errorf("written back as %s, which differs from the example", m)
 			}
 		}
 	}
 	for name, c := range commandsByName {
 		if !seen[c] {
-			t.Errorf("no example of %s", name)
+			t.Errorf("docs/protocol.md has no example of %s", name)
 		}
 	}
 	if examples < 20 {
-		t.Errorf("only %d examples", examples)
+		t.Errorf("docs/protocol.md has %d examples, want at least 20", examples)
 	}
 }
