--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -17,7 +17,7 @@
 		b := newInbox(20)
 		put := func(k guard.Kind, n int) (taken int) {
 			for range n {
-				if b.put(k, controller.Input{What: controller.Command}) {
+				if b.put(k, controller.Input{Kind: controller.InputMessage}) {
 					taken++
 				}
 			}
@@ -26,24 +26,24 @@
 		if n := put(guard.NewCall, 30); n != 10 {
 			t.Fatalf("%d new calls taken, want half", n)
 		}
-		if n := put(guard.Answer, 10); n != 10 {
+		if n := put(guard.Completion, 10); n != 10 {
 			t.Fatalf("%d answers taken", n)
 		}
 		late := make(chan bool)
-		go func() { late <- b.put(guard.Answer, controller.Input{What: controller.Down}) }()
+		go func() { late <- b.put(guard.Completion, controller.Input{Kind: controller.InputDisconnected}) }()
 		synctest.Wait()
 		got := b.take()
-		if len(got) != 21 || got[20].What != controller.Turned || got[20].N != 20 {
+		if len(got) != 21 || got[20].Kind != controller.InputShed || got[20].Count != 20 {
 			t.Fatalf("%d inputs, the last %+v", len(got), got[len(got)-1])
 		}
 		if !<-late {
 			t.Fatal("an answer is lost")
 		}
-		if got = b.take(); len(got) != 1 || got[0].What != controller.Down {
+		if got = b.take(); len(got) != 1 || got[0].Kind != controller.InputDisconnected {
 			t.Fatalf("%+v", got)
 		}
-		put(guard.Answer, 20)
-		go func() { late <- b.put(guard.Answer, controller.Input{}) }()
+		put(guard.Completion, 20)
+		go func() { late <- b.put(guard.Completion, controller.Input{}) }()
 		time.Sleep(time.Second)
 		b.close()
 		if <-late {
@@ -53,24 +53,24 @@
 }
 
 func TestWhatTheLossOfAMessageCosts(t *testing.T) {
-	caller, exchange := controller.Peer{Role: controller.Caller}, controller.Peer{Role: controller.Exchange}
+	caller, exchange := controller.Peer{Role: controller.RoleCaller}, controller.Peer{Role: controller.RoleExchange}
 	for _, c := range []struct {
 		p    controller.Peer
 		m    signal.Message
 		want guard.Kind
 	}{
 		{caller, signal.Message{Command: signal.Add, Termination: "a"}, guard.NewCall},
-		{caller, signal.Message{Command: signal.Subtract, Termination: "a"}, guard.Answer},
-		{caller, signal.Message{Command: signal.AuditValue, Termination: signal.Root}, guard.Word},
-		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Termination: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Termination: "a"}, guard.Answer},
-		{exchange, signal.Message{Command: signal.Notify, Termination: signal.Root}, guard.Word},
+		{caller, signal.Message{Command: signal.Subtract, Termination: "a"}, guard.Completion},
+		{caller, signal.Message{Command: signal.AuditValue, Termination: signal.Root}, guard.StatusUpdate},
+		{exchange, signal.Message{Kind: signal.Reply, Command: signal.Add, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: "a"}, guard.Completion},
+		{exchange, signal.Message{Command: signal.Notify, Termination: signal.Root}, guard.StatusUpdate},
 	} {
-		if got := kindOf(controller.Input{What: controller.Command, Peer: c.p, Msg: &c.m}); got != c.want {
+		if got := kindOf(controller.Input{Kind: controller.InputMessage, Peer: c.p, Message: &c.m}); got != c.want {
 			t.Errorf("%s of a %s: %d, want %d", &c.m, c.p.Role, got, c.want)
 		}
 	}
-	if kindOf(controller.Input{What: controller.Down}) != guard.Answer {
+	if kindOf(controller.Input{Kind: controller.InputDisconnected}) != guard.Completion {
 		t.Error("the end of a connection may be lost")
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -113,7 +113,7 @@
 }
 
 func exchangeList(rows []wire.ListEntry) ([]brain.Exchange, error) {
-	states := map[string]brain.State{"IN": brain.In, "LAME": brain.Draining, "OUT": brain.Out}
+	states := map[string]brain.ExchangeState{"IN": brain.InService, "LAME": brain.Draining, "OUT": brain.OutOfService}
 	var list []brain.Exchange
 	for i, r := range rows {
 		if r.Exchange == nil || r.ExchangeNumber == nil || r.State == nil {
@@ -123,7 +123,7 @@
 		if !ok {
 			return nil, fmt.Errorf("field stage_state: unknown state %q", *r.State)
 		}
-		list = append(list, brain.Exchange{ID: *r.Exchange, Cell: *r.ExchangeNumber, State: st, Since: time.Duration(r.Since)})
+		list = append(list, brain.Exchange{ID: *r.Exchange, Number: *r.ExchangeNumber, State: st, StartedAt: time.Duration(r.Since)})
 	}
 	return list, nil
 }
@@ -156,7 +156,7 @@
 		}
 		switch *e.UpdateKind {
 		case "update", "replace", "restored":
-			return brain.Exchanges{Complete: *e.UpdateKind != "update", Entries: rows}, nil
+			return brain.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: rows}, nil
 		}
 		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
@@ -164,46 +164,46 @@
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		c := brain.Call{ID: *e.CallID, Class: class, Left: time.Duration(*e.TimeLeft), Dest: int(*e.Destination),
-			Width: inst.circuitsByClass[class], Through: -1, Transit: e.Transit, Repeat: e.Retry, Again: e.AfterCut}
+		c := brain.Call{ID: *e.CallID, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Destination),
+			Width: inst.circuitsByClass[class], Via: -1, Transit: e.Transit, Repeat: e.Retry, Reconnect: e.AfterCut}
 		if e.CalledNumber != nil {
-			c.Number, c.Numbered = *e.CalledNumber, true
+			c.CalledNumber, c.HasCalledNumber = *e.CalledNumber, true
 		}
 		if e.Circuits != nil {
 			c.Width = int(*e.Circuits)
 		}
 		if e.Through != nil {
-			c.Through = int(*e.Through)
+			c.Via = int(*e.Through)
 		}
 		return c, nil
 	case "Hangup":
-		return brain.CallGone{ID: *e.CallID}, nil
+		return brain.CallAbandoned{CallID: *e.CallID}, nil
 	case "Bell":
-		return brain.Alarm{Token: *e.Token}, nil
+		return brain.TimerExpired{Token: *e.Token}, nil
 	case "PeerData":
-		return brain.Peer{From: *e.Sender, Data: []byte(*e.Payload)}, nil
+		return brain.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.Circuits{Exchange: *e.Exchange, OK: *e.Status == 200, Asked: durationOf(e.Elapsed) > 0,
-			After: durationOf(e.Elapsed), Report: loadReport(e.Load)}, nil
+		return brain.GroupStatus{ExchangeID: *e.Exchange, OK: *e.Status == 200, ProbeReply: durationOf(e.Elapsed) > 0,
+			Elapsed: durationOf(e.Elapsed), Report: loadReport(e.Load)}, nil
 	case "Started":
-		return brain.Standing{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, After: durationOf(e.Elapsed)}, nil
+		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Elapsed: durationOf(e.Elapsed)}, nil
 	case "Reply":
 		oc, ok := outcomesByStatus[*e.Status]
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.Ended{ID: *e.CallID, Attempt: *e.Attempt, Exchange: *e.Exchange, Outcome: oc,
-			After: durationOf(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: loadReport(e.Load)}
-		if e.Note > 16 && e.Note%16 == int(brain.ProcFull) {
-			ended.Note, ended.Wait = brain.ProcFull, time.Duration(e.Note/16)*time.Millisecond
+		ended := brain.AttemptEnded{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Outcome: oc,
+			Elapsed: durationOf(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: loadReport(e.Load)}
+		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
+			ended.Note, ended.RetryAfter = brain.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
 		}
 		return ended, nil
 	}
 	return nil, nil
 }
 
-var outcomesByStatus = map[int]brain.Outcome{200: brain.OK, 500: brain.Failed, 503: brain.Full, 504: brain.TimedOut,
-	502: brain.NoConnect, 598: brain.Reset, 499: brain.Cancelled, 410: brain.Moot}
+var outcomesByStatus = map[int]brain.Outcome{200: brain.OutcomeCompleted, 500: brain.OutcomeFailed, 503: brain.OutcomeRejected, 504: brain.OutcomeTimedOut,
+	502: brain.OutcomeUnreachable, 598: brain.OutcomeReset, 499: brain.OutcomeCancelled, 410: brain.OutcomeNotSent}
 
 func durationOf(ns *int64) time.Duration {
 	if ns == nil {
@@ -212,28 +212,28 @@
 	return time.Duration(*ns)
 }
 
-func loadReport(l wire.LoadReport) brain.Report {
-	var r brain.Report
+func loadReport(l wire.LoadReport) brain.StatusReport {
+	var r brain.StatusReport
 	free, okFree := l.Get("idle")
 	size, okSize := l.Get("circuits")
-	r.Known, r.Free, r.Size = okFree && okSize, int(free), int(size)
-	r.Eps, r.HasEps = l.Get("reduce")
+	r.CircuitsKnown, r.FreeCircuits, r.GroupSize = okFree && okSize, int(free), int(size)
+	r.Reduction, r.HasReduction = l.Get("reduce")
 	return r
 }
 
 func (h *server) writeAction(id int, inst *instance, a brain.Action) error {
 	w := wire.Action{Controller: &id}
 	switch a := a.(type) {
-	case brain.Send:
-		w.Type, w.CallID, w.Exchange, w.Timeout = "Send", a.ID, &a.Exchange, int64(a.Timeout)
-	case brain.Refuse:
-		w.Type, w.CallID, w.Backoff = "PushBack", a.ID, int64(a.Backoff)
-	case brain.GiveUp:
-		w.Type, w.CallID = "GiveUp", a.ID
-	case brain.Cancel:
-		w.Type, w.CallID, w.Attempt = "StopAttempt", a.ID, &a.Attempt
-	case brain.Wake:
-		ns := int64(a.After)
+	case brain.StartAttempt:
+		w.Type, w.CallID, w.Exchange, w.Timeout = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
+	case brain.RefuseCall:
+		w.Type, w.CallID, w.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
+	case brain.FailCall:
+		w.Type, w.CallID = "GiveUp", a.CallID
+	case brain.CancelAttempt:
+		w.Type, w.CallID, w.Attempt = "StopAttempt", a.CallID, &a.Attempt
+	case brain.SetTimer:
+		ns := int64(a.Delay)
 		w.Type, w.Token, w.Delay = "SetAlarm", &a.Token, &ns
 	case brain.Verdict:
 		if !a.Log {
@@ -241,7 +241,7 @@
 		}
 		w.Type = "SayLog"
 		w.Text = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
-			a.ID, a.Class, a.Reason, a.Scope, a.Cell, a.Nth)
+			a.CallID, a.Class, a.Reason, a.Scope, a.ExchangeNumber, a.Count)
 	default:
 		return fmt.Errorf("no wire form for %T", a)
 	}
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -120,7 +120,7 @@
 	k := c.callers[in.Conn]
 	if k == nil {
 		if IsNewCall(in.Msg) { // read before the connection is closed, which has been decided
-			c.turnAway(in.Conn, in.Msg.Call)
+			c.turnAway(in.Conn, in.Msg.CallID)
 		}
 		return
 	}
@@ -131,8 +131,8 @@
 	case isup.Release:
 		c.released(k, in.Msg)
 	case isup.Test:
-		c.do(SendToCaller{k.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
-	case isup.Progress, isup.Released, isup.Tested:
+		c.do(SendToCaller{k.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
+	case isup.Progress, isup.ReleaseComplete, isup.TestResult:
 	default:
 		c.Stats.Invalid++
 		c.shut(k, fmt.Sprintf("message of type %d", in.Msg.Type))
@@ -140,21 +140,21 @@
 }
 
 func release(id uint64, cause byte) *isup.Message {
-	return (&isup.Message{Type: isup.Release, Call: id}).With(isup.Cause, []byte{cause})
+	return (&isup.Message{Type: isup.Release, CallID: id}).Add(isup.ParamCause, []byte{cause})
 }
 
 // refusal is a release that says that trying again is harmless, and when.
 func refusal(id uint64, backoff time.Duration) *isup.Message {
 	m := release(id, isup.Congestion)
 	if backoff > 0 {
-		m.With(isup.StayAway, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
+		m.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
 	}
 	return m
 }
 
 // IsNewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
 func IsNewCall(m *isup.Message) bool {
-	figures, _ := m.Get(isup.Figures)
+	figures, _ := m.Get(isup.ParamRouting)
 	return m.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
@@ -186,37 +186,37 @@
 		v, _ := m.Get(code)
 		return string(v)
 	}
-	class, ok := c.classes[text(isup.Class)]
+	class, ok := c.classes[text(isup.ParamClass)]
 	if !ok {
-		return r, fmt.Errorf("unknown class %.40q", text(isup.Class))
+		return r, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
 	}
-	r.class, r.Class = text(isup.Class), class
-	ms, err := strconv.ParseUint(text(isup.Patience), 10, 22)
+	r.class, r.Class = text(isup.ParamClass), class
+	ms, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
 	if err != nil {
 		return r, fmt.Errorf("patience: %w", err)
 	}
-	r.Left = time.Duration(ms) * time.Millisecond
-	r.number = text(isup.Number)
-	if r.Number, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
+	r.Remaining = time.Duration(ms) * time.Millisecond
+	r.number = text(isup.ParamNumber)
+	if r.CalledNumber, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
 		return r, fmt.Errorf("number %.40q", r.number)
 	}
-	r.Numbered = true
-	switch v := text(isup.Retry); v {
+	r.HasCalledNumber = true
+	switch v := text(isup.ParamRetry); v {
 	case "1":
 		r.Repeat = true
 	case "", "0":
 	default:
 		return r, fmt.Errorf("retry %.40q", v)
 	}
-	r.desc, ok = m.Get(isup.Description)
+	r.desc, ok = m.Get(isup.ParamDescription)
 	if !ok {
 		return r, fmt.Errorf("no description")
 	}
-	return r, c.figures(&r, text(isup.Figures))
+	return r, c.figures(&r, text(isup.ParamRouting))
 }
 
 func (c *Core) figures(r *request, text string) error {
-	r.Through = -1
+	r.Via = -1
 	var dest, width, via bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
@@ -233,33 +233,33 @@
 		}
 		switch name {
 		case "dest":
-			dest, r.Dest = true, int(n)
+			dest, r.Destination = true, int(n)
 		case "width":
 			width, r.Width = true, int(n)
 		case "via":
-			via, r.Through = true, int(n)
+			via, r.Via = true, int(n)
 		case "transit":
 			r.Transit = n == 1
 		case "again":
-			r.Again = n == 1
+			r.Reconnect = n == 1
 		}
 		if (name == "transit" || name == "again") && n != 0 && n != 1 {
 			return fmt.Errorf("figure %.20q out of range in %.80q", name, text)
 		}
 	}
 	switch {
-	case !dest || !c.served(r.Dest) || r.Dest == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
+	case !dest || !c.served(r.Destination) || r.Destination == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
 		return fmt.Errorf("no such destination in %.80q", text)
 	case !width || r.Width < 1 || r.Width > c.widest:
 		return fmt.Errorf("width out of range in %.80q", text)
-	case r.Through < -1 || r.Transit && !via:
+	case r.Via < -1 || r.Transit && !via:
 		return fmt.Errorf("via out of range in %.80q", text)
 	}
 	return nil
 }
 
 func (c *Core) setUp(k *caller, in CallerMessage) {
-	id := in.Msg.Call
+	id := in.Msg.CallID
 	have := c.calls[id]
 	r, err := c.read(in.Msg)
 	switch {
@@ -297,7 +297,7 @@
 	c.open++
 	k.open++
 	r.ID = x.name
-	r.Left -= max(c.now-in.ReceivedAt, 0)
+	r.Remaining -= max(c.now-in.ReceivedAt, 0)
 	c.feed(r.Call)
 }
 
@@ -333,15 +333,15 @@
 
 // released is a caller's word that a set-up is given up or that a call is over.
 func (c *Core) released(k *caller, m *isup.Message) {
-	x := c.calls[m.Call]
+	x := c.calls[m.CallID]
 	if x == nil {
 		return
 	}
 	c.log(slog.LevelDebug, "caller's release", "call", x.name, "standing", x.standing, "stood", c.now-x.stood, "out", c.tries[x.id] != nil, "cause", m.Cause())
 	if x.standing {
 		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
-		c.over(x, brain.Cancelled, isup.NormalClearing, true)
-		c.do(SendToCaller{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
+		c.over(x, brain.OutcomeCancelled, isup.NormalClearing, true)
+		c.do(SendToCaller{k.id, &isup.Message{Type: isup.ReleaseComplete, CallID: m.CallID}})
 		return
 	}
 	if x.from == k {
@@ -353,9 +353,9 @@
 func (c *Core) givenUp(x *call) {
 	c.Stats.Gone++
 	c.closeOpen(x)
-	c.feed(brain.CallGone{ID: x.name})
+	c.feed(brain.CallAbandoned{CallID: x.name})
 	if t := c.tries[x.id]; t != nil { // where the module may not cancel
-		c.withdraw(t, brain.Cancelled)
+		c.withdraw(t, brain.OutcomeCancelled)
 	}
 }
 
@@ -371,7 +371,7 @@
 func (c *Core) answer(x *call, m *isup.Message) {
 	c.closeOpen(x)
 	if t := c.tries[x.id]; t != nil {
-		c.withdraw(t, brain.TimedOut) // before the answer is said: nothing is sent after it
+		c.withdraw(t, brain.OutcomeTimedOut) // before the answer is said: nothing is sent after it
 	}
 	c.do(SendToCaller{x.from.id, m})
 }
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -13,27 +13,27 @@
 	"dahliaspindle/internal/settings"
 )
 
-// Core is what a controller core starts with at a time; flows takes its records, nil for none.
-func Core(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
-	b := Module(set)
+// ControllerConfig is what a controller core starts with at a time; flows takes its records, nil for none.
+func ControllerConfig(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
+	b := ModuleSettings(set)
 	patience := time.Duration(0)
 	for _, c := range set.Classes {
 		patience = max(patience, c.Patience)
 	}
 	return controller.Config{
-		Module: policy.New(set.Policy, b), Classes: b.Classes, Self: set.Self, Number: set.Number,
-		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.TransactionsPerPeer, MostRoutes: set.Limits.Exchanges,
-		Connect: set.Peers.ConnectWait, StandingLeft: set.Limits.ShutdownGrace,
-		Life:    guard.Life{After: set.Peers.ProbeAfter, Lost: set.Peers.LostAfter},
-		Release: guard.Release{Every: set.Peers.ReleaseRetryAfter, Tries: set.Peers.MaxReleaseAttempts},
-		Faults:  guard.Faults{Most: set.Limits.UnreadableMessages, Each: 100 * time.Millisecond},
-		Flows:   flows, Interim: set.Flows.InterimInterval,
-		Traffic: measure.NewLive(now, set.Limits.MeasurementPeriod, patience),
+		Module: policy.New(set.Policy, b), Classes: b.Classes, ExchangeNumber: set.Self, ControllerNumber: set.Number,
+		MaxCalls: set.Limits.Calls, MaxPendingPerCaller: set.Limits.TransactionsPerPeer, MaxExchanges: set.Limits.Exchanges,
+		LinkTimeout: set.Peers.ConnectWait, ShutdownGrace: set.Limits.ShutdownGrace,
+		Liveness:     guard.Liveness{ProbeAfter: set.Peers.ProbeAfter, LostAfter: set.Peers.LostAfter},
+		ReleaseRetry: guard.ReleaseRetry{Interval: set.Peers.ReleaseRetryAfter, MaxRequests: set.Peers.MaxReleaseAttempts},
+		FaultLimit:   guard.FaultLimiter{Burst: set.Limits.UnreadableMessages, ForgiveEvery: 100 * time.Millisecond},
+		FlowSink:     flows, InterimInterval: set.Flows.InterimInterval,
+		TrafficMeter: measure.NewLive(now, set.Limits.MeasurementPeriod, patience),
 	}
 }
 
-// Module is what the decision module starts with, from the settings.
-func Module(set *settings.Controller) brain.Settings {
+// ModuleSettings is what the decision module starts with, from the settings.
+func ModuleSettings(set *settings.Controller) brain.Settings {
 	b := brain.Settings{Seed: set.Seed, Self: set.Self, Me: set.Number, Controllers: set.Controllers,
 		ReleaseWait: set.Rules.ReleaseTime, ResendAfter: set.Rules.ResendAfter, DrainGrace: set.Rules.DrainGrace,
 		AnswerSlack: set.Rules.AnswerSlack, ColdFrom: set.Rules.ColdCapacity, ColdFor: set.Rules.ColdDuration,
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -257,5 +257,5 @@
 	return m.Kind == Reply || m.Command == Subtract || m.Command == Notify && m.Termination != Root
 }
 
-// SetUp reports whether the message is a request to set up a call.
-func (m *Message) SetUp() bool { return m.Kind == Request && m.Command == Add }
+// IsSetUp reports whether the message is a request to set up a call.
+func (m *Message) IsSetUp() bool { return m.Kind == Request && m.Command == Add }
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -46,8 +46,8 @@
 	Reason string
 }
 
-// Skipped marks SyntaxError as an error after which reading can continue.
-func (e *SyntaxError) Skipped() {}
+// Recoverable marks SyntaxError as an error after which reading can continue.
+func (e *SyntaxError) Recoverable() {}
 
 // Error returns the code and the reason.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%d %s", int(e.Code), e.Reason) }
