--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost serves the decision module on standard input and output.
+// Command wirehost runs the routing module for the bench adapter over standard input
+// and standard output.
 package main
 
 import (
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,6 @@
-// Package host runs the instances: it turns wire events into the brain's and
-// the brain's actions into wire lines. It decides nothing about a call.
+// Package host runs instances of the routing module for the bench adapter. It
+// converts events read from the adapter into events of the module, and actions of
+// the module into lines for the adapter. It makes no routing decisions.
 package host
 
 import (
@@ -14,30 +15,33 @@
 	"dahliaspindle/internal/wire"
 )
 
+// instance is one running controller.
 type instance struct {
 	controller      *brain.Controller
-	classIndex      map[string]int
-	circuitsByClass []int
+	classIndex      map[string]int // class number by name
+	circuitsByClass []int          // default circuits per call
 }
 
+// server holds the state of one session with the adapter.
 type server struct {
 	now       time.Duration
 	instances map[int]*instance
-	lists     map[int][]brain.Exchange
+	lists     map[int][]brain.Exchange // exchange lists by list number
 	encoder   *json.Encoder
 }
 
-// Run serves batches until the end of input. Its error is one plain line.
+// Run reads batches of events from in and writes the resulting actions to out until
+// the end of input. The text of an error is a single line.
 func Run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
-	h := &server{instances: map[int]*instance{}, lists: map[int][]brain.Exchange{}, encoder: json.NewEncoder(w)}
-	open := false
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
+	reader := bufio.NewReaderSize(in, 1<<20)
+	writer := bufio.NewWriterSize(out, 1<<20)
+	s := &server{instances: map[int]*instance{}, lists: map[int][]brain.Exchange{}, encoder: json.NewEncoder(writer)}
+	inBatch := false
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
-			if open {
-				return fmt.Errorf("line %d: input ends within a batch", n)
+			if inBatch {
+				return fmt.Errorf("line %d: input ends within a batch", lineNumber)
 			}
 			return nil
 		}
@@ -47,101 +51,106 @@
 		if len(line) <= 1 {
 			continue
 		}
-		e, err := wire.Decode(line)
+		event, err := wire.Decode(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %v", n, err)
+			return fmt.Errorf("line %d: %v", lineNumber, err)
 		}
-		switch e.Type {
+		switch event.Type {
 		case "Clock":
-			if open {
-				return fmt.Errorf("line %d: Clock within a batch", n)
+			if inBatch {
+				return fmt.Errorf("line %d: Clock within a batch", lineNumber)
 			}
-			open, h.now = true, time.Duration(*e.AtTime)
+			inBatch, s.now = true, time.Duration(*event.AtTime)
 			continue
 		case "End":
-			if !open {
-				return fmt.Errorf("line %d: End without Clock", n)
+			if !inBatch {
+				return fmt.Errorf("line %d: End without Clock", lineNumber)
 			}
-			open = false
-			if err := h.encoder.Encode(wire.Action{Type: "Finished"}); err != nil {
+			inBatch = false
+			if err := s.encoder.Encode(wire.Action{Type: "Finished"}); err != nil {
 				return err
 			}
-			if err := w.Flush(); err != nil {
+			if err := writer.Flush(); err != nil {
 				return err
 			}
 			continue
 		}
-		if !open {
-			return fmt.Errorf("line %d: %s outside a batch", n, e.Type)
+		if !inBatch {
+			return fmt.Errorf("line %d: %s outside a batch", lineNumber, event.Type)
 		}
-		if err := h.handleEvent(e); err != nil {
-			return fmt.Errorf("line %d: %s: %v", n, e.Type, err)
+		if err := s.handleEvent(event); err != nil {
+			return fmt.Errorf("line %d: %s: %v", lineNumber, event.Type, err)
 		}
 	}
 }
 
-func (h *server) handleEvent(e *wire.Event) error {
+// handleEvent applies one event within a batch and writes the actions that result.
+func (s *server) handleEvent(e *wire.Event) error {
 	if e.Type == "Ledger" {
-		rows, err := exchangeList(*e.ListEntries)
-		h.lists[*e.ListNumber] = rows
+		list, err := exchangeList(*e.ListEntries)
+		s.lists[*e.ListNumber] = list
 		return err
 	}
 	id := *e.Controller
 	if e.Type == "Launch" {
 		inst, err := newInstance(*e.Seed, e.Settings)
-		h.instances[id] = inst
+		s.instances[id] = inst
 		return err
 	}
-	inst := h.instances[id]
+	inst := s.instances[id]
 	if inst == nil {
 		return fmt.Errorf("field controller: no instance %d", id)
 	}
 	if e.Type == "Killed" {
-		delete(h.instances, id)
+		delete(s.instances, id)
 		return nil
 	}
-	ev, err := h.moduleEvent(inst, e)
-	if err != nil || ev == nil {
+	event, err := s.moduleEvent(inst, e)
+	if err != nil || event == nil {
 		return err
 	}
-	for _, a := range inst.controller.Handle(h.now, ev) {
-		if err := h.writeAction(id, inst, a); err != nil {
+	for _, action := range inst.controller.Handle(s.now, event) {
+		if err := s.writeAction(id, inst, action); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func exchangeList(rows []wire.ListEntry) ([]brain.Exchange, error) {
+// exchangeList converts the entries of a Ledger event.
+func exchangeList(entries []wire.ListEntry) ([]brain.Exchange, error) {
 	states := map[string]brain.ExchangeState{"IN": brain.InService, "LAME": brain.Draining, "OUT": brain.OutOfService}
 	var list []brain.Exchange
-	for i, r := range rows {
-		if r.Exchange == nil || r.ExchangeNumber == nil || r.State == nil {
+	for i, entry := range entries {
+		if entry.ExchangeID == nil || entry.ExchangeNumber == nil || entry.State == nil {
 			return nil, fmt.Errorf("field rows: entry %d lacks exchange, cell or stage_state", i)
 		}
-		st, ok := states[*r.State]
+		state, ok := states[*entry.State]
 		if !ok {
-			return nil, fmt.Errorf("field stage_state: unknown state %q", *r.State)
+			return nil, fmt.Errorf("field stage_state: unknown state %q", *entry.State)
 		}
-		list = append(list, brain.Exchange{ID: *r.Exchange, Number: *r.ExchangeNumber, State: st, StartedAt: time.Duration(r.Since)})
+		list = append(list, brain.Exchange{ID: *entry.ExchangeID, Number: *entry.ExchangeNumber, State: state, StartedAt: time.Duration(entry.Since)})
 	}
 	return list, nil
 }
 
-func newInstance(seed uint64, s *wire.Settings) (*instance, error) {
-	b, err := s.Module(seed)
+// newInstance starts a controller with the given settings.
+func newInstance(seed uint64, settings *wire.Settings) (*instance, error) {
+	moduleSettings, err := settings.Module(seed)
 	if err != nil {
 		return nil, fmt.Errorf("field settings: %w", err)
 	}
-	inst := &instance{controller: brain.New(b), classIndex: map[string]int{}}
-	for i, c := range b.Classes {
-		inst.classIndex[c.Name] = i
-		inst.circuitsByClass = append(inst.circuitsByClass, c.Width)
+	inst := &instance{controller: brain.New(moduleSettings), classIndex: map[string]int{}}
+	for i, class := range moduleSettings.Classes {
+		inst.classIndex[class.Name] = i
+		inst.circuitsByClass = append(inst.circuitsByClass, class.Width)
 	}
 	return inst, nil
 }
 
-func (h *server) moduleEvent(inst *instance, e *wire.Event) (brain.Event, error) {
+// moduleEvent converts an event for the module; the result is nil if the module needs
+// no notice of it.
+func (s *server) moduleEvent(inst *instance, e *wire.Event) (brain.Event, error) {
 	switch e.Type {
 	case "Discovery":
 		if *e.UpdateKind == "unavailable" {
@@ -150,13 +159,13 @@
 		if e.ListNumber == nil {
 			return nil, errors.New("field sheet is missing")
 		}
-		rows, ok := h.lists[*e.ListNumber]
+		list, ok := s.lists[*e.ListNumber]
 		if !ok {
 			return nil, fmt.Errorf("field sheet: no list %d", *e.ListNumber)
 		}
 		switch *e.UpdateKind {
 		case "update", "replace", "restored":
-			return brain.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: rows}, nil
+			return brain.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: list}, nil
 		}
 		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
@@ -164,18 +173,18 @@
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		c := brain.Call{ID: *e.CallID, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Destination),
-			Width: inst.circuitsByClass[class], Via: -1, Transit: e.Transit, Repeat: e.Retry, Reconnect: e.AfterCut}
+		call := brain.Call{ID: *e.CallID, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Destination),
+			Width: inst.circuitsByClass[class], Via: -1, Transit: e.Transit, Repeat: e.Retry, Reconnect: e.Reconnect}
 		if e.CalledNumber != nil {
-			c.CalledNumber, c.HasCalledNumber = *e.CalledNumber, true
+			call.CalledNumber, call.HasCalledNumber = *e.CalledNumber, true
 		}
 		if e.Circuits != nil {
-			c.Width = int(*e.Circuits)
+			call.Width = int(*e.Circuits)
 		}
-		if e.Through != nil {
-			c.Via = int(*e.Through)
+		if e.Via != nil {
+			call.Via = int(*e.Via)
 		}
-		return c, nil
+		return call, nil
 	case "Hangup":
 		return brain.CallAbandoned{CallID: *e.CallID}, nil
 	case "Bell":
@@ -183,17 +192,19 @@
 	case "PeerData":
 		return brain.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.GroupStatus{ExchangeID: *e.Exchange, OK: *e.Status == 200, ProbeReply: durationOf(e.Elapsed) > 0,
+		return brain.GroupStatus{ExchangeID: *e.ExchangeID, OK: *e.Status == 200, ProbeReply: durationOf(e.Elapsed) > 0,
 			Elapsed: durationOf(e.Elapsed), Report: loadReport(e.Load)}, nil
 	case "Started":
-		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Elapsed: durationOf(e.Elapsed)}, nil
+		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Elapsed: durationOf(e.Elapsed)}, nil
 	case "Reply":
-		oc, ok := outcomesByStatus[*e.Status]
+		outcome, ok := outcomesByStatus[*e.Status]
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.AttemptEnded{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.Exchange, Outcome: oc,
+		ended := brain.AttemptEnded{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Outcome: outcome,
 			Elapsed: durationOf(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: loadReport(e.Load)}
+		// A note above 16 whose remainder modulo 16 is NoteProcessorFull carries the waiting
+		// time of the processor, in milliseconds, as its quotient.
 		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
 			ended.Note, ended.RetryAfter = brain.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
 		}
@@ -202,9 +213,11 @@
 	return nil, nil
 }
 
+// outcomesByStatus gives the outcome of an attempt for the status of a Reply event.
 var outcomesByStatus = map[int]brain.Outcome{200: brain.OutcomeCompleted, 500: brain.OutcomeFailed, 503: brain.OutcomeRejected, 504: brain.OutcomeTimedOut,
 	502: brain.OutcomeUnreachable, 598: brain.OutcomeReset, 499: brain.OutcomeCancelled, 410: brain.OutcomeNotSent}
 
+// durationOf returns an optional duration in nanoseconds, 0 if it is absent.
 func durationOf(ns *int64) time.Duration {
 	if ns == nil {
 		return 0
@@ -212,38 +225,40 @@
 	return time.Duration(*ns)
 }
 
-func loadReport(l wire.LoadReport) brain.StatusReport {
-	var r brain.StatusReport
-	free, okFree := l.Get("idle")
-	size, okSize := l.Get("circuits")
-	r.CircuitsKnown, r.FreeCircuits, r.GroupSize = okFree && okSize, int(free), int(size)
-	r.Reduction, r.HasReduction = l.Get("reduce")
-	return r
+// loadReport converts the load report of an event.
+func loadReport(load wire.LoadReport) brain.StatusReport {
+	var report brain.StatusReport
+	free, freeKnown := load.Get("idle")
+	size, sizeKnown := load.Get("circuits")
+	report.CircuitsKnown, report.FreeCircuits, report.GroupSize = freeKnown && sizeKnown, int(free), int(size)
+	report.Reduction, report.HasReduction = load.Get("reduce")
+	return report
 }
 
-func (h *server) writeAction(id int, inst *instance, a brain.Action) error {
-	w := wire.Action{Controller: &id}
+// writeAction writes an action of the controller with the given id.
+func (s *server) writeAction(id int, inst *instance, a brain.Action) error {
+	out := wire.Action{Controller: &id}
 	switch a := a.(type) {
 	case brain.StartAttempt:
-		w.Type, w.CallID, w.Exchange, w.Timeout = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
+		out.Type, out.CallID, out.ExchangeID, out.Timeout = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
 	case brain.RefuseCall:
-		w.Type, w.CallID, w.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
+		out.Type, out.CallID, out.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
 	case brain.FailCall:
-		w.Type, w.CallID = "GiveUp", a.CallID
+		out.Type, out.CallID = "GiveUp", a.CallID
 	case brain.CancelAttempt:
-		w.Type, w.CallID, w.Attempt = "StopAttempt", a.CallID, &a.Attempt
+		out.Type, out.CallID, out.Attempt = "StopAttempt", a.CallID, &a.Attempt
 	case brain.SetTimer:
 		ns := int64(a.Delay)
-		w.Type, w.Token, w.Delay = "SetAlarm", &a.Token, &ns
+		out.Type, out.Token, out.Delay = "SetAlarm", &a.Token, &ns
 	case brain.Verdict:
 		if !a.Log {
 			return nil
 		}
-		w.Type = "SayLog"
-		w.Text = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
+		out.Type = "SayLog"
+		out.Text = fmt.Sprintf("%s class=%d reason=%q scope=%q cell=%d nth=%d",
 			a.CallID, a.Class, a.Reason, a.Scope, a.ExchangeNumber, a.Count)
 	default:
-		return fmt.Errorf("no wire form for %T", a)
+		return fmt.Errorf("no line of the adapter for action %T", a)
 	}
-	return h.encoder.Encode(w)
+	return s.encoder.Encode(out)
 }
--- a/internal/wire/module.go
+++ b/internal/wire/module.go
@@ -8,13 +8,14 @@
 	"dahliaspindle/brain"
 )
 
-// Module turns the settings that the simulator's first message brings, or a platform's
-// configuration, into the module's. The error names what is wrong.
+// Module converts the settings, which come from the first message of the simulator or
+// from the configuration of a platform node, into settings of the routing module.
+// Values that make no sense, such as a negative time, are an error.
 func (s *Settings) Module(seed uint64) (brain.Settings, error) {
 	if len(s.Classes) == 0 {
 		return brain.Settings{}, errors.New("no classes in profiles")
 	}
-	b := brain.Settings{
+	settings := brain.Settings{
 		Seed: seed, Self: -1, Me: s.ControllerNumber, Controllers: s.Controllers, Pools: s.Network.Shape == "skills",
 		ReleaseWait: time.Duration(s.Network.ReleaseTime), ResendAfter: time.Duration(s.Network.ResendAfter),
 		DrainGrace: time.Duration(s.Rules.DrainGrace), AnswerSlack: time.Duration(s.Rules.AnswerSlack),
@@ -25,34 +26,34 @@
 		Advice: s.Network.RouteAdvice, MarksRepeat: s.Callers.MarksRetry, Tick: time.Duration(s.Tick),
 	}
 	if s.Network.OwnExchange != nil {
-		b.Self = *s.Network.OwnExchange
+		settings.Self = *s.Network.OwnExchange
 	}
-	for i, p := range s.Classes {
-		c := brain.Class{Name: p.Name, Worth: p.Worth, LateWorth: p.LateWorth, Width: 1,
-			Aim: time.Duration(p.SetUpTarget), GiveUp: time.Duration(p.Patience)}
+	for i, profile := range s.Classes {
+		class := brain.Class{Name: profile.Name, Worth: profile.Worth, LateWorth: profile.LateWorth, Width: 1,
+			Aim: time.Duration(profile.SetUpTarget), GiveUp: time.Duration(profile.Patience)}
 		if i < len(s.Network.HoldingTimes) {
-			c.Holding = time.Duration(s.Network.HoldingTimes[i])
+			class.Holding = time.Duration(s.Network.HoldingTimes[i])
 		}
 		if i < len(s.Network.CircuitsByClass) {
-			c.Width = s.Network.CircuitsByClass[i]
+			class.Width = s.Network.CircuitsByClass[i]
 		}
 		if i < len(s.Network.PoolsByClass) {
-			c.Pools = s.Network.PoolsByClass[i]
+			class.Pools = s.Network.PoolsByClass[i]
 		}
-		if c.Aim < 0 || c.GiveUp < 0 || c.Holding < 0 || c.Width < 0 || c.Worth < 0 {
-			return brain.Settings{}, fmt.Errorf("class %q has a negative figure", p.Name)
+		if class.Aim < 0 || class.GiveUp < 0 || class.Holding < 0 || class.Width < 0 || class.Worth < 0 {
+			return brain.Settings{}, fmt.Errorf("class %q has a negative value", profile.Name)
 		}
-		b.Classes = append(b.Classes, c)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, f := range []struct {
-		name string
-		d    time.Duration
-	}{{"release_ns", b.ReleaseWait}, {"t1_ns", b.ResendAfter}, {"drain_grace_ns", b.DrainGrace},
-		{"answer_slack_ns", b.AnswerSlack}, {"cold_ns", b.ColdFor}, {"overload_for_ns", b.OverloadFor},
-		{"max_retry_after_ns", b.BackoffMax}, {"quantum_ns", b.Tick}} {
-		if f.d < 0 {
-			return brain.Settings{}, fmt.Errorf("%s is negative", f.name)
+	for _, field := range []struct {
+		name     string
+		duration time.Duration
+	}{{"release_ns", settings.ReleaseWait}, {"t1_ns", settings.ResendAfter}, {"drain_grace_ns", settings.DrainGrace},
+		{"answer_slack_ns", settings.AnswerSlack}, {"cold_ns", settings.ColdFor}, {"overload_for_ns", settings.OverloadFor},
+		{"max_retry_after_ns", settings.BackoffMax}, {"quantum_ns", settings.Tick}} {
+		if field.duration < 0 {
+			return brain.Settings{}, fmt.Errorf("%s is negative", field.name)
 		}
 	}
-	return b, nil
+	return settings, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire is the JSON-lines codec between the simulator and the host: one
-// object a line, events in, actions out. It carries no decision.
+// Package wire defines the JSON lines of the bench adapter: a simulator sends events
+// to the host and the host answers with actions, one object per line. It also
+// converts the settings in the adapter's first message for the routing module.
 package wire
 
 import (
@@ -7,7 +8,8 @@
 	"fmt"
 )
 
-// Event is any line that comes in; a field that is not there stays nil.
+// Event is an incoming line of any type. Fields absent from the line are nil or zero.
+// The fields that each type requires are listed in requiredFields.
 type Event struct {
 	Type           string       `json:"what"`
 	AtTime         *int64       `json:"at_time_ns"`
@@ -24,13 +26,13 @@
 	TimeLeft       *int64       `json:"time_left_ns"`
 	Destination    *float64     `json:"dest"`
 	Circuits       *float64     `json:"slots_needed"`
-	Through        *float64     `json:"through"`
+	Via            *float64     `json:"through"`
 	Retry          bool         `json:"resent"`
 	Transit        bool         `json:"transit"`
-	AfterCut       bool         `json:"again"`
+	Reconnect      bool         `json:"again"`
 	Sender         *int         `json:"by"`
 	Payload        *string      `json:"payload"`
-	Exchange       *uint32      `json:"exchange"`
+	ExchangeID     *uint32      `json:"exchange"`
 	Status         *int         `json:"reason"`
 	Elapsed        *int64       `json:"cost_time_ns"`
 	Load           LoadReport   `json:"load"`
@@ -40,27 +42,28 @@
 	Token          *uint64      `json:"nonce"`
 }
 
-// LoadReport is a load report, name to value; unknown names are kept and ignored.
+// LoadReport maps the names of load figures to their values. Unknown names are
+// allowed.
 type LoadReport map[string]*float64
 
-// Get returns a named value, and whether the report tells it.
-func (l LoadReport) Get(name string) (float64, bool) {
-	if v := l[name]; v != nil && *v >= 0 {
-		return *v, true
+// Get returns a value by name and reports whether it is present and not negative.
+func (r LoadReport) Get(name string) (float64, bool) {
+	if value := r[name]; value != nil && *value >= 0 {
+		return *value, true
 	}
 	return 0, false
 }
 
-// ListEntry is one line of an exchange list.
+// ListEntry is one entry of an exchange list. State is IN, LAME (draining) or OUT.
 type ListEntry struct {
-	Exchange       *uint32 `json:"exchange"`
+	ExchangeID     *uint32 `json:"exchange"`
 	ExchangeNumber *int    `json:"cell"`
 	State          *string `json:"stage_state"`
 	Since          int64   `json:"online_since_ns"`
 }
 
-// Settings are the figures that an instance starts with. Keys that are not
-// named here are ignored.
+// Settings holds the settings that an instance starts with. Keys without a field are
+// ignored. Fields for times are in nanoseconds.
 type Settings struct {
 	Controllers      int   `json:"balancers"`
 	ControllerNumber int   `json:"me"`
@@ -105,7 +108,7 @@
 	} `json:"rules"`
 }
 
-// requiredFields names every event with the fields that it must carry.
+// requiredFields gives, by event type, the fields that an event must have.
 var requiredFields = map[string]func(*Event) []requiredField{
 	"Clock": func(e *Event) []requiredField { return []requiredField{{"at_time_ns", e.AtTime != nil}} },
 	"End":   func(e *Event) []requiredField { return nil },
@@ -123,44 +126,47 @@
 	"Bell":   func(e *Event) []requiredField { return withController(e, requiredField{"nonce", e.Token != nil}) },
 	"Hangup": func(e *Event) []requiredField { return withController(e, requiredField{"job", e.CallID != nil}) },
 	"ProbeResult": func(e *Event) []requiredField {
-		return withController(e, requiredField{"exchange", e.Exchange != nil}, requiredField{"reason", e.Status != nil})
+		return withController(e, requiredField{"exchange", e.ExchangeID != nil}, requiredField{"reason", e.Status != nil})
 	},
 	"Ask": func(e *Event) []requiredField {
 		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"priority", e.Class != nil},
 			requiredField{"time_left_ns", e.TimeLeft != nil}, requiredField{"dest", e.Destination != nil})
 	},
 	"Started": func(e *Event) []requiredField {
-		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"trial", e.Attempt != nil}, requiredField{"exchange", e.Exchange != nil})
+		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"trial", e.Attempt != nil}, requiredField{"exchange", e.ExchangeID != nil})
 	},
 	"Reply": func(e *Event) []requiredField {
 		return withController(e, requiredField{"job", e.CallID != nil}, requiredField{"trial", e.Attempt != nil},
-			requiredField{"exchange", e.Exchange != nil}, requiredField{"reason", e.Status != nil})
+			requiredField{"exchange", e.ExchangeID != nil}, requiredField{"reason", e.Status != nil})
 	},
 }
 
+// requiredField is a field that an event must have, with whether it has it.
 type requiredField struct {
 	name    string
 	present bool
 }
 
-func withController(e *Event, fs ...requiredField) []requiredField {
-	return append([]requiredField{{"controller", e.Controller != nil}}, fs...)
+// withController adds the controller number to the required fields of an event.
+func withController(e *Event, fields ...requiredField) []requiredField {
+	return append([]requiredField{{"controller", e.Controller != nil}}, fields...)
 }
 
-// Decode reads one line. The error is one plain line that names what is wrong.
+// Decode parses one line and checks that it has all required fields. The text of an
+// error is a single line.
 func Decode(line []byte) (*Event, error) {
 	e := &Event{}
 	if err := json.Unmarshal(line, e); err != nil {
-		if t, ok := err.(*json.UnmarshalTypeError); ok && e.Type != "" {
-			return nil, fmt.Errorf("%s: field %s: not a %s", e.Type, t.Field, t.Type)
+		if typeErr, ok := err.(*json.UnmarshalTypeError); ok && e.Type != "" {
+			return nil, fmt.Errorf("%s: field %s: not a %s", e.Type, typeErr.Field, typeErr.Type)
 		}
 		return nil, fmt.Errorf("not a message: %v", err)
 	}
-	need, ok := requiredFields[e.Type]
+	required, ok := requiredFields[e.Type]
 	if !ok {
 		return nil, fmt.Errorf("unknown event %q", e.Type)
 	}
-	for _, f := range need(e) {
+	for _, f := range required(e) {
 		if !f.present {
 			return nil, fmt.Errorf("%s: field %s is missing", e.Type, f.name)
 		}
@@ -168,12 +174,12 @@
 	return e, nil
 }
 
-// Action is any line that goes out.
+// Action is an outgoing line of any type. Zero fields are not written, except Type.
 type Action struct {
 	Type       string  `json:"what"`
 	Controller *int    `json:"controller,omitempty"`
 	CallID     string  `json:"job,omitempty"`
-	Exchange   *uint32 `json:"exchange,omitempty"`
+	ExchangeID *uint32 `json:"exchange,omitempty"`
 	Timeout    int64   `json:"allow_for_ns,omitempty"`
 	Attempt    *int    `json:"trial,omitempty"`
 	Backoff    int64   `json:"backoff_ns,omitempty"`
