--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,148 +12,153 @@
 	"time"
 )
 
-// ValidationError is one thing that is wrong with a file.
+// ValidationError is one error in a settings or scenario file.
 type ValidationError struct {
 	File   string
 	Line   int
-	Path   string // element, and attribute behind @
+	Path   string // path of the element; an attribute follows @
 	Reason string
 }
 
-func (f ValidationError) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Path, f.Reason)
+// Error returns file, line, path and reason.
+func (e ValidationError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Path, e.Reason)
 }
 
-// ValidationErrors is all that is wrong with a file, in its order.
+// ValidationErrors is the list of all errors in a file.
 type ValidationErrors []ValidationError
 
-func (f ValidationErrors) Error() string {
-	lines := make([]string, len(f))
-	for i := range f {
-		lines[i] = f[i].Error()
+// Error returns the errors, one per line.
+func (e ValidationErrors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// element is one element with its place.
+// element is one XML element with the line of its start tag.
 type element struct {
 	name     string
 	line     int
 	attrs    []xml.Attr
 	children []*element
-	hasText  bool // holds words
+	hasText  bool // contains text other than white space
 }
 
-// parseDocument reads the elements of a document.
-func parseDocument(file string, r io.Reader) (*element, error) {
-	d := xml.NewDecoder(r)
+// parseDocument parses an XML document into its elements.
+func parseDocument(file string, in io.Reader) (*element, error) {
+	xmlDecoder := xml.NewDecoder(in)
 	var root *element
 	var stack []*element
 	for {
-		t, err := d.Token()
+		token, err := xmlDecoder.Token()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			line, _ := d.InputPos()
+			line, _ := xmlDecoder.InputPos()
 			return nil, ValidationErrors{{file, line, "(document)", err.Error()}}
 		}
-		switch t := t.(type) {
+		switch token := token.(type) {
 		case xml.StartElement:
-			line, _ := d.InputPos()
+			line, _ := xmlDecoder.InputPos()
 			if len(stack) > 64 {
-				return nil, ValidationErrors{{file, line, t.Name.Local, "elements nest too deeply"}}
+				return nil, ValidationErrors{{file, line, token.Name.Local, "elements nest too deeply"}}
 			}
-			n := &element{name: t.Name.Local, line: line, attrs: t.Copy().Attr}
+			start := &element{name: token.Name.Local, line: line, attrs: token.Copy().Attr}
 			if len(stack) > 0 {
-				top := stack[len(stack)-1]
-				top.children = append(top.children, n)
+				parent := stack[len(stack)-1]
+				parent.children = append(parent.children, start)
 			} else {
-				root = n
+				root = start
 			}
-			stack = append(stack, n)
+			stack = append(stack, start)
 		case xml.EndElement:
 			stack = stack[:len(stack)-1]
 		case xml.CharData:
-			if len(stack) > 0 && strings.TrimSpace(string(t)) != "" {
+			if len(stack) > 0 && strings.TrimSpace(string(token)) != "" {
 				stack[len(stack)-1].hasText = true
 			}
 		}
 	}
 	if root == nil {
-		return nil, ValidationErrors{{file, 1, "(document)", "holds no element"}}
+		return nil, ValidationErrors{{file, 1, "(document)", "contains no element"}}
 	}
 	return root, nil
 }
 
-// decoder fills structs from elements and collects the faults. Scalars are
-// attributes, structs and slices of structs elements, by their xml tags; a field
-// without ",omitempty" must be there.
+// decoder fills structs from elements and collects all errors. The xml tags of the
+// fields give the names: scalar fields are attributes, structs and slices of structs
+// are elements. A field without ",omitempty" is required.
 type decoder struct {
 	file   string
 	errors ValidationErrors
-	lines  map[any]int // where each element stood, by the address of its struct
+	lines  map[any]int // line of each element by the address of its struct
 }
 
-func (r *decoder) addError(n *element, path, what string) {
-	r.errors = append(r.errors, ValidationError{r.file, n.line, path, what})
+// addError records an error at an element.
+func (d *decoder) addError(elem *element, path, reason string) {
+	d.errors = append(d.errors, ValidationError{d.file, elem.line, path, reason})
 }
 
-func (r *decoder) decodeElement(n *element, path string, v reflect.Value) {
-	r.lines[v.Addr().Interface()] = n.line
-	if n.hasText {
-		r.addError(n, path, "holds words; only attributes and elements are read")
+// decodeElement fills the struct value from an element and its children.
+func (d *decoder) decodeElement(elem *element, path string, value reflect.Value) {
+	d.lines[value.Addr().Interface()] = elem.line
+	if elem.hasText {
+		d.addError(elem, path, "contains text; only attributes and elements are allowed")
 	}
-	attrs, elems := map[string]int{}, map[string]int{}
-	t := v.Type()
+	attrFields, elemFields := map[string]int{}, map[string]int{}
+	t := value.Type()
 	for i := range t.NumField() {
 		name, isAttr, _ := parseTag(t.Field(i))
 		switch {
 		case name == "":
 		case isAttr:
-			attrs[name] = i
+			attrFields[name] = i
 		default:
-			elems[name] = i
+			elemFields[name] = i
 		}
 	}
-	seen, places := map[string]bool{}, map[int][]int{}
-	for _, a := range n.attrs {
-		name := a.Name.Local
-		if a.Name.Space != "" || name == "xmlns" {
-			continue // schema locations and the like
+	seen, itemLines := map[string]bool{}, map[int][]int{}
+	for _, attr := range elem.attrs {
+		name := attr.Name.Local
+		if attr.Name.Space != "" || name == "xmlns" {
+			continue // namespace declarations and schema locations
 		}
-		i, ok := attrs[name]
+		i, ok := attrFields[name]
 		if !ok {
-			r.addError(n, path+"/@"+name, "unknown attribute")
+			d.addError(elem, path+"/@"+name, "unknown attribute")
 			continue
 		}
 		seen["@"+name] = true
-		if err := setScalar(v.Field(i), a.Value); err != nil {
-			r.addError(n, path+"/@"+name, err.Error())
+		if err := setScalar(value.Field(i), attr.Value); err != nil {
+			d.addError(elem, path+"/@"+name, err.Error())
 		}
 	}
-	for _, kid := range n.children {
-		i, ok := elems[kid.name]
+	for _, child := range elem.children {
+		i, ok := elemFields[child.name]
 		if !ok {
-			r.addError(kid, path+"/"+kid.name, "unknown element")
+			d.addError(child, path+"/"+child.name, "unknown element")
 			continue
 		}
-		f := v.Field(i)
-		if f.Kind() == reflect.Slice {
-			item := reflect.New(f.Type().Elem())
-			r.decodeElement(kid, path+"/"+kid.name, item.Elem())
-			f.Set(reflect.Append(f, item.Elem()))
-			places[i] = append(places[i], kid.line)
-		} else if seen[kid.name] {
-			r.addError(kid, path+"/"+kid.name, "stands twice")
+		field := value.Field(i)
+		if field.Kind() == reflect.Slice {
+			item := reflect.New(field.Type().Elem())
+			d.decodeElement(child, path+"/"+child.name, item.Elem())
+			field.Set(reflect.Append(field, item.Elem()))
+			itemLines[i] = append(itemLines[i], child.line)
+		} else if seen[child.name] {
+			d.addError(child, path+"/"+child.name, "appears more than once")
 		} else {
-			r.decodeElement(kid, path+"/"+kid.name, f)
+			d.decodeElement(child, path+"/"+child.name, field)
 		}
-		seen[kid.name] = true
+		seen[child.name] = true
 	}
-	for i, lines := range places { // only now do the items stay where they are
+	// The addresses of the items are final only now: appending can move them.
+	for i, lines := range itemLines {
 		for j, line := range lines {
-			r.lines[v.Field(i).Index(j).Addr().Interface()] = line
+			d.lines[value.Field(i).Index(j).Addr().Interface()] = line
 		}
 	}
 	for i := range t.NumField() {
@@ -162,16 +167,17 @@
 			continue
 		}
 		if isAttr && !seen["@"+name] {
-			r.addError(n, path+"/@"+name, "is missing")
+			d.addError(elem, path+"/@"+name, "is missing")
 		} else if !isAttr && !seen[name] {
-			r.addError(n, path+"/"+name, "is missing")
+			d.addError(elem, path+"/"+name, "is missing")
 		}
 	}
 }
 
-// parseTag reads a field's xml parseTag.
-func parseTag(f reflect.StructField) (name string, attr, optional bool) {
-	name, rest, _ := strings.Cut(f.Tag.Get("xml"), ",")
+// parseTag returns the name in a field's xml tag, "" if it has none, and whether the
+// field is an attribute and whether it is optional.
+func parseTag(field reflect.StructField) (name string, isAttr, optional bool) {
+	name, rest, _ := strings.Cut(field.Tag.Get("xml"), ",")
 	if name == "-" {
 		name = ""
 	}
@@ -180,59 +186,60 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func setScalar(f reflect.Value, s string) error {
+// setScalar parses the text of an attribute into a field.
+func setScalar(field reflect.Value, text string) error {
 	switch {
-	case f.Type() == durationType:
-		d, err := time.ParseDuration(s)
+	case field.Type() == durationType:
+		duration, err := time.ParseDuration(text)
 		if err != nil {
-			return fmt.Errorf("%q is no duration such as 300ms or 4.5s", s)
+			return fmt.Errorf("%q is not a duration such as 300ms or 4.5s", text)
 		}
-		f.SetInt(int64(d))
-	case f.Kind() == reflect.String:
-		f.SetString(s)
-	case f.Kind() == reflect.Bool:
-		switch s {
+		field.SetInt(int64(duration))
+	case field.Kind() == reflect.String:
+		field.SetString(text)
+	case field.Kind() == reflect.Bool:
+		switch text {
 		case "true", "1":
-			f.SetBool(true)
+			field.SetBool(true)
 		case "false", "0":
-			f.SetBool(false)
+			field.SetBool(false)
 		default:
-			return fmt.Errorf("%q is neither true nor false", s)
-		}
-	case f.CanInt():
-		n, err := strconv.ParseInt(s, 10, 64)
-		if err != nil || f.OverflowInt(n) {
-			return fmt.Errorf("%q is no whole number in range", s)
-		}
-		f.SetInt(n)
-	case f.CanUint():
-		n, err := strconv.ParseUint(s, 10, 64)
-		if err != nil || f.OverflowUint(n) {
-			return fmt.Errorf("%q is no whole number in range", s)
-		}
-		f.SetUint(n)
-	case f.CanFloat():
-		x, err := strconv.ParseFloat(s, 64)
+			return fmt.Errorf("%q is neither true nor false", text)
+		}
+	case field.CanInt():
+		n, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || field.OverflowInt(n) {
+			return fmt.Errorf("%q is not a whole number in range", text)
+		}
+		field.SetInt(n)
+	case field.CanUint():
+		n, err := strconv.ParseUint(text, 10, 64)
+		if err != nil || field.OverflowUint(n) {
+			return fmt.Errorf("%q is not a whole number in range", text)
+		}
+		field.SetUint(n)
+	case field.CanFloat():
+		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || x != x {
-			return fmt.Errorf("%q is no number", s)
+			return fmt.Errorf("%q is not a number", text)
 		}
-		f.SetFloat(x)
+		field.SetFloat(x)
 	default:
-		return fmt.Errorf("a %s can't be read", f.Type())
+		return fmt.Errorf("values of type %s are not supported", field.Type())
 	}
 	return nil
 }
 
-// rootElementName tells the name of a document's root element.
+// rootElementName returns the name of the root element of a file.
 func rootElementName(path string) (string, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return "", fmt.Errorf("reading settings: %w", err)
 	}
-	defer f.Close()
-	n, err := parseDocument(path, f)
+	defer file.Close()
+	root, err := parseDocument(path, file)
 	if err != nil {
 		return "", err
 	}
-	return n.name, nil
+	return root.name, nil
 }
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// Scenario is a day for the demo: a fleet, its calls and its troubles.
+// Scenario describes a run of the demo: the exchanges, their calls and the troubles
+// that occur.
 type Scenario struct {
 	Name   string        `xml:"name,attr"`
 	Seed   uint64        `xml:"seed,attr"`
-	Length time.Duration `xml:"length,attr"` // of the time in which calls come
+	Length time.Duration `xml:"length,attr"` // time during which calls arrive
 
 	Classes   []Class   `xml:"class"`
 	Rules     Rules     `xml:"rules"`
@@ -25,186 +26,190 @@
 	Troubles  []Trouble `xml:"trouble,omitempty"`
 }
 
-// Fleet is the exchanges and their groups.
+// Fleet describes the exchanges and the trunk groups between them.
 type Fleet struct {
 	Exchanges         int           `xml:"exchanges,attr"`
 	Regions           int           `xml:"regions,attr"`
-	IntraRegionDelay  time.Duration `xml:"near,attr"`               // one way within a region
-	InterRegionDelay  time.Duration `xml:"far,attr"`                // one way between regions
-	ErlangPerExchange float64       `xml:"erlang,attr"`             // circuits that one exchange's calls keep busy at load 1
-	PairVariation     float64       `xml:"spread,attr"`             // how much pairs differ, as a coefficient of variation
-	ForecastError     float64       `xml:"missed,attr"`             // how much traffic differs from the plan, the same
-	SpareFactor       float64       `xml:"spare,attr"`              // circuits beyond the planned load, in square roots of it
-	UnlinkedShare     float64       `xml:"unlinked,attr,omitempty"` // share of the pairs without a group, the thinnest
-	DriftPeriod       time.Duration `xml:"drift,attr,omitempty"`    // where calls go moves so often; 0: never
+	IntraRegionDelay  time.Duration `xml:"near,attr"`               // one-way delay within a region
+	InterRegionDelay  time.Duration `xml:"far,attr"`                // one-way delay between regions
+	ErlangPerExchange float64       `xml:"erlang,attr"`             // mean number of circuits that the calls of one exchange occupy at load 1
+	PairVariation     float64       `xml:"spread,attr"`             // coefficient of variation of the traffic of pairs of exchanges
+	ForecastError     float64       `xml:"missed,attr"`             // coefficient of variation of traffic relative to the plan
+	SpareFactor       float64       `xml:"spare,attr"`              // circuits beyond the planned load, in multiples of its square root
+	UnlinkedShare     float64       `xml:"unlinked,attr,omitempty"` // share of pairs without a trunk group; those with the least traffic
+	DriftPeriod       time.Duration `xml:"drift,attr,omitempty"`    // interval at which the destinations of calls change; 0: never
 }
 
-// Processor is each exchange's processor: one line, work is time on it.
+// Processor describes the processor of each exchange. It serves one queue; the work of
+// a message is the time that it occupies the processor.
 type Processor struct {
-	Utilization      float64       `xml:"use,attr"`              // busy at load 1, all calls direct
-	MaxQueueWait     time.Duration `xml:"queue,attr"`            // longer waits turn set-ups away
-	ExamineWork      float64       `xml:"look,attr"`             // work in set-ups, also for one refused
-	RejectWork       float64       `xml:"reject,attr"`           // of turning a set-up away
-	FollowUpWork     float64       `xml:"follow,attr"`           // of an answer, and of a release
-	ResendWork       float64       `xml:"repeat,attr,omitempty"` // of a set-up sent again
-	ResendAfter      time.Duration `xml:"resend,attr,omitempty"` // a waiting set-up is sent again after this; 0: never
+	Utilization      float64       `xml:"use,attr"`              // utilization at load 1 if all calls are direct
+	MaxQueueWait     time.Duration `xml:"queue,attr"`            // set-ups that would wait longer are rejected
+	ExamineWork      float64       `xml:"look,attr"`             // work of examining a set-up, in set-ups; also for one that is refused
+	RejectWork       float64       `xml:"reject,attr"`           // work of rejecting a set-up, in set-ups
+	FollowUpWork     float64       `xml:"follow,attr"`           // work of an answer and of a release, in set-ups
+	ResendWork       float64       `xml:"repeat,attr,omitempty"` // work of a set-up that is sent again, in set-ups
+	ResendAfter      time.Duration `xml:"resend,attr,omitempty"` // time after which a waiting set-up is sent again; 0: never
 	FinishFirst      bool          `xml:"finish-first,attr,omitempty"`
 	ReportsWait      bool          `xml:"gives-wait,attr,omitempty"`
-	ReportsReduction bool          `xml:"reduce,attr,omitempty"` // answers carry a hold-back share
+	ReportsReduction bool          `xml:"reduce,attr,omitempty"` // answers carry the share of set-ups to hold back
 }
 
-// Load is how many calls come.
+// Load describes the volume of calls.
 type Load struct {
-	Level float64 `xml:"level,attr"`           // 1: as planned
-	Swing float64 `xml:"swing,attr,omitempty"` // slow waves up and down by this share
+	Level float64 `xml:"level,attr"`           // calls relative to the plan; 1: as planned
+	Swing float64 `xml:"swing,attr,omitempty"` // amplitude of the slow variation of the load, as a share
 }
 
-// Callers are the subscribers.
+// Callers describes the behaviour of the subscribers.
 type Callers struct {
-	Connections     int           `xml:"connections,attr"` // from the subscribers to one controller
+	Connections     int           `xml:"connections,attr"` // connections from the subscribers to one controller
 	MaxRedials      int           `xml:"redials,attr"`
-	MeanRedialDelay time.Duration `xml:"redial-after,attr"`        // mean
-	AttemptShare    float64       `xml:"try-share,attr"`           // a try is given up after this share of the patience
-	ImpatientShare  float64       `xml:"impatient,attr,omitempty"` // share that leave at some earlier moment
-	HonourShare     float64       `xml:"honour,attr,omitempty"`    // share that heed a hint when to come back
+	MeanRedialDelay time.Duration `xml:"redial-after,attr"`        // mean delay before a redial
+	AttemptShare    float64       `xml:"try-share,attr"`           // share of the caller's patience after which an attempt is abandoned
+	ImpatientShare  float64       `xml:"impatient,attr,omitempty"` // share of callers that leave earlier than their patience
+	HonourShare     float64       `xml:"honour,attr,omitempty"`    // share of callers that honour a retry hint
 }
 
-// ListWord is how the exchange list tells of changes.
+// ListWord describes the notifications of the exchange list.
 type ListWord struct {
-	MeanDelay time.Duration `xml:"notice,attr"`           // late by so much, on average
-	AdviceAge time.Duration `xml:"advice,attr,omitempty"` // age of the centre's advice in calls; 0: none
+	MeanDelay time.Duration `xml:"notice,attr"`           // mean delay of a notification
+	AdviceAge time.Duration `xml:"advice,attr,omitempty"` // age of the route advice that calls carry; 0: no advice
 }
 
-// Trouble is one that befalls the fleet.
+// Trouble is one disturbance of the network during a scenario.
 type Trouble struct {
 	Kind     string        `xml:"kind,attr"`
 	At       time.Duration `xml:"at,attr"`
 	Duration time.Duration `xml:"for,attr,omitempty"`
-	Size     float64       `xml:"size,attr,omitempty"` // a share or a factor, by kind
+	Size     float64       `xml:"size,attr,omitempty"` // a share or a factor, depending on the kind
 }
 
-// Controller is the settings of one of its controllers.
-func (s *Scenario) Controller(cell int, list string) *Controller {
-	c := &Controller{Self: cell, Number: cell, Controllers: s.Fleet.Exchanges, Seed: s.Seed*1000 + uint64(cell),
-		ListAddress: list, Classes: s.Classes, Rules: s.Rules, Log: Log{Format: "json"}}
+// Controller returns the settings of the controller of an exchange.
+func (s *Scenario) Controller(exchangeNumber int, listAddress string) *Controller {
+	c := &Controller{Self: exchangeNumber, Number: exchangeNumber, Controllers: s.Fleet.Exchanges, Seed: s.Seed*1000 + uint64(exchangeNumber),
+		ListAddress: listAddress, Classes: s.Classes, Rules: s.Rules, Log: Log{Format: "json"}}
 	c.Rules.ResendAfter = s.Processor.ResendAfter
 	return c
 }
 
-// Kind of trouble and what its size means.
+// troubleKind describes a kind of trouble and the meaning and range of its size.
 type troubleKind struct {
 	name, sizeMeaning string
 	minSize, maxSize  float64
-	hasDuration       bool // lasts
+	hasDuration       bool // whether the trouble needs a duration
 }
 
-// Kinds lists the troubles. docs/operators/demo.md tells of each.
+// troubleKinds lists the kinds of trouble. docs/operators/demo.md describes each.
 var troubleKinds = []troubleKind{
-	{"burst", "calls become so many times the usual", 1, 10, true},
+	{"burst", "factor by which calls increase", 1, 10, true},
 	{"flood", "share of all calls that goes to one controller", 0.01, 0.9, true},
 	{"hot-number", "share of all calls that goes to one number", 0.01, 0.9, true},
-	{"crash", "share of the processors that die and come back cold", 0.01, 0.9, true},
-	{"hang", "share of the processors that take set-ups and answer none", 0.01, 0.9, true},
-	{"pauses", "share of the processors that stand still again and again", 0.01, 1, true},
-	{"slow", "times that half of the processors are slower", 1, 10, true},
-	{"ageing", "times that processors become slower, bit by bit", 1, 10, true},
-	{"answers-lost", "share of set-ups that get no answer", 0.01, 0.9, true},
+	{"crash", "share of the processors that crash and restart cold", 0.01, 0.9, true},
+	{"hang", "share of the processors that accept set-ups and answer none", 0.01, 0.9, true},
+	{"pauses", "share of the processors that pause repeatedly", 0.01, 1, true},
+	{"slow", "factor by which half of the processors are slower", 1, 10, true},
+	{"ageing", "factor by which processors gradually become slower", 1, 10, true},
+	{"answers-lost", "share of set-ups that receive no answer", 0.01, 0.9, true},
 	{"answers-reset", "share of set-ups that are cut before the answer", 0.01, 0.9, true},
-	{"circuits-lost", "share of the circuits between regions that is lost", 0.01, 1, true},
-	{"cut-again", "share of the standing calls that is cut and comes again", 0.01, 1, false},
+	{"circuits-lost", "share of the circuits between regions that are lost", 0.01, 1, true},
+	{"cut-again", "share of the established calls that are cut and placed again", 0.01, 1, false},
 	{"deploy", "share of the exchanges that are replaced, one after the other", 0.01, 1, true},
 	{"controllers-restart", "share of the controllers that are killed and started again", 0.01, 1, false},
 	{"links-reset", "share of the connections that are reset", 0.01, 1, false},
-	{"half-open", "share of the exchanges whose connections go silent", 0.01, 0.9, true},
+	{"half-open", "share of the exchanges whose connections become unresponsive", 0.01, 0.9, true},
 	{"stalled-reader", "share of the exchanges that stop reading", 0.01, 0.9, true},
-	{"fragments", "share of the exchanges that send in small pieces", 0.01, 1, true},
-	{"garbage", "unreadable messages a second to each controller", 1, 1000, true},
+	{"fragments", "share of the exchanges that send in small fragments", 0.01, 1, true},
+	{"garbage", "unreadable messages per second to each controller", 1, 1000, true},
 	{"list-away", "", 0, 1, true},
 }
 
-func (r *decoder) checkTrouble(t *Trouble, length time.Duration) {
-	i := slices.IndexFunc(troubleKinds, func(k troubleKind) bool { return k.name == t.Kind })
+// checkTrouble checks one trouble of a scenario of the given length.
+func (d *decoder) checkTrouble(trouble *Trouble, length time.Duration) {
+	i := slices.IndexFunc(troubleKinds, func(k troubleKind) bool { return k.name == trouble.Kind })
 	if i < 0 {
-		r.require(t, false, "trouble["+t.Kind+"]@kind", "is not a kind of trouble")
+		d.require(trouble, false, "trouble["+trouble.Kind+"]@kind", "is not a known kind of trouble")
 		return
 	}
-	k, at := troubleKinds[i], fmt.Sprintf("trouble[%s at %v]", t.Kind, t.At)
-	r.require(t, t.At >= 0 && t.At < length, at+"@at", "is not within the day")
-	r.require(t, t.Duration >= 0, at+"@for", "is negative")
-	r.require(t, !k.hasDuration || t.Duration > 0, at+"@for", "must be above 0")
-	r.require(t, k.sizeMeaning == "" || t.Size >= k.minSize && t.Size <= k.maxSize, at+"@size",
-		fmt.Sprintf("(%s) must be from %g to %g", k.sizeMeaning, k.minSize, k.maxSize))
+	kind, at := troubleKinds[i], fmt.Sprintf("trouble[%s at %v]", trouble.Kind, trouble.At)
+	d.require(trouble, trouble.At >= 0 && trouble.At < length, at+"@at", "is not within the scenario's length")
+	d.require(trouble, trouble.Duration >= 0, at+"@for", "is negative")
+	d.require(trouble, !kind.hasDuration || trouble.Duration > 0, at+"@for", "must be greater than 0")
+	d.require(trouble, kind.sizeMeaning == "" || trouble.Size >= kind.minSize && trouble.Size <= kind.maxSize, at+"@size",
+		fmt.Sprintf("(%s) must be from %g to %g", kind.sizeMeaning, kind.minSize, kind.maxSize))
 }
 
-// ReadScenario reads a scenario's file.
+// ReadScenario reads a scenario from a file.
 func ReadScenario(path string) (*Scenario, error) {
 	s := &Scenario{}
-	r, err := readFile(path, "scenario", s)
+	d, err := readFile(path, "scenario", s)
 	if err != nil {
 		return nil, err
 	}
-	return s, r.checkScenario(s)
+	return s, d.checkScenario(s)
 }
 
-// ParseScenario reads a scenario from a stream.
+// ParseScenario reads a scenario from a stream. Errors contain the given name of the
+// stream.
 func ParseScenario(name string, in io.Reader) (*Scenario, error) {
 	s := &Scenario{}
-	r, err := readDocument(name, in, "scenario", s)
+	d, err := readDocument(name, in, "scenario", s)
 	if err != nil {
 		return nil, err
 	}
-	return s, r.checkScenario(s)
+	return s, d.checkScenario(s)
 }
 
-func (r *decoder) checkScenario(s *Scenario) error {
-	r.require(s, s.Length >= time.Second && s.Length <= time.Hour, "@length", "must be from 1s to 1h")
-	r.checkClasses(s.Classes)
-	r.checkRules(&s.Rules)
+// checkScenario checks the values of a scenario and returns the collected errors.
+func (d *decoder) checkScenario(s *Scenario) error {
+	d.require(s, s.Length >= time.Second && s.Length <= time.Hour, "@length", "must be from 1s to 1h")
+	d.checkClasses(s.Classes)
+	d.checkRules(&s.Rules)
 	share := 0.0
 	for _, c := range s.Classes {
 		share += c.Share
 	}
-	r.require(s, share > 0, "class@share", "no class has a share of the calls")
-	f := &s.Fleet
-	r.require(f, f.Exchanges >= 3 && f.Exchanges <= 1000, "fleet@exchanges", "must be from 3 to 1000")
-	r.require(f, f.Regions >= 1 && f.Regions <= f.Exchanges, "fleet@regions", "must be from 1 to the exchanges")
-	r.require(f, f.IntraRegionDelay >= 0 && f.InterRegionDelay >= 0, "fleet@near", "delays can't be negative")
-	r.require(f, f.ErlangPerExchange > 0 && f.ErlangPerExchange <= 10000, "fleet@erlang", "must be above 0, 10000 at the most")
-	for name, v := range map[string]float64{"spread": f.PairVariation, "missed": f.ForecastError, "spare": f.SpareFactor} {
-		r.require(f, v >= 0 && v <= 10, "fleet@"+name, "must be from 0 to 10")
+	d.require(s, share > 0, "class@share", "no class has a share of the calls")
+	fleet := &s.Fleet
+	d.require(fleet, fleet.Exchanges >= 3 && fleet.Exchanges <= 1000, "fleet@exchanges", "must be from 3 to 1000")
+	d.require(fleet, fleet.Regions >= 1 && fleet.Regions <= fleet.Exchanges, "fleet@regions", "must be from 1 to the number of exchanges")
+	d.require(fleet, fleet.IntraRegionDelay >= 0 && fleet.InterRegionDelay >= 0, "fleet@near", "delays must not be negative")
+	d.require(fleet, fleet.ErlangPerExchange > 0 && fleet.ErlangPerExchange <= 10000, "fleet@erlang", "must be greater than 0 and at most 10000")
+	for name, v := range map[string]float64{"spread": fleet.PairVariation, "missed": fleet.ForecastError, "spare": fleet.SpareFactor} {
+		d.require(fleet, v >= 0 && v <= 10, "fleet@"+name, "must be from 0 to 10")
 	}
-	r.require(f, f.UnlinkedShare >= 0 && f.UnlinkedShare <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
-	r.require(f, f.DriftPeriod >= 0, "fleet@drift", "is negative")
-	p := &s.Processor
-	r.require(p, p.Utilization > 0 && p.Utilization < 2, "processor@use", "must be above 0 and below 2")
-	r.require(p, p.MaxQueueWait > 0, "processor@queue", "must be above 0")
-	for name, v := range map[string]float64{"look": p.ExamineWork, "reject": p.RejectWork, "follow": p.FollowUpWork, "repeat": p.ResendWork} {
-		r.require(p, v >= 0 && v <= 10, "processor@"+name, "must be from 0 to 10")
+	d.require(fleet, fleet.UnlinkedShare >= 0 && fleet.UnlinkedShare <= 0.6, "fleet@unlinked", "must be from 0 to 0.6")
+	d.require(fleet, fleet.DriftPeriod >= 0, "fleet@drift", "is negative")
+	processor := &s.Processor
+	d.require(processor, processor.Utilization > 0 && processor.Utilization < 2, "processor@use", "must be greater than 0 and less than 2")
+	d.require(processor, processor.MaxQueueWait > 0, "processor@queue", "must be greater than 0")
+	for name, v := range map[string]float64{"look": processor.ExamineWork, "reject": processor.RejectWork, "follow": processor.FollowUpWork, "repeat": processor.ResendWork} {
+		d.require(processor, v >= 0 && v <= 10, "processor@"+name, "must be from 0 to 10")
 	}
-	r.require(p, p.ResendAfter >= 0, "processor@resend", "is negative")
-	r.require(&s.Load, s.Load.Level > 0 && s.Load.Level <= 10, "load@level", "must be above 0, 10 at the most")
-	r.require(&s.Load, s.Load.Swing >= 0 && s.Load.Swing < 1, "load@swing", "must be from 0, below 1")
-	c := &s.Callers
-	r.require(c, c.Connections > 0 && c.Connections <= 100, "callers@connections", "must be from 1 to 100")
-	r.require(c, c.MaxRedials >= 0 && c.MaxRedials <= 20, "callers@redials", "must be from 0 to 20")
-	r.require(c, c.MeanRedialDelay > 0, "callers@redial-after", "must be above 0")
-	r.require(c, c.AttemptShare > 0 && c.AttemptShare <= 1, "callers@try-share", "must be above 0, 1 at the most")
-	r.require(c, c.ImpatientShare >= 0 && c.ImpatientShare <= 1, "callers@impatient", "must be from 0 to 1")
-	r.require(c, c.HonourShare >= 0 && c.HonourShare <= 1, "callers@honour", "must be from 0 to 1")
-	r.require(&s.List, s.List.MeanDelay >= 0 && s.List.AdviceAge >= 0, "list@notice", "is negative")
+	d.require(processor, processor.ResendAfter >= 0, "processor@resend", "is negative")
+	d.require(&s.Load, s.Load.Level > 0 && s.Load.Level <= 10, "load@level", "must be greater than 0 and at most 10")
+	d.require(&s.Load, s.Load.Swing >= 0 && s.Load.Swing < 1, "load@swing", "must be at least 0 and less than 1")
+	callers := &s.Callers
+	d.require(callers, callers.Connections > 0 && callers.Connections <= 100, "callers@connections", "must be from 1 to 100")
+	d.require(callers, callers.MaxRedials >= 0 && callers.MaxRedials <= 20, "callers@redials", "must be from 0 to 20")
+	d.require(callers, callers.MeanRedialDelay > 0, "callers@redial-after", "must be greater than 0")
+	d.require(callers, callers.AttemptShare > 0 && callers.AttemptShare <= 1, "callers@try-share", "must be greater than 0 and at most 1")
+	d.require(callers, callers.ImpatientShare >= 0 && callers.ImpatientShare <= 1, "callers@impatient", "must be from 0 to 1")
+	d.require(callers, callers.HonourShare >= 0 && callers.HonourShare <= 1, "callers@honour", "must be from 0 to 1")
+	d.require(&s.List, s.List.MeanDelay >= 0 && s.List.AdviceAge >= 0, "list@notice", "is negative")
 	for i := range s.Troubles {
-		r.checkTrouble(&s.Troubles[i], s.Length)
+		d.checkTrouble(&s.Troubles[i], s.Length)
 	}
-	return r.validationError()
+	return d.validationError()
 }
 
-// Check reads a file of either kind and returns all that is wrong with it.
+// Check reads a settings or scenario file and returns all errors in it.
 func Check(path string) error {
-	n, err := rootElementName(path)
+	root, err := rootElementName(path)
 	if err != nil {
 		return err
 	}
-	if n == "scenario" {
+	if root == "scenario" {
 		_, err = ReadScenario(path)
 	} else {
 		_, err = ReadController(path)
@@ -212,51 +217,53 @@
 	return err
 }
 
-// Write writes settings as a file that reads back the same.
-func Write(w io.Writer, root string, v any) error {
+// Write writes settings as an XML document from which the same settings are read.
+func Write(w io.Writer, root string, settings any) error {
 	if _, err := io.WriteString(w, xml.Header); err != nil {
 		return fmt.Errorf("writing settings: %w", err)
 	}
-	e := xml.NewEncoder(w)
-	e.Indent("", "  ")
-	if err := writeElement(e, root, reflect.ValueOf(v).Elem()); err != nil {
+	encoder := xml.NewEncoder(w)
+	encoder.Indent("", "  ")
+	if err := writeElement(encoder, root, reflect.ValueOf(settings).Elem()); err != nil {
 		return fmt.Errorf("writing settings: %w", err)
 	}
-	if err := e.Close(); err != nil {
+	if err := encoder.Close(); err != nil {
 		return fmt.Errorf("writing settings: %w", err)
 	}
 	return nil
 }
 
-func writeElement(e *xml.Encoder, name string, v reflect.Value) error {
+// writeElement writes a struct value as an element. Optional fields that are zero are
+// left out.
+func writeElement(encoder *xml.Encoder, name string, value reflect.Value) error {
 	start := xml.StartElement{Name: xml.Name{Local: name}}
-	t := v.Type()
+	t := value.Type()
 	for i := range t.NumField() {
 		name, isAttr, optional := parseTag(t.Field(i))
-		if f := v.Field(i); isAttr && !(optional && f.IsZero()) {
-			start.Attr = append(start.Attr, xml.Attr{Name: xml.Name{Local: name}, Value: fmt.Sprint(f.Interface())})
+		if field := value.Field(i); isAttr && !(optional && field.IsZero()) {
+			start.Attr = append(start.Attr, xml.Attr{Name: xml.Name{Local: name}, Value: fmt.Sprint(field.Interface())})
 		}
 	}
-	if err := e.EncodeToken(start); err != nil {
+	if err := encoder.EncodeToken(start); err != nil {
 		return err
 	}
 	for i := range t.NumField() {
 		name, isAttr, optional := parseTag(t.Field(i))
-		f := v.Field(i)
-		if isAttr || name == "" || optional && f.IsZero() {
+		field := value.Field(i)
+		if isAttr || name == "" || optional && field.IsZero() {
 			continue
 		}
-		if f.Kind() != reflect.Slice {
-			if err := writeElement(e, name, f); err != nil {
+		if field.Kind() != reflect.Slice {
+			if err := writeElement(encoder, name, field); err != nil {
 				return err
 			}
 			continue
 		}
-		for j := range f.Len() {
-			if err := writeElement(e, name, f.Index(j)); err != nil {
+		for j := range field.Len() {
+			if err := writeElement(encoder, name, field.Index(j)); err != nil {
 				return err
 			}
 		}
 	}
-	return e.EncodeToken(start.End())
+	return encoder.EncodeToken(start.End())
 }
--- a/internal/settings/schema_test.go
+++ b/internal/settings/schema_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-var updateSchema = flag.Bool("update", false, "write dahliaspindle.xsd from the types")
+var updateSchema = flag.Bool("update", false, "write dahliaspindle.xsd from the Go types")
 
-// enumValues are the attributes that take one of some words.
+// enumValues gives the values of enumerated attributes, by type and attribute name.
 var enumValues = map[string][]string{"Controller.policy": Policies, "Log.format": {"text", "json"},
 	"Log.level": {"debug", "info", "warn", "error"}, "Flows.mode": FlowModes, "Collector.transport": Transports,
 	"Collector.protocol": FlowProtocols}
 
-// generateSchema writes the XSD that the Go types stand for.
+// generateSchema returns the XSD of the Go types.
 func generateSchema() string {
-	for _, k := range troubleKinds {
-		enumValues["Trouble.kind"] = append(enumValues["Trouble.kind"], k.name)
+	for _, kind := range troubleKinds {
+		enumValues["Trouble.kind"] = append(enumValues["Trouble.kind"], kind.name)
 	}
 	var b strings.Builder
 	b.WriteString(`<?xml version="1.0" encoding="UTF-8"?>
@@ -32,66 +32,66 @@
     </xs:restriction>
   </xs:simpleType>
 `)
-	done := map[reflect.Type]bool{}
-	var write func(t reflect.Type)
-	write = func(t reflect.Type) {
-		if done[t] {
+	written := map[reflect.Type]bool{}
+	var writeType func(t reflect.Type)
+	writeType = func(t reflect.Type) {
+		if written[t] {
 			return
 		}
-		done[t] = true
-		var more []reflect.Type
+		written[t] = true
+		var elemTypes []reflect.Type
 		fmt.Fprintf(&b, "  <xs:complexType name=\"%s\">\n", t.Name())
-		elems, attrs := "", ""
+		elements, attributes := "", ""
 		for i := range t.NumField() {
-			f := t.Field(i)
-			name, attr, optional := parseTag(f)
-			if !attr {
-				ft, most := f.Type, "1"
-				if ft.Kind() == reflect.Slice {
-					ft, most = ft.Elem(), "unbounded"
+			field := t.Field(i)
+			name, isAttr, optional := parseTag(field)
+			if !isAttr {
+				elemType, maxOccurs := field.Type, "1"
+				if elemType.Kind() == reflect.Slice {
+					elemType, maxOccurs = elemType.Elem(), "unbounded"
 				}
-				least := "1"
+				minOccurs := "1"
 				if optional {
-					least = "0"
+					minOccurs = "0"
 				}
-				elems += fmt.Sprintf("      <xs:element name=\"%s\" type=\"%s\" minOccurs=\"%s\" maxOccurs=\"%s\"/>\n", name, ft.Name(), least, most)
-				more = append(more, ft)
+				elements += fmt.Sprintf("      <xs:element name=\"%s\" type=\"%s\" minOccurs=\"%s\" maxOccurs=\"%s\"/>\n", name, elemType.Name(), minOccurs, maxOccurs)
+				elemTypes = append(elemTypes, elemType)
 				continue
 			}
 			use := "required"
 			if optional {
 				use = "optional"
 			}
-			if words := enumValues[t.Name()+"."+name]; words != nil {
-				attrs += fmt.Sprintf("    <xs:attribute name=\"%s\" use=\"%s\">\n      <xs:simpleType>\n        <xs:restriction base=\"xs:string\">\n", name, use)
-				for _, w := range words {
-					attrs += fmt.Sprintf("          <xs:enumeration value=\"%s\"/>\n", w)
+			if values := enumValues[t.Name()+"."+name]; values != nil {
+				attributes += fmt.Sprintf("    <xs:attribute name=\"%s\" use=\"%s\">\n      <xs:simpleType>\n        <xs:restriction base=\"xs:string\">\n", name, use)
+				for _, value := range values {
+					attributes += fmt.Sprintf("          <xs:enumeration value=\"%s\"/>\n", value)
 				}
-				attrs += "        </xs:restriction>\n      </xs:simpleType>\n    </xs:attribute>\n"
+				attributes += "        </xs:restriction>\n      </xs:simpleType>\n    </xs:attribute>\n"
 				continue
 			}
-			typ := map[reflect.Kind]string{reflect.Int: "xs:integer", reflect.Uint64: "xs:nonNegativeInteger",
-				reflect.Int64: "xs:integer", reflect.Float64: "xs:double", reflect.String: "xs:string", reflect.Bool: "xs:boolean"}[f.Type.Kind()]
-			if f.Type == durationType {
-				typ = "duration"
+			attrType := map[reflect.Kind]string{reflect.Int: "xs:integer", reflect.Uint64: "xs:nonNegativeInteger",
+				reflect.Int64: "xs:integer", reflect.Float64: "xs:double", reflect.String: "xs:string", reflect.Bool: "xs:boolean"}[field.Type.Kind()]
+			if field.Type == durationType {
+				attrType = "duration"
 			}
-			attrs += fmt.Sprintf("    <xs:attribute name=\"%s\" type=\"%s\" use=\"%s\"/>\n", name, typ, use)
+			attributes += fmt.Sprintf("    <xs:attribute name=\"%s\" type=\"%s\" use=\"%s\"/>\n", name, attrType, use)
 		}
-		if elems != "" {
-			b.WriteString("    <xs:sequence>\n" + elems + "    </xs:sequence>\n")
+		if elements != "" {
+			b.WriteString("    <xs:sequence>\n" + elements + "    </xs:sequence>\n")
 		}
-		b.WriteString(attrs + "  </xs:complexType>\n")
-		for _, m := range more {
-			write(m)
+		b.WriteString(attributes + "  </xs:complexType>\n")
+		for _, elemType := range elemTypes {
+			writeType(elemType)
 		}
 	}
-	write(reflect.TypeFor[Controller]())
-	write(reflect.TypeFor[Scenario]())
+	writeType(reflect.TypeFor[Controller]())
+	writeType(reflect.TypeFor[Scenario]())
 	b.WriteString("</xs:schema>\n")
 	return b.String()
 }
 
-func TestSchemaIsThatOfTheTypes(t *testing.T) {
+func TestSchemaMatchesTypes(t *testing.T) {
 	want := generateSchema()
 	if *updateSchema {
 		if err := os.WriteFile("dahliaspindle.xsd", []byte(want), 0o644); err != nil {
@@ -100,6 +100,6 @@
 		return
 	}
 	if Schema != want {
-		t.Error("dahliaspindle.xsd is not that of the Go types; go test ./internal/settings -update writes it")
+		t.Error("dahliaspindle.xsd does not match the Go types; go test ./internal/settings -update writes it")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the XML files: what a controller starts with, and the
-// scenarios that the demo plays. Reading is strict: what the schema
-// (dahliaspindle.xsd) does not know is refused, and every fault is told with
-// its line and element.
+// Package settings reads and writes the XML files of the project: the settings of a
+// controller and the scenarios of the demo. Reading is strict: elements and attributes
+// that are not in the schema (dahliaspindle.xsd) are rejected, and every error is
+// reported with its line and element.
 package settings
 
 import (
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// Schema is the XSD of both kinds of file.
+// Schema is the XSD of settings and scenario files.
 //
 //go:embed dahliaspindle.xsd
 var Schema string
 
-// Controller is what one controller starts with.
+// Controller holds the settings of one controller.
 type Controller struct {
-	Self        int    `xml:"self,attr"`        // number of the own exchange
-	Number      int    `xml:"number,attr"`      // of this controller, from 0
-	Controllers int    `xml:"controllers,attr"` // how many there are
+	Self        int    `xml:"self,attr"`        // number of the controller's own exchange
+	Number      int    `xml:"number,attr"`      // number of this controller, from 0
+	Controllers int    `xml:"controllers,attr"` // number of controllers
 	Seed        uint64 `xml:"seed,attr"`
-	Listen      string `xml:"listen,attr"` // host:port, or fd:N for a listener passed on by the parent
-	ListAddress string `xml:"list,attr"`   // host:port of the exchange list
+	Listen      string `xml:"listen,attr"` // host:port, or fd:N for a listener inherited from the parent process
+	ListAddress string `xml:"list,attr"`   // host:port of the exchange list server
 
 	Classes []Class `xml:"class"`
 	Rules   Rules   `xml:"rules"`
@@ -36,113 +36,114 @@
 	Log     Log     `xml:"log,omitempty"`
 	Capture Capture `xml:"capture,omitempty"`
 	Flows   Flows   `xml:"flows,omitempty"`
-	Policy  string  `xml:"policy,attr,omitempty"` // brain, or a rule that it is held against
+	Policy  string  `xml:"policy,attr,omitempty"` // one of Policies
 }
 
-// Class is one class of calls.
+// Class holds the settings of one class of calls.
 type Class struct {
 	Name        string        `xml:"name,attr"`
-	Worth       float64       `xml:"worth,attr"`           // of a call that stands in time
-	LateWorth   float64       `xml:"late-worth,attr"`      // share of it when it stands late
-	SetUpTarget time.Duration `xml:"aim,attr"`             // wanted to stand within
-	Patience    time.Duration `xml:"patience,attr"`        // of the caller, over all tries
+	Worth       float64       `xml:"worth,attr"`           // value of a call established within SetUpTarget
+	LateWorth   float64       `xml:"late-worth,attr"`      // share of Worth that a call established later has
+	SetUpTarget time.Duration `xml:"aim,attr"`             // target for the set-up time
+	Patience    time.Duration `xml:"patience,attr"`        // time that a caller waits, over all attempts
 	HoldingTime time.Duration `xml:"holding,attr"`         // mean holding time
-	Circuits    int           `xml:"circuits,attr"`        // taken on each group
-	Share       float64       `xml:"share,attr,omitempty"` // of all calls; scenarios only
+	Circuits    int           `xml:"circuits,attr"`        // circuits that a call takes on each trunk group
+	Share       float64       `xml:"share,attr,omitempty"` // share of all calls; scenarios only
 }
 
-// Rules are the figures of the network's rules.
+// Rules holds the parameters of the network's rules.
 type Rules struct {
-	ReleaseTime        time.Duration `xml:"release,attr"`         // no resend within this after an unclear end
-	DrainGrace         time.Duration `xml:"drain-grace,attr"`     // nothing new to a draining exchange after this
-	AnswerSlack        time.Duration `xml:"answer-slack,attr"`    // a final answer may come so late
-	ColdCapacity       float64       `xml:"cold-from,attr"`       // share of its capacity that a started processor has
-	ColdDuration       time.Duration `xml:"cold-for,attr"`        // and until it has all
-	OverloadFactor     float64       `xml:"overload-factor,attr"` // sent this multiple of what it can do ...
-	OverloadDuration   time.Duration `xml:"overload-for,attr"`    // ... for so long, a cold one falls over
-	MaxAttempts        int           `xml:"attempts,attr"`        // for one call, at the most
+	ReleaseTime        time.Duration `xml:"release,attr"`         // no new attempt within this time after an attempt that ended without a clear result
+	DrainGrace         time.Duration `xml:"drain-grace,attr"`     // time after which a draining exchange gets no new calls
+	AnswerSlack        time.Duration `xml:"answer-slack,attr"`    // delay allowed for a final answer
+	ColdCapacity       float64       `xml:"cold-from,attr"`       // share of its capacity that a processor has at its start
+	ColdDuration       time.Duration `xml:"cold-for,attr"`        // time until a processor has its full capacity
+	OverloadFactor     float64       `xml:"overload-factor,attr"` // a cold processor fails when it is sent this multiple of its capacity
+	OverloadDuration   time.Duration `xml:"overload-for,attr"`    // ... for this time
+	MaxAttempts        int           `xml:"attempts,attr"`        // attempts for one call
 	ResendAfter        time.Duration `xml:"resend-after,attr,omitempty"`
-	MaxBackoff         time.Duration `xml:"backoff-most,attr,omitempty"` // longest hint that callers honour; 0: none
-	CallersMarkRetries bool          `xml:"marks-repeat,attr,omitempty"` // callers mark further tries
-	RouteAdvice        bool          `xml:"advice,attr,omitempty"`       // calls carry a centre's advice
+	MaxBackoff         time.Duration `xml:"backoff-most,attr,omitempty"` // longest retry hint that callers honour; 0: none
+	CallersMarkRetries bool          `xml:"marks-repeat,attr,omitempty"` // callers mark repeated attempts
+	RouteAdvice        bool          `xml:"advice,attr,omitempty"`       // calls carry route advice from a centre
 }
 
-// Limits bound what a controller holds.
+// Limits holds the resource limits of a controller.
 type Limits struct {
-	Calls               int           `xml:"calls,attr,omitempty"`       // open and standing
-	TransactionsPerPeer int           `xml:"per-peer,attr,omitempty"`    // open transactions of one connection
-	Connections         int           `xml:"connections,attr,omitempty"` // of callers
+	Calls               int           `xml:"calls,attr,omitempty"`       // calls that are being set up or are established
+	TransactionsPerPeer int           `xml:"per-peer,attr,omitempty"`    // pending transactions per connection
+	Connections         int           `xml:"connections,attr,omitempty"` // connections of callers
 	Exchanges           int           `xml:"exchanges,attr,omitempty"`
-	Inbox               int           `xml:"inbox,attr,omitempty"`   // messages waiting for the core
-	Outbox              int           `xml:"outbox,attr,omitempty"`  // messages waiting for one peer
-	LineBytes           int           `xml:"line,attr,omitempty"`    // bytes
-	MessageBytes        int           `xml:"block,attr,omitempty"`   // bytes of one message
-	UnreadableMessages  int           `xml:"faults,attr,omitempty"`  // unreadable messages of one peer in a row
-	ShutdownGrace       time.Duration `xml:"leave,attr,omitempty"`   // standing calls may go on so long when it ends
-	MeasurementPeriod   time.Duration `xml:"measure,attr,omitempty"` // offered traffic is told of the last so long
+	Inbox               int           `xml:"inbox,attr,omitempty"`   // messages queued for the core
+	Outbox              int           `xml:"outbox,attr,omitempty"`  // messages queued for one peer
+	LineBytes           int           `xml:"line,attr,omitempty"`    // maximum length of a line
+	MessageBytes        int           `xml:"block,attr,omitempty"`   // maximum length of a message
+	UnreadableMessages  int           `xml:"faults,attr,omitempty"`  // consecutive unreadable messages allowed from one peer
+	ShutdownGrace       time.Duration `xml:"leave,attr,omitempty"`   // time that established calls have to end at shutdown
+	MeasurementPeriod   time.Duration `xml:"measure,attr,omitempty"` // period over which offered traffic is reported
 }
 
-// Peers are the figures of the kept links.
+// Peers holds the parameters of the connections to peers, which are kept open.
 type Peers struct {
-	ConnectWait        time.Duration `xml:"connect,attr,omitempty"`    // a set-up waits so long for a link
-	DialTimeout        time.Duration `xml:"dial,attr,omitempty"`       // one try to connect
-	WriteTimeout       time.Duration `xml:"write,attr,omitempty"`      // one write
-	ProbeAfter         time.Duration `xml:"sign-after,attr,omitempty"` // silence after which a sign of life is asked for
-	LostAfter          time.Duration `xml:"lost-after,attr,omitempty"` // and after which the peer is lost
-	MinRetryDelay      time.Duration `xml:"retry-from,attr,omitempty"` // gap between tries to connect
-	MaxRetryDelay      time.Duration `xml:"retry-most,attr,omitempty"`
-	ReleaseRetryAfter  time.Duration `xml:"release,attr,omitempty"` // a release is asked for again after this
+	ConnectWait        time.Duration `xml:"connect,attr,omitempty"`    // time that a set-up waits for a connection
+	DialTimeout        time.Duration `xml:"dial,attr,omitempty"`       // limit for one connection attempt
+	WriteTimeout       time.Duration `xml:"write,attr,omitempty"`      // limit for one write
+	ProbeAfter         time.Duration `xml:"sign-after,attr,omitempty"` // silence after which a keep-alive is requested
+	LostAfter          time.Duration `xml:"lost-after,attr,omitempty"` // silence after which the peer is considered lost
+	MinRetryDelay      time.Duration `xml:"retry-from,attr,omitempty"` // minimum delay between connection attempts
+	MaxRetryDelay      time.Duration `xml:"retry-most,attr,omitempty"` // maximum delay between connection attempts
+	ReleaseRetryAfter  time.Duration `xml:"release,attr,omitempty"`    // time after which an unanswered release is repeated
 	MaxReleaseAttempts int           `xml:"releases,attr,omitempty"`
 }
 
-// Log says how and what is logged.
+// Log holds the format and the level of the log.
 type Log struct {
 	Format string `xml:"format,attr,omitempty"` // text or json
 	Level  string `xml:"level,attr,omitempty"`  // debug, info, warn or error
 }
 
-// Capture says where to keep what passes over the connections.
+// Capture holds the file in which the traffic of the connections is recorded.
 type Capture struct {
 	File string `xml:"file,attr,omitempty"`
 }
 
-// Flows says where flow records of calls and attempts go; without a collector
-// there are none.
+// Flows holds the settings for the export of flow records of calls and attempts.
+// Without a collector no records are made.
 type Flows struct {
 	Collectors      []Collector   `xml:"collector,omitempty"`
 	Mode            string        `xml:"mode,attr,omitempty"`     // failover or copies
-	KeyFile         string        `xml:"key-file,attr,omitempty"` // called numbers are hashed with its bytes; else with a key of this life
-	InterimInterval time.Duration `xml:"interim,attr,omitempty"`  // a call that stands is told of so often; 0: never
-	SummaryInterval time.Duration `xml:"interval,attr,omitempty"` // of sums and counts
-	ConfirmAfter    time.Duration `xml:"confirm,attr,omitempty"`  // what was written is made sure of after this
-	QueueCapacity   int           `xml:"queue,attr,omitempty"`    // records that wait in memory
-	RingCapacity    int           `xml:"ring,attr,omitempty"`     // records between the call path and the exporter
-	ReplayRate      float64       `xml:"replay,attr,omitempty"`   // records a second from the spool
-	SpoolDirectory  string        `xml:"spool,attr,omitempty"`    // directory; none: records wait in memory only
+	KeyFile         string        `xml:"key-file,attr,omitempty"` // key for hashing called numbers; default: a new key at each start
+	InterimInterval time.Duration `xml:"interim,attr,omitempty"`  // interval of the records of an established call; 0: none
+	SummaryInterval time.Duration `xml:"interval,attr,omitempty"` // interval of sums and counts
+	ConfirmAfter    time.Duration `xml:"confirm,attr,omitempty"`  // time after which the receipt of written records is confirmed
+	QueueCapacity   int           `xml:"queue,attr,omitempty"`    // records queued in memory
+	RingCapacity    int           `xml:"ring,attr,omitempty"`     // records buffered between call handling and the exporter
+	ReplayRate      float64       `xml:"replay,attr,omitempty"`   // records per second sent from the spool
+	SpoolDirectory  string        `xml:"spool,attr,omitempty"`    // directory; without one, records are queued in memory only
 	MaxSpoolBytes   int64         `xml:"spool-most,attr,omitempty"`
 	MaxSpoolAge     time.Duration `xml:"spool-age,attr,omitempty"`
 }
 
-// Collector is one that takes flow records.
+// Collector holds the address and the transport of one collector of flow records.
 type Collector struct {
 	Address    string `xml:"address,attr"`
 	Transport  string `xml:"transport,attr,omitempty"` // tcp, tls or udp
 	Protocol   string `xml:"protocol,attr,omitempty"`  // ipfix or netflow9, which goes over udp only
-	MTU        int    `xml:"mtu,attr,omitempty"`       // bytes of a datagram
-	CA         string `xml:"ca,attr,omitempty"`        // with tls: PEM files
+	MTU        int    `xml:"mtu,attr,omitempty"`       // maximum size of a datagram, in bytes
+	CA         string `xml:"ca,attr,omitempty"`        // PEM file; required with tls, as Cert and Key are
 	Cert       string `xml:"cert,attr,omitempty"`
 	Key        string `xml:"key,attr,omitempty"`
-	ServerName string `xml:"name,attr,omitempty"` // in the collector's certificate; else the address's host
+	ServerName string `xml:"name,attr,omitempty"` // name in the collector's certificate; default: the host of Address
 }
 
-func setDefault[T comparable](v *T, d T) {
+// setDefault sets a value that is zero to its default.
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
-	if *v == zero {
-		*v = d
+	if *value == zero {
+		*value = defaultValue
 	}
 }
 
-// SetDefaults fills in what a file leaves open.
+// SetDefaults sets all optional settings that a file leaves out to their defaults.
 func (c *Controller) SetDefaults() {
 	setDefault(&c.Limits.Calls, 200000)
 	setDefault(&c.Limits.TransactionsPerPeer, 10000)
@@ -171,145 +172,155 @@
 	setDefault(&c.Flows.MaxSpoolBytes, 256<<20)
 	setDefault(&c.Flows.MaxSpoolAge, 72*time.Hour)
 	for i := range c.Flows.Collectors {
-		f := &c.Flows.Collectors[i]
-		setDefault(&f.Transport, "tcp")
-		setDefault(&f.Protocol, "ipfix")
-		setDefault(&f.MTU, 1400)
+		collector := &c.Flows.Collectors[i]
+		setDefault(&collector.Transport, "tcp")
+		setDefault(&collector.Protocol, "ipfix")
+		setDefault(&collector.MTU, 1400)
 	}
 }
 
-// Policies that decide: the module, and plain rules that it is held against.
+// Policies lists the routing policies: the routing module (brain) and simple rules
+// that it is compared with.
 var Policies = []string{"brain", "direct-only", "any-tandem"}
 
-// ReadController reads a controller's file.
+// ReadController reads the settings of a controller from a file.
 func ReadController(path string) (*Controller, error) {
 	c := &Controller{}
-	r, err := readFile(path, "controller", c)
+	d, err := readFile(path, "controller", c)
 	if err != nil {
 		return nil, err
 	}
 	c.SetDefaults()
-	r.require(c, c.Self >= 0, "@self", "is negative")
-	r.require(c, c.Number >= 0 && c.Number < c.Controllers, "@number", "is not below controllers")
-	r.require(c, c.Listen != "", "@listen", "is empty")
-	r.require(c, c.ListAddress != "", "@list", "is empty")
-	r.require(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("is none of %v", Policies))
-	r.checkClasses(c.Classes)
-	r.checkRules(&c.Rules)
+	d.require(c, c.Self >= 0, "@self", "is negative")
+	d.require(c, c.Number >= 0 && c.Number < c.Controllers, "@number", "must be at least 0 and less than controllers")
+	d.require(c, c.Listen != "", "@listen", "is empty")
+	d.require(c, c.ListAddress != "", "@list", "is empty")
+	d.require(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("must be one of %v", Policies))
+	d.checkClasses(c.Classes)
+	d.checkRules(&c.Rules)
 	for name, v := range map[string]int{"calls": c.Limits.Calls, "per-peer": c.Limits.TransactionsPerPeer, "connections": c.Limits.Connections,
 		"exchanges": c.Limits.Exchanges, "inbox": c.Limits.Inbox, "outbox": c.Limits.Outbox, "line": c.Limits.LineBytes,
 		"block": c.Limits.MessageBytes, "faults": c.Limits.UnreadableMessages} {
-		r.require(&c.Limits, v > 0, "@"+name, "must be above 0")
+		d.require(&c.Limits, v > 0, "@"+name, "must be greater than 0")
 	}
-	r.require(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be above 0")
-	r.require(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox hold 16 at the least")
-	p := &c.Peers
-	for name, d := range map[string]time.Duration{"connect": p.ConnectWait, "dial": p.DialTimeout, "write": p.WriteTimeout, "sign-after": p.ProbeAfter,
-		"lost-after": p.LostAfter, "retry-from": p.MinRetryDelay, "retry-most": p.MaxRetryDelay, "release": p.ReleaseRetryAfter} {
-		r.require(p, d > 0, "@"+name, "must be above 0")
+	d.require(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be greater than 0")
+	d.require(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox must be at least 16")
+	peers := &c.Peers
+	for name, duration := range map[string]time.Duration{"connect": peers.ConnectWait, "dial": peers.DialTimeout, "write": peers.WriteTimeout, "sign-after": peers.ProbeAfter,
+		"lost-after": peers.LostAfter, "retry-from": peers.MinRetryDelay, "retry-most": peers.MaxRetryDelay, "release": peers.ReleaseRetryAfter} {
+		d.require(peers, duration > 0, "@"+name, "must be greater than 0")
 	}
-	r.require(p, p.LostAfter > p.ProbeAfter, "@lost-after", "must be above sign-after")
-	r.require(p, p.MaxReleaseAttempts > 0, "@releases", "must be above 0")
-	r.require(&c.Log, slices.Contains([]string{"text", "json"}, c.Log.Format), "@format", "is neither text nor json")
-	r.require(&c.Log, slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "@level", "is none of debug, info, warn, error")
-	r.checkFlows(&c.Flows)
-	return c, r.validationError()
+	d.require(peers, peers.LostAfter > peers.ProbeAfter, "@lost-after", "must be greater than sign-after")
+	d.require(peers, peers.MaxReleaseAttempts > 0, "@releases", "must be greater than 0")
+	d.require(&c.Log, slices.Contains([]string{"text", "json"}, c.Log.Format), "@format", "must be text or json")
+	d.require(&c.Log, slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "@level", "must be debug, info, warn or error")
+	d.checkFlows(&c.Flows)
+	return c, d.validationError()
 }
 
-func (r *decoder) checkFlows(f *Flows) {
-	r.require(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("is none of %v", FlowModes))
+// checkFlows checks the settings of the flow export.
+func (d *decoder) checkFlows(f *Flows) {
+	d.require(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("must be one of %v", FlowModes))
 	for name, v := range map[string]float64{"interim": float64(f.InterimInterval), "interval": float64(f.SummaryInterval), "confirm": float64(f.ConfirmAfter),
 		"queue": float64(f.QueueCapacity), "ring": float64(f.RingCapacity), "replay": f.ReplayRate, "spool-most": float64(f.MaxSpoolBytes), "spool-age": float64(f.MaxSpoolAge)} {
-		r.require(f, v >= 0, "flows@"+name, "is negative")
+		d.require(f, v >= 0, "flows@"+name, "is negative")
 	}
 	for i := range f.Collectors {
 		c := &f.Collectors[i]
 		at := "collector[" + c.Address + "]"
-		r.require(c, c.Address != "", at+"@address", "is empty")
-		r.require(c, slices.Contains(Transports, c.Transport), at+"@transport", fmt.Sprintf("is none of %v", Transports))
-		r.require(c, slices.Contains(FlowProtocols, c.Protocol), at+"@protocol", fmt.Sprintf("is none of %v", FlowProtocols))
-		r.require(c, c.Protocol != "netflow9" || c.Transport == "udp", at+"@protocol", "netflow9 goes over udp only")
-		r.require(c, c.MTU >= 256 && c.MTU <= 65507, at+"@mtu", "must be from 256 to 65507")
-		r.require(c, c.Transport != "tls" || c.CA != "" && c.Cert != "" && c.Key != "", at+"@transport", "tls needs ca, cert and key")
+		d.require(c, c.Address != "", at+"@address", "is empty")
+		d.require(c, slices.Contains(Transports, c.Transport), at+"@transport", fmt.Sprintf("must be one of %v", Transports))
+		d.require(c, slices.Contains(FlowProtocols, c.Protocol), at+"@protocol", fmt.Sprintf("must be one of %v", FlowProtocols))
+		d.require(c, c.Protocol != "netflow9" || c.Transport == "udp", at+"@protocol", "netflow9 requires transport udp")
+		d.require(c, c.MTU >= 256 && c.MTU <= 65507, at+"@mtu", "must be from 256 to 65507")
+		d.require(c, c.Transport != "tls" || c.CA != "" && c.Cert != "" && c.Key != "", at+"@transport", "tls requires ca, cert and key")
 	}
 }
 
-// The words of the flows element.
+// The values of enumerated attributes of the flows element and its collectors.
 var (
 	FlowModes     = []string{"failover", "copies"}
 	Transports    = []string{"tcp", "tls", "udp"}
 	FlowProtocols = []string{"ipfix", "netflow9"}
 )
 
-func readFile(path, root string, v any) (*decoder, error) {
-	f, err := os.Open(path)
+// readFile reads a file with the given root element into the struct value.
+func readFile(path, root string, value any) (*decoder, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
-	defer f.Close()
-	return readDocument(path, f, root, v)
+	defer file.Close()
+	return readDocument(path, file, root, value)
 }
 
-// readDocument fills v; its error is only for a document that is none of ours.
-func readDocument(file string, in io.Reader, root string, v any) (*decoder, error) {
-	n, err := parseDocument(file, in)
+// readDocument reads a document into the struct value. It returns an error only if
+// the document is not XML or has another root element; all other errors are collected
+// in the decoder.
+func readDocument(file string, in io.Reader, root string, value any) (*decoder, error) {
+	elem, err := parseDocument(file, in)
 	if err != nil {
 		return nil, err
 	}
-	if n.name != root {
-		return nil, ValidationErrors{{file, n.line, n.name, fmt.Sprintf("the root element must be %s", root)}}
+	if elem.name != root {
+		return nil, ValidationErrors{{file, elem.line, elem.name, fmt.Sprintf("the root element must be %s", root)}}
 	}
-	r := &decoder{file: file, lines: map[any]int{}}
-	r.decodeElement(n, root, reflect.ValueOf(v).Elem())
-	return r, nil
+	d := &decoder{file: file, lines: map[any]int{}}
+	d.decodeElement(elem, root, reflect.ValueOf(value).Elem())
+	return d, nil
 }
 
-func (r *decoder) require(at any, ok bool, path, what string) {
+// require records an error at the element of a struct unless ok is true. Only the
+// first error at a path is kept.
+func (d *decoder) require(at any, ok bool, path, reason string) {
 	if ok {
 		return
 	}
-	if slices.ContainsFunc(r.errors, func(f ValidationError) bool { return f.Path == path }) {
+	if slices.ContainsFunc(d.errors, func(e ValidationError) bool { return e.Path == path }) {
 		return
 	}
-	r.errors = append(r.errors, ValidationError{r.file, r.lines[at], path, what})
+	d.errors = append(d.errors, ValidationError{d.file, d.lines[at], path, reason})
 }
 
-func (r *decoder) validationError() error {
-	if len(r.errors) == 0 {
+// validationError returns the collected errors in the order of their lines, or nil.
+func (d *decoder) validationError() error {
+	if len(d.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.errors, func(a, b ValidationError) int {
+	slices.SortStableFunc(d.errors, func(a, b ValidationError) int {
 		if a.Line != b.Line {
 			return a.Line - b.Line
 		}
 		return cmp.Compare(a.Path, b.Path)
 	})
-	return r.errors
+	return d.errors
 }
 
-func (r *decoder) checkClasses(all []Class) {
+// checkClasses checks the values of all classes of calls.
+func (d *decoder) checkClasses(classes []Class) {
 	names := map[string]bool{}
-	for i := range all {
-		c := &all[i]
+	for i := range classes {
+		c := &classes[i]
 		at := "class[" + c.Name + "]"
-		r.require(c, c.Name != "" && !names[c.Name], at+"@name", "is empty or stands twice")
+		d.require(c, c.Name != "" && !names[c.Name], at+"@name", "is empty or not unique")
 		names[c.Name] = true
-		r.require(c, c.Worth > 0, at+"@worth", "must be above 0")
-		r.require(c, c.LateWorth >= 0 && c.LateWorth <= 1, at+"@late-worth", "must be from 0 to 1")
-		r.require(c, c.SetUpTarget > 0, at+"@aim", "must be above 0")
-		r.require(c, c.Patience >= c.SetUpTarget, at+"@patience", "is below the aim")
-		r.require(c, c.HoldingTime > 0, at+"@holding", "must be above 0")
-		r.require(c, c.Circuits > 0 && c.Circuits <= 1024, at+"@circuits", "must be from 1 to 1024")
-		r.require(c, c.Share >= 0, at+"@share", "is negative")
+		d.require(c, c.Worth > 0, at+"@worth", "must be greater than 0")
+		d.require(c, c.LateWorth >= 0 && c.LateWorth <= 1, at+"@late-worth", "must be from 0 to 1")
+		d.require(c, c.SetUpTarget > 0, at+"@aim", "must be greater than 0")
+		d.require(c, c.Patience >= c.SetUpTarget, at+"@patience", "must be at least the aim")
+		d.require(c, c.HoldingTime > 0, at+"@holding", "must be greater than 0")
+		d.require(c, c.Circuits > 0 && c.Circuits <= 1024, at+"@circuits", "must be from 1 to 1024")
+		d.require(c, c.Share >= 0, at+"@share", "is negative")
 	}
 }
 
-func (r *decoder) checkRules(u *Rules) {
-	for name, d := range map[string]time.Duration{"release": u.ReleaseTime, "drain-grace": u.DrainGrace, "cold-for": u.ColdDuration,
-		"overload-for": u.OverloadDuration, "answer-slack": u.AnswerSlack, "resend-after": u.ResendAfter, "backoff-most": u.MaxBackoff} {
-		r.require(u, d >= 0, "rules@"+name, "is negative")
+// checkRules checks the parameters of the network's rules.
+func (d *decoder) checkRules(rules *Rules) {
+	for name, duration := range map[string]time.Duration{"release": rules.ReleaseTime, "drain-grace": rules.DrainGrace, "cold-for": rules.ColdDuration,
+		"overload-for": rules.OverloadDuration, "answer-slack": rules.AnswerSlack, "resend-after": rules.ResendAfter, "backoff-most": rules.MaxBackoff} {
+		d.require(rules, duration >= 0, "rules@"+name, "is negative")
 	}
-	r.require(u, u.ColdCapacity > 0 && u.ColdCapacity <= 1, "rules@cold-from", "must be above 0, 1 at the most")
-	r.require(u, u.OverloadFactor >= 1, "rules@overload-factor", "must be 1 or more")
-	r.require(u, u.MaxAttempts > 0, "rules@attempts", "must be above 0")
+	d.require(rules, rules.ColdCapacity > 0 && rules.ColdCapacity <= 1, "rules@cold-from", "must be greater than 0 and at most 1")
+	d.require(rules, rules.OverloadFactor >= 1, "rules@overload-factor", "must be at least 1")
+	d.require(rules, rules.MaxAttempts > 0, "rules@attempts", "must be greater than 0")
 }
