--- a/brain/brain.go
+++ b/brain/brain.go
@@ -11,50 +11,50 @@
 
 // Tuned values and bounds.
 const (
-	reserveBase  = 2                      // circuits of direct reserve beyond the measured demand
-	dearFactor   = 3.0                    // worth by circuit and second that makes a class dear to another
-	waitLeast    = 500 * time.Millisecond // shortest wait of a call with no route
-	waitMost     = time.Second            // longest
-	turnedSkip   = 3 * time.Second        // a tandem that turned a call back is skipped so long
-	turnedMost   = 12 * time.Second       // doubled each time up to this
-	altTries     = 2                      // tandems tried for one call
-	altEarns     = 2.0                    // tandem tries that a call standing over one pays for
-	altFree      = 0.1                    // and every own call
-	altSaved     = 8.0                    // most tries saved up
-	keepEvery    = 5                      // of so many served waiting calls, one is a lower class's
-	targetOfAim  = 0.4                    // send-to-standing time wanted, as a share of the shortest aim
-	targetOfT1   = 0.75                   // the same, as a share of the set-up repeat time
-	windowShare  = 8.0                    // set-ups that all senders may have out to one slow exchange
-	windowStart  = 4.0                    // set-ups out to one exchange at the start, at the most
-	windowMost   = 32.0                   // and later
-	windowLeast  = 0.125                  // and to a silent one: rests between single set-ups
-	ownStart     = 8.0                    // set-ups out over all ways at the start
-	ownLeast     = 2.0                    // and at the least
-	windowCut    = 0.7                    // factor at a slow answer
-	windowHalve  = 0.5                    // at a refusal of a full processor or a sign of silence
-	altPressure  = 0.6                    // no tandem above this share of the target
-	latKeep      = 0.7                    // weight of the past in smoothed times
-	pressKeep    = 0.9                    // the same for the own processor when an answer is slower
-	latFade      = 3 * time.Second        // smoothed times halve when unheard of for so long
-	rateSpan     = 10 * time.Second       // span of measured demand
-	coldSafety   = 0.8                    // share used of the budget of a cold processor
-	coldLeast    = 12.0                   // set-ups a second to a cold processor in any case, by all senders
-	rest         = 500 * time.Millisecond // between single set-ups at a window of a half
-	gapMost      = 4 * time.Second        // longest turn of a busy number
-	hastyShare   = 0.1                    // share of callers leaving early that shortens waits
-	silentSigns  = 2                      // signs of silence in a row before a rest, or more
-	tardyShare   = 0.3                    // but not where slow answers are more than this to one lost
-	lossLeast    = 0.05                   // share of answers lost that shortens time-outs
-	silentChance = 0.002                  // if so many by chance are likelier than this
-	busySigns    = 2                      // busy notes after which a number is gapped
-	busyFor      = 10 * time.Second       // and forgotten after so long without one
-	epsFor       = 2 * time.Second        // a hold-back share counts for so long
-	glance       = 50 * time.Millisecond
-	ghostHolding = 10 // mean holding times after which a call is no longer counted
-	ghostEvery   = time.Second
-	numbersMost  = 512
-	triedMost    = 4096
-	vouchFor     = 500 * time.Millisecond // word that a tandem reaches a destination counts so long
+	baseReserve            = 2                      // circuits of direct reserve beyond the measured demand
+	highValueFactor        = 3.0                    // worth by circuit and second that makes a class dear to another
+	minWait                = 500 * time.Millisecond // shortest wait of a call with no route
+	maxWait                = time.Second            // longest
+	minSecondLegBlock      = 3 * time.Second        // a tandem that turned a call back is skipped so long
+	maxSecondLegBlock      = 12 * time.Second       // doubled each time up to this
+	maxTandemAttempts      = 2                      // tandems tried for one call
+	tandemCreditPerSuccess = 2.0                    // tandem tries that a call standing over one pays for
+	tandemCreditPerCall    = 0.1                    // and every own call
+	maxTandemCredit        = 8.0                    // most tries saved up
+	lowestValueInterval    = 5                      // of so many served waiting calls, one is a lower class's
+	targetAimShare         = 0.4                    // send-to-standing time wanted, as a share of the shortest aim
+	targetResendShare      = 0.75                   // the same, as a share of the set-up repeat time
+	sharedPeerWindow       = 8.0                    // set-ups that all senders may have out to one slow exchange
+	initialPeerWindow      = 4.0                    // set-ups out to one exchange at the start, at the most
+	maxWindow              = 32.0                   // and later
+	minUnresponsiveWindow  = 0.125                  // and to a silent one: rests between single set-ups
+	initialOwnWindow       = 8.0                    // set-ups out over all ways at the start
+	minOwnWindow           = 2.0                    // and at the least
+	slowAnswerFactor       = 0.7                    // factor at a slow answer
+	rejectionFactor        = 0.5                    // at a refusal of a full processor or a sign of silence
+	congestionThreshold    = 0.6                    // no tandem above this share of the target
+	setupTimeWeight        = 0.7                    // weight of the past in smoothed times
+	slowerAnswerWeight     = 0.9                    // the same for the own processor when an answer is slower
+	setupTimeHalfLife      = 3 * time.Second        // smoothed times halve when unheard of for so long
+	rateTimeConstant       = 10 * time.Second       // span of measured demand
+	coldBudgetShare        = 0.8                    // share used of the budget of a cold processor
+	minColdRate            = 12.0                   // set-ups a second to a cold processor in any case, by all senders
+	setupGap               = 500 * time.Millisecond // between single set-ups at a window of a half
+	maxNumberGap           = 4 * time.Second        // longest turn of a busy number
+	abandonmentThreshold   = 0.1                    // share of callers leaving early that shortens waits
+	minLossesInRow         = 2                      // signs of silence in a row before a rest, or more
+	maxSlowPerLost         = 0.3                    // but not where slow answers are more than this to one lost
+	minLossShare           = 0.05                   // share of answers lost that shortens time-outs
+	maxLossRunProbability  = 0.002                  // if so many by chance are likelier than this
+	minBusyReports         = 2                      // busy notes after which a number is gapped
+	busyReportLifetime     = 10 * time.Second       // and forgotten after so long without one
+	reductionLifetime      = 2 * time.Second        // a hold-back share counts for so long
+	queueRecheckInterval   = 50 * time.Millisecond
+	staleHoldingTimes      = 10 // mean holding times after which a call is no longer counted
+	staleCheckInterval     = time.Second
+	maxBusyNumbers         = 512
+	maxRecentNumbers       = 4096
+	secondLegValidity      = 500 * time.Millisecond // word that a tandem reaches a destination counts so long
 )
 
 // Reasons and scopes of verdicts.
@@ -77,419 +77,419 @@
 	ScopeCall           Scope  = "call"
 )
 
-type phase int
+type callState int
 
 const (
-	waiting phase = iota
-	out
-	standing
-	done
+	stateWaiting callState = iota
+	stateAttempting
+	stateEstablished
+	stateDone
 )
 
-type call struct {
+type activeCall struct {
 	Call
-	at, due, waitTill time.Duration // arrival; last moments for the final answer and the wait
-	notBefore, stood  time.Duration // fifth rule; when it stood
-	state             phase
-	attempts, alts    int
-	leg               *far    // group of the attempt that is out or stands
-	alt, own          bool    // out over a tandem; counted in the own window
-	worth             float64 // what a refusal costs
-	why               Reason
-	scope             Scope
+	arrivedAt, answerBy, waitUntil time.Duration // arrival; last moments for the final answer and the wait
+	retryNotBefore, establishedAt  time.Duration // fifth rule; when it stood
+	state                          callState
+	attempts, tandemAttempts       int
+	peer                           *peerExchange // group of the attempt that is out or stands
+	viaTandem, inOwnWindow         bool          // out over a tandem; counted in the own window
+	worth                          float64       // what a refusal costs
+	waitReason                     Reason
+	waitScope                      Scope
 }
 
-// far is a far exchange (or pool) with the own trunk group towards it.
-type far struct {
-	cell             int
-	id               uint32
-	state            ExchangeState
-	known            bool
-	free, size       int
-	direct           int           // circuits of own direct calls in flight
-	transit          map[int]int   // circuits in flight by transit source
-	pend, silent     int           // set-ups unanswered; signs of silence since it last answered
-	win, lat, eps    float64       // window; smoothed send-to-standing time over the target; hold-back share
-	tokens, normal   float64       // when cold; demand when its processor started: redials since do not count
-	fullAt           time.Duration // when it last had less than the base reserve free
-	blocked          time.Duration // no set-up before
-	demand, circuits meter
-	firsts           meter         // first tries of the demand
-	heard, mute      meter         // as the controller's, of this way alone
-	classes          []share       // of own direct calls, by class
-	turned           map[int]*turn // by destination, as a tandem: what is known of its second leg
-
-	since, latAt, cutAt, epsAt, tokensAt time.Duration
+// peerExchange is a peerExchange exchange (or pool) with the own trunk group towards it.
+type peerExchange struct {
+	number                            int
+	id                                uint32
+	state                             ExchangeState
+	circuitsKnown                     bool
+	freeCircuits, groupSize           int
+	directCircuits                    int           // circuits of own direct calls in flight
+	transitCircuits                   map[int]int   // circuits in flight by transit source
+	pendingSetups, lossesInRow        int           // set-ups unanswered; signs of silence since it last answered
+	window, setupTimeRatio, reduction float64       // window; smoothed send-to-standing time over the target; hold-back share
+	coldTokens, normalRate            float64       // when cold; demand when its processor started: redials since do not count
+	lastFullAt                        time.Duration // when it last had less than the base reserve free
+	blockedUntil                      time.Duration // no set-up before
+	callRate, circuitDemand           rateMeter
+	firstAttemptRate                  rateMeter               // first tries of the demand
+	answerRate, lossRate              rateMeter               // as the controller's, of this way alone
+	classLoads                        []classLoad             // of own direct calls, by class
+	secondLegs                        map[int]*secondLegState // by destination, as a tandem: what is known of its second leg
+
+	startedAt, setupTimeAt, windowCutAt, reductionAt, coldTokensAt time.Duration
 }
 
-// kind is all by which the ways that are open to one waiting call differ from those of another.
-// Where one of a kind found no way in a turn, the others have none: within it, ways only close.
-type kind struct {
-	dest, class, width int
-	worth              float64
-	transit            bool
-	alts               int
+// routeRequest is all by which the ways that are open to one waiting call differ from those of another.
+// Where one of a routeRequest found no way in a turn, the others have none: within it, ways only close.
+type routeRequest struct {
+	destination, class, width int
+	worth                     float64
+	transit                   bool
+	tandemAttempts            int
 }
 
-// closure says why.
-type closure struct {
+// blockCause says why.
+type blockCause struct {
 	Reason
 	Scope
 }
 
-// share is what one class of own direct calls asks of a group and has of it.
-type share struct {
-	demand  meter // circuits, as arrivals times holding time
-	running int
+// classLoad is what one class of own direct calls asks of a group and has of it.
+type classLoad struct {
+	demand rateMeter // circuits, as arrivals times holding time
+	inUse  int
 }
 
-// turn books what is known of a tandem's second leg to one destination: calls that
+// secondLegState books what is known of a tandem's second leg to one destination: calls that
 // it turned back, and when it was last vouched for, by the centre or by a call that stood.
-type turn struct{ until, skip, good time.Duration }
+type secondLegState struct{ blockedUntil, blockTime, confirmedUntil time.Duration }
 
-func (f *far) second(dest int) *turn {
-	if f.turned[dest] == nil {
-		f.turned[dest] = &turn{}
+func (f *peerExchange) secondLeg(dest int) *secondLegState {
+	if f.secondLegs[dest] == nil {
+		f.secondLegs[dest] = &secondLegState{}
 	}
-	return f.turned[dest]
+	return f.secondLegs[dest]
 }
 
-// told is the same to look at.
-func (f *far) told(dest int) turn {
-	if t := f.turned[dest]; t != nil {
+// knownSecondLeg is the same to look at.
+func (f *peerExchange) knownSecondLeg(dest int) secondLegState {
+	if t := f.secondLegs[dest]; t != nil {
 		return *t
 	}
-	return turn{}
+	return secondLegState{}
 }
 
-// turnBack skips the tandem for this destination, twice as long each time in a
+// blockSecondLeg skips the tandem for this destination, twice as long each time in a
 // row. It saves the work of calls that go one leg far, whatever blocks the
 // second; it harms when the second leg clears soon after.
-func (f *far) turnBack(dest int, now time.Duration) {
-	t := f.second(dest)
-	if now-t.until > turnedMost {
-		t.skip = 0
+func (f *peerExchange) blockSecondLeg(dest int, now time.Duration) {
+	t := f.secondLeg(dest)
+	if now-t.blockedUntil > maxSecondLegBlock {
+		t.blockTime = 0
 	}
-	t.skip = min(max(2*t.skip, turnedSkip), turnedMost)
-	t.until, t.good = now+t.skip, 0
+	t.blockTime = min(max(2*t.blockTime, minSecondLegBlock), maxSecondLegBlock)
+	t.blockedUntil, t.confirmedUntil = now+t.blockTime, 0
 }
 
-// meter measures a rate per second over rateSpan.
-type meter struct {
-	sum float64
-	at  time.Duration
+// rateMeter measures a rate per second over rateSpan.
+type rateMeter struct {
+	weightedSum float64
+	updatedAt   time.Duration
 }
 
-func (m *meter) add(now time.Duration, x float64) {
-	m.sum = m.sum*math.Exp(-float64(now-m.at)/float64(rateSpan)) + x
-	m.at = now
+func (m *rateMeter) add(now time.Duration, x float64) {
+	m.weightedSum = m.weightedSum*math.Exp(-float64(now-m.updatedAt)/float64(rateTimeConstant)) + x
+	m.updatedAt = now
 }
 
-func (m *meter) rate(now, since time.Duration) float64 {
-	span := float64(rateSpan) * (1 - math.Exp(-float64(max(now-since, time.Second))/float64(rateSpan)))
-	return m.sum * math.Exp(-float64(now-m.at)/float64(rateSpan)) / (span / float64(time.Second))
+func (m *rateMeter) rate(now, since time.Duration) float64 {
+	span := float64(rateTimeConstant) * (1 - math.Exp(-float64(max(now-since, time.Second))/float64(rateTimeConstant)))
+	return m.weightedSum * math.Exp(-float64(now-m.updatedAt)/float64(rateTimeConstant)) / (span / float64(time.Second))
 }
 
-type busy struct {
-	count, pend int
-	last, until time.Duration
+type busyNumber struct {
+	reports, pendingAttempts int
+	lastReport, blockedUntil time.Duration
 }
 
 type Controller struct {
-	set             Settings
-	now, born       time.Duration
-	seen            bool
-	leastAim        time.Duration
-	asked           meter         // calls handed over
-	heard           meter         // ends of waits for an answer
-	mute            meter         // and that by silence
-	tardy           meter         // and those that were slow
-	hasty           meter         // callers who left before their time
-	patience        time.Duration // how long those stayed, smoothed
-	meanWorth       float64
-	cells           map[int]*far
-	order           []*far // by number
-	hosts           map[uint32]int
-	calls           map[string]*call
-	open            []*call          // not answered, by arrival
-	stood           []*call          // standing
-	ghostsAt        time.Duration    // when those were last looked through
-	queue           []*call          // waiting
-	shut            map[kind]closure // in this turn
-	numbers         map[uint64]*busy
-	own             *far
-	credit          float64 // tandem tries that may go out, earned by those that stood
-	winStart        float64 // window of a far exchange at its start
-	winLeast        float64 // and while it is slow: less where more senders share it
-	pend            int     // set-ups out over all ways
-	full            float64 // share of own groups full of late, at fullAt
-	fullAt          time.Duration
-	win             float64 // and how many may be
-	press           float64 // the quicker send-to-standing times over the target, smoothed
-	winCut, pressAt time.Duration
-	tried, triedOld map[uint64]time.Duration // numbers called of late and before: when first
-	triedAt         time.Duration
-	served          int // waiting calls served since a lower class was
-	wakeAt          time.Duration
-	token           uint64
-	verdicts        map[Reason]int
-	random          *rand.Rand // from the seed
-	acts            []Action
+	settings                    Settings
+	now, startedAt              time.Duration
+	started                     bool
+	minAim                      time.Duration
+	offeredRate                 rateMeter     // calls handed over
+	answerRate                  rateMeter     // ends of waits for an answer
+	lossRate                    rateMeter     // and that by silence
+	slowAnswerRate              rateMeter     // and those that were slow
+	abandonmentRate             rateMeter     // callers who left before their time
+	patience                    time.Duration // how long those stayed, smoothed
+	meanWorth                   float64
+	peers                       map[int]*peerExchange
+	peersByNumber               []*peerExchange // by number
+	numberByID                  map[uint32]int
+	calls                       map[string]*activeCall
+	unanswered                  []*activeCall               // not answered, by arrival
+	established                 []*activeCall               // standing
+	staleCheckedAt              time.Duration               // when those were last looked through
+	queue                       []*activeCall               // waiting
+	blockedRoutes               map[routeRequest]blockCause // in this turn
+	busyNumbers                 map[uint64]*busyNumber
+	ownExchange                 *peerExchange
+	tandemCredit                float64 // tandem tries that may go out, earned by those that stood
+	initialWindow               float64 // window of a far exchange at its start
+	minSlowWindow               float64 // and while it is slow: less where more senders share it
+	pendingSetups               int     // set-ups out over all ways
+	fullShare                   float64 // share of own groups full of late, at fullAt
+	fullShareAt                 time.Duration
+	window                      float64 // and how many may be
+	ownLoad                     float64 // the quicker send-to-standing times over the target, smoothed
+	windowCutAt, ownLoadAt      time.Duration
+	recentNumbers, olderNumbers map[uint64]time.Duration // numbers called of late and before: when first
+	numbersRotatedAt            time.Duration
+	highValueServed             int // waiting calls served since a lower class was
+	timerAt                     time.Duration
+	timerToken                  uint64
+	verdictCounts               map[Reason]int
+	random                      *rand.Rand // from the seed
+	actions                     []Action
 }
 
 // New starts a controller that knows nothing but its settings.
 func New(s Settings) *Controller {
-	k := &Controller{set: s, cells: map[int]*far{}, hosts: map[uint32]int{}, calls: map[string]*call{},
-		numbers: map[uint64]*busy{}, verdicts: map[Reason]int{},
-		tried: map[uint64]time.Duration{}, shut: map[kind]closure{},
+	k := &Controller{settings: s, peers: map[int]*peerExchange{}, numberByID: map[uint32]int{}, calls: map[string]*activeCall{},
+		busyNumbers: map[uint64]*busyNumber{}, verdictCounts: map[Reason]int{},
+		recentNumbers: map[uint64]time.Duration{}, blockedRoutes: map[routeRequest]blockCause{},
 		random: rand.New(rand.NewPCG(s.Seed, uint64(s.Me)))}
 	aim := time.Hour
 	for _, c := range s.Classes {
 		aim = min(aim, c.Aim)
 		k.meanWorth += c.Worth / float64(len(s.Classes))
 	}
-	k.leastAim, k.win, k.credit = aim, ownStart, altSaved
-	k.winLeast = min(windowShare/float64(max(s.Controllers-1, 1)), 1)
-	k.winStart = max(windowStart*k.winLeast, 1)
+	k.minAim, k.window, k.tandemCredit = aim, initialOwnWindow, maxTandemCredit
+	k.minSlowWindow = min(sharedPeerWindow/float64(max(s.Controllers-1, 1)), 1)
+	k.initialWindow = max(initialPeerWindow*k.minSlowWindow, 1)
 	return k
 }
 
 // Handle takes one event and returns what to do about it.
 func (k *Controller) Handle(now time.Duration, e Event) []Action {
-	if !k.seen {
-		k.seen, k.born, k.fullAt = true, now, now-1
+	if !k.started {
+		k.started, k.startedAt, k.fullShareAt = true, now, now-1
 	}
-	k.now, k.acts = now, nil
+	k.now, k.actions = now, nil
 	switch e := e.(type) {
 	case ExchangeListUpdate:
-		k.list(e)
+		k.applyExchangeList(e)
 	case Call:
-		k.arrive(e)
+		k.handleCall(e)
 	case CallAbandoned:
-		k.gone(e)
+		k.handleAbandoned(e)
 	case GroupStatus:
-		if f := k.at(e.ExchangeID); f != nil && e.OK {
-			f.report(now, e.Report)
+		if f := k.peerByID(e.ExchangeID); f != nil && e.OK {
+			f.applyReport(now, e.Report)
 		}
 	case CallEstablished:
-		k.stands(e)
+		k.handleEstablished(e)
 	case AttemptEnded:
-		k.ended(e)
+		k.handleAttemptEnded(e)
 	case TimerExpired: // one that an earlier one has replaced must not start a row of its own
-		if now >= k.wakeAt {
-			k.wakeAt = 0
+		if now >= k.timerAt {
+			k.timerAt = 0
 		}
 	}
-	if len(k.queue) > 0 || now >= k.wakeAt { // else nothing waits and nothing is due
-		k.serve()
+	if len(k.queue) > 0 || now >= k.timerAt { // else nothing waits and nothing is due
+		k.serveQueue()
 	}
-	return k.acts
+	return k.actions
 }
 
-func (k *Controller) at(id uint32) *far {
-	if cell, ok := k.hosts[id]; ok {
-		return k.cells[cell]
+func (k *Controller) peerByID(id uint32) *peerExchange {
+	if cell, ok := k.numberByID[id]; ok {
+		return k.peers[cell]
 	}
 	return nil
 }
 
-func (f *far) report(now time.Duration, r StatusReport) {
+func (f *peerExchange) applyReport(now time.Duration, r StatusReport) {
 	if r.CircuitsKnown {
-		f.known, f.free, f.size = true, r.FreeCircuits, r.GroupSize
-		if r.FreeCircuits < reserveBase {
-			f.fullAt = now
+		f.circuitsKnown, f.freeCircuits, f.groupSize = true, r.FreeCircuits, r.GroupSize
+		if r.FreeCircuits < baseReserve {
+			f.lastFullAt = now
 		}
 	}
 	if r.HasReduction {
-		f.eps, f.epsAt = min(max(r.Reduction, 0), 1), now
+		f.reduction, f.reductionAt = min(max(r.Reduction, 0), 1), now
 	}
 }
 
-// list follows the exchange list. A number keeps its group when a new
+// applyExchangeList follows the exchange applyExchangeList. A number keeps its group when a new
 // processor takes the old one's place; the newest that is in service serves.
-func (k *Controller) list(e ExchangeListUpdate) {
+func (k *Controller) applyExchangeList(e ExchangeListUpdate) {
 	if e.Complete {
-		for _, f := range k.order {
+		for _, f := range k.peersByNumber {
 			f.state = OutOfService
 		}
 	}
 	for _, x := range e.Entries {
-		f := k.cells[x.Number]
+		f := k.peers[x.Number]
 		if f == nil {
-			f = &far{cell: x.Number, id: x.ID, transit: map[int]int{}, turned: map[int]*turn{},
-				win: k.winStart, state: OutOfService, classes: make([]share, len(k.set.Classes))}
-			k.cells[x.Number] = f
-			k.order = append(k.order, f)
-			slices.SortFunc(k.order, func(a, b *far) int { return a.cell - b.cell })
-			if x.Number == k.set.Self {
-				k.own = f
+			f = &peerExchange{number: x.Number, id: x.ID, transitCircuits: map[int]int{}, secondLegs: map[int]*secondLegState{},
+				window: k.initialWindow, state: OutOfService, classLoads: make([]classLoad, len(k.settings.Classes))}
+			k.peers[x.Number] = f
+			k.peersByNumber = append(k.peersByNumber, f)
+			slices.SortFunc(k.peersByNumber, func(a, b *peerExchange) int { return a.number - b.number })
+			if x.Number == k.settings.Self {
+				k.ownExchange = f
 			}
 		}
 		if x.State != InService && f.id != x.ID {
 			continue // word of one that has been replaced already
 		}
-		if x.ID != f.id || x.StartedAt != f.since {
-			if f.state == InService && x.ID != f.id && x.StartedAt < f.since {
+		if x.ID != f.id || x.StartedAt != f.startedAt {
+			if f.state == InService && x.ID != f.id && x.StartedAt < f.startedAt {
 				continue
 			}
-			f.lat, f.blocked, f.eps, f.silent, f.win = 0, 0, 0, 0, k.winStart
-			f.tokens, f.tokensAt, f.normal = k.random.Float64(), k.now, f.demand.rate(k.now, k.born)
+			f.setupTimeRatio, f.blockedUntil, f.reduction, f.lossesInRow, f.window = 0, 0, 0, 0, k.initialWindow
+			f.coldTokens, f.coldTokensAt, f.normalRate = k.random.Float64(), k.now, f.callRate.rate(k.now, k.startedAt)
 		}
-		delete(k.hosts, f.id) // the table holds one processor a number
-		k.hosts[x.ID] = x.Number
-		f.id, f.state, f.since = x.ID, x.State, x.StartedAt
+		delete(k.numberByID, f.id) // the table holds one processor a number
+		k.numberByID[x.ID] = x.Number
+		f.id, f.state, f.startedAt = x.ID, x.State, x.StartedAt
 	}
 }
 
-func (k *Controller) class(c *call) Class { return k.set.Classes[c.Class] }
+func (k *Controller) classOf(c *activeCall) Class { return k.settings.Classes[c.Class] }
 
-// firstTry tells when a caller first tried, and whether the aim has passed since.
+// firstAttempt tells when a caller first tried, and whether the aim has passed since.
 // A number that was called here before counts as tried again where callers do not
 // mark it; it guards against redials that crowd out first tries, and harms callers
 // of one number that many call, while they all call.
-func (k *Controller) firstTry(e Call, cl Class) (time.Duration, bool) {
+func (k *Controller) firstAttempt(e Call, cl Class) (time.Duration, bool) {
 	if e.Transit || e.Reconnect || !e.HasCalledNumber {
 		return k.now, e.Repeat && !e.Reconnect
 	}
-	first, known := k.tried[e.CalledNumber]
+	first, known := k.recentNumbers[e.CalledNumber]
 	if !known {
-		first, known = k.triedOld[e.CalledNumber]
+		first, known = k.olderNumbers[e.CalledNumber]
 	}
-	if !known || k.now-first > cl.GiveUp || k.set.MarksRepeat && !e.Repeat {
-		if k.now-k.triedAt > cl.GiveUp || len(k.tried) >= triedMost {
-			k.tried, k.triedOld, k.triedAt = map[uint64]time.Duration{}, k.tried, k.now
+	if !known || k.now-first > cl.GiveUp || k.settings.MarksRepeat && !e.Repeat {
+		if k.now-k.numbersRotatedAt > cl.GiveUp || len(k.recentNumbers) >= maxRecentNumbers {
+			k.recentNumbers, k.olderNumbers, k.numbersRotatedAt = map[uint64]time.Duration{}, k.recentNumbers, k.now
 		}
-		k.tried[e.CalledNumber] = k.now
+		k.recentNumbers[e.CalledNumber] = k.now
 		return k.now, e.Repeat
 	}
 	return first, k.now-first >= cl.Aim
 }
 
-func (k *Controller) arrive(e Call) {
-	cl := k.set.Classes[e.Class]
-	c := &call{Call: e, at: k.now, worth: cl.Worth}
-	c.due = k.now + e.Remaining - 2*k.set.Tick
-	began, late := k.firstTry(e, cl)
+func (k *Controller) handleCall(e Call) {
+	cl := k.settings.Classes[e.Class]
+	c := &activeCall{Call: e, arrivedAt: k.now, worth: cl.Worth}
+	c.answerBy = k.now + e.Remaining - 2*k.settings.Tick
+	began, late := k.firstAttempt(e, cl)
 	if late {
 		c.worth *= max(cl.LateWorth, 0.01)
 	}
-	wait := min(max(began+k.aim(cl.Aim)-k.now-k.target(), waitLeast), waitMost)
+	wait := min(max(began+k.effectiveAim(cl.Aim)-k.now-k.targetSetupTime(), minWait), maxWait)
 	if e.Transit {
-		wait = waitLeast // its caller waits on, and may find another tandem in time
+		wait = minWait // its caller waits on, and may find another tandem in time
 	}
-	c.waitTill = min(k.now+wait, c.due)
+	c.waitUntil = min(k.now+wait, c.answerBy)
 	k.calls[c.ID] = c
-	k.open = append(k.open, c)
+	k.unanswered = append(k.unanswered, c)
 	first := 1.0
 	if began < k.now || e.Repeat {
 		first = 0
 	}
-	if k.own != nil {
-		k.own.demand.add(k.now, 1)
-		k.own.firsts.add(k.now, first)
+	if k.ownExchange != nil {
+		k.ownExchange.callRate.add(k.now, 1)
+		k.ownExchange.firstAttemptRate.add(k.now, first)
 	}
-	k.asked.add(k.now, 1)
-	if f := k.cells[e.Destination]; f != nil {
-		f.demand.add(k.now, 1)
-		f.firsts.add(k.now, first)
+	k.offeredRate.add(k.now, 1)
+	if f := k.peers[e.Destination]; f != nil {
+		f.callRate.add(k.now, 1)
+		f.firstAttemptRate.add(k.now, first)
 		if seconds := float64(e.Width) * cl.Holding.Seconds(); !e.Transit {
-			f.circuits.add(k.now, seconds)
+			f.circuitDemand.add(k.now, seconds)
 			if !e.Repeat {
-				f.classes[e.Class].demand.add(k.now, seconds)
+				f.classLoads[e.Class].demand.add(k.now, seconds)
 			}
 		}
 	}
 	if !e.Transit {
-		k.credit = min(k.credit+altFree, altSaved)
-		if a := k.cells[e.Via]; a != nil && k.set.Advice {
-			a.second(e.Destination).good = k.now + vouchFor
+		k.tandemCredit = min(k.tandemCredit+tandemCreditPerCall, maxTandemCredit)
+		if a := k.peers[e.Via]; a != nil && k.settings.Advice {
+			a.secondLeg(e.Destination).confirmedUntil = k.now + secondLegValidity
 		}
 	}
 	if e.Remaining <= 0 {
-		k.giveUp(c, ReasonTimeUp, ScopeCall)
+		k.fail(c, ReasonTimeUp, ScopeCall)
 		return
 	}
-	if b := k.numbers[e.CalledNumber]; b != nil && k.gapped(b) {
+	if b := k.busyNumbers[e.CalledNumber]; b != nil && k.numberBlocked(b) {
 		k.refuse(c, ReasonNumberBusy, ScopeNumber)
 		return
 	}
 	k.queue = append(k.queue, c)
 }
 
-// gapped guards against a storm of calls on one number with few lines: after
+// numberBlocked guards against a storm of calls on one number with few lines: after
 // some busy notes one try at a time goes out, in ever longer turns. One busy
 // number alone does not fire it. It harms a number whose lines clear at once.
-func (k *Controller) gapped(b *busy) bool {
-	return k.now-b.last <= busyFor && b.count >= busySigns && (b.pend > 0 || k.now < b.until)
+func (k *Controller) numberBlocked(b *busyNumber) bool {
+	return k.now-b.lastReport <= busyReportLifetime && b.reports >= minBusyReports && (b.pendingAttempts > 0 || k.now < b.blockedUntil)
 }
 
-// gone books a caller who left; an attempt that is out is called off.
-func (k *Controller) gone(e CallAbandoned) {
+// handleAbandoned books a caller who left; an attempt that is out is called off.
+func (k *Controller) handleAbandoned(e CallAbandoned) {
 	c := k.calls[e.CallID]
-	if c == nil || c.state == done {
+	if c == nil || c.state == stateDone {
 		return
 	}
-	if k.now < c.due-k.set.Tick {
-		if k.hasty.sum == 0 {
-			k.patience = k.now - c.at
+	if k.now < c.answerBy-k.settings.Tick {
+		if k.abandonmentRate.weightedSum == 0 {
+			k.patience = k.now - c.arrivedAt
 		}
-		k.hasty.add(k.now, 1)
-		k.patience += (k.now - c.at - k.patience) / 8
+		k.abandonmentRate.add(k.now, 1)
+		k.patience += (k.now - c.arrivedAt - k.patience) / 8
 	}
-	k.verdict(c, ReasonCallerLeft, ScopeCall, c.Destination)
-	if c.state == out && k.set.Cancelling {
-		k.acts = append(k.acts, CancelAttempt{c.ID, c.attempts - 1})
+	k.recordVerdict(c, ReasonCallerLeft, ScopeCall, c.Destination)
+	if c.state == stateAttempting && k.settings.Cancelling {
+		k.actions = append(k.actions, CancelAttempt{c.ID, c.attempts - 1})
 	}
 	k.finish(c)
 }
 
-// aim is the time in which a call must stand: the class's, or less when callers
+// effectiveAim is the time in which a call must stand: the class's, or less when callers
 // in number leave before the time that they named. It guards against waits and
 // set-ups that outlast the callers, whatever drives them off; a few hasty ones
 // do not fire it. It harms when they leave for a fault that haste cannot mend.
-func (k *Controller) aim(of time.Duration) time.Duration {
-	if k.hasty.rate(k.now, k.born) > hastyShare*k.asked.rate(k.now, k.born) {
+func (k *Controller) effectiveAim(of time.Duration) time.Duration {
+	if k.abandonmentRate.rate(k.now, k.startedAt) > abandonmentThreshold*k.offeredRate.rate(k.now, k.startedAt) {
 		return min(of, k.patience)
 	}
 	return of
 }
 
-// target is the send-to-standing time wanted.
-func (k *Controller) target() time.Duration {
-	t := time.Duration(targetOfAim * float64(k.aim(k.leastAim)))
-	if k.set.ResendAfter > 0 {
-		t = min(t, time.Duration(targetOfT1*float64(k.set.ResendAfter)))
+// targetSetupTime is the send-to-standing time wanted.
+func (k *Controller) targetSetupTime() time.Duration {
+	t := time.Duration(targetAimShare * float64(k.effectiveAim(k.minAim)))
+	if k.settings.ResendAfter > 0 {
+		t = min(t, time.Duration(targetResendShare*float64(k.settings.ResendAfter)))
 	}
 	return max(t, time.Millisecond)
 }
 
-// serve offers waiting calls their turn and answers those whose wait is over.
-func (k *Controller) serve() {
-	clear(k.shut)
-	k.sweep()
+// serveQueue offers waiting calls their turn and answers those whose wait is over.
+func (k *Controller) serveQueue() {
+	clear(k.blockedRoutes)
+	k.expireCalls()
 	k.sortQueue()
-	if l := k.lowest(); l != nil && k.served >= keepEvery {
-		k.attempt(l) // its turn, before dearer ones
+	if l := k.lowestValueCall(); l != nil && k.highValueServed >= lowestValueInterval {
+		k.tryRoutes(l) // its turn, before dearer ones
 	}
 	rest := k.queue[:0]
 	for _, c := range k.queue {
-		if c.state == waiting && !k.attempt(c) {
+		if c.state == stateWaiting && !k.tryRoutes(c) {
 			rest = append(rest, c)
 		}
 	}
 	k.queue = rest
-	k.arm()
+	k.armTimer()
 }
 
-// lowest is the longest waiting own call of the cheapest kind; circuits are withheld for
+// lowestValueCall is the longest waiting own call of the cheapest kind; circuits are withheld for
 // it only while it waits.
-func (k *Controller) lowest() *call {
-	var l *call
+func (k *Controller) lowestValueCall() *activeCall {
+	var l *activeCall
 	for _, c := range k.queue {
-		if c.state != waiting || c.Transit {
+		if c.state != stateWaiting || c.Transit {
 			continue
 		}
-		if l == nil || c.worth < l.worth || c.worth == l.worth && c.at < l.at {
+		if l == nil || c.worth < l.worth || c.worth == l.worth && c.arrivedAt < l.arrivedAt {
 			l = c
 		}
 	}
@@ -499,252 +499,252 @@
 // sortQueue: own callers first; then the transit source with the largest floor
 // shortfall, else the one with fewest in flight; within a source the dearest.
 func (k *Controller) sortQueue() {
-	slices.SortStableFunc(k.queue, func(a, b *call) int {
+	slices.SortStableFunc(k.queue, func(a, b *activeCall) int {
 		switch {
 		case a.Transit && !b.Transit:
 			return 1
 		case b.Transit && !a.Transit:
 			return -1
 		case a.Transit && a.Via != b.Via:
-			sa, fa := k.shortfall(a)
-			sb, fb := k.shortfall(b)
+			sa, fa := k.transitShortfall(a)
+			sb, fb := k.transitShortfall(b)
 			return cmp.Or(sb-sa, fa-fb, a.Via-b.Via)
 		}
-		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.at, b.at))
+		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.arrivedAt, b.arrivedAt))
 	})
 }
 
-// shortfall tells how far a transit source is below its floor on the group it
+// transitShortfall tells how far a transit source is below its floor on the group it
 // wants, and how many circuits it has in flight there.
-func (k *Controller) shortfall(c *call) (int, int) {
-	f := k.cells[c.Destination]
+func (k *Controller) transitShortfall(c *activeCall) (int, int) {
+	f := k.peers[c.Destination]
 	if f == nil {
 		return 0, 0
 	}
-	return max(max(1, f.size/(4*max(len(k.order), 1)))-f.transit[c.Via], 0), f.transit[c.Via]
+	return max(max(1, f.groupSize/(4*max(len(k.peersByNumber), 1)))-f.transitCircuits[c.Via], 0), f.transitCircuits[c.Via]
 }
 
-// sweep finishes calls whose time or wait is over and forgets the finished.
-func (k *Controller) sweep() {
-	rest := k.open[:0]
-	for _, c := range k.open {
+// expireCalls finishes calls whose time or wait is over and forgets the finished.
+func (k *Controller) expireCalls() {
+	rest := k.unanswered[:0]
+	for _, c := range k.unanswered {
 		switch {
-		case c.state == done:
+		case c.state == stateDone:
 			continue
-		case c.state == standing:
-			k.stood = append(k.stood, c) // nothing is due of it, however many stand
+		case c.state == stateEstablished:
+			k.established = append(k.established, c) // nothing is due of it, however many stand
 			continue
-		case k.now >= c.due:
-			k.giveUp(c, ReasonTimeUp, ScopeCall)
+		case k.now >= c.answerBy:
+			k.fail(c, ReasonTimeUp, ScopeCall)
 			continue
-		case c.state == waiting && k.now >= c.waitTill && !(k.now < c.notBefore && c.notBefore < c.due):
-			if k.attempt(c) {
+		case c.state == stateWaiting && k.now >= c.waitUntil && !(k.now < c.retryNotBefore && c.retryNotBefore < c.answerBy):
+			if k.tryRoutes(c) {
 				break
 			}
-			k.refuse(c, c.why, c.scope)
+			k.refuse(c, c.waitReason, c.waitScope)
 			continue
 		}
 		rest = append(rest, c)
 	}
-	k.open = rest
-	if k.now-k.ghostsAt < ghostEvery {
+	k.unanswered = rest
+	if k.now-k.staleCheckedAt < staleCheckInterval {
 		return
 	}
-	k.ghostsAt, rest = k.now, k.stood[:0]
-	for _, c := range k.stood {
-		if c.state == standing && k.now-c.stood > ghostHolding*k.class(c).Holding {
-			k.release(c) // guards the counts against an end that never came
+	k.staleCheckedAt, rest = k.now, k.established[:0]
+	for _, c := range k.established {
+		if c.state == stateEstablished && k.now-c.establishedAt > staleHoldingTimes*k.classOf(c).Holding {
+			k.releaseCircuits(c) // guards the counts against an end that never came
 			k.finish(c)
 		}
-		if c.state == standing {
+		if c.state == stateEstablished {
 			rest = append(rest, c)
 		}
 	}
-	clear(k.stood[len(rest):])
-	k.stood = rest
+	clear(k.established[len(rest):])
+	k.established = rest
 }
 
-func (k *Controller) arm() {
+func (k *Controller) armTimer() {
 	next := time.Duration(math.MaxInt64)
-	for _, c := range k.open {
-		if c.state == waiting {
-			next = min(next, max(c.waitTill, c.notBefore), k.now+glance)
+	for _, c := range k.unanswered {
+		if c.state == stateWaiting {
+			next = min(next, max(c.waitUntil, c.retryNotBefore), k.now+queueRecheckInterval)
 		}
-		if c.state != standing {
-			next = min(next, c.due)
+		if c.state != stateEstablished {
+			next = min(next, c.answerBy)
 		}
 	}
-	if next == math.MaxInt64 || k.wakeAt > k.now && k.wakeAt <= next {
+	if next == math.MaxInt64 || k.timerAt > k.now && k.timerAt <= next {
 		return
 	}
-	k.wakeAt = max(next, k.now+time.Millisecond)
-	k.token++
-	k.acts = append(k.acts, SetTimer{k.token, k.wakeAt - k.now})
+	k.timerAt = max(next, k.now+time.Millisecond)
+	k.timerToken++
+	k.actions = append(k.actions, SetTimer{k.timerToken, k.timerAt - k.now})
 }
 
-func (k *Controller) verdict(c *call, r Reason, s Scope, cell int) {
-	k.verdicts[r]++
-	n := k.verdicts[r] // logged: the 1st, 2nd, 4th, 8th ... of each reason
-	k.acts = append(k.acts, Verdict{c.ID, c.Class, r, s, cell, n, n&(n-1) == 0})
+func (k *Controller) recordVerdict(c *activeCall, r Reason, s Scope, cell int) {
+	k.verdictCounts[r]++
+	n := k.verdictCounts[r] // logged: the 1st, 2nd, 4th, 8th ... of each reason
+	k.actions = append(k.actions, Verdict{c.ID, c.Class, r, s, cell, n, n&(n-1) == 0})
 }
 
-func (k *Controller) finish(c *call) {
-	if c.state != out {
+func (k *Controller) finish(c *activeCall) {
+	if c.state != stateAttempting {
 		delete(k.calls, c.ID)
 	}
-	c.state = done
+	c.state = stateDone
 }
 
-func (k *Controller) refuse(c *call, r Reason, s Scope) {
-	k.verdict(c, r, s, c.Destination)
+func (k *Controller) refuse(c *activeCall, r Reason, s Scope) {
+	k.recordVerdict(c, r, s, c.Destination)
 	hint := time.Duration(0)
-	if !c.Transit && k.set.Backoff {
-		hint = k.set.BackoffMax
+	if !c.Transit && k.settings.Backoff {
+		hint = k.settings.BackoffMax
 	}
-	k.acts = append(k.acts, RefuseCall{c.ID, hint})
+	k.actions = append(k.actions, RefuseCall{c.ID, hint})
 	k.finish(c)
 }
 
-func (k *Controller) giveUp(c *call, r Reason, s Scope) {
-	k.verdict(c, r, s, c.Destination)
-	k.acts = append(k.acts, FailCall{c.ID})
+func (k *Controller) fail(c *activeCall, r Reason, s Scope) {
+	k.recordVerdict(c, r, s, c.Destination)
+	k.actions = append(k.actions, FailCall{c.ID})
 	k.finish(c)
 }
 
-// hold keeps the call waiting and notes why.
-func (k *Controller) hold(c *call, r Reason, s Scope) bool {
-	if c.why == "" {
-		k.verdict(c, r, s, c.Destination)
+// keepWaiting keeps the call waiting and notes why.
+func (k *Controller) keepWaiting(c *activeCall, r Reason, s Scope) bool {
+	if c.waitReason == "" {
+		k.recordVerdict(c, r, s, c.Destination)
 	}
-	c.why, c.scope = r, s
+	c.waitReason, c.waitScope = r, s
 	return false
 }
 
-// attempt sends the call if a route admits it; true if it waits no more.
-func (k *Controller) attempt(c *call) bool {
-	if k.now < c.notBefore {
-		return k.hold(c, ReasonReleaseWait, ScopeCall)
+// tryRoutes sends the call if a route admits it; true if it waits no more.
+func (k *Controller) tryRoutes(c *activeCall) bool {
+	if k.now < c.retryNotBefore {
+		return k.keepWaiting(c, ReasonReleaseWait, ScopeCall)
 	}
-	if c.attempts >= k.set.MaxAttempts {
+	if c.attempts >= k.settings.MaxAttempts {
 		k.refuse(c, ReasonAttemptsSpent, ScopeCall)
 		return true
 	}
-	d := k.cells[c.Destination]
-	if d == nil || d == k.own && !k.set.Pools {
-		return k.hold(c, ReasonNotInService, ScopeExchange)
+	d := k.peers[c.Destination]
+	if d == nil || d == k.ownExchange && !k.settings.Pools {
+		return k.keepWaiting(c, ReasonNotInService, ScopeExchange)
 	}
-	like := kind{c.Destination, c.Class, c.Width, c.worth, c.Transit, c.alts}
-	if why, shut := k.shut[like]; shut {
-		return k.hold(c, why.Reason, why.Scope)
+	like := routeRequest{c.Destination, c.Class, c.Width, c.worth, c.Transit, c.tandemAttempts}
+	if why, shut := k.blockedRoutes[like]; shut {
+		return k.keepWaiting(c, why.Reason, why.Scope)
 	}
-	r, s := k.direct(c, d)
+	r, s := k.directBlocked(c, d)
 	if r == "" {
-		k.send(c, d, false)
+		k.startAttempt(c, d, false)
 		return true
 	}
-	if c.Transit && (s != ScopeGroup || d.known && d.size == 0) {
+	if c.Transit && (s != ScopeGroup || d.circuitsKnown && d.groupSize == 0) {
 		k.refuse(c, r, s) // a wait for a processor only adds to the press, one for no group is vain
 		return true
 	}
-	if t := k.tandem(c, d, r); t != nil {
-		k.verdict(c, ReasonRerouted, s, t.cell)
-		k.send(c, t, true)
+	if t := k.selectTandem(c, d, r); t != nil {
+		k.recordVerdict(c, ReasonRerouted, s, t.number)
+		k.startAttempt(c, t, true)
 		return true
 	}
-	k.shut[like] = closure{r, s}
-	return k.hold(c, r, s)
+	k.blockedRoutes[like] = blockCause{r, s}
+	return k.keepWaiting(c, r, s)
 }
 
-// direct tells why the way to the destination is closed, "" if it is open.
-func (k *Controller) direct(c *call, d *far) (Reason, Scope) {
-	if r, s := k.closed(c, d); r != "" {
+// directBlocked tells why the way to the destination is closed, "" if it is open.
+func (k *Controller) directBlocked(c *activeCall, d *peerExchange) (Reason, Scope) {
+	if r, s := k.setupBlocked(c, d); r != "" {
 		return r, s
 	}
-	owed := k.dearOwed(c, d)
+	owed := k.highValueReserve(c, d)
 	if c.Transit {
-		owed = max(owed, k.owed(d))
+		owed = max(owed, k.unusedReserve(d))
 	}
-	if d.known && d.free < c.Width+owed {
+	if d.circuitsKnown && d.freeCircuits < c.Width+owed {
 		return ReasonNoCircuit, ScopeGroup
 	}
 	return "", ""
 }
 
-// owed is the direct reserve less the direct calls running, floored at 0. On a group that was
+// unusedReserve is the direct reserve less the direct calls running, floored at 0. On a group that was
 // full of late it follows the own direct demand and its spread: thin groups stay open to transit.
-func (k *Controller) owed(f *far) int {
-	reserve := reserveBase
-	if k.now-f.fullAt < rateSpan {
-		asked := f.circuits.rate(k.now, k.born)
-		reserve = max(reserve, int((asked+math.Sqrt(asked))*k.fullShare()))
+func (k *Controller) unusedReserve(f *peerExchange) int {
+	reserve := baseReserve
+	if k.now-f.lastFullAt < rateTimeConstant {
+		asked := f.circuitDemand.rate(k.now, k.startedAt)
+		reserve = max(reserve, int((asked+math.Sqrt(asked))*k.fullGroupShare()))
 	}
-	return max(reserve-min(f.direct, max(f.size-f.free, 0)), 0)
+	return max(reserve-min(f.directCircuits, max(f.groupSize-f.freeCircuits, 0)), 0)
 }
 
-// fullShare is the share of own groups that were full of late, counted once a moment.
-func (k *Controller) fullShare() float64 {
-	if k.fullAt != k.now {
+// fullGroupShare is the share of own groups that were full of late, counted once a moment.
+func (k *Controller) fullGroupShare() float64 {
+	if k.fullShareAt != k.now {
 		full, all := 0.0, 1e-9
-		for _, o := range k.order {
-			if o.size > 0 {
+		for _, o := range k.peersByNumber {
+			if o.groupSize > 0 {
 				all++
-				if k.now-o.fullAt < rateSpan {
+				if k.now-o.lastFullAt < rateTimeConstant {
 					full++
 				}
 			}
 		}
-		k.fullAt, k.full = k.now, full/all
+		k.fullShareAt, k.fullShare = k.now, full/all
 	}
-	return k.full
+	return k.fullShare
 }
 
-// dearOwed is kept back on a group for classes that are worth far more by the
+// highValueReserve is kept back on a group for classes that are worth far more by the
 // circuit and second: what they ask of it less what they have of it. It guards
 // them when cheap calls, or tries whose aim has passed, would fill the group; it
 // harms when a dear class stops calling at once, for as long as demand is measured.
-func (k *Controller) dearOwed(c *call, f *far) int {
+func (k *Controller) highValueReserve(c *activeCall, f *peerExchange) int {
 	owed := 0
-	own := value(c.worth, c.Width, k.class(c).Holding)
-	for i := range f.classes {
-		if cl := k.set.Classes[i]; value(cl.Worth, cl.Width, cl.Holding) > dearFactor*own {
-			owed += max(int(math.Ceil(f.classes[i].demand.rate(k.now, k.born)))-f.classes[i].running, 0)
+	own := circuitValue(c.worth, c.Width, k.classOf(c).Holding)
+	for i := range f.classLoads {
+		if cl := k.settings.Classes[i]; circuitValue(cl.Worth, cl.Width, cl.Holding) > highValueFactor*own {
+			owed += max(int(math.Ceil(f.classLoads[i].demand.rate(k.now, k.startedAt)))-f.classLoads[i].inUse, 0)
 		}
 	}
 	return owed
 }
 
-// value is what a circuit earns in a second of a call.
-func value(worth float64, width int, holding time.Duration) float64 {
+// circuitValue is what a circuit earns in a second of a call.
+func circuitValue(worth float64, width int, holding time.Duration) float64 {
 	return worth / (float64(max(width, 1)) * max(holding.Seconds(), 0.001))
 }
 
-// closed tells why the processor at the far end takes no set-up now.
-func (k *Controller) closed(c *call, f *far) (Reason, Scope) {
+// setupBlocked tells why the processor at the far end takes no set-up now.
+func (k *Controller) setupBlocked(c *activeCall, f *peerExchange) (Reason, Scope) {
 	switch {
 	case f.state != InService:
 		return ReasonNotInService, ScopeExchange
-	case k.cold(f) && f.tokens < 1:
+	case k.warmingUp(f) && f.coldTokens < 1:
 		return ReasonColdProcessor, ScopeExchange
-	case k.own != nil && k.cold(k.own) && k.own.tokens < 1:
+	case k.ownExchange != nil && k.warmingUp(k.ownExchange) && k.ownExchange.coldTokens < 1:
 		return ReasonColdProcessor, ScopeOwnExchange
 	}
 	dear := 0.0 // set-ups more that a dear call may have out
 	if c.worth > k.meanWorth {
 		dear = 1
 	}
-	if k.pend > 0 && float64(k.pend+1) > k.win+dear {
+	if k.pendingSetups > 0 && float64(k.pendingSetups+1) > k.window+dear {
 		return ReasonOverload, ScopeOwnExchange
 	}
-	win := f.win
-	if k.now-f.epsAt < epsFor {
-		win *= 1 - f.eps
+	win := f.window
+	if k.now-f.reductionAt < reductionLifetime {
+		win *= 1 - f.reduction
 	}
 	win += dear
-	if c.worth < k.class(c).Worth {
+	if c.worth < k.classOf(c).Worth {
 		win /= 2
 	}
-	if k.now < f.blocked || f.pend > 0 && float64(f.pend+1) > win {
-		if f.silent >= k.signs(f) {
+	if k.now < f.blockedUntil || f.pendingSetups > 0 && float64(f.pendingSetups+1) > win {
+		if f.lossesInRow >= k.lossThreshold(f) {
 			return ReasonUnresponsive, ScopeExchange // one that is out is a trial
 		}
 		return ReasonOverload, ScopeExchange
@@ -752,293 +752,293 @@
 	return "", ""
 }
 
-// cold tells whether the processor is within its warm-up, and refills this controller's share
+// warmingUp tells whether the processor is within its warm-up, and refills this controller's share
 // of its budget: the multiple of the least capacity it may have, on what it is sent in normal
 // times. First shares are drawn, since a share under one set-up may not start at one everywhere.
-func (k *Controller) cold(f *far) bool {
-	age := k.now - f.since
-	if f.since <= 0 || age >= k.set.ColdFor || k.set.ColdFor <= 0 {
+func (k *Controller) warmingUp(f *peerExchange) bool {
+	age := k.now - f.startedAt
+	if f.startedAt <= 0 || age >= k.settings.ColdFor || k.settings.ColdFor <= 0 {
 		return false
 	}
-	normal := f.normal
-	if k.born > f.since { // it started later itself and knows no demand of before
-		normal = f.firsts.rate(k.now, k.born)
+	normal := f.normalRate
+	if k.startedAt > f.startedAt { // it started later itself and knows no demand of before
+		normal = f.firstAttemptRate.rate(k.now, k.startedAt)
 	}
-	have := k.set.ColdFrom + (1-k.set.ColdFrom)*float64(age)/float64(k.set.ColdFor)
-	rate := coldSafety * min(k.set.OverloadFactor*have, 1/coldSafety) *
-		max(normal, min(coldLeast/float64(max(k.set.Controllers, 1)), 0.5))
-	f.tokens = min(f.tokens+rate*(k.now-f.tokensAt).Seconds(), max(1, rate*k.set.OverloadFor.Seconds()/4))
-	f.tokensAt = k.now
+	have := k.settings.ColdFrom + (1-k.settings.ColdFrom)*float64(age)/float64(k.settings.ColdFor)
+	rate := coldBudgetShare * min(k.settings.OverloadFactor*have, 1/coldBudgetShare) *
+		max(normal, min(minColdRate/float64(max(k.settings.Controllers, 1)), 0.5))
+	f.coldTokens = min(f.coldTokens+rate*(k.now-f.coldTokensAt).Seconds(), max(1, rate*k.settings.OverloadFor.Seconds()/4))
+	f.coldTokensAt = k.now
 	return true
 }
 
-// fade is the smoothed time over the target when nothing is heard.
-func (k *Controller) fade(v float64, at time.Duration) float64 {
-	return v * math.Exp2(-float64(k.now-at)/float64(latFade))
+// decayed is the smoothed time over the target when nothing is heard.
+func (k *Controller) decayed(v float64, at time.Duration) float64 {
+	return v * math.Exp2(-float64(k.now-at)/float64(setupTimeHalfLife))
 }
 
-// tandem picks the one whose own first leg has most circuits free beyond the
-// owed reserve. A tandem costs a third processor, so it is for circuits that
+// selectTandem picks the one whose own first leg has most circuits free beyond the
+// owed reserve. A selectTandem costs a third processor, so it is for circuits that
 // lack and for a direct way that is silent, not for processors that are pressed.
 // It guards against a pair that has lost each other. Tandems vouched for come first:
 // where many exchanges share few circuits, most second legs are full or not there. Tries
 // spend credit that standing calls earn: it guards processors against turn-backs in number,
 // whatever turns the calls back; it harms when second legs clear all at once.
-func (k *Controller) tandem(c *call, d *far, r Reason) *far {
-	if c.Transit || c.alts >= altTries || k.credit < 1 {
+func (k *Controller) selectTandem(c *activeCall, d *peerExchange, r Reason) *peerExchange {
+	if c.Transit || c.tandemAttempts >= maxTandemAttempts || k.tandemCredit < 1 {
 		return nil
 	}
-	if !k.set.Pools && (r != ReasonNoCircuit && (r != ReasonUnresponsive || k.now < d.told(c.Destination).until) ||
-		d.size > 0 && (k.fade(k.press, k.pressAt) > altPressure || k.fade(d.lat, d.latAt) > altPressure)) {
+	if !k.settings.Pools && (r != ReasonNoCircuit && (r != ReasonUnresponsive || k.now < d.knownSecondLeg(c.Destination).blockedUntil) ||
+		d.groupSize > 0 && (k.decayed(k.ownLoad, k.ownLoadAt) > congestionThreshold || k.decayed(d.setupTimeRatio, d.setupTimeAt) > congestionThreshold)) {
 		return nil // a try round a silent way that failed speaks for all
 	}
-	var best *far
+	var best *peerExchange
 	vouched := false
-	for _, t := range k.order { // what is cheap to see comes first: all that wait come by here at each event
-		if t == d || t == k.own || !t.known || t.state != InService || t.free < c.Width ||
-			k.set.Pools && !slices.Contains(k.class(c).Pools, t.cell) || t.free-k.owed(t) < c.Width {
+	for _, t := range k.peersByNumber { // what is cheap to see comes first: all that wait come by here at each event
+		if t == d || t == k.ownExchange || !t.circuitsKnown || t.state != InService || t.freeCircuits < c.Width ||
+			k.settings.Pools && !slices.Contains(k.classOf(c).Pools, t.number) || t.freeCircuits-k.unusedReserve(t) < c.Width {
 			continue
 		}
-		leg := t.told(c.Destination)
-		good := k.now < leg.good
-		if best != nil && (vouched && !good || good == vouched && t.free <= best.free) ||
-			k.now < leg.until || k.fade(t.lat, t.latAt) > altPressure {
+		leg := t.knownSecondLeg(c.Destination)
+		good := k.now < leg.confirmedUntil
+		if best != nil && (vouched && !good || good == vouched && t.freeCircuits <= best.freeCircuits) ||
+			k.now < leg.blockedUntil || k.decayed(t.setupTimeRatio, t.setupTimeAt) > congestionThreshold {
 			continue
 		}
-		if why, _ := k.closed(c, t); why == "" {
+		if why, _ := k.setupBlocked(c, t); why == "" {
 			best, vouched = t, good
 		}
 	}
 	return best
 }
 
-func (k *Controller) send(c *call, f *far, alt bool) {
-	k.served++
+func (k *Controller) startAttempt(c *activeCall, f *peerExchange, alt bool) {
+	k.highValueServed++
 	if c.worth <= k.meanWorth {
-		k.served = 0
+		k.highValueServed = 0
 	}
-	f.free -= c.Width
-	f.pend++
+	f.freeCircuits -= c.Width
+	f.pendingSetups++
 	// a tandem may hold it for a circuit and a slow far end for long, which tells nothing of the own
-	if c.own = !alt && (f.win >= k.winStart || k.press > altPressure); c.own {
-		k.pend++
+	if c.inOwnWindow = !alt && (f.window >= k.initialWindow || k.ownLoad > congestionThreshold); c.inOwnWindow {
+		k.pendingSetups++
 	}
-	f.tokens--
-	if k.own != nil {
-		k.own.tokens--
+	f.coldTokens--
+	if k.ownExchange != nil {
+		k.ownExchange.coldTokens--
 	}
-	if b := k.numbers[c.CalledNumber]; b != nil {
-		b.pend++
+	if b := k.busyNumbers[c.CalledNumber]; b != nil {
+		b.pendingAttempts++
 	}
-	c.state, c.leg, c.alt = out, f, alt
+	c.state, c.peer, c.viaTandem = stateAttempting, f, alt
 	c.attempts++
 	if alt {
-		c.alts++
-		k.credit--
+		c.tandemAttempts++
+		k.tandemCredit--
 	}
 	switch {
 	case c.Transit:
-		f.transit[c.Via] += c.Width
+		f.transitCircuits[c.Via] += c.Width
 	case !alt:
-		f.direct += c.Width
-		f.classes[c.Class].running += c.Width
+		f.directCircuits += c.Width
+		f.classLoads[c.Class].inUse += c.Width
 	}
-	k.acts = append(k.acts, StartAttempt{c.ID, f.id, k.timeout(c, alt)})
+	k.actions = append(k.actions, StartAttempt{c.ID, f.id, k.attemptTimeout(c, alt)})
 }
 
-// timeout is the time left, or less where answers get lost, not slow, so that a further try can
+// attemptTimeout is the time left, or less where answers get lost, not slow, so that a further try can
 // stand within the aim. It guards against losses of any cause; it harms by set-ups done twice.
-func (k *Controller) timeout(c *call, alt bool) time.Duration {
-	left, soon := c.due-k.now, k.target()
+func (k *Controller) attemptTimeout(c *activeCall, alt bool) time.Duration {
+	left, soon := c.answerBy-k.now, k.targetSetupTime()
 	if alt {
-		soon += waitLeast // a tandem may wait for a circuit
+		soon += minWait // a tandem may wait for a circuit
 	}
-	if !k.lossy(c.leg) || soon+k.set.ReleaseWait+k.target() > left {
+	if !k.losesAnswers(c.peer) || soon+k.settings.ReleaseWait+k.targetSetupTime() > left {
 		return left
 	}
 	return soon
 }
 
-// lossy tells whether answers of late got lost, on the way to a far end among others, and are not slow.
-func (k *Controller) lossy(f *far) bool {
-	return k.muteShare() >= lossLeast && k.tardy.rate(k.now, 0) <= tardyShare*k.mute.rate(k.now, 0) &&
-		k.press <= altPressure && f.lat <= altPressure
+// losesAnswers tells whether answers of late got lost, on the way to a far end among others, and are not slow.
+func (k *Controller) losesAnswers(f *peerExchange) bool {
+	return k.lossShare() >= minLossShare && k.slowAnswerRate.rate(k.now, 0) <= maxSlowPerLost*k.lossRate.rate(k.now, 0) &&
+		k.ownLoad <= congestionThreshold && f.setupTimeRatio <= congestionThreshold
 }
 
-// release takes the call out of the counts.
-func (k *Controller) release(c *call) {
-	f := c.leg
+// releaseCircuits takes the call out of the counts.
+func (k *Controller) releaseCircuits(c *activeCall) {
+	f := c.peer
 	switch {
 	case f == nil:
 		return
 	case c.Transit:
-		f.transit[c.Via] -= c.Width
-		if f.transit[c.Via] <= 0 {
-			delete(f.transit, c.Via)
+		f.transitCircuits[c.Via] -= c.Width
+		if f.transitCircuits[c.Via] <= 0 {
+			delete(f.transitCircuits, c.Via)
 		}
-	case !c.alt:
-		f.direct -= c.Width
-		f.classes[c.Class].running -= c.Width
+	case !c.viaTandem:
+		f.directCircuits -= c.Width
+		f.classLoads[c.Class].inUse -= c.Width
 	}
-	c.leg = nil
+	c.peer = nil
 }
 
-// answered books the end of the wait for an answer.
-func (k *Controller) answered(c *call) *busy {
-	k.heard.add(k.now, 1)
-	c.leg.heard.add(k.now, 1)
-	c.leg.pend--
-	if c.own {
-		k.pend--
+// recordAnswer books the end of the wait for an answer.
+func (k *Controller) recordAnswer(c *activeCall) *busyNumber {
+	k.answerRate.add(k.now, 1)
+	c.peer.answerRate.add(k.now, 1)
+	c.peer.pendingSetups--
+	if c.inOwnWindow {
+		k.pendingSetups--
 	}
-	b := k.numbers[c.CalledNumber]
+	b := k.busyNumbers[c.CalledNumber]
 	if b != nil {
-		b.pend = max(b.pend-1, 0)
+		b.pendingAttempts = max(b.pendingAttempts-1, 0)
 	}
 	return b
 }
 
-func (k *Controller) stands(e CallEstablished) {
+func (k *Controller) handleEstablished(e CallEstablished) {
 	c := k.calls[e.CallID]
-	if c == nil || c.leg == nil || e.Attempt != c.attempts-1 || c.stood > 0 {
+	if c == nil || c.peer == nil || e.Attempt != c.attempts-1 || c.establishedAt > 0 {
 		return
 	}
-	f := c.leg
-	if b := k.answered(c); b != nil {
-		b.count /= 2
+	f := c.peer
+	if b := k.recordAnswer(c); b != nil {
+		b.reports /= 2
 	}
-	c.stood = max(k.now, 1)
-	if c.state == out {
-		c.state = standing
+	c.establishedAt = max(k.now, 1)
+	if c.state == stateAttempting {
+		c.state = stateEstablished
 	}
-	f.silent = 0
-	if took := float64(e.Elapsed) / float64(k.target()); took <= 1 && float64(k.pend+1) >= k.win/2 {
-		k.win = min(k.win+1/k.win, windowMost)
+	f.lossesInRow = 0
+	if took := float64(e.Elapsed) / float64(k.targetSetupTime()); took <= 1 && float64(k.pendingSetups+1) >= k.window/2 {
+		k.window = min(k.window+1/k.window, maxWindow)
 	}
-	if d := k.cells[c.Destination]; c.alt && d != nil {
-		k.credit = min(k.credit+altEarns, altSaved)
-		delete(d.turned, c.Destination)
-		f.turned[c.Destination] = &turn{good: k.now + vouchFor}
+	if d := k.peers[c.Destination]; c.viaTandem && d != nil {
+		k.tandemCredit = min(k.tandemCredit+tandemCreditPerSuccess, maxTandemCredit)
+		delete(d.secondLegs, c.Destination)
+		f.secondLegs[c.Destination] = &secondLegState{confirmedUntil: k.now + secondLegValidity}
 	}
-	took := float64(e.Elapsed) / float64(k.target())
-	if c.alt {
+	took := float64(e.Elapsed) / float64(k.targetSetupTime())
+	if c.viaTandem {
 		took /= 1.5 // one more processor on the way
 	}
-	f.lat = latKeep*k.fade(f.lat, f.latAt) + (1-latKeep)*took
-	f.latAt = k.now
+	f.setupTimeRatio = setupTimeWeight*k.decayed(f.setupTimeRatio, f.setupTimeAt) + (1-setupTimeWeight)*took
+	f.setupTimeAt = k.now
 	// The quick answers tell of the own processor: when they are quick, slow ones are the far ends'.
-	if took > k.press {
-		k.press += (1 - pressKeep) * (min(took, 2) - k.press)
+	if took > k.ownLoad {
+		k.ownLoad += (1 - slowerAnswerWeight) * (min(took, 2) - k.ownLoad)
 	} else {
-		k.press += (1 - latKeep) * (took - k.press)
+		k.ownLoad += (1 - setupTimeWeight) * (took - k.ownLoad)
 	}
-	k.pressAt = k.now
+	k.ownLoadAt = k.now
 	switch {
 	case took > 1:
-		k.tardy.add(k.now, 1)
-		k.cut(f, windowCut, k.winLeast, e.Elapsed)
-		if k.now-e.Elapsed >= k.winCut && k.press > altPressure {
-			k.winCut, k.win = k.now, max(k.win*windowCut, ownLeast)
+		k.slowAnswerRate.add(k.now, 1)
+		k.narrowWindow(f, slowAnswerFactor, k.minSlowWindow, e.Elapsed)
+		if k.now-e.Elapsed >= k.windowCutAt && k.ownLoad > congestionThreshold {
+			k.windowCutAt, k.window = k.now, max(k.window*slowAnswerFactor, minOwnWindow)
 		}
-	case float64(f.pend+1) >= f.win/2:
-		f.win = min(f.win+min(1/f.win, math.Sqrt(f.win)), windowMost)
+	case float64(f.pendingSetups+1) >= f.window/2:
+		f.window = min(f.window+min(1/f.window, math.Sqrt(f.window)), maxWindow)
 	}
 }
 
-// cut narrows the window, once for what went out before the last cut; below one set-up it
+// narrowWindow narrows the window, once for what went out before the last narrowWindow; below one set-up it
 // is a rest between single ones, since one each from dozens of senders jams a slow processor.
 // It answers slow, ageing, hung, stalled and flooded processors alike; it harms one that
 // recovers at once, for a rest.
-func (k *Controller) cut(f *far, by, least float64, sent time.Duration) {
-	if k.now-sent < f.cutAt {
+func (k *Controller) narrowWindow(f *peerExchange, by, least float64, sent time.Duration) {
+	if k.now-sent < f.windowCutAt {
 		return
 	}
-	f.cutAt = k.now
-	if f.win = max(f.win*by, min(least, f.win)); f.win < 1 {
-		f.blocked = max(f.blocked, k.now+time.Duration((1/f.win-1)*float64(min(rest, k.leastAim/2))))
+	f.windowCutAt = k.now
+	if f.window = max(f.window*by, min(least, f.window)); f.window < 1 {
+		f.blockedUntil = max(f.blockedUntil, k.now+time.Duration((1/f.window-1)*float64(min(setupGap, k.minAim/2))))
 	}
 }
 
-// signs tells how many losses in a row speak for a far end that is silent: more, the larger
+// lossThreshold tells how many losses in a row speak for a far end that is silent: more, the larger
 // the share of answers that is lost on the other ways, since then as many come by chance.
-func (k *Controller) signs(f *far) int {
-	heard := k.heard.rate(k.now, k.born) - f.heard.rate(k.now, k.born)
-	mute := k.mute.rate(k.now, k.born) - f.mute.rate(k.now, k.born)
+func (k *Controller) lossThreshold(f *peerExchange) int {
+	heard := k.answerRate.rate(k.now, k.startedAt) - f.answerRate.rate(k.now, k.startedAt)
+	mute := k.lossRate.rate(k.now, k.startedAt) - f.lossRate.rate(k.now, k.startedAt)
 	share := min(max(mute/(max(heard, 0)+1), 1e-9), 0.5)
-	return max(silentSigns, 1+int(math.Log(silentChance)/math.Log(share)))
+	return max(minLossesInRow, 1+int(math.Log(maxLossRunProbability)/math.Log(share)))
 }
 
-// muteShare is the share of set-ups that found silence of late; few tell little.
-func (k *Controller) muteShare() float64 {
-	return k.mute.rate(k.now, k.born) / (k.heard.rate(k.now, k.born) + 1)
+// lossShare is the share of set-ups that found silence of late; few tell little.
+func (k *Controller) lossShare() float64 {
+	return k.lossRate.rate(k.now, k.startedAt) / (k.answerRate.rate(k.now, k.startedAt) + 1)
 }
 
-// stop narrows the window to a far end that is silent or refuses, to rests from the second
+// recordLoss narrows the window to a far end that is silent or refuses, to rests from the second
 // sign in a row. One sign alone does little, and nothing where losses are common: a set-up may
 // be lost on the way. It harms a far end that is pressed and loses what it can't serve at once.
-func (k *Controller) stop(f *far, sent time.Duration, lossy bool) {
+func (k *Controller) recordLoss(f *peerExchange, sent time.Duration, lossy bool) {
 	least := 1.0
-	if f.silent++; f.silent >= k.signs(f) {
-		f.win, least = min(f.win, 1), windowLeast
+	if f.lossesInRow++; f.lossesInRow >= k.lossThreshold(f) {
+		f.window, least = min(f.window, 1), minUnresponsiveWindow
 	} else if lossy {
 		return
 	}
-	k.cut(f, windowHalve, least, sent)
+	k.narrowWindow(f, rejectionFactor, least, sent)
 }
 
-func (k *Controller) ended(e AttemptEnded) {
+func (k *Controller) handleAttemptEnded(e AttemptEnded) {
 	c := k.calls[e.CallID]
-	if f := k.at(e.ExchangeID); f != nil {
-		f.report(k.now, e.Report)
+	if f := k.peerByID(e.ExchangeID); f != nil {
+		f.applyReport(k.now, e.Report)
 	}
-	if c == nil || c.leg == nil || e.Attempt != c.attempts-1 {
+	if c == nil || c.peer == nil || e.Attempt != c.attempts-1 {
 		return
 	}
-	f, stood := c.leg, c.stood > 0
+	f, stood := c.peer, c.establishedAt > 0
 	if !stood {
-		b := k.answered(c)
+		b := k.recordAnswer(c)
 		if e.Outcome == OutcomeTimedOut {
-			k.mute.add(k.now, 1)
-			f.mute.add(k.now, 1)
+			k.lossRate.add(k.now, 1)
+			f.lossRate.add(k.now, 1)
 		}
 		if e.Outcome == OutcomeFailed && e.Note == NoteLinesBusy {
-			k.busyNote(c.CalledNumber, b)
+			k.recordBusyNumber(c.CalledNumber, b)
 		}
 	}
-	k.release(c)
-	if e.Final || stood || c.state == done {
-		c.state = done
+	k.releaseCircuits(c)
+	if e.Final || stood || c.state == stateDone {
+		c.state = stateDone
 		delete(k.calls, c.ID)
 		return
 	}
-	c.state = waiting
-	if d := k.cells[c.Destination]; c.alt && d != nil && d.silent >= k.signs(d) && e.Outcome != OutcomeNotSent {
-		d.turnBack(c.Destination, k.now)
+	c.state = stateWaiting
+	if d := k.peers[c.Destination]; c.viaTandem && d != nil && d.lossesInRow >= k.lossThreshold(d) && e.Outcome != OutcomeNotSent {
+		d.blockSecondLeg(c.Destination, k.now)
 	}
 	switch e.Outcome {
 	case OutcomeTimedOut, OutcomeReset, OutcomeCancelled, OutcomeUnreachable:
 		if e.Outcome != OutcomeUnreachable {
-			c.notBefore = k.now + k.set.ReleaseWait + k.set.Tick
+			c.retryNotBefore = k.now + k.settings.ReleaseWait + k.settings.Tick
 		}
-		if c.alt && !k.set.Pools && e.Outcome != OutcomeUnreachable {
-			f.turnBack(c.Destination, k.now) // what lies behind the tandem may be silent
+		if c.viaTandem && !k.settings.Pools && e.Outcome != OutcomeUnreachable {
+			f.blockSecondLeg(c.Destination, k.now) // what lies behind the tandem may be silent
 		} else if e.Outcome == OutcomeTimedOut || e.Outcome == OutcomeUnreachable {
-			k.stop(f, e.Elapsed, k.lossy(f)) // a reset is an answer
+			k.recordLoss(f, e.Elapsed, k.losesAnswers(f)) // a reset is an answer
 		}
 	case OutcomeRejected:
 		if e.Note == NoteProcessorFull {
-			k.stop(f, e.Elapsed, false)
-			f.blocked = max(f.blocked, k.now+e.RetryAfter)
+			k.recordLoss(f, e.Elapsed, false)
+			f.blockedUntil = max(f.blockedUntil, k.now+e.RetryAfter)
 			break
 		}
-		f.turnBack(c.Destination, k.now)
+		f.blockSecondLeg(c.Destination, k.now)
 		if e.Note == NoteOnwardProcessorFull {
-			k.cut(k.cells[c.Destination], windowHalve, k.winLeast, e.Elapsed)
+			k.narrowWindow(k.peers[c.Destination], rejectionFactor, k.minSlowWindow, e.Elapsed)
 		}
 	case OutcomeNotSent:
 		if e.Note == NoteNoCircuit {
-			f.free = min(f.free, c.Width-1)
-		} else if e.Note == NoteProcessorFull && k.own != nil {
+			f.freeCircuits = min(f.freeCircuits, c.Width-1)
+		} else if e.Note == NoteProcessorFull && k.ownExchange != nil {
 			k.refuse(c, ReasonUnresponsive, ScopeOwnExchange)
 			return
 		}
@@ -1048,8 +1048,8 @@
 			return
 		}
 	}
-	if k.now+k.set.Tick >= c.due || c.notBefore >= c.due {
-		k.giveUp(c, ReasonTimeUp, ScopeCall)
+	if k.now+k.settings.Tick >= c.answerBy || c.retryNotBefore >= c.answerBy {
+		k.fail(c, ReasonTimeUp, ScopeCall)
 		return
 	}
 	if !c.Transit || e.Outcome == OutcomeNotSent {
@@ -1059,18 +1059,18 @@
 	k.refuse(c, ReasonOverload, ScopeExchange)
 }
 
-func (k *Controller) busyNote(n uint64, b *busy) {
+func (k *Controller) recordBusyNumber(n uint64, b *busyNumber) {
 	if b == nil {
-		if len(k.numbers) >= numbersMost {
-			k.numbers = map[uint64]*busy{}
+		if len(k.busyNumbers) >= maxBusyNumbers {
+			k.busyNumbers = map[uint64]*busyNumber{}
 		}
-		b = &busy{}
-		k.numbers[n] = b
+		b = &busyNumber{}
+		k.busyNumbers[n] = b
 	}
-	if k.now-b.last > busyFor {
-		b.count = 0
+	if k.now-b.lastReport > busyReportLifetime {
+		b.reports = 0
 	}
-	b.count++
-	b.last = k.now
-	b.until = k.now + min(rest<<min(b.count, 8), gapMost)
+	b.reports++
+	b.lastReport = k.now
+	b.blockedUntil = k.now + min(setupGap<<min(b.reports, 8), maxNumberGap)
 }
--- a/brain/fleet_test.go
+++ b/brain/fleet_test.go
@@ -10,106 +10,106 @@
 	"time"
 )
 
-// fleet plays many controllers against exchanges that answer at once and have circuits enough: what is
+// fleetSimulation plays many controllers against exchanges that answer at once and have circuits enough: what is
 // looked at is only how many set-ups reach an exchange that has just started.
-type fleet struct {
-	ks    []*Controller
-	rand  *rand.Rand
-	queue moments
-	seq   int
-	now   time.Duration
-	calls map[string]*fleetCall
-	got   map[int][]time.Duration // set-ups by exchange, when they were sent
-	until time.Duration
+type fleetSimulation struct {
+	controllers []*Controller
+	random      *rand.Rand
+	queue       eventQueue
+	sequence    int
+	now         time.Duration
+	calls       map[string]*fleetCall
+	setupTimes  map[int][]time.Duration // set-ups by exchange, when they were sent
+	endAt       time.Duration
 }
 
 type fleetCall struct {
 	Call
-	k, tries, n int
+	controller, redials, attempts int
 }
 
-type moment struct {
-	at  time.Duration
-	seq int
-	do  func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type moments []moment
+type eventQueue []scheduledEvent
 
-func (m moments) Len() int { return len(m) }
-func (m moments) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
+func (m eventQueue) Len() int { return len(m) }
+func (m eventQueue) Less(i, j int) bool {
+	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].sequence < m[j].sequence
 }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)   { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *eventQueue) Push(x any)   { *m = append(*m, x.(scheduledEvent)) }
+func (m *eventQueue) Pop() any {
 	x := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return x
 }
 
-func (f *fleet) at(t time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.queue, moment{t, f.seq, do})
+func (f *fleetSimulation) schedule(t time.Duration, do func()) {
+	f.sequence++
+	heap.Push(&f.queue, scheduledEvent{t, f.sequence, do})
 }
 
-func (f *fleet) tell(k int, e Event) {
-	for _, a := range f.ks[k].Handle(f.now, e) {
+func (f *fleetSimulation) deliver(k int, e Event) {
+	for _, a := range f.controllers[k].Handle(f.now, e) {
 		switch a := a.(type) {
 		case StartAttempt:
 			c := f.calls[a.CallID]
-			n := c.n
-			c.n++
-			f.got[int(a.ExchangeID-1)%100] = append(f.got[int(a.ExchangeID-1)%100], f.now)
-			if f.ks[k].set.Self != int(a.ExchangeID-1)%100 { // the own processor has work of it too
-				f.got[k] = append(f.got[k], f.now)
+			n := c.attempts
+			c.attempts++
+			f.setupTimes[int(a.ExchangeID-1)%100] = append(f.setupTimes[int(a.ExchangeID-1)%100], f.now)
+			if f.controllers[k].settings.Self != int(a.ExchangeID-1)%100 { // the own processor has work of it too
+				f.setupTimes[k] = append(f.setupTimes[k], f.now)
 			}
-			f.at(f.now+20*time.Millisecond, func() {
-				f.tell(k, CallEstablished{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Elapsed: 20 * time.Millisecond})
-				f.at(f.now+f.exp(2*time.Second), func() {
-					f.tell(k, AttemptEnded{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Outcome: OutcomeCompleted, Final: true})
+			f.schedule(f.now+20*time.Millisecond, func() {
+				f.deliver(k, CallEstablished{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Elapsed: 20 * time.Millisecond})
+				f.schedule(f.now+f.exponential(2*time.Second), func() {
+					f.deliver(k, AttemptEnded{CallID: a.CallID, Attempt: n, ExchangeID: a.ExchangeID, Outcome: OutcomeCompleted, Final: true})
 				})
 			})
 		case RefuseCall: // half of the callers stay away as long as they are told, the others come sooner
 			c := *f.calls[a.CallID]
-			if c.tries++; c.tries < 3 {
+			if c.redials++; c.redials < 3 {
 				wait := a.RetryAfter
-				if f.rand.IntN(2) == 0 {
+				if f.random.IntN(2) == 0 {
 					wait = 700 * time.Millisecond
 				}
-				f.at(f.now+wait, func() { f.call(c.k, c.Destination, c.tries) })
+				f.schedule(f.now+wait, func() { f.offerCall(c.controller, c.Destination, c.redials) })
 			}
 		case SetTimer:
-			f.at(f.now+a.Delay, func() { f.tell(k, TimerExpired{Token: a.Token}) })
+			f.schedule(f.now+a.Delay, func() { f.deliver(k, TimerExpired{Token: a.Token}) })
 		}
 	}
 }
 
-func (f *fleet) exp(mean time.Duration) time.Duration {
-	return time.Duration(f.rand.ExpFloat64() * float64(mean))
+func (f *fleetSimulation) exponential(mean time.Duration) time.Duration {
+	return time.Duration(f.random.ExpFloat64() * float64(mean))
 }
 
-func (f *fleet) call(k, dest, tries int) {
-	f.seq++
-	c := &fleetCall{k: k, tries: tries, Call: Call{ID: fmt.Sprint(f.seq), Remaining: 3 * time.Second, Destination: dest, Width: 1,
-		Via: -1, HasCalledNumber: true, CalledNumber: uint64(f.seq), Repeat: tries > 0}}
+func (f *fleetSimulation) offerCall(k, dest, tries int) {
+	f.sequence++
+	c := &fleetCall{controller: k, redials: tries, Call: Call{ID: fmt.Sprint(f.sequence), Remaining: 3 * time.Second, Destination: dest, Width: 1,
+		Via: -1, HasCalledNumber: true, CalledNumber: uint64(f.sequence), Repeat: tries > 0}}
 	f.calls[c.ID] = c
-	f.tell(k, c.Call)
+	f.deliver(k, c.Call)
 }
 
-// arrivals are calls of one controller to one exchange, at a mean rate a second.
-func (f *fleet) arrivals(k, dest int, rate float64) {
-	next := f.now + f.exp(time.Duration(float64(time.Second)/rate))
-	if next < f.until {
-		f.at(next, func() { f.call(k, dest, 0); f.arrivals(k, dest, rate) })
+// generateCalls are calls of one controller to one exchange, at a mean rate a second.
+func (f *fleetSimulation) generateCalls(k, dest int, rate float64) {
+	next := f.now + f.exponential(time.Duration(float64(time.Second)/rate))
+	if next < f.endAt {
+		f.schedule(next, func() { f.offerCall(k, dest, 0); f.generateCalls(k, dest, rate) })
 	}
 }
 
-func (f *fleet) run() {
-	for f.queue.Len() > 0 && f.queue[0].at < f.until {
-		m := heap.Pop(&f.queue).(moment)
+func (f *fleetSimulation) run() {
+	for f.queue.Len() > 0 && f.queue[0].at < f.endAt {
+		m := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = m.at
-		m.do()
+		m.run()
 	}
 }
 
@@ -131,8 +131,8 @@
 		{30, 0.4, 8 * time.Second, 4, 3 * time.Second, 40},
 	} {
 		for seed := range uint64(3) {
-			f := &fleet{rand: rand.New(rand.NewPCG(seed, uint64(i))), calls: map[string]*fleetCall{}, got: map[int][]time.Duration{},
-				now: time.Hour, until: time.Hour + 40*time.Second}
+			f := &fleetSimulation{random: rand.New(rand.NewPCG(seed, uint64(i))), calls: map[string]*fleetCall{}, setupTimes: map[int][]time.Duration{},
+				now: time.Hour, endAt: time.Hour + 40*time.Second}
 			weight := make([]float64, s.controllers) // some see several times the mean
 			sum := 0.0
 			for k := range weight {
@@ -145,43 +145,43 @@
 			}
 			demand := make([]float64, s.controllers) // at an exchange, with its own callers' calls
 			for k := range s.controllers {
-				f.ks = append(f.ks, New(Settings{Seed: seed*1000 + uint64(k), Self: k, Me: k, Controllers: s.controllers, MaxAttempts: 6,
+				f.controllers = append(f.controllers, New(Settings{Seed: seed*1000 + uint64(k), Self: k, Me: k, Controllers: s.controllers, MaxAttempts: 6,
 					ReleaseWait: 300 * time.Millisecond, Cancelling: true, DrainGrace: 250 * time.Millisecond, Backoff: true,
 					BackoffMax: 2 * time.Second, Tick: time.Millisecond, MarksRepeat: true, ColdFrom: s.from, ColdFor: s.cold,
 					OverloadFactor: s.factor, OverloadFor: s.over,
 					Classes: []Class{{Name: "voice", Worth: 1, LateWorth: 0.1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 2 * time.Second, Width: 1}}}))
-				f.tell(k, ExchangeListUpdate{Complete: true, Entries: rows})
+				f.deliver(k, ExchangeListUpdate{Complete: true, Entries: rows})
 				for x := range s.controllers {
-					f.tell(k, GroupStatus{ExchangeID: uint32(x + 1), OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
+					f.deliver(k, GroupStatus{ExchangeID: uint32(x + 1), OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 					if x != k {
 						rate := s.rate * weight[k] / sum * weight[x] / (sum - weight[k])
 						demand[x] += rate
 						demand[k] += rate
-						f.arrivals(k, x, rate)
+						f.generateCalls(k, x, rate)
 					}
 				}
 			}
 			down, up := f.now+15*time.Second, f.now+20*time.Second
 			for k := range s.controllers {
-				heard := time.Duration(f.rand.Int64N(int64(1500 * time.Millisecond)))
+				heard := time.Duration(f.random.Int64N(int64(1500 * time.Millisecond)))
 				var gone, back []Exchange
 				for x := 0; x < s.controllers; x += 3 {
 					gone = append(gone, Exchange{ID: uint32(x + 1), Number: x, State: OutOfService})
 					back = append(back, Exchange{ID: uint32(x + 101), Number: x, StartedAt: up})
 				}
-				f.at(down+heard, func() { f.tell(k, ExchangeListUpdate{Entries: gone}) })
-				f.at(up+heard, func() {
-					f.tell(k, ExchangeListUpdate{Entries: back})
+				f.schedule(down+heard, func() { f.deliver(k, ExchangeListUpdate{Entries: gone}) })
+				f.schedule(up+heard, func() {
+					f.deliver(k, ExchangeListUpdate{Entries: back})
 					for _, b := range back {
-						f.tell(k, GroupStatus{ExchangeID: b.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
+						f.deliver(k, GroupStatus{ExchangeID: b.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 					}
 				})
 				if seed > 0 && uint64(k)%3 < seed { // this one starts again after them, knowing nothing
-					f.at(up+1500*time.Millisecond+time.Duration(f.rand.Int64N(int64(6*time.Second))), func() {
-						f.ks[k] = New(f.ks[k].set)
-						f.tell(k, ExchangeListUpdate{Complete: true, Entries: append(slices.Clone(rows), back...)})
+					f.schedule(up+1500*time.Millisecond+time.Duration(f.random.Int64N(int64(6*time.Second))), func() {
+						f.controllers[k] = New(f.controllers[k].settings)
+						f.deliver(k, ExchangeListUpdate{Complete: true, Entries: append(slices.Clone(rows), back...)})
 						for _, x := range append(slices.Clone(rows), back...) {
-							f.tell(k, GroupStatus{ExchangeID: x.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
+							f.deliver(k, GroupStatus{ExchangeID: x.ID, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: 1000, GroupSize: 1000}})
 						}
 					})
 				}
@@ -190,7 +190,7 @@
 			worst := 0.0
 			for x := 0; x < s.controllers; x += 3 {
 				capacity := demand[x] / 0.8
-				sends := f.got[x]
+				sends := f.setupTimes[x]
 				for a := range sends {
 					if sends[a] < up || sends[a]-up >= s.cold {
 						continue
--- a/brain/rules_test.go
+++ b/brain/rules_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Seed: 7, Self: 0, Controllers: 4, ReleaseWait: 300 * ms, DrainGrace: 250 * ms, AnswerSlack: 20 * ms,
 		ColdFrom: 0.3, ColdFor: 12 * time.Second, OverloadFactor: 2, OverloadFor: 2 * time.Second,
@@ -23,38 +23,38 @@
 	}
 }
 
-// rig drives a controller and holds every action against the five rules.
-type rig struct {
-	t       testing.TB
-	k       *Controller
-	set     Settings
-	now     time.Duration
-	calls   map[string]*seen
-	state   map[uint32]ExchangeState
-	told    map[uint32]time.Duration
-	wakes   map[uint64]time.Duration
-	last    []Action
-	serial  int
-	sentAt  map[uint32][]time.Duration
-	pending []*seen
-	owed    []*seen
+// harness drives a controller and holds every action against the five rules.
+type harness struct {
+	t            testing.TB
+	controller   *Controller
+	settings     Settings
+	now          time.Duration
+	calls        map[string]*testCall
+	listedStates map[uint32]ExchangeState
+	reportedAt   map[uint32]time.Duration
+	timers       map[uint64]time.Duration
+	lastActions  []Action
+	callCount    int
+	attemptTimes map[uint32][]time.Duration
+	pending      []*testCall
+	unanswered   []*testCall
 }
 
-type seen struct {
-	id       string
-	due      time.Duration
-	answered bool // final answer given or call over
-	out      bool // an attempt is out
-	stood    bool
-	attempt  int
-	exchange uint32
-	hold     time.Duration
-	class    int
+type testCall struct {
+	id             string
+	answerBy       time.Duration
+	answered       bool // final answer given or call over
+	inFlight       bool // an attempt is out
+	established    bool
+	attempt        int
+	exchangeID     uint32
+	retryNotBefore time.Duration
+	class          int
 }
 
-func newRig(t testing.TB, set Settings, cells int) *rig {
-	r := &rig{t: t, k: New(set), set: set, now: time.Hour, calls: map[string]*seen{}, state: map[uint32]ExchangeState{},
-		told: map[uint32]time.Duration{}, wakes: map[uint64]time.Duration{}, sentAt: map[uint32][]time.Duration{}}
+func newHarness(t testing.TB, set Settings, cells int) *harness {
+	r := &harness{t: t, controller: New(set), settings: set, now: time.Hour, calls: map[string]*testCall{}, listedStates: map[uint32]ExchangeState{},
+		reportedAt: map[uint32]time.Duration{}, timers: map[uint64]time.Duration{}, attemptTimes: map[uint32][]time.Duration{}}
 	var list []Exchange
 	for i := 0; i < cells; i++ {
 		list = append(list, Exchange{ID: uint32(100 + i), Number: i})
@@ -62,36 +62,36 @@
 	r.handle(ExchangeListUpdate{Complete: true, Entries: list})
 	for i := 0; i < cells; i++ {
 		if i != set.Self {
-			r.circuits(uint32(100+i), 20, 20)
+			r.reportCircuits(uint32(100+i), 20, 20)
 		}
 	}
 	return r
 }
 
-func (r *rig) circuits(id uint32, free, size int) {
+func (r *harness) reportCircuits(id uint32, free, size int) {
 	r.handle(GroupStatus{ExchangeID: id, OK: true, Report: StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}})
 }
 
-func (r *rig) handle(e Event) []Action {
+func (r *harness) handle(e Event) []Action {
 	r.t.Helper()
 	if l, ok := e.(ExchangeListUpdate); ok {
 		if l.Complete {
-			for id := range r.state {
-				r.state[id] = OutOfService
+			for id := range r.listedStates {
+				r.listedStates[id] = OutOfService
 			}
 		}
 		for _, x := range l.Entries {
-			r.state[x.ID] = x.State
+			r.listedStates[x.ID] = x.State
 		}
 	}
-	r.last = r.k.Handle(r.now, e)
-	for _, a := range r.last {
-		r.check(a)
+	r.lastActions = r.controller.Handle(r.now, e)
+	for _, a := range r.lastActions {
+		r.checkRules(a)
 	}
-	return r.last
+	return r.lastActions
 }
 
-func (r *rig) check(a Action) {
+func (r *harness) checkRules(a Action) {
 	r.t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
@@ -99,80 +99,80 @@
 		switch {
 		case c == nil || c.answered:
 			r.t.Fatalf("rule 1: send for a finished call %s", a.CallID)
-		case c.out:
+		case c.inFlight:
 			r.t.Fatalf("rule 2: second attempt out for %s", a.CallID)
-		case r.state[a.ExchangeID] != InService:
+		case r.listedStates[a.ExchangeID] != InService:
 			r.t.Fatalf("rule 3: send to %d which is not in service", a.ExchangeID)
-		case r.now < c.hold:
-			r.t.Fatalf("rule 5: %s sent %v too early", a.CallID, c.hold-r.now)
+		case r.now < c.retryNotBefore:
+			r.t.Fatalf("rule 5: %s sent %v too early", a.CallID, c.retryNotBefore-r.now)
 		case a.Timeout <= 0:
 			r.t.Fatalf("attempt without a time-out")
 		}
-		c.out, c.exchange = true, a.ExchangeID
-		r.sentAt[a.ExchangeID] = append(r.sentAt[a.ExchangeID], r.now)
+		c.inFlight, c.exchangeID = true, a.ExchangeID
+		r.attemptTimes[a.ExchangeID] = append(r.attemptTimes[a.ExchangeID], r.now)
 		r.pending = append(r.pending, c)
 	case RefuseCall:
-		r.final(a.CallID)
+		r.checkFinalAnswer(a.CallID)
 	case FailCall:
-		r.final(a.CallID)
+		r.checkFinalAnswer(a.CallID)
 	case SetTimer:
 		if a.Delay <= 0 {
 			r.t.Fatalf("wake in %v", a.Delay)
 		}
-		r.wakes[a.Token] = r.now + a.Delay
+		r.timers[a.Token] = r.now + a.Delay
 	}
 }
 
-func (r *rig) final(id string) {
+func (r *harness) checkFinalAnswer(id string) {
 	r.t.Helper()
 	c := r.calls[id]
 	if c == nil || c.answered {
 		r.t.Fatalf("rule 1: second final answer for %s", id)
 	}
-	if r.now > c.due+r.set.AnswerSlack {
+	if r.now > c.answerBy+r.settings.AnswerSlack {
 		r.t.Fatalf("rule 1: final answer for %s after its time", id)
 	}
 	c.answered = true
 }
 
-func (r *rig) call(c Call) *seen {
+func (r *harness) offer(c Call) *testCall {
 	r.t.Helper()
-	r.serial++
-	c.ID = fmt.Sprint("c", r.serial)
+	r.callCount++
+	c.ID = fmt.Sprint("c", r.callCount)
 	if c.Width == 0 {
-		c.Width = r.set.Classes[c.Class].Width
+		c.Width = r.settings.Classes[c.Class].Width
 	}
 	if !c.HasCalledNumber {
-		c.CalledNumber = uint64(10000 + r.serial)
+		c.CalledNumber = uint64(10000 + r.callCount)
 	}
 	if c.Remaining == 0 {
 		c.Remaining = 3 * time.Second
 	}
-	if !c.Transit && !r.set.Advice {
+	if !c.Transit && !r.settings.Advice {
 		c.Via = -1
 	}
-	s := &seen{id: c.ID, due: r.now + c.Remaining, class: c.Class}
+	s := &testCall{id: c.ID, answerBy: r.now + c.Remaining, class: c.Class}
 	r.calls[c.ID] = s
-	r.owed = append(r.owed, s)
+	r.unanswered = append(r.unanswered, s)
 	r.handle(c)
 	return s
 }
 
-func (r *rig) stands(c *seen, after time.Duration) {
-	c.stood = true
+func (r *harness) establish(c *testCall, after time.Duration) {
+	c.established = true
 	c.answered = true
-	r.handle(CallEstablished{CallID: c.id, Attempt: c.attempt, ExchangeID: c.exchange, Elapsed: after})
+	r.handle(CallEstablished{CallID: c.id, Attempt: c.attempt, ExchangeID: c.exchangeID, Elapsed: after})
 }
 
-func (r *rig) ends(c *seen, o Outcome, note Note, after time.Duration) {
-	final := c.stood || o == OutcomeCompleted
+func (r *harness) endAttempt(c *testCall, o Outcome, note Note, after time.Duration) {
+	final := c.established || o == OutcomeCompleted
 	if final {
 		c.answered = true
 	}
 	if o == OutcomeTimedOut || o == OutcomeReset || o == OutcomeCancelled {
-		c.hold = r.now + r.set.ReleaseWait
+		c.retryNotBefore = r.now + r.settings.ReleaseWait
 	}
-	c.out = false
+	c.inFlight = false
 	at := c.attempt
 	c.attempt++
 	for i, p := range r.pending {
@@ -181,40 +181,40 @@
 			break
 		}
 	}
-	r.handle(AttemptEnded{CallID: c.id, Attempt: at, ExchangeID: c.exchange, Outcome: o, Note: note, Elapsed: after, Final: final})
+	r.handle(AttemptEnded{CallID: c.id, Attempt: at, ExchangeID: c.exchangeID, Outcome: o, Note: note, Elapsed: after, Final: final})
 }
 
-// run passes time in ticks and rings the alarms that fall due.
-func (r *rig) run(d time.Duration) {
+// advance passes time in ticks and rings the alarms that fall due.
+func (r *harness) advance(d time.Duration) {
 	r.t.Helper()
 	for end := r.now + d; r.now < end; {
-		r.now += r.set.Tick
+		r.now += r.settings.Tick
 		var ring []uint64
-		for tok, at := range r.wakes {
+		for tok, at := range r.timers {
 			if at <= r.now {
 				ring = append(ring, tok)
 			}
 		}
 		slices.Sort(ring)
 		for _, tok := range ring {
-			delete(r.wakes, tok)
+			delete(r.timers, tok)
 			r.handle(TimerExpired{tok})
 		}
-		owed := r.owed[:0]
-		for _, c := range r.owed {
-			if !c.answered && !c.out && r.now > c.due+r.set.AnswerSlack {
+		owed := r.unanswered[:0]
+		for _, c := range r.unanswered {
+			if !c.answered && !c.inFlight && r.now > c.answerBy+r.settings.AnswerSlack {
 				r.t.Fatalf("rule 1: no answer for %s", c.id)
 			}
 			if !c.answered {
 				owed = append(owed, c)
 			}
 		}
-		r.owed = owed
+		r.unanswered = owed
 	}
 }
 
-func (r *rig) sent() (s []StartAttempt) {
-	for _, a := range r.last {
+func (r *harness) startedAttempts() (s []StartAttempt) {
+	for _, a := range r.lastActions {
 		if x, ok := a.(StartAttempt); ok {
 			s = append(s, x)
 		}
@@ -227,8 +227,8 @@
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewSource(seed))
-			set := settings()
-			r := newRig(t, set, 4)
+			set := testSettings()
+			r := newHarness(t, set, 4)
 			sends, finals := 0, 0
 			for step := 0; step < 3000; step++ {
 				switch n := rnd.Intn(100); {
@@ -245,25 +245,25 @@
 						c.Remaining = 0
 						c.Remaining = time.Nanosecond
 					}
-					r.call(c)
+					r.offer(c)
 				case n < 60:
-					r.run(time.Duration(1+rnd.Intn(40)) * 5 * ms)
+					r.advance(time.Duration(1+rnd.Intn(40)) * 5 * ms)
 				case n < 80 && len(r.pending) > 0:
 					c := r.pending[rnd.Intn(len(r.pending))]
 					took := time.Duration(rnd.Intn(2000)) * ms
-					if !c.stood && rnd.Intn(2) == 0 && !c.answered {
-						r.stands(c, took)
-					} else if c.stood {
-						r.ends(c, []Outcome{OutcomeCompleted, OutcomeReset}[rnd.Intn(2)], 0, took)
+					if !c.established && rnd.Intn(2) == 0 && !c.answered {
+						r.establish(c, took)
+					} else if c.established {
+						r.endAttempt(c, []Outcome{OutcomeCompleted, OutcomeReset}[rnd.Intn(2)], 0, took)
 					} else {
 						o := Outcome(1 + rnd.Intn(7))
-						r.ends(c, o, Note(rnd.Intn(5)), took)
+						r.endAttempt(c, o, Note(rnd.Intn(5)), took)
 					}
 				case n < 92:
 					id := 100 + rnd.Intn(4)
 					size := rnd.Intn(20)
 					if id != 100 {
-						r.circuits(uint32(id), rnd.Intn(size+1), size)
+						r.reportCircuits(uint32(id), rnd.Intn(size+1), size)
 					}
 				case n < 95:
 					id := 1 + rnd.Intn(3)
@@ -274,7 +274,7 @@
 					r.handle(ExchangeListUpdate{Entries: []Exchange{x}})
 				case n < 97:
 					ids := make([]string, 0)
-					for i := 1; i <= r.serial; i++ {
+					for i := 1; i <= r.callCount; i++ {
 						if c := r.calls[fmt.Sprint("c", i)]; !c.answered {
 							ids = append(ids, c.id)
 						}
@@ -290,12 +290,12 @@
 			}
 			// what is out times out at its deadline; then all must be answered
 			for i := 0; i < 4; i++ {
-				for _, c := range append([]*seen(nil), r.pending...) {
-					if !c.stood {
-						r.ends(c, OutcomeTimedOut, 0, time.Second)
+				for _, c := range append([]*testCall(nil), r.pending...) {
+					if !c.established {
+						r.endAttempt(c, OutcomeTimedOut, 0, time.Second)
 					}
 				}
-				r.run(1200 * ms)
+				r.advance(1200 * ms)
 			}
 			for _, c := range r.calls {
 				if !c.answered {
@@ -303,15 +303,15 @@
 				}
 				finals++
 			}
-			for _, s := range r.sentAt {
+			for _, s := range r.attemptTimes {
 				sends += len(s)
 			}
 			if sends < 100 || finals < 500 {
 				t.Fatalf("hardly anything happened: %d sends, %d calls", sends, finals)
 			}
-			for _, f := range r.k.order {
-				if f.pend < 0 || f.direct < 0 {
-					t.Fatalf("counts below zero at %d: pend %d direct %d", f.cell, f.pend, f.direct)
+			for _, f := range r.controller.peersByNumber {
+				if f.pendingSetups < 0 || f.directCircuits < 0 {
+					t.Fatalf("counts below zero at %d: pend %d direct %d", f.number, f.pendingSetups, f.directCircuits)
 				}
 			}
 		})
@@ -319,49 +319,49 @@
 }
 
 func TestAnswerBeforeTheCallersTimeIsUp(t *testing.T) {
-	r := newRig(t, settings(), 4)
+	r := newHarness(t, testSettings(), 4)
 	for i := 1; i < 4; i++ {
-		r.circuits(uint32(100+i), 0, 20)
+		r.reportCircuits(uint32(100+i), 0, 20)
 	}
-	c := r.call(Call{Destination: 1, Remaining: 200 * ms})
-	r.run(200 * ms)
+	c := r.offer(Call{Destination: 1, Remaining: 200 * ms})
+	r.advance(200 * ms)
 	if !c.answered {
 		t.Fatal("no final answer within the caller's time")
 	}
-	over := r.call(Call{Destination: 1, Remaining: time.Nanosecond})
-	r.run(10 * ms)
+	over := r.offer(Call{Destination: 1, Remaining: time.Nanosecond})
+	r.advance(10 * ms)
 	if !over.answered {
 		t.Fatal("a call whose time is up got no answer")
 	}
 }
 
 func TestReleaseIsAwaited(t *testing.T) {
-	r := newRig(t, settings(), 4)
-	c := r.call(Call{Destination: 1})
-	r.ends(c, OutcomeReset, 0, 100*ms)
-	r.run(295 * ms)
-	if c.out {
+	r := newHarness(t, testSettings(), 4)
+	c := r.offer(Call{Destination: 1})
+	r.endAttempt(c, OutcomeReset, 0, 100*ms)
+	r.advance(295 * ms)
+	if c.inFlight {
 		t.Fatal("sent again within the release time")
 	}
-	r.run(600 * ms)
-	if !c.out {
+	r.advance(600 * ms)
+	if !c.inFlight {
 		t.Fatal("never tried again, though its time lasts")
 	}
 }
 
 func TestNothingToDrainingExchange(t *testing.T) {
-	r := newRig(t, settings(), 4)
+	r := newHarness(t, testSettings(), 4)
 	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, State: Draining}}})
-	c := r.call(Call{Destination: 1})
-	r.run(1200 * ms)
-	if len(r.sentAt[101]) > 0 || !c.answered {
+	c := r.offer(Call{Destination: 1})
+	r.advance(1200 * ms)
+	if len(r.attemptTimes[101]) > 0 || !c.answered {
 		t.Fatal("draining exchange was sent to, or the call was left hanging")
 	}
 	// one that is missing from a complete list is gone
 	r.handle(ExchangeListUpdate{Complete: true, Entries: []Exchange{{ID: 100, Number: 0}, {ID: 102, Number: 2}}})
-	c = r.call(Call{Destination: 3})
-	r.run(1200 * ms)
-	if len(r.sentAt[103]) > 0 || !c.answered {
+	c = r.offer(Call{Destination: 3})
+	r.advance(1200 * ms)
+	if len(r.attemptTimes[103]) > 0 || !c.answered {
 		t.Fatal("removed exchange was sent to, or the call was left hanging")
 	}
 }
@@ -369,22 +369,22 @@
 // All controllers together, each with an equal part of the calls, must stay
 // under the budget of a processor that has just started.
 func TestColdProcessorIsPaced(t *testing.T) {
-	set := settings()
-	r := newRig(t, set, 4)
+	set := testSettings()
+	r := newHarness(t, set, 4)
 	const gap = 200 * ms // 5 calls a second to exchange 1 in normal times
 	normal := func(d time.Duration, perTick int) {
 		for end := r.now + d; r.now < end; {
 			for i := 0; i < perTick; i++ {
-				r.call(Call{Destination: 1})
+				r.offer(Call{Destination: 1})
 			}
-			r.run(gap)
-			for _, c := range append([]*seen(nil), r.pending...) {
-				if !c.stood {
-					r.stands(c, 100*ms)
-					r.ends(c, OutcomeCompleted, 0, 200*ms)
+			r.advance(gap)
+			for _, c := range append([]*testCall(nil), r.pending...) {
+				if !c.established {
+					r.establish(c, 100*ms)
+					r.endAttempt(c, OutcomeCompleted, 0, 200*ms)
 				}
 			}
-			r.circuits(101, 20, 20)
+			r.reportCircuits(101, 20, 20)
 		}
 	}
 	normal(20*time.Second, 1)
@@ -392,7 +392,7 @@
 	r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, StartedAt: r.now}}})
 	normal(10*time.Second, 4) // redials: four times as many
 	var first []time.Duration
-	for _, at := range r.sentAt[101] {
+	for _, at := range r.attemptTimes[101] {
 		if at > start {
 			first = append(first, at-start)
 		}
@@ -416,30 +416,30 @@
 func TestColdBudgetUnderRandomLoad(t *testing.T) {
 	for seed := int64(1); seed <= 8; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
-		set := settings()
-		r := newRig(t, set, 4)
+		set := testSettings()
+		r := newHarness(t, set, 4)
 		load := func(d time.Duration, perSecond float64) {
 			for end := r.now + d; r.now < end; {
 				for p := perSecond / 20; p > 0; p-- {
 					if rnd.Float64() < p {
-						r.call(Call{Destination: 1})
+						r.offer(Call{Destination: 1})
 					}
 				}
-				r.run(50 * ms)
-				for _, c := range append([]*seen(nil), r.pending...) {
-					if !c.stood && rnd.Intn(2) == 0 {
-						r.stands(c, 50*ms)
-						r.ends(c, OutcomeCompleted, 0, 60*ms)
+				r.advance(50 * ms)
+				for _, c := range append([]*testCall(nil), r.pending...) {
+					if !c.established && rnd.Intn(2) == 0 {
+						r.establish(c, 50*ms)
+						r.endAttempt(c, OutcomeCompleted, 0, 60*ms)
 					}
 				}
-				r.circuits(101, 20, 20)
+				r.reportCircuits(101, 20, 20)
 			}
 		}
 		load(30*time.Second, 5)
 		start := r.now
 		r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 101, Number: 1, StartedAt: start}}})
 		load(set.ColdFor, 10+float64(rnd.Intn(30)))
-		sent := r.sentAt[101]
+		sent := r.attemptTimes[101]
 		for _, from := range sent {
 			if from <= start {
 				continue
@@ -466,30 +466,30 @@
 	var sent []time.Duration
 	starved := 0
 	for me := 1; me <= n; me++ {
-		set := settings()
+		set := testSettings()
 		set.Self, set.Me, set.Controllers = me, me, n
-		r := newRig(t, set, n+1)
+		r := newHarness(t, set, n+1)
 		for i := 0; i < 4; i++ { // one call in five seconds before, as one of many senders
-			c := r.callOut(t, Call{Destination: 0})
-			r.run(50 * ms)
-			r.stands(c, 50*ms)
-			r.ends(c, OutcomeCompleted, 0, 60*ms)
-			r.run(5 * time.Second)
+			c := r.mustAttempt(t, Call{Destination: 0})
+			r.advance(50 * ms)
+			r.establish(c, 50*ms)
+			r.endAttempt(c, OutcomeCompleted, 0, 60*ms)
+			r.advance(5 * time.Second)
 		}
-		began, before := r.now, len(r.sentAt[900])
+		began, before := r.now, len(r.attemptTimes[900])
 		r.handle(ExchangeListUpdate{Entries: []Exchange{{ID: 900, Number: 0, StartedAt: r.now}}})
 		for r.now < began+set.ColdFor { // and ten times that after its start
-			r.circuits(900, 20, 20)
-			r.call(Call{Destination: 0})
-			r.run(500 * ms)
-			for _, p := range append([]*seen(nil), r.pending...) {
-				if p.exchange == 900 && !p.stood {
-					r.stands(p, 50*ms)
-					r.ends(p, OutcomeCompleted, 0, 60*ms)
+			r.reportCircuits(900, 20, 20)
+			r.offer(Call{Destination: 0})
+			r.advance(500 * ms)
+			for _, p := range append([]*testCall(nil), r.pending...) {
+				if p.exchangeID == 900 && !p.established {
+					r.establish(p, 50*ms)
+					r.endAttempt(p, OutcomeCompleted, 0, 60*ms)
 				}
 			}
 		}
-		got := r.sentAt[900][before:]
+		got := r.attemptTimes[900][before:]
 		if len(got) == 0 {
 			starved++
 		}
