--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -13,295 +13,358 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// attempt is one set-up at an exchange, until its end or until the call stands.
-type attempt struct {
-	call     *call
-	n        int
-	peer     *peer
-	link     *link        // nil while it waits for one
-	invite   *sip.Message // as it was sent on the link
-	sent     time.Duration
-	notAfter time.Duration
-	timer    wheel.Handle
+// callAttempt is one set-up at an exchange. It is kept until the attempt ends or the call is
+// established.
+type callAttempt struct {
+	call      *activeCall
+	number    int
+	peer      *peerExchange
+	link      *peerLink    // nil while waiting for a link
+	invite    *sip.Message // as sent on the link
+	startedAt time.Duration
+	deadline  time.Duration
+	timer     wheel.Handle
 }
 
-func (c *Core) attempt(x *call, a brain.StartAttempt) {
-	p := c.ids[a.ExchangeID]
-	t := &attempt{call: x, n: x.attempts, peer: p, sent: c.now, notAfter: c.now + a.Timeout}
-	x.attempts++
-	c.tries[x.id] = t
+// startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
+// link is up; otherwise the attempt waits, and a link is dialed unless a dial is in progress already.
+func (c *Core) startAttempt(call *activeCall, send brain.StartAttempt) {
+	peer := c.peersByID[send.ExchangeID]
+	attempt := &callAttempt{
+		call:      call,
+		number:    call.attempts,
+		peer:      peer,
+		startedAt: c.now,
+		deadline:  c.now + send.Timeout,
+	}
+	call.attempts++
+	c.attempts[call.id] = attempt
 	c.Stats.Attempts++
-	if p == nil || p.State != brain.InService {
-		t.peer = &peer{id: a.ExchangeID, gone: true}
-		c.conclude(t)
-		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
+	if peer == nil || peer.State != brain.InService {
+		attempt.peer = &peerExchange{id: send.ExchangeID, removed: true}
+		c.removeAttempt(attempt)
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
 		return
 	}
-	t.timer = c.timers.Set(t.notAfter, timer{try: t})
-	before := c.recent[x.id].link // where an answer to the attempt before may still come
-	if l := c.pick(p, before); l != nil && !c.stale(l) && (l != before || len(p.links) >= c.perPeer()) {
-		c.put(t, l)
-		c.keep(p)
+	attempt.timer = c.timers.Set(attempt.deadline, timerEvent{attempt: attempt})
+	withdrawnLink := c.recentEndings[call.id].withdrawnLink // the previous attempt may still be answered on it
+	if link := c.pickLink(peer, withdrawnLink); link != nil && !c.nearIdleTimeout(link) &&
+		(link != withdrawnLink || len(peer.links) >= c.maxLinksPerPeer()) {
+		c.sendSetUp(attempt, link)
+		c.maintainLinks(peer)
 		return
 	}
-	p.waiting = append(p.waiting, t)
-	if !slices.ContainsFunc(p.links, func(l *link) bool { return !l.up }) && (len(c.links) < c.cfg.MaxLinks || c.makeRoom(true)) {
-		c.dial(p)
+	peer.waiting = append(peer.waiting, attempt)
+	if !slices.ContainsFunc(peer.links, func(link *peerLink) bool { return !link.up }) &&
+		(len(c.links) < c.cfg.MaxLinks || c.closeIdlestLink(true)) {
+		c.dialPeer(peer)
 	}
 }
 
-// invite is the set-up. Exchanges answer with CSeq 1 whatever stood there, so a further attempt at
-// the same exchange is told apart by its link.
-func (x *call) invite(within time.Duration) *sip.Message {
-	m := &sip.Message{Method: sip.Invite, URI: "sip:" + x.number + "@net", CallID: x.name, CSeq: 1, CSeqMethod: sip.Invite, Body: x.desc}
-	return m.Add("Call-Kind", x.class).Add("Answer-Within", strconv.FormatInt(max(within.Milliseconds(), 1), 10))
+// newInvite returns the INVITE of the call. Exchanges answer with CSeq 1 whatever the request carried,
+// so answers to several attempts at one exchange can only be told apart by their link.
+func (call *activeCall) newInvite(timeLeft time.Duration) *sip.Message {
+	msg := &sip.Message{
+		Method:     sip.Invite,
+		URI:        "sip:" + call.number + "@net",
+		CallID:     call.callID,
+		CSeq:       1,
+		CSeqMethod: sip.Invite,
+		Body:       call.description,
+	}
+	return msg.Add("Call-Kind", call.class).Add("Answer-Within", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 }
 
-// fits tells whether the set-up can be passed on at all.
-func (c *Core) fits(x *call) bool { return len(x.invite(time.Hour).Append(nil)) <= sip.MaxMessageBytes }
+// fitsMessageSize reports whether the INVITE of the call stays within the maximum message size.
+func (c *Core) fitsMessageSize(call *activeCall) bool {
+	return len(call.newInvite(time.Hour).Append(nil)) <= sip.MaxMessageBytes
+}
 
-// put sends the set-up on a link.
-func (c *Core) put(t *attempt, l *link) {
-	t.link = l
-	l.open = append(l.open, t)
-	l.used = c.now
-	c.log(slog.LevelDebug, "set-up", "call", t.call.name, "nth", t.n, "exchange", t.peer.Name, "link", l.id, "within", t.notAfter-c.now)
-	t.invite = t.call.invite(t.notAfter - c.now)
-	c.do(SendToExchange{l.id, t.invite, t.notAfter})
+// sendSetUp sends the INVITE of an attempt on a link.
+func (c *Core) sendSetUp(attempt *callAttempt, link *peerLink) {
+	attempt.link = link
+	link.pending = append(link.pending, attempt)
+	link.lastUsedAt = c.now
+	c.log(slog.LevelDebug, "set-up", "call", attempt.call.callID, "nth", attempt.number, "exchange", attempt.peer.Name,
+		"link", link.id, "within", attempt.deadline-c.now)
+	attempt.invite = attempt.call.newInvite(attempt.deadline - c.now)
+	c.emit(SendToExchange{link.id, attempt.invite, attempt.deadline})
 }
 
-// conclude takes an attempt out of all that holds it.
-func (c *Core) conclude(t *attempt) {
-	c.timers.Stop(t.timer)
-	if c.tries[t.call.id] == t {
-		delete(c.tries, t.call.id)
+// removeAttempt stops the timer of an attempt and removes it from the tables of its call, peer and link.
+func (c *Core) removeAttempt(attempt *callAttempt) {
+	c.timers.Stop(attempt.timer)
+	if c.attempts[attempt.call.id] == attempt {
+		delete(c.attempts, attempt.call.id)
 	}
-	is := func(o *attempt) bool { return o == t }
-	t.peer.waiting = slices.DeleteFunc(t.peer.waiting, is)
-	if t.link != nil {
-		t.link.open = slices.DeleteFunc(t.link.open, is)
+	isAttempt := func(other *callAttempt) bool { return other == attempt }
+	attempt.peer.waiting = slices.DeleteFunc(attempt.peer.waiting, isAttempt)
+	if attempt.link != nil {
+		attempt.link.pending = slices.DeleteFunc(attempt.link.pending, isAttempt)
 	}
 }
 
-// withdraw calls an attempt off.
-func (c *Core) withdraw(t *attempt, o brain.Outcome) {
-	l := t.link
-	c.conclude(t)
-	if l == nil {
-		if o == brain.OutcomeTimedOut {
-			o = brain.OutcomeUnreachable
+// withdrawAttempt cancels an attempt and reports its outcome. An attempt that was never sent cannot have
+// timed out at the exchange: it is reported as NoConnect.
+func (c *Core) withdrawAttempt(attempt *callAttempt, outcome brain.Outcome) {
+	link := attempt.link
+	c.removeAttempt(attempt)
+	if link == nil {
+		if outcome == brain.OutcomeTimedOut {
+			outcome = brain.OutcomeUnreachable
 		}
 	} else {
-		c.remember(t.call.id, ending{ghost: t.peer, link: l})
-		c.do(WithdrawSetUp{l.id, t.call.name, &sip.Message{Method: sip.Cancel, URI: "sip:" + t.call.number + "@net",
-			CallID: t.call.name, CSeq: 1, CSeqMethod: sip.Cancel}})
+		c.recordEnding(attempt.call.id, callEnding{withdrawnPeer: attempt.peer, withdrawnLink: link})
+		c.emit(WithdrawSetUp{link.id, attempt.call.callID, &sip.Message{Method: sip.Cancel, URI: "sip:" + attempt.call.number + "@net",
+			CallID: attempt.call.callID, CSeq: 1, CSeqMethod: sip.Cancel}})
 	}
-	c.ended(t, brain.AttemptEnded{Outcome: o})
+	c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
 }
 
-// timedOut is an attempt without an answer in time. Its link is tested before it is used again.
-func (c *Core) timedOut(t *attempt) {
+// handleAttemptTimeout withdraws an attempt that was not answered in time. Its link is used for new
+// set-ups only after it has answered a ping.
+func (c *Core) handleAttemptTimeout(attempt *callAttempt) {
 	c.Stats.TimedOut++
-	l := t.link
-	c.withdraw(t, brain.OutcomeTimedOut)
-	if l != nil && l.up {
-		l.spent = true
-		c.ping(l)
+	link := attempt.link
+	c.withdrawAttempt(attempt, brain.OutcomeTimedOut)
+	if link != nil && link.up {
+		link.suspect = true
+		c.sendPing(link)
 	}
 }
 
-func (c *Core) unsent(in Unsent) {
+// handleUnsent ends the attempt whose INVITE was not sent. A report on an earlier INVITE of the same call
+// is ignored.
+func (c *Core) handleUnsent(in Unsent) {
 	id, err := strconv.ParseUint(in.Msg.CallID, 16, 64)
-	if t := c.tries[id]; err == nil && t != nil && t.invite == in.Msg { // not one of before that is told late
-		c.conclude(t)
-		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
+	if attempt := c.attempts[id]; err == nil && attempt != nil && attempt.invite == in.Msg {
+		c.removeAttempt(attempt)
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
 	}
 }
 
-func (c *Core) linkSays(in LinkMessage) {
-	l := c.links[in.Link]
-	if l == nil {
+// handleLinkMessage dispatches a SIP message from an exchange. A deadline of
+// 1<<62 in an effect means that there is none.
+func (c *Core) handleLinkMessage(in LinkMessage) {
+	link := c.links[in.Link]
+	if link == nil {
 		return
 	}
-	m := in.Msg
-	l.heard, l.peer.heard = c.now, c.now
-	if m.Status != 0 {
-		switch m.CSeqMethod {
+	msg := in.Msg
+	link.lastHeardAt, link.peer.lastHeardAt = c.now, c.now
+	if msg.Status != 0 {
+		switch msg.CSeqMethod {
 		case sip.Invite:
-			if m.Status >= 200 {
-				c.final(l, m)
+			if msg.Status >= 200 {
+				c.handleFinalResponse(link, msg)
 			}
 		case sip.Options:
-			l.tested, l.spent = 0, false
+			link.pingSentAt, link.suspect = 0, false
 		}
 		return
 	}
-	switch m.Method {
+	switch msg.Method {
 	case sip.Bye:
-		c.do(SendToExchange{l.id, &sip.Message{Status: 200, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Bye}, 1 << 62})
-		c.cleared(l.peer, m)
+		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, CSeq: msg.CSeq, CSeqMethod: sip.Bye}, 1 << 62})
+		c.handlePeerRelease(link.peer, msg)
 	case sip.Notify:
-		c.notify(l.peer, m)
+		c.handleNotify(link.peer, msg)
 	case sip.Options:
-		c.do(SendToExchange{l.id, &sip.Message{Status: 200, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Options}, 1 << 62})
+		c.emit(SendToExchange{link.id, &sip.Message{Status: 200, CallID: msg.CallID, CSeq: msg.CSeq, CSeqMethod: sip.Options}, 1 << 62})
 	default:
 		c.Stats.Stray++
 	}
 }
 
-func (c *Core) ack(l *link, m *sip.Message) {
-	c.do(SendToExchange{l.id, &sip.Message{Method: sip.Ack, URI: "sip:" + m.CallID + "@net", CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: sip.Ack}, 1 << 62})
+// sendAck acknowledges a final response to an INVITE.
+func (c *Core) sendAck(link *peerLink, msg *sip.Message) {
+	c.emit(SendToExchange{link.id, &sip.Message{
+		Method:     sip.Ack,
+		URI:        "sip:" + msg.CallID + "@net",
+		CallID:     msg.CallID,
+		CSeq:       msg.CSeq,
+		CSeqMethod: sip.Ack,
+	}, 1 << 62})
 }
 
-// outcomes maps the answers to INVITE that say how an attempt ended; any other is a fault.
-var outcomes = map[int]brain.Outcome{503: brain.OutcomeRejected, 480: brain.OutcomeNotSent, 504: brain.OutcomeReset, 408: brain.OutcomeTimedOut}
+// outcomeByStatus maps the final responses to INVITE that tell how an attempt ended. Any other failure
+// status counts as Failed.
+var outcomeByStatus = map[int]brain.Outcome{503: brain.OutcomeRejected, 480: brain.OutcomeNotSent, 504: brain.OutcomeReset, 408: brain.OutcomeTimedOut}
 
-var notes = map[string]brain.Note{"atb": brain.NoteNoCircuit, "rtb": brain.NoteCrankback, "racc": brain.NoteOnwardProcessorFull,
-	"acc": brain.NoteProcessorFull, "sub": brain.NoteLinesBusy}
+// noteByFailWord maps the values of the Fail-Word header field to the notes of the module.
+var noteByFailWord = map[string]brain.Note{
+	"atb":  brain.NoteNoCircuit,
+	"rtb":  brain.NoteCrankback,
+	"racc": brain.NoteOnwardProcessorFull,
+	"acc":  brain.NoteProcessorFull,
+	"sub":  brain.NoteLinesBusy,
+}
 
-// final is a final answer to a set-up.
-func (c *Core) final(l *link, m *sip.Message) {
-	id, err := strconv.ParseUint(m.CallID, 16, 64)
-	if err != nil || len(m.CallID) != 16 {
+// handleFinalResponse handles a final response to an INVITE.
+func (c *Core) handleFinalResponse(link *peerLink, msg *sip.Message) {
+	id, err := strconv.ParseUint(msg.CallID, 16, 64)
+	if err != nil || len(msg.CallID) != 16 {
 		c.Stats.Stray++
 		return
 	}
-	t := c.tries[id]
-	if t == nil || t.link != l {
-		c.late(l, id, m)
+	attempt := c.attempts[id]
+	if attempt == nil || attempt.link != link {
+		c.handleLateResponse(link, id, msg)
 		return
 	}
-	c.ack(l, m)
-	x := t.call
-	c.log(slog.LevelDebug, "answer", "call", m.CallID, "status", m.Status, "link", l.id, "after", c.now-t.sent)
-	if m.Status >= 300 {
-		e := brain.AttemptEnded{Outcome: brain.OutcomeFailed, Note: notes[m.Get("Fail-Word")], Report: c.state(l.peer, m)}
-		if o, ok := outcomes[m.Status]; ok {
-			e.Outcome = o
+	c.sendAck(link, msg)
+	call := attempt.call
+	c.log(slog.LevelDebug, "answer", "call", msg.CallID, "status", msg.Status, "link", link.id, "after", c.now-attempt.startedAt)
+	if msg.Status >= 300 {
+		ended := brain.AttemptEnded{
+			Outcome: brain.OutcomeFailed,
+			Note:    noteByFailWord[msg.Get("Fail-Word")],
+			Report:  c.parseReport(link.peer, msg),
+		}
+		if outcome, ok := outcomeByStatus[msg.Status]; ok {
+			ended.Outcome = outcome
 		}
-		if ms, err := strconv.Atoi(m.Get("Proc-Wait")); err == nil && e.Note == brain.NoteProcessorFull {
-			e.RetryAfter = time.Duration(max(ms, 0)) * time.Millisecond
+		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == brain.NoteProcessorFull {
+			ended.RetryAfter = time.Duration(max(ms, 0)) * time.Millisecond
 		}
-		if e.Outcome == brain.OutcomeReset {
+		if ended.Outcome == brain.OutcomeReset {
 			c.Stats.Cut++
 		}
-		c.conclude(t)
-		c.ended(t, e)
+		c.removeAttempt(attempt)
+		c.reportEnded(attempt, ended)
 		return
 	}
-	c.conclude(t)
-	if c.calls[id] != x { // given up meanwhile
-		c.bye(l, bye{id, x.name, isup.NormalClearing})
-		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeCancelled})
+	c.removeAttempt(attempt)
+	if c.calls[id] != call { // abandoned in the meantime
+		c.sendBye(link, byeRequest{id, call.callID, isup.NormalClearing})
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeCancelled})
 		return
 	}
 	c.Stats.Answered++
-	c.do(SendToCaller{x.from.id, (&isup.Message{Type: isup.Answer, CallID: id}).Add(isup.ParamDescription, m.Body)})
-	c.open--
-	x.from.open--
-	x.from.standing++
-	x.standing, x.stood, x.at, x.desc = true, c.now, l.peer, nil
-	l.peer.calls[id] = x
-	c.feed(brain.CallEstablished{CallID: x.name, Attempt: t.n, ExchangeID: l.peer.id, Elapsed: c.now - t.sent})
+	c.emit(SendToCaller{call.conn.id, (&isup.Message{Type: isup.Answer, CallID: id}).Add(isup.ParamDescription, msg.Body)})
+	c.pending--
+	call.conn.pending--
+	call.conn.established++
+	call.established, call.establishedAt, call.peer, call.description = true, c.now, link.peer, nil
+	link.peer.calls[id] = call
+	c.notifyModule(brain.CallEstablished{
+		CallID:     call.callID,
+		Attempt:    attempt.number,
+		ExchangeID: link.peer.id,
+		Elapsed:    c.now - attempt.startedAt,
+	})
 }
 
-// late is an answer that nobody waits for: one to a set-up that was given up is ended in order.
-func (c *Core) late(l *link, id uint64, m *sip.Message) {
+// handleLateResponse handles a final response that belongs to no attempt in flight. If it accepts a
+// set-up that was withdrawn from this exchange, the call is released with a BYE, unless it is established
+// there.
+func (c *Core) handleLateResponse(link *peerLink, id uint64, msg *sip.Message) {
 	c.Stats.Late++
-	e, known := c.recent[id]
-	x := c.calls[id]
-	c.log(slog.LevelDebug, "late", "call", m.CallID, "status", m.Status, "link", l.id, "known", known, "ghost", e.ghost != nil,
-		"ago", c.now-e.at, "open", x != nil && !x.standing, "standing", x != nil && x.standing)
-	if !known && x == nil {
-		c.Stats.Stray++ // answers what was never asked, or long ago
+	ending, known := c.recentEndings[id]
+	call := c.calls[id]
+	c.log(slog.LevelDebug, "late", "call", msg.CallID, "status", msg.Status, "link", link.id, "known", known,
+		"ghost", ending.withdrawnPeer != nil, "ago", c.now-ending.endedAt,
+		"open", call != nil && !call.established, "standing", call != nil && call.established)
+	if !known && call == nil {
+		c.Stats.Stray++ // the call is unknown or ended long ago
 		return
 	}
-	c.ack(l, m)
-	if e.ghost == l.peer && m.Status < 300 && (x == nil || x.at != l.peer) {
-		c.bye(l, bye{id, m.CallID, isup.NormalClearing})
+	c.sendAck(link, msg)
+	if ending.withdrawnPeer == link.peer && msg.Status < 300 && (call == nil || call.peer != link.peer) {
+		c.sendBye(link, byeRequest{id, msg.CallID, isup.NormalClearing})
 	}
 }
 
-// cleared is the release of a call by its exchange.
-func (c *Core) cleared(p *peer, m *sip.Message) {
-	id, err := strconv.ParseUint(m.CallID, 16, 64)
+// handlePeerRelease handles the BYE of an exchange.
+func (c *Core) handlePeerRelease(peer *peerExchange, msg *sip.Message) {
+	id, err := strconv.ParseUint(msg.CallID, 16, 64)
 	if err != nil {
 		return
 	}
-	cause := sip.ParseCause(m.Get("Reason"))
+	cause := sip.ParseCause(msg.Get("Reason"))
 	outcome := brain.OutcomeReset
 	if cause == isup.NormalClearing {
 		outcome = brain.OutcomeCompleted
 	}
-	c.log(slog.LevelDebug, "release", "call", m.CallID, "exchange", p.Name, "cause", cause)
-	switch x, t := c.calls[id], c.tries[id]; {
-	case x != nil && x.standing && x.at == p:
-		c.over(x, outcome, cause, false)
-	case t != nil && t.peer == p && t.link != nil && t.call == x:
-		// it stood and is over while its answer was on the way (a BYE has no other place): its caller is
-		// owed that word, and there is nothing to try again
-		c.conclude(t)
-		c.remember(id, ending{cause: cause})
-		c.answer(x, release(id, cause))
-		c.ended(t, brain.AttemptEnded{Outcome: outcome})
-	case t != nil && t.peer == p && t.link != nil: // given up meanwhile
-		c.conclude(t)
-		c.ended(t, brain.AttemptEnded{Outcome: brain.OutcomeReset})
-	case x == nil:
-		if e, known := c.recent[id]; !known || e.ghost != nil {
-			c.remember(id, ending{cause: cause})
+	c.log(slog.LevelDebug, "release", "call", msg.CallID, "exchange", peer.Name, "cause", cause)
+	switch call, attempt := c.calls[id], c.attempts[id]; {
+	case call != nil && call.established && call.peer == peer:
+		c.endEstablishedCall(call, outcome, cause, false)
+	case attempt != nil && attempt.peer == peer && attempt.link != nil && attempt.call == call:
+		// An exchange sends BYE only for an established call, so the call was answered and ended before
+		// its 200 arrived here. Its caller gets the release, and the call is not retried.
+		c.removeAttempt(attempt)
+		c.recordEnding(id, callEnding{cause: cause})
+		c.sendFinalAnswer(call, newRelease(id, cause))
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
+	case attempt != nil && attempt.peer == peer && attempt.link != nil: // abandoned in the meantime
+		c.removeAttempt(attempt)
+		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeReset})
+	case call == nil:
+		if ending, known := c.recentEndings[id]; !known || ending.withdrawnPeer != nil {
+			c.recordEnding(id, callEnding{cause: cause})
 		}
 	}
 }
 
-// over ends a call that stood. Its caller is told unless the word came from there.
-func (c *Core) over(x *call, o brain.Outcome, cause byte, told bool) {
-	c.log(slog.LevelDebug, "over", "call", x.name, "outcome", o, "cause", cause, "stood", c.now-x.stood, "conn", x.from.id, "gone", x.from.gone)
-	delete(c.calls, x.id)
-	if x.at != nil {
-		delete(x.at.calls, x.id)
+// endEstablishedCall ends an established call. The release is sent to its caller unless the caller
+// released the call itself.
+func (c *Core) endEstablishedCall(call *activeCall, outcome brain.Outcome, cause byte, byCaller bool) {
+	c.log(slog.LevelDebug, "over", "call", call.callID, "outcome", outcome, "cause", cause, "stood", c.now-call.establishedAt,
+		"conn", call.conn.id, "gone", call.conn.closed)
+	delete(c.calls, call.id)
+	if call.peer != nil {
+		delete(call.peer.calls, call.id)
 	}
-	x.from.standing--
-	x.from.since = c.now
+	call.conn.established--
+	call.conn.quietSince = c.now
 	switch {
-	case told:
-	case !x.from.gone:
-		c.do(SendToCaller{x.from.id, release(x.id, cause)})
+	case byCaller:
+	case !call.conn.closed:
+		c.emit(SendToCaller{call.conn.id, newRelease(call.id, cause)})
 	default:
 		c.Stats.Unsaid++
-		c.log(slog.LevelInfo, "call over, its caller's connection gone", "call", x.name)
+		c.log(slog.LevelInfo, "call ended, its caller's connection is closed", "call", call.callID)
 	}
-	c.remember(x.id, ending{cause: cause})
-	if x.adopted {
+	c.recordEnding(call.id, callEnding{cause: cause})
+	if call.adopted {
 		return
 	}
-	c.feed(brain.AttemptEnded{CallID: x.name, Attempt: x.attempts - 1, ExchangeID: x.at.id, Outcome: o, Elapsed: c.now - x.stood, Final: true})
+	c.notifyModule(brain.AttemptEnded{
+		CallID:     call.callID,
+		Attempt:    call.attempts - 1,
+		ExchangeID: call.peer.id,
+		Outcome:    outcome,
+		Elapsed:    c.now - call.establishedAt,
+		Final:      true,
+	})
 }
 
-// notify is the state of the group towards an exchange. It comes on every link to it; only a
-// change is news.
-func (c *Core) notify(p *peer, m *sip.Message) {
-	r := c.state(p, m)
-	if !r.CircuitsKnown || r == p.told {
+// handleNotify passes the state of the trunk group towards an exchange to the module. The exchange
+// sends it on every link; only changes are passed on.
+func (c *Core) handleNotify(peer *peerExchange, msg *sip.Message) {
+	report := c.parseReport(peer, msg)
+	if !report.CircuitsKnown || report == peer.lastReport {
 		return
 	}
-	p.told = r
-	c.feed(brain.GroupStatus{ExchangeID: p.id, OK: true, Report: r})
+	peer.lastReport = report
+	c.notifyModule(brain.GroupStatus{ExchangeID: peer.id, OK: true, Report: report})
 }
 
-// state is what a message tells of the group towards its exchange.
-func (c *Core) state(p *peer, m *sip.Message) (r brain.StatusReport) {
-	var free, size bool
-	for part := range strings.SplitSeq(m.Get("Link-State"), ";") {
+// parseReport reads the state of the trunk group towards the exchange from a message. The report is
+// known only if both the free and the total number of circuits are given.
+func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report brain.StatusReport) {
+	var hasFree, hasSize bool
+	for part := range strings.SplitSeq(msg.Get("Link-State"), ";") {
 		name, value, _ := strings.Cut(part, ":")
 		switch n, err := strconv.ParseFloat(value, 64); {
 		case err != nil || n < 0 || n > 1<<20:
 		case name == "idle":
-			r.FreeCircuits, free = int(n), true
+			report.FreeCircuits, hasFree = int(n), true
 		case name == "circuits":
-			r.GroupSize, size = int(n), true
+			report.GroupSize, hasSize = int(n), true
 		}
 	}
-	r.CircuitsKnown = free && size
-	return r
+	report.CircuitsKnown = hasFree && hasSize
+	return report
 }
