--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -35,7 +35,11 @@
 func Run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
 	writer := bufio.NewWriterSize(out, 1<<20)
-	s := &server{instances: map[int]*instance{}, lists: map[int][]brain.Exchange{}, encoder: json.NewEncoder(writer)}
+	s := &server{
+		instances: map[int]*instance{},
+		lists:     map[int][]brain.Exchange{},
+		encoder:   json.NewEncoder(writer),
+	}
 	inBatch := false
 	for lineNumber := 1; ; lineNumber++ {
 		line, err := reader.ReadBytes('\n')
@@ -173,8 +177,17 @@
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		call := brain.Call{ID: *e.CallID, Class: class, Remaining: time.Duration(*e.TimeLeft), Destination: int(*e.Destination),
-			Width: inst.circuitsByClass[class], Via: -1, Transit: e.Transit, Repeat: e.Retry, Reconnect: e.Reconnect}
+		call := brain.Call{
+			ID:          *e.CallID,
+			Class:       class,
+			Remaining:   time.Duration(*e.TimeLeft),
+			Destination: int(*e.Destination),
+			Width:       inst.circuitsByClass[class],
+			Via:         -1,
+			Transit:     e.Transit,
+			Repeat:      e.Retry,
+			Reconnect:   e.Reconnect,
+		}
 		if e.CalledNumber != nil {
 			call.CalledNumber, call.HasCalledNumber = *e.CalledNumber, true
 		}
@@ -192,8 +205,13 @@
 	case "PeerData":
 		return brain.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.GroupStatus{ExchangeID: *e.ExchangeID, OK: *e.Status == 200, ProbeReply: durationOf(e.Elapsed) > 0,
-			Elapsed: durationOf(e.Elapsed), Report: loadReport(e.Load)}, nil
+		return brain.GroupStatus{
+			ExchangeID: *e.ExchangeID,
+			OK:         *e.Status == 200,
+			ProbeReply: durationOf(e.Elapsed) > 0,
+			Elapsed:    durationOf(e.Elapsed),
+			Report:     loadReport(e.Load),
+		}, nil
 	case "Started":
 		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Elapsed: durationOf(e.Elapsed)}, nil
 	case "Reply":
@@ -201,8 +219,16 @@
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.AttemptEnded{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Outcome: outcome,
-			Elapsed: durationOf(e.Elapsed), Final: e.Final, Note: brain.Note(e.Note), Report: loadReport(e.Load)}
+		ended := brain.AttemptEnded{
+			CallID:     *e.CallID,
+			Attempt:    *e.Attempt,
+			ExchangeID: *e.ExchangeID,
+			Outcome:    outcome,
+			Elapsed:    durationOf(e.Elapsed),
+			Final:      e.Final,
+			Note:       brain.Note(e.Note),
+			Report:     loadReport(e.Load),
+		}
 		// A note above 16 whose remainder modulo 16 is NoteProcessorFull carries the waiting
 		// time of the processor, in milliseconds, as its quotient.
 		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
@@ -214,8 +240,16 @@
 }
 
 // outcomesByStatus gives the outcome of an attempt for the status of a Reply event.
-var outcomesByStatus = map[int]brain.Outcome{200: brain.OutcomeCompleted, 500: brain.OutcomeFailed, 503: brain.OutcomeRejected, 504: brain.OutcomeTimedOut,
-	502: brain.OutcomeUnreachable, 598: brain.OutcomeReset, 499: brain.OutcomeCancelled, 410: brain.OutcomeNotSent}
+var outcomesByStatus = map[int]brain.Outcome{
+	200: brain.OutcomeCompleted,
+	500: brain.OutcomeFailed,
+	503: brain.OutcomeRejected,
+	504: brain.OutcomeTimedOut,
+	502: brain.OutcomeUnreachable,
+	598: brain.OutcomeReset,
+	499: brain.OutcomeCancelled,
+	410: brain.OutcomeNotSent,
+}
 
 // durationOf returns an optional duration in nanoseconds, 0 if it is absent.
 func durationOf(ns *int64) time.Duration {
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -87,8 +87,16 @@
 
 // Controller returns the settings of the controller of an exchange.
 func (s *Scenario) Controller(exchangeNumber int, listAddress string) *Controller {
-	c := &Controller{Self: exchangeNumber, Number: exchangeNumber, Controllers: s.Fleet.Exchanges, Seed: s.Seed*1000 + uint64(exchangeNumber),
-		ListAddress: listAddress, Classes: s.Classes, Rules: s.Rules, Log: Log{Format: "json"}}
+	c := &Controller{
+		Self:        exchangeNumber,
+		Number:      exchangeNumber,
+		Controllers: s.Fleet.Exchanges,
+		Seed:        s.Seed*1000 + uint64(exchangeNumber),
+		ListAddress: listAddress,
+		Classes:     s.Classes,
+		Rules:       s.Rules,
+		Log:         Log{Format: "json"},
+	}
 	c.Rules.ResendAfter = s.Processor.ResendAfter
 	return c
 }
--- a/internal/settings/schema_test.go
+++ b/internal/settings/schema_test.go
@@ -12,9 +12,14 @@
 var updateSchema = flag.Bool("update", false, "write dahliaspindle.xsd from the Go types")
 
 // enumValues gives the values of enumerated attributes, by type and attribute name.
-var enumValues = map[string][]string{"Controller.policy": Policies, "Log.format": {"text", "json"},
-	"Log.level": {"debug", "info", "warn", "error"}, "Flows.mode": FlowModes, "Collector.transport": Transports,
-	"Collector.protocol": FlowProtocols}
+var enumValues = map[string][]string{
+	"Controller.policy":   Policies,
+	"Log.format":          {"text", "json"},
+	"Log.level":           {"debug", "info", "warn", "error"},
+	"Flows.mode":          FlowModes,
+	"Collector.transport": Transports,
+	"Collector.protocol":  FlowProtocols,
+}
 
 // generateSchema returns the XSD of the Go types.
 func generateSchema() string {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -198,16 +198,32 @@
 	d.require(c, slices.Contains(Policies, c.Policy), "@policy", fmt.Sprintf("must be one of %v", Policies))
 	d.checkClasses(c.Classes)
 	d.checkRules(&c.Rules)
-	for name, v := range map[string]int{"calls": c.Limits.Calls, "per-peer": c.Limits.TransactionsPerPeer, "connections": c.Limits.Connections,
-		"exchanges": c.Limits.Exchanges, "inbox": c.Limits.Inbox, "outbox": c.Limits.Outbox, "line": c.Limits.LineBytes,
-		"block": c.Limits.MessageBytes, "faults": c.Limits.UnreadableMessages} {
+	for name, v := range map[string]int{
+		"calls":       c.Limits.Calls,
+		"per-peer":    c.Limits.TransactionsPerPeer,
+		"connections": c.Limits.Connections,
+		"exchanges":   c.Limits.Exchanges,
+		"inbox":       c.Limits.Inbox,
+		"outbox":      c.Limits.Outbox,
+		"line":        c.Limits.LineBytes,
+		"block":       c.Limits.MessageBytes,
+		"faults":      c.Limits.UnreadableMessages,
+	} {
 		d.require(&c.Limits, v > 0, "@"+name, "must be greater than 0")
 	}
 	d.require(&c.Limits, c.Limits.MeasurementPeriod > 0, "@measure", "must be greater than 0")
 	d.require(&c.Limits, c.Limits.Inbox >= 16 && c.Limits.Outbox >= 16, "@inbox", "inbox and outbox must be at least 16")
 	peers := &c.Peers
-	for name, duration := range map[string]time.Duration{"connect": peers.ConnectWait, "dial": peers.DialTimeout, "write": peers.WriteTimeout, "sign-after": peers.ProbeAfter,
-		"lost-after": peers.LostAfter, "retry-from": peers.MinRetryDelay, "retry-most": peers.MaxRetryDelay, "release": peers.ReleaseRetryAfter} {
+	for name, duration := range map[string]time.Duration{
+		"connect":    peers.ConnectWait,
+		"dial":       peers.DialTimeout,
+		"write":      peers.WriteTimeout,
+		"sign-after": peers.ProbeAfter,
+		"lost-after": peers.LostAfter,
+		"retry-from": peers.MinRetryDelay,
+		"retry-most": peers.MaxRetryDelay,
+		"release":    peers.ReleaseRetryAfter,
+	} {
 		d.require(peers, duration > 0, "@"+name, "must be greater than 0")
 	}
 	d.require(peers, peers.LostAfter > peers.ProbeAfter, "@lost-after", "must be greater than sign-after")
@@ -221,8 +237,16 @@
 // checkFlows checks the settings of the flow export.
 func (d *decoder) checkFlows(f *Flows) {
 	d.require(f, slices.Contains(FlowModes, f.Mode), "flows@mode", fmt.Sprintf("must be one of %v", FlowModes))
-	for name, v := range map[string]float64{"interim": float64(f.InterimInterval), "interval": float64(f.SummaryInterval), "confirm": float64(f.ConfirmAfter),
-		"queue": float64(f.QueueCapacity), "ring": float64(f.RingCapacity), "replay": f.ReplayRate, "spool-most": float64(f.MaxSpoolBytes), "spool-age": float64(f.MaxSpoolAge)} {
+	for name, v := range map[string]float64{
+		"interim":    float64(f.InterimInterval),
+		"interval":   float64(f.SummaryInterval),
+		"confirm":    float64(f.ConfirmAfter),
+		"queue":      float64(f.QueueCapacity),
+		"ring":       float64(f.RingCapacity),
+		"replay":     f.ReplayRate,
+		"spool-most": float64(f.MaxSpoolBytes),
+		"spool-age":  float64(f.MaxSpoolAge),
+	} {
 		d.require(f, v >= 0, "flows@"+name, "is negative")
 	}
 	for i := range f.Collectors {
@@ -316,8 +340,15 @@
 
 // checkRules checks the parameters of the network's rules.
 func (d *decoder) checkRules(rules *Rules) {
-	for name, duration := range map[string]time.Duration{"release": rules.ReleaseTime, "drain-grace": rules.DrainGrace, "cold-for": rules.ColdDuration,
-		"overload-for": rules.OverloadDuration, "answer-slack": rules.AnswerSlack, "resend-after": rules.ResendAfter, "backoff-most": rules.MaxBackoff} {
+	for name, duration := range map[string]time.Duration{
+		"release":      rules.ReleaseTime,
+		"drain-grace":  rules.DrainGrace,
+		"cold-for":     rules.ColdDuration,
+		"overload-for": rules.OverloadDuration,
+		"answer-slack": rules.AnswerSlack,
+		"resend-after": rules.ResendAfter,
+		"backoff-most": rules.MaxBackoff,
+	} {
 		d.require(rules, duration >= 0, "rules@"+name, "is negative")
 	}
 	d.require(rules, rules.ColdCapacity > 0 && rules.ColdCapacity <= 1, "rules@cold-from", "must be greater than 0 and at most 1")
--- a/internal/signal/message.go
+++ b/internal/signal/message.go
@@ -37,8 +37,14 @@
 	AuditValue    Command = "AuditValue"    // request statistics; also used as a keep-alive
 )
 
-var commandsByName = map[string]Command{"Add": Add, "Modify": Modify, "Subtract": Subtract, "Notify": Notify,
-	"ServiceChange": ServiceChange, "AuditValue": AuditValue}
+var commandsByName = map[string]Command{
+	"Add":           Add,
+	"Modify":        Modify,
+	"Subtract":      Subtract,
+	"Notify":        Notify,
+	"ServiceChange": ServiceChange,
+	"AuditValue":    AuditValue,
+}
 
 // Root is the termination of a command that concerns the peer as a whole and no
 // single call.
--- a/internal/signal/reader.go
+++ b/internal/signal/reader.go
@@ -24,6 +24,7 @@
 // need far less.
 var DefaultLimits = Limits{MaxLineBytes: 1024, MaxMessageBytes: 16 << 10, MaxDescriptors: 128}
 
+// withDefaults returns the limits with defaults for fields that are not set.
 func (l Limits) withDefaults() Limits {
 	if l.MaxLineBytes <= 0 {
 		l.MaxLineBytes = DefaultLimits.MaxLineBytes
--- a/internal/wire/module.go
+++ b/internal/wire/module.go
@@ -16,21 +16,41 @@
 		return brain.Settings{}, errors.New("no classes in profiles")
 	}
 	settings := brain.Settings{
-		Seed: seed, Self: -1, Me: s.ControllerNumber, Controllers: s.Controllers, Pools: s.Network.Shape == "skills",
-		ReleaseWait: time.Duration(s.Network.ReleaseTime), ResendAfter: time.Duration(s.Network.ResendAfter),
-		DrainGrace: time.Duration(s.Rules.DrainGrace), AnswerSlack: time.Duration(s.Rules.AnswerSlack),
-		ColdFrom: s.Rules.ColdCapacity, ColdFor: time.Duration(s.Rules.ColdDuration),
-		OverloadFactor: s.Rules.OverloadFactor, OverloadFor: time.Duration(s.Rules.OverloadDuration),
-		MaxAttempts: s.Limits.MaxAttempts, BackoffMax: time.Duration(s.Limits.MaxRetryAfter), Backoff: s.Limits.RetryAfter,
-		Probing: s.Limits.Probing, Peers: s.Limits.Peers, Cancelling: s.Limits.Cancelling,
-		Advice: s.Network.RouteAdvice, MarksRepeat: s.Callers.MarksRetry, Tick: time.Duration(s.Tick),
+		Seed:           seed,
+		Self:           -1,
+		Me:             s.ControllerNumber,
+		Controllers:    s.Controllers,
+		Pools:          s.Network.Shape == "skills",
+		ReleaseWait:    time.Duration(s.Network.ReleaseTime),
+		ResendAfter:    time.Duration(s.Network.ResendAfter),
+		DrainGrace:     time.Duration(s.Rules.DrainGrace),
+		AnswerSlack:    time.Duration(s.Rules.AnswerSlack),
+		ColdFrom:       s.Rules.ColdCapacity,
+		ColdFor:        time.Duration(s.Rules.ColdDuration),
+		OverloadFactor: s.Rules.OverloadFactor,
+		OverloadFor:    time.Duration(s.Rules.OverloadDuration),
+		MaxAttempts:    s.Limits.MaxAttempts,
+		BackoffMax:     time.Duration(s.Limits.MaxRetryAfter),
+		Backoff:        s.Limits.RetryAfter,
+		Probing:        s.Limits.Probing,
+		Peers:          s.Limits.Peers,
+		Cancelling:     s.Limits.Cancelling,
+		Advice:         s.Network.RouteAdvice,
+		MarksRepeat:    s.Callers.MarksRetry,
+		Tick:           time.Duration(s.Tick),
 	}
 	if s.Network.OwnExchange != nil {
 		settings.Self = *s.Network.OwnExchange
 	}
 	for i, profile := range s.Classes {
-		class := brain.Class{Name: profile.Name, Worth: profile.Worth, LateWorth: profile.LateWorth, Width: 1,
-			Aim: time.Duration(profile.SetUpTarget), GiveUp: time.Duration(profile.Patience)}
+		class := brain.Class{
+			Name:      profile.Name,
+			Worth:     profile.Worth,
+			LateWorth: profile.LateWorth,
+			Width:     1,
+			Aim:       time.Duration(profile.SetUpTarget),
+			GiveUp:    time.Duration(profile.Patience),
+		}
 		if i < len(s.Network.HoldingTimes) {
 			class.Holding = time.Duration(s.Network.HoldingTimes[i])
 		}
@@ -48,9 +68,16 @@
 	for _, field := range []struct {
 		name     string
 		duration time.Duration
-	}{{"release_ns", settings.ReleaseWait}, {"t1_ns", settings.ResendAfter}, {"drain_grace_ns", settings.DrainGrace},
-		{"answer_slack_ns", settings.AnswerSlack}, {"cold_ns", settings.ColdFor}, {"overload_for_ns", settings.OverloadFor},
-		{"max_retry_after_ns", settings.BackoffMax}, {"quantum_ns", settings.Tick}} {
+	}{
+		{"release_ns", settings.ReleaseWait},
+		{"t1_ns", settings.ResendAfter},
+		{"drain_grace_ns", settings.DrainGrace},
+		{"answer_slack_ns", settings.AnswerSlack},
+		{"cold_ns", settings.ColdFor},
+		{"overload_for_ns", settings.OverloadFor},
+		{"max_retry_after_ns", settings.BackoffMax},
+		{"quantum_ns", settings.Tick},
+	} {
 		if field.duration < 0 {
 			return brain.Settings{}, fmt.Errorf("%s is negative", field.name)
 		}
