--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -197,12 +197,12 @@
 
 // Stats counts what the core did. Its field names are written to the log.
 //
-// Calls are the set-ups passed to the module, Again those marked as retries, Invalid the protocol errors of
-// callers. Gone counts the calls that callers abandoned, Adopted the established calls taken over,
-// Forgotten the calls ended with their exchange. Resets counts the attempts lost with their link, Cut those
-// that an exchange reported as reset; Late counts the answers that match no attempt in flight, Stray the messages
-// that are unexpected or belong to no known call.
-// Tests are the pings sent, TestsLost those not answered in time.
+// Calls counts the set-ups passed to the module, Again those marked as retries, Invalid the invalid messages
+// of callers. Gone counts the calls that callers abandoned, Adopted the established calls taken over,
+// Forgotten the calls ended because their exchange was gone. Resets counts the attempts lost with their
+// link, Cut those that an exchange reported as reset. Late counts the answers that match no attempt in
+// flight, Stray the messages that are unexpected or belong to no known call. Tests counts the pings sent,
+// TestsLost those not answered in time.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Gone, Invalid, Again, Adopted    int
 	Attempts, Resets, TimedOut, NoConnect, Late, Stray, Cut, Forgotten int
