--- a/cmd/dahliaspindle/commands.go
+++ b/cmd/dahliaspindle/commands.go
@@ -118,10 +118,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	show, done := watch(scn, c.JSON)
-	o := demo.Options{Scenario: scn, Policy: c.Policy, Flows: c.Flows, Dir: c.Dir, Exe: exe, Progress: show}
+	o := demo.Options{Scenario: scn, Policy: c.Policy, ExportFlows: c.Flows, Dir: c.Dir, Executable: exe, Progress: show}
 	var r *demo.Result
 	if c.Virtual {
-		r, err = demo.Virtual(o)
+		r, err = demo.RunVirtual(o)
 	} else {
 		r, err = demo.Run(ctx, o)
 	}
@@ -145,7 +145,7 @@
 	if r.Flows != nil && !r.Flows.OK() {
 		return exit{1, errors.New("flow records are not all accounted for")}
 	}
-	if !r.OK() {
+	if !r.RulesKept() {
 		return exit{1, errors.New("a rule was broken")}
 	}
 	return nil
@@ -190,7 +190,7 @@
 	t.AppendHeader(table.Row{"", "offered", "in time", "late", "refused", "failed", "cut", "gave up", "lost", "service"})
 	for _, r := range rows {
 		c := r.Tally
-		t.AppendRow(table.Row{r.Name, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Cut, c.GaveUp, c.Lost, fmt.Sprintf("%.3f", r.Service)})
+		t.AppendRow(table.Row{r.Name, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Cut, c.GaveUp, c.Lost, fmt.Sprintf("%.3f", r.ServiceRatio)})
 	}
 	t.Render()
 }
@@ -200,7 +200,7 @@
 	tallies("First tries during each trouble", r.Troubles)
 	printRules(r.Rules, r.Breaches, r.Notes)
 	fmt.Printf("%d calls taken, %d answered, %d left by their callers or connections, %d with killed controllers; %d messages; %d circuits held at the end\n",
-		r.Calls.Taken, r.Calls.Answered, r.Calls.Left, r.Calls.Killed, r.Messages, r.Held)
+		r.Calls.Taken, r.Calls.Answered, r.Calls.Left, r.Calls.Killed, r.Messages, r.CircuitsInUse)
 	fmt.Printf("capture: %s\n", r.Capture)
 }
 
@@ -276,8 +276,8 @@
 func (c *loadCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	r, err := load.Run(ctx, load.Options{To: c.To, Rate: c.Rate, For: c.For, Classes: c.Class, Dests: c.Dest, Patience: c.Patience,
-		Holding: c.Holding, Conns: c.Conns, Seed: c.Seed})
+	r, err := load.Run(ctx, load.Options{Addresses: c.To, Rate: c.Rate, Duration: c.For, Classes: c.Class, Destinations: c.Dest, Patience: c.Patience,
+		MeanHoldingTime: c.Holding, ConnsPerAddress: c.Conns, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
@@ -287,10 +287,10 @@
 		}
 		return nil
 	}
-	t := newTable(fmt.Sprintf("%d calls in %v, %.0f a second", r.Offered, r.Took.Round(time.Millisecond), float64(r.Offered)/r.Took.Seconds()))
+	t := newTable(fmt.Sprintf("%d calls in %v, %.0f a second", r.Offered, r.Duration.Round(time.Millisecond), float64(r.Offered)/r.Duration.Seconds()))
 	t.AppendHeader(table.Row{"", "calls", "p50", "p99", "p99.9", "most"})
 	for _, row := range r.Rows {
-		t.AppendRow(table.Row{row.Name, row.Calls, row.P50, row.P99, row.P999, row.Most})
+		t.AppendRow(table.Row{row.Name, row.Calls, row.P50, row.P99, row.P999, row.Max})
 	}
 	t.Render()
 	return nil
--- a/cmd/dahliaspindle/main_test.go
+++ b/cmd/dahliaspindle/main_test.go
@@ -72,8 +72,8 @@
 			t.Errorf("%+v", u)
 		}
 	}
-	if (status == 0) != r.OK() || r.Calls.Killed+r.Calls.Left+r.Calls.Answered != r.Calls.Taken || r.Calls.Taken < 100 || r.Held != 0 {
-		t.Errorf("status %d, %+v, %d circuits held\n%s", status, r.Calls, r.Held, errs)
+	if (status == 0) != r.RulesKept() || r.Calls.Killed+r.Calls.Left+r.Calls.Answered != r.Calls.Taken || r.Calls.Taken < 100 || r.CircuitsInUse != 0 {
+		t.Errorf("status %d, %+v, %d circuits held\n%s", status, r.Calls, r.CircuitsInUse, errs)
 	}
 	if _, _, again := program(t, "audit", dir); again != status {
 		t.Errorf("audit says %d, the demo %d", again, status)
--- a/cmd/dahliaspindle/rate.go
+++ b/cmd/dahliaspindle/rate.go
@@ -37,8 +37,8 @@
 	defer os.RemoveAll(dir)
 	t := newTable("One call: an Add that stands and its Subtract")
 	t.AppendHeader(table.Row{"server", "calls/s", "stood", "other", "p50", "p99", "good"})
-	r, err := rate.Run(ctx, rate.Options{Exe: exe, Dir: dir, Each: c.Each, Rates: c.Rates, Bound: c.Bound, Export: c.Export}, func(s rate.Step) {
-		t.AppendRow(table.Row{s.Server, s.Rate, s.Stood, s.Other, s.P50, s.P99, s.Good})
+	r, err := rate.Run(ctx, rate.Options{Executable: exe, Dir: dir, StepDuration: c.Each, Rates: c.Rates, MaxP99: c.Bound, ExportFlows: c.Export}, func(s rate.Step) {
+		t.AppendRow(table.Row{s.Server, s.Rate, s.Established, s.NotEstablished, s.P50, s.P99, s.Passed})
 	})
 	if err != nil {
 		return err
@@ -69,5 +69,5 @@
 		return err
 	}
 	context.AfterFunc(ctx, func() { ln.Close() })
-	return rate.Echo(ln)
+	return rate.ServeEcho(ln)
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -38,13 +38,13 @@
 			sim := &simulation{scenario: &scenario, policy: "brain"}
 			report, result := sim.run(t)
 			requireRulesKept(t, report, result, sim)
-			for _, seen := range sim.environment.Seen() {
-				stalled = int(seen.What[len(seen.What)-1] - '0')
+			for _, seen := range sim.environment.Troubles() {
+				stalled = int(seen.Description[len(seen.Description)-1] - '0')
 			}
-			sim.environment.Crowd.Tally(func(call *subscriber.Call) bool {
-				if at := sim.environment.Since(call); call.Stood > 0 && call.Tries == 1 && call.From != stalled && call.Dest != stalled &&
+			sim.environment.Callers.Tally(func(call *subscriber.Call) bool {
+				if at := sim.environment.FirstAttemptTime(call); call.SetUpTime > 0 && call.Attempts == 1 && call.Source != stalled && call.Dest != stalled &&
 					at > 2*time.Second && at < 31*time.Second {
-					setUpTimes = append(setUpTimes, call.Stood)
+					setUpTimes = append(setUpTimes, call.SetUpTime)
 				}
 				return false
 			})
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -38,7 +38,7 @@
 	network     memnet.Network
 	captures    []*captureBuffer
 	addresses   []net.Addr
-	environment *world.World
+	environment *world.Runner
 	heldCounts  []func() int // calls and attempts that each controller still holds
 }
 
@@ -61,7 +61,7 @@
 	report, result := &audit.Report{}, &demo.Result{}
 	synctest.Test(t, func(t *testing.T) {
 		captureWriter := sim.newCapture("stand-ins")
-		environment, err := world.New(sim.scenario, world.Net{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
+		environment, err := world.New(sim.scenario, world.Network{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,15 +98,15 @@
 		shutDown()
 		controllers.Wait()
 		held := make(chan int, 1)
-		environment.Do(func() { held <- environment.Fleet.Held() })
-		result.Held = <-held
+		environment.Do(func() { held <- environment.Fleet.CircuitsInUse() })
+		result.CircuitsInUse = <-held
 		environment.Close()
 		for _, captureWriter := range append(writers, captureWriter) {
 			if err := captureWriter.Close(); err != nil {
 				t.Error(err)
 			}
 		}
-		demo.Tables(result, sim.scenario, environment.Scene)
+		demo.AddTables(result, sim.scenario, environment.Simulation)
 	})
 	var records audit.Records
 	for i, buffer := range sim.captures {
@@ -145,8 +145,8 @@
 	if report.Calls.Taken == 0 || report.Calls.Taken != report.Calls.Answered+report.Calls.Left {
 		t.Errorf("%d calls accepted, %d answered, %d abandoned by their callers", report.Calls.Taken, report.Calls.Answered, report.Calls.Left)
 	}
-	if result.Held != 0 {
-		t.Errorf("%d circuits held after all controllers have stopped", result.Held)
+	if result.CircuitsInUse != 0 {
+		t.Errorf("%d circuits held after all controllers have stopped", result.CircuitsInUse)
 	}
 	for i, held := range sim.heldCounts {
 		if n := held(); n != 0 {
@@ -171,7 +171,7 @@
 					t.Errorf("rule %d: no case examined", rule.Rule)
 				}
 			}
-			t.Logf("%s: service %.3f, %d calls", policy, result.Service, report.Calls.Taken)
+			t.Logf("%s: service %.3f, %d calls", policy, result.ServiceRatio, report.Calls.Taken)
 		})
 	}
 }
@@ -205,7 +205,7 @@
 			sim := &simulation{scenario: loadScenario(t, name), policy: "brain"}
 			report, result := sim.run(t)
 			requireRulesKept(t, report, result, sim)
-			t.Logf("service %.3f, %d calls", result.Service, report.Calls.Taken)
+			t.Logf("service %.3f, %d calls", result.ServiceRatio, report.Calls.Taken)
 		})
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,43 +27,43 @@
 
 // Options of a play.
 type Options struct {
-	Scenario *settings.Scenario
-	Policy   string // of the controllers
-	Dir      string // for settings, logs and the capture
-	Flows    bool   // export flow records to a collector of the demo's own
-	Exe      string // the program that runs a controller: EXE run FILE
-	Progress func(passed time.Duration, calls int)
+	Scenario    *settings.Scenario
+	Policy      string // of the controllers
+	Dir         string // for settings, logs and the capture
+	ExportFlows bool   // export flow records to a collector of the demo's own
+	Executable  string // the program that runs a controller: EXE run FILE
+	Progress    func(passed time.Duration, calls int)
 }
 
 // Row is one line of a table.
 type Row struct {
-	Name    string           `json:"name"`
-	Tally   subscriber.Tally `json:"tally"`
-	Service float64          `json:"service"`
+	Name         string           `json:"name"`
+	Tally        subscriber.Tally `json:"tally"`
+	ServiceRatio float64          `json:"service"`
 }
 
 // Result is what came of it.
 type Result struct {
-	Scenario  string          `json:"scenario"`
-	Seed      uint64          `json:"seed"`
-	Policy    string          `json:"policy"`
-	Exchanges int             `json:"exchanges"`
-	Rules     []audit.Rule    `json:"rules"`
-	Calls     audit.Calls     `json:"calls"`
-	Capture   string          `json:"capture"`
-	Messages  int             `json:"messages"`
-	Classes   []Row           `json:"classes"`
-	Troubles  []Row           `json:"troubles"`
-	Held      int             `json:"circuits_held_at_end"`
-	Fleet     exchange.Counts `json:"fleet"`
-	Breaches  []audit.Breach  `json:"breaches,omitempty"`
-	Notes     []string        `json:"notes,omitempty"`
-	Flows     *collect.Report `json:"flows,omitempty"`
-	Service   float64         `json:"service"`
+	Scenario      string          `json:"scenario"`
+	Seed          uint64          `json:"seed"`
+	Policy        string          `json:"policy"`
+	Exchanges     int             `json:"exchanges"`
+	Rules         []audit.Rule    `json:"rules"`
+	Calls         audit.Calls     `json:"calls"`
+	Capture       string          `json:"capture"`
+	Messages      int             `json:"messages"`
+	Classes       []Row           `json:"classes"`
+	Troubles      []Row           `json:"troubles"`
+	CircuitsInUse int             `json:"circuits_held_at_end"`
+	Fleet         exchange.Counts `json:"fleet"`
+	Breaches      []audit.Breach  `json:"breaches,omitempty"`
+	Notes         []string        `json:"notes,omitempty"`
+	Flows         *collect.Report `json:"flows,omitempty"`
+	ServiceRatio  float64         `json:"service"`
 }
 
-// OK tells whether every rule held.
-func (r *Result) OK() bool {
+// RulesKept tells whether every rule held.
+func (r *Result) RulesKept() bool {
 	for _, u := range r.Rules {
 		if u.Broken > 0 {
 			return false
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	wd, err := world.New(o.Scenario, world.Net{
+	wd, err := world.New(o.Scenario, world.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 	}, w)
@@ -91,7 +91,7 @@
 	}
 	var flows *collect.Collector
 	collector := ""
-	if o.Flows {
+	if o.ExportFlows {
 		if flows, err = collect.New(filepath.Join(o.Dir, "flows.ipfix")); err != nil {
 			return nil, errors.Join(err, w.Close())
 		}
@@ -113,7 +113,7 @@
 	played := wd.Run(ctx, f, o.Progress)
 	left := f.leave()
 	held := make(chan int, 1)
-	wd.Do(func() { held <- wd.Fleet.Held() })
+	wd.Do(func() { held <- wd.Fleet.CircuitsInUse() })
 	n := <-held
 	wd.Close()
 	if err := errors.Join(played, left, w.Close()); err != nil {
@@ -123,8 +123,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, wd.Scene)
-	r.Held = n
+	r := result(o, report, wd.Simulation)
+	r.CircuitsInUse = n
 	if flows != nil {
 		r.Flows = flows.Report()
 		if err := flows.Close(); err != nil {
@@ -135,30 +135,30 @@
 }
 
 // result puts the judgement and the callers' tables together.
-func result(o Options, report *audit.Report, s *scene.Scene) *Result {
+func result(o Options, report *audit.Report, s *scene.Simulation) *Result {
 	r := &Result{Scenario: o.Scenario.Name, Seed: o.Scenario.Seed, Policy: o.Policy, Exchanges: o.Scenario.Fleet.Exchanges,
 		Rules: report.Rules, Calls: report.Calls, Capture: o.Dir, Messages: report.Messages,
 		Fleet: s.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
-	Tables(r, o.Scenario, s)
+	AddTables(r, o.Scenario, s)
 	return r
 }
 
-// Tables counts a scene's calls by class and by trouble.
-func Tables(r *Result, scn *settings.Scenario, wd *scene.Scene) {
+// AddTables counts a scene's calls by class and by trouble.
+func AddTables(r *Result, scn *settings.Scenario, wd *scene.Simulation) {
 	add := func(name string, rows *[]Row, which func(*subscriber.Call) bool) {
-		t := wd.Crowd.Tally(which)
-		*rows = append(*rows, Row{name, t, t.Service()})
+		t := wd.Callers.Tally(which)
+		*rows = append(*rows, Row{name, t, t.ServiceRatio()})
 	}
 	for i, c := range scn.Classes {
-		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.Hot })
+		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.ToHotNumber })
 	}
-	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.Hot })
+	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
 	add("all", &r.Classes, func(*subscriber.Call) bool { return true })
-	r.Service = r.Classes[len(r.Classes)-1].Service
-	for _, s := range wd.Seen() {
-		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.What), &r.Troubles, func(k *subscriber.Call) bool {
-			at := wd.Since(k)
-			return at >= s.From && at < s.To
+	r.ServiceRatio = r.Classes[len(r.Classes)-1].ServiceRatio
+	for _, s := range wd.Troubles() {
+		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.Description), &r.Troubles, func(k *subscriber.Call) bool {
+			at := wd.FirstAttemptTime(k)
+			return at >= s.Start && at < s.End
 		})
 	}
 }
@@ -231,7 +231,7 @@
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer log.Close()
-	p.cmd = exec.Command(f.o.Exe, "run", base+".xml")
+	p.cmd = exec.Command(f.o.Executable, "run", base+".xml")
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.ExtraFiles = []*os.File{file}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -11,12 +11,12 @@
 	"dahliaspindle/internal/virtual"
 )
 
-// Virtual plays a scenario in virtual time, without processes and sockets, and
+// RunVirtual plays a scenario in virtual time, without processes and sockets, and
 // judges it as Run does. Flows, Exe and Progress are not used.
-func Virtual(o Options) (*Result, error) {
+func RunVirtual(o Options) (*Result, error) {
 	var failed error
 	lives := map[string]int{}
-	day, err := virtual.Run(o.Scenario, virtual.Options{Policy: o.Policy, Capture: func(who string, now func() int64) *capture.Writer {
+	day, err := virtual.Run(o.Scenario, virtual.Options{Policy: o.Policy, NewCapture: func(who string, now func() int64) *capture.Writer {
 		lives[who]++
 		name := fmt.Sprintf("%s.%d%s", strings.ReplaceAll(who, " ", "-"), lives[who], capture.FileSuffix)
 		w, err := capture.CreateWithClock(filepath.Join(o.Dir, name), who, now)
@@ -30,9 +30,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, day.Scene)
-	r.Held = day.Held
-	if !day.Left {
+	r := result(o, report, day.Simulation)
+	r.CircuitsInUse = day.CircuitsInUse
+	if !day.AllStopped {
 		r.Notes = append(r.Notes, "not every controller could leave")
 	}
 	return r, nil
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -21,16 +21,16 @@
 
 // Options of a run.
 type Options struct {
-	To       []string
-	Rate     float64 // calls a second
-	For      time.Duration
-	Classes  []string
-	Dests    []int
-	Patience time.Duration
-	Holding  time.Duration // mean; 0: released at once
-	Conns    int           // to each controller
-	Seed     uint64
-	Dial     func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	Addresses       []string
+	Rate            float64 // calls a second
+	Duration        time.Duration
+	Classes         []string
+	Destinations    []int
+	Patience        time.Duration
+	MeanHoldingTime time.Duration // mean; 0: released at once
+	ConnsPerAddress int           // to each controller
+	Seed            uint64
+	Dial            func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
 }
 
 // Row is the delays of the calls that ended alike.
@@ -40,14 +40,14 @@
 	P50   time.Duration `json:"p50"`
 	P99   time.Duration `json:"p99"`
 	P999  time.Duration `json:"p999"`
-	Most  time.Duration `json:"most"`
+	Max   time.Duration `json:"most"`
 }
 
 // Result of a run.
 type Result struct {
-	Offered int           `json:"offered"`
-	Took    time.Duration `json:"took"`
-	Rows    []Row         `json:"rows"` // stood, refused, failed, not taken, unanswered
+	Offered  int           `json:"offered"`
+	Duration time.Duration `json:"took"`
+	Rows     []Row         `json:"rows"` // stood, refused, failed, not taken, unanswered
 }
 
 const (
@@ -95,7 +95,7 @@
 
 // Run makes the calls and waits for the answers.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	if o.Rate <= 0 || o.For <= 0 || o.Conns <= 0 || len(o.To) == 0 || len(o.Classes) == 0 || len(o.Dests) == 0 || o.Patience <= 0 {
+	if o.Rate <= 0 || o.Duration <= 0 || o.ConnsPerAddress <= 0 || len(o.Addresses) == 0 || len(o.Classes) == 0 || len(o.Destinations) == 0 || o.Patience <= 0 {
 		return nil, errors.New("load: rate, time, patience, connections, controllers, classes and numbers must all be given")
 	}
 	if o.Dial == nil {
@@ -106,8 +106,8 @@
 	for i := range r.hists {
 		r.hists[i] = hdrhistogram.New(1, mostDelay, 3)
 	}
-	for _, addr := range o.To {
-		for range o.Conns {
+	for _, addr := range o.Addresses {
+		for range o.ConnsPerAddress {
 			nc, err := o.Dial(ctx, addr)
 			if err != nil {
 				r.close()
@@ -135,7 +135,7 @@
 		c.mu.Unlock()
 	}
 	r.timers.Wait()
-	res := &Result{Offered: n, Took: took}
+	res := &Result{Offered: n, Duration: took}
 	for i, h := range r.hists {
 		res.Rows = append(res.Rows, Row{endNames[i], h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
 			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), time.Duration(h.Max())})
@@ -148,7 +148,7 @@
 	due := start
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(r.rnd.ExpFloat64() / r.o.Rate * float64(time.Second)))
-		if due.Sub(start) > r.o.For || ctx.Err() != nil {
+		if due.Sub(start) > r.o.Duration || ctx.Err() != nil {
 			return n
 		}
 		if wait := time.Until(due); wait > 0 {
@@ -156,12 +156,12 @@
 		}
 		c := r.clients[n%len(r.clients)]
 		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.o.Seed, n)}
-		m.Put("Class", r.o.Classes[r.rnd.IntN(len(r.o.Classes))]).PutInt("Dest", r.o.Dests[r.rnd.IntN(len(r.o.Dests))])
+		m.Put("Class", r.o.Classes[r.rnd.IntN(len(r.o.Classes))]).PutInt("Dest", r.o.Destinations[r.rnd.IntN(len(r.o.Destinations))])
 		m.Put("Number", fmt.Sprint(r.rnd.Uint64N(1<<40))).PutDuration("Left", r.o.Patience)
 		c.mu.Lock()
 		c.tx++
 		m.ID = c.tx
-		c.open[m.ID] = began{due, m.Termination, time.Duration(r.rnd.ExpFloat64() * float64(r.o.Holding))}
+		c.open[m.ID] = began{due, m.Termination, time.Duration(r.rnd.ExpFloat64() * float64(r.o.MeanHoldingTime))}
 		sent := c.conn.Send(m, time.Hour)
 		if !sent {
 			delete(c.open, m.ID)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -61,8 +61,8 @@
 				transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, s)
 			}
 		}()
-		r, err := Run(t.Context(), Options{To: []string{ln.Addr().String()}, Rate: 300, For: 3 * time.Second, Classes: []string{"x"},
-			Dests: []int{1}, Patience: 2 * time.Second, Holding: 100 * time.Millisecond, Conns: 1, Seed: 7,
+		r, err := Run(t.Context(), Options{Addresses: []string{ln.Addr().String()}, Rate: 300, Duration: 3 * time.Second, Classes: []string{"x"},
+			Destinations: []int{1}, Patience: 2 * time.Second, MeanHoldingTime: 100 * time.Millisecond, ConnsPerAddress: 1, Seed: 7,
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return n.Dial(ctx, addr) }})
 		if err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 			t.Errorf("%d calls offered, %d booked", r.Offered, sum)
 		}
 		// the second in which nothing was answered shows in full: arrivals did not wait for it
-		if st := r.Rows[stood]; st.Calls != int64(r.Offered/3) || st.Most < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
+		if st := r.Rows[stood]; st.Calls != int64(r.Offered/3) || st.Max < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
 			t.Errorf("%+v", st)
 		}
 		if r.Rows[unanswered].Calls < int64(r.Offered/3) || r.Rows[refused].Calls == 0 {
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -53,7 +53,7 @@
 	for i := range n {
 		m.Circuits = append(m.Circuits, make([]int, n))
 		m.Offered = append(m.Offered, make([][]float64, n))
-		m.Proc.PerSecond = append(m.Proc.PerSecond, s.Fleet.Current(i).PerSecond())
+		m.Proc.PerSecond = append(m.Proc.PerSecond, s.Fleet.Current(i).SetUpsPerSecond())
 		for j := range n {
 			all := make([]float64, len(scn.Classes))
 			for c, cl := range scn.Classes {
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, g := range s.Fleet.Groups() {
-		m.Circuits[g.A][g.B], m.Circuits[g.B][g.A] = g.Size, g.Size
+		m.Circuits[g.LowNumber][g.HighNumber], m.Circuits[g.HighNumber][g.LowNumber] = g.Size, g.Size
 	}
 	return m, nil
 }
@@ -120,10 +120,10 @@
 	}
 	n := scn.Fleet.Exchanges
 	play := func(seed int) (*seen, error) {
-		d, err := virtual.Run(scn, virtual.Options{Shape: func(s *scene.Scene) {
+		d, err := virtual.Run(scn, virtual.Options{Prepare: func(s *scene.Simulation) {
 			for i := range n {
 				for j := range i {
-					s.Fleet.Resize(i, j, circuits[i][j])
+					s.Fleet.ResizeGroup(i, j, circuits[i][j])
 				}
 			}
 			s.Reseed(uint64(seed))
@@ -131,18 +131,18 @@
 		if err != nil {
 			return nil, err
 		}
-		r := &seen{calls: make([]int, len(scn.Classes)), lost: make([]int, len(scn.Classes)), pairs: make([][]PairSeen, n), took: d.Took}
+		r := &seen{calls: make([]int, len(scn.Classes)), lost: make([]int, len(scn.Classes)), pairs: make([][]PairSeen, n), took: d.Duration}
 		for i := range r.pairs {
 			r.pairs[i] = make([]PairSeen, n)
 		}
-		for _, k := range d.Crowd.Calls {
-			if d.Since(k) < from || k.Result == subscriber.None && k.Stood == 0 {
+		for _, k := range d.Callers.Calls {
+			if d.FirstAttemptTime(k) < from || k.Outcome == subscriber.Pending && k.SetUpTime == 0 {
 				continue
 			}
-			p := &r.pairs[k.From][k.Dest]
+			p := &r.pairs[k.Source][k.Dest]
 			p.Calls++
 			r.calls[k.Class]++
-			if k.Stood == 0 {
+			if k.SetUpTime == 0 {
 				p.Lost++
 				r.lost[k.Class]++
 			}
@@ -200,11 +200,11 @@
 // nobody is an edge for a scene that is only looked at.
 type nobody struct{}
 
-func (nobody) Open(uint32) (string, error)                         { return "nowhere", nil }
-func (nobody) Shut(uint32)                                         {}
-func (nobody) Break(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (nobody) Fault(uint32, scene.Fault, bool)                     {}
-func (nobody) ListAway(bool)                                       {}
-func (nobody) Garbage(float64) func()                              { return func() {} }
-func (nobody) Restart(int)                                         {}
-func (nobody) Fact(string, any)                                    {}
+func (nobody) Listen(uint32) (string, error)                            { return "nowhere", nil }
+func (nobody) StopListening(uint32)                                     {}
+func (nobody) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
+func (nobody) SetFault(uint32, scene.Fault, bool)                       {}
+func (nobody) SetListUnavailable(bool)                                  {}
+func (nobody) SendMalformed(float64) func()                             { return func() {} }
+func (nobody) RestartController(int)                                    {}
+func (nobody) Record(string, any)                                       {}
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -81,7 +81,7 @@
 	}
 	var tries []measure.Try
 	lives := uint64(0)
-	if _, err := virtual.Run(scn, virtual.Options{Flows: func(int) flow.Sink {
+	if _, err := virtual.Run(scn, virtual.Options{NewFlowSink: func(int) flow.Sink {
 		lives++
 		return records{&tries, lives}
 	}}); err != nil {
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -26,25 +26,25 @@
 
 // Options of a measurement.
 type Options struct {
-	Exe   string // the program: EXE run FILE, EXE echo
-	Dir   string
-	Each  time.Duration // of each step
-	Rates []float64     // rising; a step whose p99 is above Bound ends the series
-	Bound time.Duration
-	// Export measures a second controller beside the first, which exports flow
+	Executable   string // the program: EXE run FILE, EXE echo
+	Dir          string
+	StepDuration time.Duration // of each step
+	Rates        []float64     // rising; a step whose p99 is above Bound ends the series
+	MaxP99       time.Duration
+	// ExportFlows measures a second controller beside the first, which exports flow
 	// records to a collector that accepts and never reads.
-	Export bool
+	ExportFlows bool
 }
 
 // Step is one rate of one server.
 type Step struct {
-	Server string        `json:"server"`
-	Rate   float64       `json:"rate"`
-	Stood  int64         `json:"stood"`
-	Other  int64         `json:"other"` // refused, failed, not taken, unanswered
-	P50    time.Duration `json:"p50"`
-	P99    time.Duration `json:"p99"`
-	Good   bool          `json:"good"` // p99 within the bound and all calls stood
+	Server         string        `json:"server"`
+	Rate           float64       `json:"rate"`
+	Established    int64         `json:"stood"`
+	NotEstablished int64         `json:"other"` // refused, failed, not taken, unanswered
+	P50            time.Duration `json:"p50"`
+	P99            time.Duration `json:"p99"`
+	Passed         bool          `json:"good"` // p99 within the bound and all calls stood
 }
 
 // Result is all steps, and the highest good rates.
@@ -74,7 +74,7 @@
 	defer stopEcho()
 	r := &Result{}
 	servers := []server{{"controller", control, &r.Controller}, {"echo", echo, &r.Echo}}
-	if o.Export {
+	if o.ExportFlows {
 		hung, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("rate: %w", err)
@@ -101,7 +101,7 @@
 			}
 			r.Steps = append(r.Steps, step)
 			told(step)
-			if over[s.name] = !step.Good; step.Good {
+			if over[s.name] = !step.Passed; step.Passed {
 				*s.best = rate
 			}
 		}
@@ -110,16 +110,16 @@
 }
 
 func (o Options) step(ctx context.Context, name, addr string, rate float64) (Step, error) {
-	res, err := load.Run(ctx, load.Options{To: []string{addr}, Rate: rate, For: o.Each, Classes: []string{"call"}, Dests: []int{1, 2, 3},
-		Patience: 4 * time.Second, Holding: 200 * time.Millisecond, Conns: 4, Seed: uint64(rate)})
+	res, err := load.Run(ctx, load.Options{Addresses: []string{addr}, Rate: rate, Duration: o.StepDuration, Classes: []string{"call"}, Destinations: []int{1, 2, 3},
+		Patience: 4 * time.Second, MeanHoldingTime: 200 * time.Millisecond, ConnsPerAddress: 4, Seed: uint64(rate)})
 	if err != nil {
 		return Step{}, fmt.Errorf("%s at %.0f: %w", name, rate, err)
 	}
-	s := Step{Server: name, Rate: rate, Stood: res.Rows[0].Calls, P50: res.Rows[0].P50, P99: res.Rows[0].P99}
+	s := Step{Server: name, Rate: rate, Established: res.Rows[0].Calls, P50: res.Rows[0].P50, P99: res.Rows[0].P99}
 	for _, row := range res.Rows[1:] {
-		s.Other += row.Calls
+		s.NotEstablished += row.Calls
 	}
-	s.Good = s.P99 <= o.Bound && s.Other*1000 <= s.Stood
+	s.Passed = s.P99 <= o.MaxP99 && s.NotEstablished*1000 <= s.Established
 	return s, nil
 }
 
@@ -184,7 +184,7 @@
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
 	defer log.Close()
-	c := exec.CommandContext(ctx, o.Exe, args...)
+	c := exec.CommandContext(ctx, o.Executable, args...)
 	c.Stderr, c.Stdout = log, log
 	c.ExtraFiles = []*os.File{file}
 	if err := c.Start(); err != nil {
@@ -277,9 +277,9 @@
 	}
 }
 
-// Echo serves the reference: blocks of lines are read and written back with
+// ServeEcho serves the reference: blocks of lines are read and written back with
 // net/textproto, a reply for each transaction and nothing else.
-func Echo(ln net.Listener) error {
+func ServeEcho(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -38,58 +38,58 @@
 
 // Exchange is one exchange; a number that is replaced has two for a while.
 type Exchange struct {
-	ID      uint32
-	Cell    int
-	Region  int
-	Since   time.Duration // its start, 0 long ago
-	Up      bool
-	Hung    bool    // takes set-ups and answers none
-	Mute    float64 // share of set-ups that get no answer
-	Breaks  float64 // share of set-ups that are cut before the answer
-	proc    processor
-	work    time.Duration // of one set-up
-	conns   []*Conn
-	transit *Conn
-	own     *Conn // of the controller of its number
+	ID              uint32
+	Number          int
+	Region          int
+	StartedAt       time.Duration // its start, 0 long ago
+	Up              bool
+	Unresponsive    bool    // takes set-ups and answers none
+	UnansweredShare float64 // share of set-ups that get no answer
+	CutShare        float64 // share of set-ups that are cut before the answer
+	proc            processor
+	work            time.Duration // of one set-up
+	conns           []*Conn
+	transit         *Conn
+	own             *Conn // of the controller of its number
 }
 
 // Group is the circuits between two numbers.
 type Group struct {
-	A, B       int
-	Size, Free int
-	lost       int
-}
-
-// Figures are what a fleet is made of.
-type Figures struct {
-	Near, Far   time.Duration // one way within and between regions
-	Queue       time.Duration // longer waits turn set-ups away
-	Look        float64       // work in set-ups
-	Reject      float64
-	Follow      float64
-	Repeat      float64
-	Resend      time.Duration
-	FinishFirst bool
-	GivesWait   bool
-	Reduce      bool
-	ColdFrom    float64
-	ColdFor     time.Duration
+	LowNumber, HighNumber int
+	Size, Free            int
+	lost                  int
+}
+
+// Config are what a fleet is made of.
+type Config struct {
+	IntraRegionDelay, InterRegionDelay time.Duration // one way within and between regions
+	MaxQueueWait                       time.Duration // longer waits turn set-ups away
+	ExamineWork                        float64       // work in set-ups
+	RejectWork                         float64
+	FollowUpWork                       float64
+	ResendWork                         float64
+	ResendAfter                        time.Duration
+	FinishFirst                        bool
+	ReportsWait                        bool
+	ReportsReduction                   bool
+	ColdCapacity                       float64
+	ColdDuration                       time.Duration
 }
 
 // Fleet is all exchanges and the groups between them.
 type Fleet struct {
-	fig    Figures
-	s      Sched
-	rnd    *rand.Rand
-	All    []*Exchange // in the order of their making
-	cells  map[int]*Exchange
-	groups map[[2]int]*Group
-	order  []*Group
-	dirty  map[int]map[int]bool // by number, whose groups changed
-	flush  bool
-	lines  map[string]int // free lines of numbers that have few
-
-	Started func(*Exchange) // told of each start of a processor
+	fig       Config
+	s         Scheduler
+	rnd       *rand.Rand
+	Exchanges []*Exchange // in the order of their making
+	cells     map[int]*Exchange
+	groups    map[[2]int]*Group
+	order     []*Group
+	dirty     map[int]map[int]bool // by number, whose groups changed
+	flush     bool
+	lines     map[string]int // free lines of numbers that have few
+
+	OnStart func(*Exchange) // told of each start of a processor
 	Counts  Counts
 }
 
@@ -99,41 +99,41 @@
 }
 
 // New makes an empty fleet.
-func New(s Sched, rnd *rand.Rand, fig Figures) *Fleet {
+func New(s Scheduler, rnd *rand.Rand, fig Config) *Fleet {
 	return &Fleet{fig: fig, s: s, rnd: rnd, cells: map[int]*Exchange{}, groups: map[[2]int]*Group{},
-		dirty: map[int]map[int]bool{}, lines: map[string]int{}, Started: func(*Exchange) {}}
+		dirty: map[int]map[int]bool{}, lines: map[string]int{}, OnStart: func(*Exchange) {}}
 }
 
-// Add brings an exchange into service; work is the time of one set-up on its
+// AddExchange brings an exchange into service; work is the time of one set-up on its
 // processor. One of the same number takes over from the one before.
-func (f *Fleet) Add(id uint32, cell, region int, work time.Duration, cold bool) *Exchange {
-	x := &Exchange{ID: id, Cell: cell, Region: region, Up: true, work: work}
-	x.proc = processor{s: f.s, first: f.fig.FinishFirst, slow: 1, from: f.fig.ColdFrom, warm: f.fig.ColdFor}
+func (f *Fleet) AddExchange(id uint32, cell, region int, work time.Duration, cold bool) *Exchange {
+	x := &Exchange{ID: id, Number: cell, Region: region, Up: true, work: work}
+	x.proc = processor{s: f.s, first: f.fig.FinishFirst, slow: 1, from: f.fig.ColdCapacity, warm: f.fig.ColdDuration}
 	if cold {
-		x.Since = f.s.Now()
-		x.proc.since = x.Since
+		x.StartedAt = f.s.Now()
+		x.proc.since = x.StartedAt
 	}
-	f.All = append(f.All, x)
+	f.Exchanges = append(f.Exchanges, x)
 	f.cells[cell] = x
-	f.Started(x)
+	f.OnStart(x)
 	return x
 }
 
-// Link makes a group between two numbers.
-func (f *Fleet) Link(a, b, size int) {
-	g := &Group{A: min(a, b), B: max(a, b), Size: size, Free: size}
-	f.groups[[2]int{g.A, g.B}] = g
+// AddGroup makes a group between two numbers.
+func (f *Fleet) AddGroup(a, b, size int) {
+	g := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
+	f.groups[[2]int{g.LowNumber, g.HighNumber}] = g
 	f.order = append(f.order, g)
 }
 
-// Resize gives a group another number of circuits, or makes or ends one, before
+// ResizeGroup gives a group another number of circuits, or makes or ends one, before
 // any call is up.
-func (f *Fleet) Resize(a, b, size int) {
+func (f *Fleet) ResizeGroup(a, b, size int) {
 	key := [2]int{min(a, b), max(a, b)}
 	g := f.groups[key]
 	switch {
 	case g == nil && size > 0:
-		f.Link(a, b, size)
+		f.AddGroup(a, b, size)
 	case g != nil && size > 0:
 		g.Size, g.Free = size, size
 	case g != nil:
@@ -150,14 +150,14 @@
 
 func (f *Fleet) group(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
 
-// Lines gives a number so few lines.
-func (f *Fleet) Lines(number string, n int) { f.lines[number] = n }
+// LimitLines gives a number so few lines.
+func (f *Fleet) LimitLines(number string, n int) { f.lines[number] = n }
 
-// PerSecond is the set-ups that an exchange can do when warm.
-func (x *Exchange) PerSecond() float64 { return float64(time.Second) / float64(x.work) }
+// SetUpsPerSecond is the set-ups that an exchange can do when warm.
+func (x *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(x.work) }
 
-// Held counts circuits in use over all groups.
-func (f *Fleet) Held() int {
+// CircuitsInUse counts circuits in use over all groups.
+func (f *Fleet) CircuitsInUse() int {
 	n := 0
 	for _, g := range f.order {
 		n += g.Size - g.lost - g.Free
@@ -183,8 +183,8 @@
 	over      bool
 }
 
-// Open takes a new connection: of a controller, or the exchange's own for calls in transit.
-func (f *Fleet) Open(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
+// OpenConn takes a new connection: of a controller, or the exchange's own for calls in transit.
+func (f *Fleet) OpenConn(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
 	c := &Conn{Exchange: x, Transit: transit, Send: send, cell: -1, legs: map[legKey]*leg{},
 		onward: map[uint32]*leg{}, carried: map[string]*leg{}}
 	if transit {
@@ -195,8 +195,8 @@
 	return c
 }
 
-// Closed ends a connection: what was set up over it is released.
-func (f *Fleet) Closed(c *Conn) {
+// ConnClosed ends a connection: what was set up over it is released.
+func (f *Fleet) ConnClosed(c *Conn) {
 	if c.closed {
 		return
 	}
@@ -224,8 +224,8 @@
 	}
 }
 
-// Message takes a message from a controller.
-func (f *Fleet) Message(c *Conn, m *signal.Message) {
+// HandleMessage takes a message from a controller.
+func (f *Fleet) HandleMessage(c *Conn, m *signal.Message) {
 	if c.closed {
 		return
 	}
@@ -244,13 +244,13 @@
 			c.Send(m.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
-		if c.cell = cell; cell == x.Cell {
+		if c.cell = cell; cell == x.Number {
 			x.own = c
 		}
-		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.Since.Milliseconds())))
+		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.StartedAt.Milliseconds())))
 	case signal.Modify:
 		c.Send(m.NewReply())
-		if c.circuits = m.Get("Events") == "circuits" && c.cell == x.Cell; c.circuits {
+		if c.circuits = m.Get("Events") == "circuits" && c.cell == x.Number; c.circuits {
 			f.report(x, nil)
 		}
 	case signal.AuditValue:
@@ -271,9 +271,9 @@
 }
 
 func (f *Fleet) delay(a, b *Exchange) time.Duration {
-	d := f.fig.Far
+	d := f.fig.InterRegionDelay
 	if a.Region == b.Region {
-		d = f.fig.Near
+		d = f.fig.IntraRegionDelay
 	}
 	return time.Duration(float64(d) * (0.9 + 0.2*f.rnd.Float64()))
 }
@@ -296,7 +296,7 @@
 		c.Send(m.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
-	near, g := f.cells[c.cell], f.group(c.cell, x.Cell)
+	near, g := f.cells[c.cell], f.group(c.cell, x.Number)
 	l := &leg{conn: c, key: key, name: m.Termination, add: m.ID, near: near, far: x, group: g, width: width, msg: m, dest: dest,
 		due: f.s.Now() + left}
 	switch {
@@ -310,7 +310,7 @@
 	}
 	f.change(g, -width)
 	c.legs[key] = l
-	near.proc.do(times(near.work, 1+f.fig.Look), false, func() {
+	near.proc.do(times(near.work, 1+f.fig.ExamineWork), false, func() {
 		f.s.After(f.delay(near, x), func() { f.arrive(l) })
 	})
 }
@@ -321,25 +321,25 @@
 	switch {
 	case l.over || !x.Up:
 		return
-	case x.Hung || f.rnd.Float64() < x.Mute:
+	case x.Unresponsive || f.rnd.Float64() < x.UnansweredShare:
 		f.Counts.Swallowed++
 		return // held until it is called off
-	case f.rnd.Float64() < x.Breaks:
+	case f.rnd.Float64() < x.CutShare:
 		f.fail(l, "cut", false)
 		return
-	case x.proc.wait() > f.fig.Queue:
+	case x.proc.wait() > f.fig.MaxQueueWait:
 		f.Counts.TurnedAway++
-		x.proc.do(times(x.work, f.fig.Reject), false, func() { f.fail(l, "processor-full", false) })
+		x.proc.do(times(x.work, f.fig.RejectWork), false, func() { f.fail(l, "processor-full", false) })
 		return
 	}
-	if f.fig.Resend > 0 {
-		f.resend(l, f.fig.Resend)
+	if f.fig.ResendAfter > 0 {
+		f.resend(l, f.fig.ResendAfter)
 	}
 	x.proc.do(x.work, false, func() {
 		if l.over {
 			return
 		}
-		if l.dest != x.Cell {
+		if l.dest != x.Number {
 			f.handOn(l)
 			return
 		}
@@ -363,19 +363,19 @@
 		if l.over || l.stands || l.add == 0 || !l.far.Up {
 			return
 		}
-		l.far.proc.do(times(l.far.work, f.fig.Repeat), false, func() {})
+		l.far.proc.do(times(l.far.work, f.fig.ResendWork), false, func() {})
 		f.resend(l, 2*gap)
 	})
 }
 
 // answer brings the word that the call stands back through both processors.
 func (f *Fleet) answer(l *leg) {
-	l.far.proc.do(times(l.far.work, f.fig.Follow), true, func() {
+	l.far.proc.do(times(l.far.work, f.fig.FollowUpWork), true, func() {
 		f.s.After(f.delay(l.far, l.near), func() {
 			if l.over || !l.near.Up {
 				return
 			}
-			l.near.proc.do(times(l.near.work, f.fig.Follow), true, func() {
+			l.near.proc.do(times(l.near.work, f.fig.FollowUpWork), true, func() {
 				if l.over {
 					return
 				}
@@ -396,7 +396,7 @@
 		return
 	}
 	c.tx++
-	l.onward = fmt.Sprintf("%s/%d.%s", l.name, l.near.Cell, l.key.attempt)
+	l.onward = fmt.Sprintf("%s/%d.%s", l.name, l.near.Number, l.key.attempt)
 	if c.carried[l.onward] != nil { // its last try through here is not released yet
 		l.onward = ""
 		f.fail(l, "turned-back", false)
@@ -405,7 +405,7 @@
 	c.onward[c.tx], c.carried[l.onward] = l, l
 	m := &signal.Message{ID: c.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: l.onward}
 	m.Put("Class", l.msg.Get("Class")).PutInt("Dest", l.dest).PutInt("Width", l.width).PutDuration("Left", left)
-	m.PutInt("Source", l.near.Cell).PutFlag("Again", l.msg.Flag("Again"))
+	m.PutInt("Source", l.near.Number).PutFlag("Again", l.msg.Flag("Again"))
 	if n := l.msg.Get("Number"); n != "" {
 		m.Put("Number", n)
 	}
@@ -454,15 +454,15 @@
 	if note != "" {
 		r.Code, r.Text = code, note
 		r.Put("Note", note)
-		if note == "processor-full" && f.fig.GivesWait {
-			r.PutDuration("Wait", max(l.far.proc.wait()-f.fig.Queue, 10*time.Millisecond).Round(time.Millisecond))
+		if note == "processor-full" && f.fig.ReportsWait {
+			r.PutDuration("Wait", max(l.far.proc.wait()-f.fig.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
 		}
 	}
 	if g := l.group; g != nil {
-		r.Put("Group", fmt.Sprintf("%d %d %d", l.far.Cell, g.Free, g.Size-g.lost))
+		r.Put("Group", fmt.Sprintf("%d %d %d", l.far.Number, g.Free, g.Size-g.lost))
 	}
-	if f.fig.Reduce {
-		over := float64(l.far.proc.wait())/float64(f.fig.Queue) - 0.3
+	if f.fig.ReportsReduction {
+		over := float64(l.far.proc.wait())/float64(f.fig.MaxQueueWait) - 0.3
 		r.Put("Reduce", fmt.Sprintf("%.2f", min(max(over, 0), 0.9)))
 	}
 	l.conn.Send(r)
@@ -531,9 +531,9 @@
 		done()
 		return
 	}
-	l.far.proc.do(times(l.far.work, f.fig.Follow), true, func() {
+	l.far.proc.do(times(l.far.work, f.fig.FollowUpWork), true, func() {
 		if l.near.Up {
-			l.near.proc.do(times(l.near.work, f.fig.Follow), true, func() {})
+			l.near.proc.do(times(l.near.work, f.fig.FollowUpWork), true, func() {})
 		}
 		f.end(l)
 		done()
@@ -543,7 +543,7 @@
 // change books circuits of a group and tells both ends soon.
 func (f *Fleet) change(g *Group, by int) {
 	g.Free += by
-	for _, end := range [2][2]int{{g.A, g.B}, {g.B, g.A}} {
+	for _, end := range [2][2]int{{g.LowNumber, g.HighNumber}, {g.HighNumber, g.LowNumber}} {
 		if f.dirty[end[0]] == nil {
 			f.dirty[end[0]] = map[int]bool{}
 		}
@@ -575,7 +575,7 @@
 	}
 	var m *signal.Message
 	for _, cell := range sortedKeys(f.cells) {
-		if cell == x.Cell || some != nil && !some[cell] {
+		if cell == x.Number || some != nil && !some[cell] {
 			continue
 		}
 		if m == nil || len(m.Descriptors) >= reportLines {
@@ -586,7 +586,7 @@
 			m = &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
 		}
 		free, size := 0, 0
-		if g := f.group(x.Cell, cell); g != nil {
+		if g := f.group(x.Number, cell); g != nil {
 			free, size = max(g.Free, 0), g.Size-g.lost
 		}
 		m.Put("Group", fmt.Sprintf("%d %d %d", cell, free, size))
@@ -604,12 +604,12 @@
 	f.cutAll(func(l *leg) bool { return l.near == x || l.far == x })
 }
 
-// Start brings a crashed processor back, cold.
-func (f *Fleet) Start(x *Exchange) {
-	x.Up, x.Hung = true, false
-	x.Since = f.s.Now()
-	x.proc.restart(x.Since)
-	f.Started(x)
+// Restart brings a crashed processor back, cold.
+func (f *Fleet) Restart(x *Exchange) {
+	x.Up, x.Unresponsive = true, false
+	x.StartedAt = f.s.Now()
+	x.proc.restart(x.StartedAt)
+	f.OnStart(x)
 }
 
 // Retire ends an exchange that was replaced.
@@ -620,7 +620,7 @@
 
 func (f *Fleet) legs() []*leg {
 	var all []*leg
-	for _, x := range f.All {
+	for _, x := range f.Exchanges {
 		for _, c := range x.conns {
 			for _, k := range sortedLegs(c.legs) {
 				all = append(all, c.legs[k])
@@ -641,16 +641,16 @@
 	return n
 }
 
-// CutSome cuts a share of the calls that stand and end here.
-func (f *Fleet) CutSome(share float64) int {
-	return f.cutAll(func(l *leg) bool { return l.stands && l.dest == l.far.Cell && f.rnd.Float64() < share })
+// CutCalls cuts a share of the calls that stand and end here.
+func (f *Fleet) CutCalls(share float64) int {
+	return f.cutAll(func(l *leg) bool { return l.stands && l.dest == l.far.Number && f.rnd.Float64() < share })
 }
 
-// Lose takes a share of the circuits between regions away, and the calls on
+// LoseCircuits takes a share of the circuits between regions away, and the calls on
 // them; Regain brings them back.
-func (f *Fleet) Lose(share float64) {
+func (f *Fleet) LoseCircuits(share float64) {
 	for _, g := range f.order {
-		a, b := f.cells[g.A], f.cells[g.B]
+		a, b := f.cells[g.LowNumber], f.cells[g.HighNumber]
 		if a == nil || b == nil || a.Region == b.Region || g.lost > 0 {
 			continue
 		}
@@ -667,8 +667,8 @@
 	}
 }
 
-// Regain ends Lose.
-func (f *Fleet) Regain() {
+// RestoreCircuits ends Lose.
+func (f *Fleet) RestoreCircuits() {
 	for _, g := range f.order {
 		if g.lost > 0 {
 			f.change(g, g.lost)
@@ -677,11 +677,11 @@
 	}
 }
 
-// Slow makes a processor so many times slower; Pause lets it stand still.
-func (x *Exchange) Slow(times float64) { x.proc.slow = max(times, 0.01) }
+// SetSlowdown makes a processor so many times slower; Pause lets it stand still.
+func (x *Exchange) SetSlowdown(times float64) { x.proc.slow = max(times, 0.01) }
 
-// Pause lets a processor stand still for a while.
-func (x *Exchange) Pause(until time.Duration) { x.proc.paused = until }
+// PauseUntil lets a processor stand still for a while.
+func (x *Exchange) PauseUntil(until time.Duration) { x.proc.paused = until }
 
 func sortedKeys[K int | string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
--- a/internal/standin/exchange/processor.go
+++ b/internal/standin/exchange/processor.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Sched is virtual or real time: stand-ins have no clock of their own.
-type Sched interface {
+// Scheduler is virtual or real time: stand-ins have no clock of their own.
+type Scheduler interface {
 	Now() time.Duration
 	After(d time.Duration, f func())
 }
@@ -11,7 +11,7 @@
 // processor is one line on which work is time. It serves answers and releases
 // first, or in turn with set-ups.
 type processor struct {
-	s      Sched
+	s      Scheduler
 	queues [2][]job // first, then the rest
 	first  bool     // answers go first
 	busy   bool
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -12,19 +12,19 @@
 
 // Entry is one line of the list.
 type Entry struct {
-	ID    uint32
-	Cell  int
-	State string        // in, draining or out
-	Since time.Duration // since 1970, 0 long ago
-	Addr  string
+	ID        uint32
+	Number    int
+	State     string        // in, draining or out
+	StartedAt time.Duration // since 1970, 0 long ago
+	Addr      string
 }
 
 func (e Entry) line() string {
-	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Cell, e.State, e.Since.Milliseconds(), e.Addr)
+	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Number, e.State, e.StartedAt.Milliseconds(), e.Addr)
 }
 
-// Sched is the time that the list lives in.
-type Sched interface {
+// Scheduler is the time that the list lives in.
+type Scheduler interface {
 	Now() time.Duration
 	After(d time.Duration, f func())
 }
@@ -39,7 +39,7 @@
 
 // List is the exchange list.
 type List struct {
-	s       Sched
+	s       Scheduler
 	rnd     *rand.Rand
 	notice  time.Duration
 	entries []Entry
@@ -47,12 +47,12 @@
 }
 
 // New makes a list that tells of changes late by notice, on average.
-func New(s Sched, rnd *rand.Rand, notice time.Duration) *List {
+func New(s Scheduler, rnd *rand.Rand, notice time.Duration) *List {
 	return &List{s: s, rnd: rnd, notice: notice}
 }
 
-// Set changes a line, or adds one.
-func (l *List) Set(e Entry) {
+// Update changes a line, or adds one.
+func (l *List) Update(e Entry) {
 	found := false
 	for i := range l.entries {
 		if l.entries[i].ID == e.ID {
@@ -79,15 +79,15 @@
 	}
 }
 
-// Open takes a connection.
-func (l *List) Open(send func(*signal.Message)) *Conn {
+// OpenConn takes a connection.
+func (l *List) OpenConn(send func(*signal.Message)) *Conn {
 	c := &Conn{Send: send}
 	l.conns = append(l.conns, c)
 	return c
 }
 
-// Closed ends one.
-func (l *List) Closed(c *Conn) {
+// ConnClosed ends one.
+func (l *List) ConnClosed(c *Conn) {
 	c.subscribed = false
 	for i := range l.conns {
 		if l.conns[i] == c {
@@ -100,8 +100,8 @@
 // entriesAPage bounds one message; further ones bring the rest as changes.
 const entriesAPage = 100
 
-// Message takes a message from a controller.
-func (l *List) Message(c *Conn, m *signal.Message) {
+// HandleMessage takes a message from a controller.
+func (l *List) HandleMessage(c *Conn, m *signal.Message) {
 	if m.Kind != signal.Request {
 		return
 	}
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -11,8 +11,8 @@
 // last calls to end.
 const settle = 1500 * time.Millisecond
 
-// Begin starts the calls when the controllers know the list and their circuits.
-func (w *Scene) Begin(progress func(time.Duration, int), end func()) {
+// Start starts the calls when the controllers know the list and their circuits.
+func (w *Simulation) Start(progress func(time.Duration, int), end func()) {
 	w.s.After(settle, func() {
 		w.began = w.s.Now()
 		w.next = w.began
@@ -26,7 +26,7 @@
 		tick = func() {
 			passed := w.s.Now() - w.began
 			if progress != nil {
-				progress(min(passed, w.scn.Length), len(w.Crowd.Calls))
+				progress(min(passed, w.scn.Length), len(w.Callers.Calls))
 			}
 			if passed < w.scn.Length {
 				w.s.After(200*time.Millisecond, tick)
@@ -43,7 +43,7 @@
 					return
 				}
 				w.s.After(300*time.Millisecond, func() {
-					w.Crowd.Over = true
+					w.Callers.Finished = true
 					end()
 				})
 			}
@@ -52,10 +52,10 @@
 	})
 }
 
-func (w *Scene) unanswered() int {
+func (w *Simulation) unanswered() int {
 	n := 0
-	for _, k := range w.Crowd.Calls {
-		if k.Result == subscriber.None && k.Stood == 0 {
+	for _, k := range w.Callers.Calls {
+		if k.Outcome == subscriber.Pending && k.SetUpTime == 0 {
 			n++
 		}
 	}
@@ -64,13 +64,13 @@
 
 // dialNext lets calls come as a Poisson stream that waits for nobody: a timer
 // that fires late makes one call late, not all that follow.
-func (w *Scene) dialNext() {
+func (w *Simulation) dialNext() {
 	if !w.dialling {
 		return
 	}
 	passed := (w.s.Now() - w.began).Seconds()
 	rate := w.rate * w.scn.Load.Level * w.burst * (1 + w.scn.Load.Swing*math.Sin(passed/4))
-	w.next += subscriber.Interval(w.rnd, rate)
+	w.next += subscriber.ArrivalInterval(w.rnd, rate)
 	w.s.After(w.next-w.s.Now(), func() {
 		if w.dialling {
 			w.dial()
@@ -79,28 +79,30 @@
 	})
 }
 
-func (w *Scene) dial() {
+func (w *Simulation) dial() {
 	n := w.scn.Fleet.Exchanges
 	from := w.rnd.IntN(n)
 	if w.flood > 0 && w.rnd.Float64() < w.flood {
 		from = w.flooded
 	}
 	if w.hot > 0 && w.rnd.Float64() < w.hot && from != w.hotDest {
-		w.Crowd.Dial(from, w.hotDest, HotNumber)
+		w.Callers.Dial(from, w.hotDest, HotNumber)
 		return
 	}
 	x := w.rnd.Float64() * w.scn.Fleet.ErlangPerExchange
 	for j, v := range w.weights[from] {
 		if x -= v; x < 0 && j != from {
-			w.Crowd.Dial(from, j, "")
+			w.Callers.Dial(from, j, "")
 			return
 		}
 	}
-	w.Crowd.Dial(from, (from+1)%n, "")
+	w.Callers.Dial(from, (from+1)%n, "")
 }
 
-// Seen lists the troubles that came.
-func (w *Scene) Seen() []Seen { return w.seen }
+// Troubles lists the troubles that came.
+func (w *Simulation) Troubles() []TroubleRecord { return w.seen }
 
-// Since is when a call was first tried, counted from the day's begin.
-func (w *Scene) Since(k *subscriber.Call) time.Duration { return k.At - w.began }
+// FirstAttemptTime is when a call was first tried, counted from the day's begin.
+func (w *Simulation) FirstAttemptTime(k *subscriber.Call) time.Duration {
+	return k.FirstAttemptAt - w.began
+}
--- a/internal/standin/scene/scene.go
+++ b/internal/standin/scene/scene.go
@@ -22,44 +22,44 @@
 type Fault uint8
 
 const (
-	Mute      Fault = iota // half open: they stand, nothing comes and nothing is heard
-	Stalled                // nothing is read
-	Fragments              // all is sent in small pieces
+	HalfOpen         Fault = iota // half open: they stand, nothing comes and nothing is heard
+	StalledReader                 // nothing is read
+	FragmentedWrites              // all is sent in small pieces
 )
 
-// Edge is how a scene is reached by controllers. Exchanges are named by their ids.
-type Edge interface {
-	Open(id uint32) (addr string, err error) // a door for an exchange that is about to come into service
-	Shut(id uint32)                          // closes the door and all connections behind it
-	// Break closes connections of an exchange, in the order of their making, and counts them.
-	Break(id uint32, why string, which func(*exchange.Conn) bool) int
-	Fault(id uint32, f Fault, on bool)
-	ListAway(away bool)
-	Garbage(perSecond float64) (stop func()) // unreadable messages to each controller
-	Restart(cell int)                        // kills a controller and starts it again
-	Fact(name string, v any)                 // for the record
+// Environment is how a scene is reached by controllers. Exchanges are named by their ids.
+type Environment interface {
+	Listen(id uint32) (addr string, err error) // a door for an exchange that is about to come into service
+	StopListening(id uint32)                   // closes the door and all connections behind it
+	// CloseConns closes connections of an exchange, in the order of their making, and counts them.
+	CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int
+	SetFault(id uint32, f Fault, on bool)
+	SetListUnavailable(away bool)
+	SendMalformed(perSecond float64) (stop func()) // unreadable messages to each controller
+	RestartController(cell int)                    // kills a controller and starts it again
+	Record(name string, v any)                     // for the record
 }
 
-// Host is one exchange with its place in the list.
-type Host struct {
+// ListedExchange is one exchange with its place in the list.
+type ListedExchange struct {
 	*exchange.Exchange
 	addr string
 }
 
-// Scene is the stand-ins of one scenario.
-type Scene struct {
+// Simulation is the stand-ins of one scenario.
+type Simulation struct {
 	scn  *settings.Scenario
-	s    exchange.Sched
+	s    exchange.Scheduler
 	rnd  *rand.Rand
-	edge Edge
+	edge Environment
 
 	source *rand.PCG // of rnd
 
-	Fleet *exchange.Fleet
-	List  *exlist.List
-	Crowd *subscriber.Crowd
+	Fleet   *exchange.Fleet
+	List    *exlist.List
+	Callers *subscriber.Callers
 
-	hosts    []*Host
+	hosts    []*ListedExchange
 	weights  [][]float64 // traffic from row to column
 	rate     float64     // of all first tries at load 1, a second
 	began    time.Duration
@@ -70,7 +70,7 @@
 	burst, flood, hot float64
 	flooded           int
 	hotDest           int
-	seen              []Seen
+	seen              []TroubleRecord
 }
 
 // HotNumber is the one that many call in the trouble of that name.
@@ -79,17 +79,17 @@
 // hotLines is how many lines it has.
 const hotLines = 4
 
-// Seen is a trouble that came.
-type Seen struct {
+// TroubleRecord is a trouble that came.
+type TroubleRecord struct {
 	settings.Trouble
-	What string
-	From time.Duration // since the day began
-	To   time.Duration
+	Description string
+	Start       time.Duration // since the day began
+	End         time.Duration
 }
 
 // New draws a fleet and brings it into service.
-func New(scn *settings.Scenario, s exchange.Sched, edge Edge) (*Scene, error) {
-	w := &Scene{scn: scn, s: s, edge: edge, source: rand.NewPCG(scn.Seed, stream), burst: 1}
+func New(scn *settings.Scenario, s exchange.Scheduler, edge Environment) (*Simulation, error) {
+	w := &Simulation{scn: scn, s: s, edge: edge, source: rand.NewPCG(scn.Seed, stream), burst: 1}
 	w.rnd = rand.New(w.source)
 	if err := w.build(); err != nil {
 		return nil, err
@@ -101,11 +101,11 @@
 
 // Reseed draws all that is still to come from another seed: other calls in the
 // fleet that was drawn.
-func (w *Scene) Reseed(seed uint64) { w.source.Seed(seed, stream+1) }
+func (w *Simulation) Reseed(seed uint64) { w.source.Seed(seed, stream+1) }
 
 // Traffic is what each exchange's callers offer to each other one now, in
 // circuits taken at the same time if none were lost, at the load's level.
-func (w *Scene) Traffic() [][]float64 {
+func (w *Simulation) Traffic() [][]float64 {
 	all := make([][]float64, len(w.weights))
 	for i := range all {
 		all[i] = make([]float64, len(w.weights[i]))
@@ -122,20 +122,20 @@
 	return math.Exp(s*rnd.NormFloat64() - s*s/2)
 }
 
-func (w *Scene) build() error {
+func (w *Simulation) build() error {
 	s := w.scn
 	f, p := s.Fleet, s.Processor
-	w.edge.Fact("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
+	w.edge.Record("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
 		ReleaseTime: s.Rules.ReleaseTime, OverloadFactor: s.Rules.OverloadFactor, OverloadDuration: s.Rules.OverloadDuration})
-	w.Fleet = exchange.New(w.s, w.rnd, exchange.Figures{Near: f.IntraRegionDelay, Far: f.InterRegionDelay, Queue: p.MaxQueueWait, Look: p.ExamineWork, Reject: p.RejectWork,
-		Follow: p.FollowUpWork, Repeat: p.ResendWork, Resend: p.ResendAfter, FinishFirst: p.FinishFirst, GivesWait: p.ReportsWait,
-		Reduce: p.ReportsReduction, ColdFrom: s.Rules.ColdCapacity, ColdFor: s.Rules.ColdDuration})
-	w.Fleet.Started = func(x *exchange.Exchange) {
-		c := capture.Capacity{ExchangeID: x.ID, ExchangeNumber: x.Cell, SetUpsPerSecond: x.PerSecond(), InitialShare: 1, Since: x.Since.Milliseconds()}
-		if x.Since > 0 {
+	w.Fleet = exchange.New(w.s, w.rnd, exchange.Config{IntraRegionDelay: f.IntraRegionDelay, InterRegionDelay: f.InterRegionDelay, MaxQueueWait: p.MaxQueueWait, ExamineWork: p.ExamineWork, RejectWork: p.RejectWork,
+		FollowUpWork: p.FollowUpWork, ResendWork: p.ResendWork, ResendAfter: p.ResendAfter, FinishFirst: p.FinishFirst, ReportsWait: p.ReportsWait,
+		ReportsReduction: p.ReportsReduction, ColdCapacity: s.Rules.ColdCapacity, ColdDuration: s.Rules.ColdDuration})
+	w.Fleet.OnStart = func(x *exchange.Exchange) {
+		c := capture.Capacity{ExchangeID: x.ID, ExchangeNumber: x.Number, SetUpsPerSecond: x.SetUpsPerSecond(), InitialShare: 1, Since: x.StartedAt.Milliseconds()}
+		if x.StartedAt > 0 {
 			c.InitialShare, c.WarmUpTime = s.Rules.ColdCapacity, s.Rules.ColdDuration
 		}
-		w.edge.Fact("capacity", c)
+		w.edge.Record("capacity", c)
 	}
 	share, seconds := 0.0, 0.0
 	var classes []subscriber.Class
@@ -143,15 +143,15 @@
 		share += c.Share
 		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 		classes = append(classes, subscriber.Class{Name: c.Name, Share: c.Share, Worth: c.Worth, LateWorth: c.LateWorth,
-			Aim: c.SetUpTarget, Patience: c.Patience, Holding: c.HoldingTime})
+			SetUpTarget: c.SetUpTarget, Patience: c.Patience, HoldingTime: c.HoldingTime})
 	}
 	each := f.ErlangPerExchange / (seconds / share) // calls a second that one exchange's callers make
 	w.rate = each * float64(f.Exchanges)
 	work := time.Duration(p.Utilization / (each * (2 + p.ExamineWork + 4*p.FollowUpWork)) * float64(time.Second))
 	w.draw(f)
 	h := s.Callers
-	w.Crowd = subscriber.New(w.s, w.rnd, classes, subscriber.Habits{Redials: h.MaxRedials, RedialAfter: h.MeanRedialDelay,
-		TryShare: h.AttemptShare, Impatient: h.ImpatientShare, Honour: h.HonourShare, MarksRepeat: s.Rules.CallersMarkRetries})
+	w.Callers = subscriber.New(w.s, w.rnd, classes, subscriber.Behavior{MaxRedials: h.MaxRedials, MeanRedialDelay: h.MeanRedialDelay,
+		AttemptShare: h.AttemptShare, ImpatientShare: h.ImpatientShare, HonourShare: h.HonourShare, MarksRetries: s.Rules.CallersMarkRetries})
 	w.List = exlist.New(w.s, w.rnd, s.List.MeanDelay)
 	w.nextID = w.rnd.Uint32N(1<<20) + 1<<20
 	for cell := range f.Exchanges {
@@ -160,13 +160,13 @@
 		}
 	}
 	if s.Rules.RouteAdvice && s.List.AdviceAge > 0 {
-		w.Crowd.Advice = w.advice()
+		w.Callers.RouteAdvice = w.advice()
 	}
 	return nil
 }
 
 // draw makes the plan, the groups that it asks for, and the traffic that misses it.
-func (w *Scene) draw(f settings.Fleet) {
+func (w *Simulation) draw(f settings.Fleet) {
 	n := f.Exchanges
 	plan := make([][]float64, n)
 	for i := range plan {
@@ -201,7 +201,7 @@
 	for _, p := range pairs {
 		if !without[[2]int{p.a, p.b}] {
 			load := p.load / (1 - f.UnlinkedShare) // room for those without a group
-			w.Fleet.Link(p.a, p.b, max(int(math.Ceil(load+f.SpareFactor*math.Sqrt(load))), 2))
+			w.Fleet.AddGroup(p.a, p.b, max(int(math.Ceil(load+f.SpareFactor*math.Sqrt(load))), 2))
 		}
 	}
 	w.weights = plan
@@ -216,7 +216,7 @@
 	}
 }
 
-func (w *Scene) drift(cv float64) {
+func (w *Simulation) drift(cv float64) {
 	for i := range w.weights {
 		sum, was := 0.0, 0.0
 		for j, v := range w.weights[i] {
@@ -231,14 +231,14 @@
 }
 
 // advice is a centre that looks at all groups now and then.
-func (w *Scene) advice() func(from, dest int) int {
+func (w *Simulation) advice() func(from, dest int) int {
 	best := map[[2]int]int{}
 	var look func()
 	look = func() {
 		clear(best)
 		free := map[[2]int]int{}
 		for _, g := range w.Fleet.Groups() {
-			free[[2]int{g.A, g.B}], free[[2]int{g.B, g.A}] = g.Free, g.Free
+			free[[2]int{g.LowNumber, g.HighNumber}], free[[2]int{g.HighNumber, g.LowNumber}] = g.Free, g.Free
 		}
 		n := w.scn.Fleet.Exchanges
 		for a := range n {
@@ -264,20 +264,20 @@
 }
 
 // add brings an exchange into service and the list.
-func (w *Scene) add(cell, region int, work time.Duration, cold bool) (*Host, error) {
+func (w *Simulation) add(cell, region int, work time.Duration, cold bool) (*ListedExchange, error) {
 	w.nextID += 1 + w.rnd.Uint32N(1000)
-	addr, err := w.edge.Open(w.nextID)
+	addr, err := w.edge.Listen(w.nextID)
 	if err != nil {
 		return nil, fmt.Errorf("exchange %d: %w", cell, err)
 	}
-	h := &Host{w.Fleet.Add(w.nextID, cell, region, work, cold), addr}
+	h := &ListedExchange{w.Fleet.AddExchange(w.nextID, cell, region, work, cold), addr}
 	w.hosts = append(w.hosts, h)
-	w.List.Set(h.entry("in"))
+	w.List.Update(h.entry("in"))
 	return h, nil
 }
 
-// Exchange finds one by its id, nil if there is none.
-func (w *Scene) Exchange(id uint32) *exchange.Exchange {
+// ExchangeByID finds one by its id, nil if there is none.
+func (w *Simulation) ExchangeByID(id uint32) *exchange.Exchange {
 	for _, h := range w.hosts {
 		if h.ID == id {
 			return h.Exchange
@@ -286,6 +286,6 @@
 	return nil
 }
 
-func (h *Host) entry(state string) exlist.Entry {
-	return exlist.Entry{ID: h.ID, Cell: h.Cell, State: state, Since: h.Since, Addr: h.addr}
+func (h *ListedExchange) entry(state string) exlist.Entry {
+	return exlist.Entry{ID: h.ID, Number: h.Number, State: state, StartedAt: h.StartedAt, Addr: h.addr}
 }
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -48,14 +48,14 @@
 // nowhere is an edge that nobody reaches.
 type nowhere struct{}
 
-func (nowhere) Open(uint32) (string, error)                         { return "nowhere", nil }
-func (nowhere) Shut(uint32)                                         {}
-func (nowhere) Break(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (nowhere) Fault(uint32, scene.Fault, bool)                     {}
-func (nowhere) ListAway(bool)                                       {}
-func (nowhere) Garbage(float64) func()                              { return func() {} }
-func (nowhere) Restart(int)                                         {}
-func (nowhere) Fact(string, any)                                    {}
+func (nowhere) Listen(uint32) (string, error)                            { return "nowhere", nil }
+func (nowhere) StopListening(uint32)                                     {}
+func (nowhere) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
+func (nowhere) SetFault(uint32, scene.Fault, bool)                       {}
+func (nowhere) SetListUnavailable(bool)                                  {}
+func (nowhere) SendMalformed(float64) func()                             { return func() {} }
+func (nowhere) RestartController(int)                                    {}
+func (nowhere) Record(string, any)                                       {}
 
 // Calls come as often as the scenario says, however late timers fire: an open
 // loop. (Intervals that each began at a late timer lost a third of the calls
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	ended := false
-	s.Begin(nil, func() { ended = true })
+	s.Start(nil, func() { ended = true })
 	for !ended {
 		e := heap.Pop(&c.all).(event)
 		c.now = e.at
@@ -81,7 +81,7 @@
 	}
 	// 30 exchanges of 100 erlang of circuits; a call keeps 6.7 circuit-seconds on average
 	want := 30 * 100 / 6.7 * scn.Length.Seconds()
-	if got := float64(len(s.Crowd.Calls)); got < 0.97*want || got > 1.03*want {
+	if got := float64(len(s.Callers.Calls)); got < 0.97*want || got > 1.03*want {
 		t.Errorf("%.0f calls, %.0f were to come", got, want)
 	}
 }
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -12,31 +12,31 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Sched is the time that callers live in.
-type Sched interface {
+// Scheduler is the time that callers live in.
+type Scheduler interface {
 	Now() time.Duration
 	After(d time.Duration, f func())
 }
 
 // Class is one class of calls.
 type Class struct {
-	Name      string
-	Share     float64
-	Worth     float64
-	LateWorth float64
-	Aim       time.Duration
-	Patience  time.Duration
-	Holding   time.Duration
+	Name        string
+	Share       float64
+	Worth       float64
+	LateWorth   float64
+	SetUpTarget time.Duration
+	Patience    time.Duration
+	HoldingTime time.Duration
 }
 
-// Habits are what callers do.
-type Habits struct {
-	Redials     int
-	RedialAfter time.Duration
-	TryShare    float64
-	Impatient   float64
-	Honour      float64
-	MarksRepeat bool
+// Behavior are what callers do.
+type Behavior struct {
+	MaxRedials      int
+	MeanRedialDelay time.Duration
+	AttemptShare    float64
+	ImpatientShare  float64
+	HonourShare     float64
+	MarksRetries    bool
 }
 
 // Conn is a connection to a controller.
@@ -47,44 +47,44 @@
 	names map[string]*try // unanswered and standing
 }
 
-// Line reaches a controller; it may have several connections.
-type Line struct {
-	Cell  int
-	conns []*Conn
-	next  int
+// ConnPool reaches a controller; it may have several connections.
+type ConnPool struct {
+	Number int
+	conns  []*Conn
+	next   int
 }
 
-// End is how a call ended for its caller.
-type End uint8
+// Outcome is how a call ended for its caller.
+type Outcome uint8
 
 const (
-	None    End = iota // not yet
-	InTime             // stood within the aim, to its end
-	Late               // stood later, to its end
-	Refused            // the last word was a refusal
-	Failed             // the last word was a failure
-	Cut                // cut while it stood
-	GaveUp             // the caller left, or nobody answered
-	Lost               // the controller was gone
+	Pending Outcome = iota // not yet
+	InTime                 // stood within the aim, to its end
+	Late                   // stood later, to its end
+	Refused                // the last word was a refusal
+	Failed                 // the last word was a failure
+	Cut                    // cut while it stood
+	GaveUp                 // the caller left, or nobody answered
+	Lost                   // the controller was gone
 )
 
 // Call is one first try with all that came of it.
 type Call struct {
-	Class  int
-	At     time.Duration // first tried
-	From   int
-	Dest   int
-	Hot    bool
-	Tries  int
-	Stood  time.Duration // how long after At it stood, 0 never
-	Result End
-	Again  bool // was cut and came again
+	Class           int
+	FirstAttemptAt  time.Duration // first tried
+	Source          int
+	Dest            int
+	ToHotNumber     bool
+	Attempts        int
+	SetUpTime       time.Duration // how long after At it stood, 0 never
+	Outcome         Outcome
+	RetriedAfterCut bool // was cut and came again
 }
 
 type try struct {
 	call   *Call
 	conn   *Conn
-	line   *Line
+	line   *ConnPool
 	tx     uint32
 	name   string
 	number string
@@ -94,37 +94,37 @@
 	first  time.Duration // of the call, or of its coming again
 }
 
-// Crowd is all callers.
-type Crowd struct {
-	s       Sched
-	rnd     *rand.Rand
-	classes []Class
-	habits  Habits
-	total   float64
-	lines   map[int]*Line
-	Calls   []*Call
-	names   uint64
-	open    int
-	Advice  func(from, dest int) int // the centre's advice; nil: none
-
-	AgainUntil time.Duration // calls cut before this come again
-	Over       bool          // the day is over: what stands counts as it stands
+// Callers is all callers.
+type Callers struct {
+	s           Scheduler
+	rnd         *rand.Rand
+	classes     []Class
+	habits      Behavior
+	total       float64
+	lines       map[int]*ConnPool
+	Calls       []*Call
+	names       uint64
+	open        int
+	RouteAdvice func(from, dest int) int // the centre's advice; nil: none
+
+	RetryCutCallsUntil time.Duration // calls cut before this come again
+	Finished           bool          // the day is over: what stands counts as it stands
 }
 
 // New makes a crowd without a line.
-func New(s Sched, rnd *rand.Rand, classes []Class, habits Habits) *Crowd {
-	c := &Crowd{s: s, rnd: rnd, classes: classes, habits: habits, lines: map[int]*Line{}}
+func New(s Scheduler, rnd *rand.Rand, classes []Class, habits Behavior) *Callers {
+	c := &Callers{s: s, rnd: rnd, classes: classes, habits: habits, lines: map[int]*ConnPool{}}
 	for _, cl := range classes {
 		c.total += cl.Share
 	}
 	return c
 }
 
-// Open brings a connection to a controller into use.
-func (c *Crowd) Open(cell int, send func(*signal.Message) bool) *Conn {
+// OpenConn brings a connection to a controller into use.
+func (c *Callers) OpenConn(cell int, send func(*signal.Message) bool) *Conn {
 	l := c.lines[cell]
 	if l == nil {
-		l = &Line{Cell: cell}
+		l = &ConnPool{Number: cell}
 		c.lines[cell] = l
 	}
 	conn := &Conn{Send: send, tries: map[uint32]*try{}, names: map[string]*try{}}
@@ -132,8 +132,8 @@
 	return conn
 }
 
-// Closed ends one: its calls are lost to their callers.
-func (c *Crowd) Closed(cell int, conn *Conn) {
+// ConnClosed ends one: its calls are lost to their callers.
+func (c *Callers) ConnClosed(cell int, conn *Conn) {
 	l := c.lines[cell]
 	for i := range l.conns {
 		if l.conns[i] == conn {
@@ -156,10 +156,10 @@
 }
 
 // OpenCalls tells how many calls are unanswered or stand.
-func (c *Crowd) OpenCalls() int { return c.open }
+func (c *Callers) OpenCalls() int { return c.open }
 
 // draw takes a class by its share.
-func (c *Crowd) draw() int {
+func (c *Callers) draw() int {
 	x := c.rnd.Float64() * c.total
 	for i, cl := range c.classes {
 		if x -= cl.Share; x < 0 {
@@ -170,8 +170,8 @@
 }
 
 // Dial makes a first try; number "" draws one that nobody else calls.
-func (c *Crowd) Dial(from, dest int, number string) *Call {
-	call := &Call{Class: c.draw(), At: c.s.Now(), From: from, Dest: dest, Hot: number != ""}
+func (c *Callers) Dial(from, dest int, number string) *Call {
+	call := &Call{Class: c.draw(), FirstAttemptAt: c.s.Now(), Source: from, Dest: dest, ToHotNumber: number != ""}
 	c.Calls = append(c.Calls, call)
 	if number == "" {
 		number = fmt.Sprint(1e9 + c.rnd.Int64N(1e14))
@@ -180,11 +180,11 @@
 	return call
 }
 
-func (c *Crowd) dial(call *Call, number string, first time.Duration, again bool) {
+func (c *Callers) dial(call *Call, number string, first time.Duration, again bool) {
 	cl := c.classes[call.Class]
 	now := c.s.Now()
-	left := min(time.Duration(float64(cl.Patience)*c.habits.TryShare), first+cl.Patience-now)
-	l := c.lines[call.From]
+	left := min(time.Duration(float64(cl.Patience)*c.habits.AttemptShare), first+cl.Patience-now)
+	l := c.lines[call.Source]
 	if left <= 0 || l == nil || len(l.conns) == 0 {
 		c.settle(call, Lost)
 		return
@@ -193,14 +193,14 @@
 	conn := l.conns[l.next%len(l.conns)]
 	c.names++
 	conn.tx++
-	t := &try{call: call, conn: conn, line: l, tx: conn.tx, name: fmt.Sprintf("c%d-%d", call.From, c.names), number: number,
+	t := &try{call: call, conn: conn, line: l, tx: conn.tx, name: fmt.Sprintf("c%d-%d", call.Source, c.names), number: number,
 		began: now, first: first}
-	call.Tries++
+	call.Attempts++
 	m := &signal.Message{ID: t.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
 	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
-	m.PutFlag("Repeat", c.habits.MarksRepeat && call.Tries > 1 && !again).PutFlag("Again", again)
-	if c.Advice != nil {
-		m.PutInt("Advice", c.Advice(call.From, call.Dest))
+	m.PutFlag("Repeat", c.habits.MarksRetries && call.Attempts > 1 && !again).PutFlag("Again", again)
+	if c.RouteAdvice != nil {
+		m.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
 	}
 	c.open++
 	conn.tries[t.tx], conn.names[t.name] = t, t
@@ -209,7 +209,7 @@
 		return
 	}
 	leaves := left
-	if c.rnd.Float64() < c.habits.Impatient {
+	if c.rnd.Float64() < c.habits.ImpatientShare {
 		leaves = time.Duration(c.rnd.Float64() * float64(left))
 	}
 	c.s.After(leaves, func() {
@@ -220,13 +220,13 @@
 	})
 }
 
-func (c *Crowd) hangUp(t *try) {
+func (c *Callers) hangUp(t *try) {
 	t.conn.tx++
 	t.conn.Send(&signal.Message{ID: t.conn.tx, Command: signal.Subtract, Termination: t.name})
 }
 
-// Message takes a message from a controller.
-func (c *Crowd) Message(conn *Conn, m *signal.Message) {
+// HandleMessage takes a message from a controller.
+func (c *Callers) HandleMessage(conn *Conn, m *signal.Message) {
 	switch {
 	case m.Kind == signal.Reply && m.Command == signal.Add:
 		t := conn.tries[m.ID]
@@ -258,15 +258,15 @@
 	}
 }
 
-func (c *Crowd) stands(t *try) {
+func (c *Callers) stands(t *try) {
 	t.stands = true
 	now := c.s.Now()
-	if t.call.Stood == 0 {
-		t.call.Stood = max(now-t.call.At, 1)
+	if t.call.SetUpTime == 0 {
+		t.call.SetUpTime = max(now-t.call.FirstAttemptAt, 1)
 	}
-	holding := time.Duration(float64(c.classes[t.call.Class].Holding) * c.rnd.ExpFloat64())
-	if t.call.Again && now-t.first > c.classes[t.call.Class].Aim {
-		t.call.Result = Cut // it came again, and stood too late
+	holding := time.Duration(float64(c.classes[t.call.Class].HoldingTime) * c.rnd.ExpFloat64())
+	if t.call.RetriedAfterCut && now-t.first > c.classes[t.call.Class].SetUpTarget {
+		t.call.Outcome = Cut // it came again, and stood too late
 	}
 	c.s.After(holding, func() {
 		if !t.over {
@@ -277,64 +277,64 @@
 }
 
 // done ends a call that stood to its end.
-func (c *Crowd) done(t *try) {
+func (c *Callers) done(t *try) {
 	c.drop(t)
 	call := t.call
-	if call.Result == Cut {
+	if call.Outcome == Cut {
 		return
 	}
-	call.Result = Late
-	if call.Stood <= c.classes[call.Class].Aim {
-		call.Result = InTime
+	call.Outcome = Late
+	if call.SetUpTime <= c.classes[call.Class].SetUpTarget {
+		call.Outcome = InTime
 	}
 }
 
-func (c *Crowd) drop(t *try) {
+func (c *Callers) drop(t *try) {
 	t.over = true
 	c.open--
 	delete(t.conn.names, t.name)
 }
 
-func (c *Crowd) cut(t *try) {
+func (c *Callers) cut(t *try) {
 	c.drop(t)
-	if c.Over {
+	if c.Finished {
 		return
 	}
 	now := c.s.Now()
-	if now < c.AgainUntil && t.call.Result != Cut {
-		t.call.Again = true
+	if now < c.RetryCutCallsUntil && t.call.Outcome != Cut {
+		t.call.RetriedAfterCut = true
 		c.s.After(500*time.Millisecond+time.Duration(c.rnd.Float64()*float64(time.Second)), func() {
 			c.dial(t.call, t.number, c.s.Now(), true)
 		})
 		return
 	}
-	t.call.Result = Cut
+	t.call.Outcome = Cut
 }
 
 // ended is a try that did not stand: the caller may dial again.
-func (c *Crowd) ended(t *try, e End, back time.Duration) {
+func (c *Callers) ended(t *try, e Outcome, back time.Duration) {
 	c.drop(t)
 	call := t.call
 	cl := c.classes[call.Class]
-	gap := time.Duration(float64(c.habits.RedialAfter) * (0.3 + c.rnd.ExpFloat64()*0.7))
-	if back > 0 && c.rnd.Float64() < c.habits.Honour {
+	gap := time.Duration(float64(c.habits.MeanRedialDelay) * (0.3 + c.rnd.ExpFloat64()*0.7))
+	if back > 0 && c.rnd.Float64() < c.habits.HonourShare {
 		gap = max(gap, back)
 	}
-	if call.Hot {
+	if call.ToHotNumber {
 		gap /= 2
 	}
-	if call.Again || call.Tries > c.habits.Redials || c.s.Now()+gap >= t.first+cl.Patience {
+	if call.RetriedAfterCut || call.Attempts > c.habits.MaxRedials || c.s.Now()+gap >= t.first+cl.Patience {
 		c.settle(call, e)
 		return
 	}
 	c.s.After(gap, func() { c.dial(call, t.number, t.first, false) })
 }
 
-func (c *Crowd) settle(call *Call, e End) {
-	if call.Again {
+func (c *Callers) settle(call *Call, e Outcome) {
+	if call.RetriedAfterCut {
 		e = Cut
 	}
-	call.Result = e
+	call.Outcome = e
 }
 
 func sortTries(all []*try) {
@@ -351,8 +351,8 @@
 	Worth, Earned                                                   float64
 }
 
-// Service is the worth earned over the worth offered; 1 where nothing was offered.
-func (t Tally) Service() float64 {
+// ServiceRatio is the worth earned over the worth offered; 1 where nothing was offered.
+func (t Tally) ServiceRatio() float64 {
 	if t.Worth == 0 {
 		return 1
 	}
@@ -360,7 +360,7 @@
 }
 
 // Tally counts the calls that which picks. A call still up counts by how it stood.
-func (c *Crowd) Tally(which func(*Call) bool) Tally {
+func (c *Callers) Tally(which func(*Call) bool) Tally {
 	var t Tally
 	for _, k := range c.Calls {
 		if !which(k) {
@@ -368,7 +368,7 @@
 		}
 		cl := c.classes[k.Class]
 		worth := cl.Worth
-		if k.Hot {
+		if k.ToHotNumber {
 			worth *= 0.1 // its callers want one number that has few lines
 		}
 		t.Offered++
@@ -397,18 +397,18 @@
 	return t
 }
 
-func (k *Call) end(cl Class) End {
-	if k.Result != None || k.Stood == 0 {
-		return k.Result
+func (k *Call) end(cl Class) Outcome {
+	if k.Outcome != Pending || k.SetUpTime == 0 {
+		return k.Outcome
 	}
-	if k.Stood <= cl.Aim {
+	if k.SetUpTime <= cl.SetUpTarget {
 		return InTime
 	}
 	return Late
 }
 
-// Interval draws the time to the next arrival at a rate a second.
-func Interval(rnd *rand.Rand, rate float64) time.Duration {
+// ArrivalInterval draws the time to the next arrival at a rate a second.
+func ArrivalInterval(rnd *rand.Rand, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Second
 	}
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -93,7 +93,7 @@
 }
 
 // garbage sends what can't be read to each controller.
-func (w *World) garbage(perSecond float64) func() {
+func (w *Runner) garbage(perSecond float64) func() {
 	stop := make(chan struct{})
 	for cell := range w.scn.Fleet.Exchanges {
 		w.wg.Go(func() {
@@ -119,7 +119,7 @@
 				case <-time.After(time.Duration(float64(time.Second) / perSecond)):
 				}
 				_ = nc.SetWriteDeadline(time.Now().Add(time.Second))
-				if _, err := nc.Write([]byte(scene.Junk[i%len(scene.Junk)])); err != nil {
+				if _, err := nc.Write([]byte(scene.MalformedMessages[i%len(scene.MalformedMessages)])); err != nil {
 					return
 				}
 			}
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -76,7 +76,7 @@
 
 // handler brings a connection's events into the loop.
 type handler struct {
-	w       *World
+	w       *Runner
 	message func(*signal.Message)
 	closed  func()
 }
@@ -97,7 +97,7 @@
 }
 
 // serve starts a stand-in's end of a connection.
-func (w *World) serve(nc net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
+func (w *Runner) serve(nc net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
 	tap := w.capture.Open(transport.ConnectionKey(nc, dialed), capture.Endpoint{Owner: owner, Role: role, Dialed: dialed})
 	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 16}, WriteTimeout: time.Minute, Capture: tap, Now: w.loop.clock},
 		&handler{w, message, closed})
@@ -109,7 +109,7 @@
 }
 
 // accept takes connections until the listener is closed.
-func (w *World) accept(ln net.Listener, each func(net.Conn)) {
+func (w *Runner) accept(ln net.Listener, each func(net.Conn)) {
 	w.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
@@ -122,7 +122,7 @@
 }
 
 // redial keeps a connection to a controller: made in the loop, made again when it is lost.
-func (w *World) redial(addr string, made func(net.Conn) *transport.Conn[*signal.Message]) {
+func (w *Runner) redial(addr string, made func(net.Conn) *transport.Conn[*signal.Message]) {
 	w.wg.Go(func() {
 		for w.ctx.Err() == nil {
 			if nc, err := w.net.Dial(w.ctx, addr); err == nil {
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -21,14 +21,14 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Net is how stand-ins are reached and reach controllers.
-type Net struct {
+// Network is how stand-ins are reached and reach controllers.
+type Network struct {
 	Listen func() (net.Listener, error)
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Host runs the controllers; Restart kills one and starts it again.
-type Host interface {
+// Controllers runs the controllers; Restart kills one and starts it again.
+type Controllers interface {
 	Addr(cell int) string
 	Restart(cell int)
 }
@@ -45,14 +45,14 @@
 	ec *exchange.Conn
 }
 
-// World is the stand-ins of one scenario on a network.
-type World struct {
-	*scene.Scene
+// Runner is the stand-ins of one scenario on a network.
+type Runner struct {
+	*scene.Simulation
 	scn     *settings.Scenario
 	loop    *loop
-	net     Net
+	net     Network
 	capture *capture.Writer
-	hosts   Host
+	hosts   Controllers
 
 	ctx      context.Context
 	stop     context.CancelFunc
@@ -67,13 +67,13 @@
 }
 
 // New draws a fleet and opens its listeners.
-func New(scn *settings.Scenario, n Net, w *capture.Writer) (*World, error) {
+func New(scn *settings.Scenario, n Network, w *capture.Writer) (*Runner, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	wd := &World{scn: scn, loop: newLoop(), net: n, capture: w, ctx: ctx, stop: stop, done: make(chan struct{}),
+	wd := &Runner{scn: scn, loop: newLoop(), net: n, capture: w, ctx: ctx, stop: stop, done: make(chan struct{}),
 		doors: map[uint32]*door{}}
 	s, err := scene.New(scn, wd.loop, edge{wd})
 	if err == nil {
-		wd.Scene = s
+		wd.Simulation = s
 		wd.listLn, err = n.Listen()
 	}
 	if err != nil {
@@ -85,9 +85,9 @@
 }
 
 // edge is what the scene asks of its sockets. All but Open come in the loop.
-type edge struct{ w *World }
+type edge struct{ w *Runner }
 
-func (e edge) Open(id uint32) (string, error) {
+func (e edge) Listen(id uint32) (string, error) {
 	ln, err := e.w.net.Listen()
 	if err != nil {
 		return "", err
@@ -98,12 +98,12 @@
 	return ln.Addr().String(), nil
 }
 
-func (e edge) Shut(id uint32) {
-	e.Break(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
+func (e edge) StopListening(id uint32) {
+	e.CloseConns(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
 	e.w.doors[id].ln.Close()
 }
 
-func (e edge) Break(id uint32, why string, which func(*exchange.Conn) bool) int {
+func (e edge) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
 	n := 0
 	for _, l := range e.w.doors[id].conns {
 		if which(l.ec) {
@@ -114,12 +114,12 @@
 	return n
 }
 
-func (e edge) Fault(id uint32, f scene.Fault, on bool) {
+func (e edge) SetFault(id uint32, f scene.Fault, on bool) {
 	wire := e.w.doors[id].wire
 	switch {
-	case f == scene.Mute:
+	case f == scene.HalfOpen:
 		wire.mute.Store(on)
-	case f == scene.Fragments:
+	case f == scene.FragmentedWrites:
 		wire.fragments.Store(on)
 	case on:
 		wire.stalled.Store(true)
@@ -128,7 +128,7 @@
 	}
 }
 
-func (e edge) ListAway(away bool) {
+func (e edge) SetListUnavailable(away bool) {
 	e.w.listAway.Store(away)
 	if away {
 		for _, c := range e.w.lists {
@@ -137,12 +137,12 @@
 	}
 }
 
-func (e edge) Garbage(perSecond float64) func() { return e.w.garbage(perSecond) }
-func (e edge) Restart(cell int)                 { e.w.hosts.Restart(cell) }
-func (e edge) Fact(name string, v any)          { e.w.capture.Fact(name, v) }
+func (e edge) SendMalformed(perSecond float64) func() { return e.w.garbage(perSecond) }
+func (e edge) RestartController(cell int)             { e.w.hosts.Restart(cell) }
+func (e edge) Record(name string, v any)              { e.w.capture.Fact(name, v) }
 
-func (w *World) acceptExchange(d *door, id uint32, nc net.Conn) {
-	if x := w.Exchange(id); x != nil && x.Up {
+func (w *Runner) acceptExchange(d *door, id uint32, nc net.Conn) {
+	if x := w.ExchangeByID(id); x != nil && x.Up {
 		w.talk(d, x, d.wire.wrap(nc), false)
 	} else {
 		nc.Close()
@@ -150,30 +150,30 @@
 }
 
 // talk serves a connection of an exchange: a controller's, or its own to its controller.
-func (w *World) talk(d *door, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
+func (w *Runner) talk(d *door, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
 	var ec *exchange.Conn
 	var c *transport.Conn[*signal.Message]
 	c = w.serve(nc, transit, exchangeOwner(x.ID), "controller",
 		func(m *signal.Message) {
 			if transit || !d.wire.mute.Load() {
-				w.Fleet.Message(ec, m)
+				w.Fleet.HandleMessage(ec, m)
 			}
 		},
 		func() {
 			d.conns = slices.DeleteFunc(d.conns, func(l link) bool { return l.c == c })
-			w.Fleet.Closed(ec)
+			w.Fleet.ConnClosed(ec)
 		})
 	send := say(c)
-	ec = w.Fleet.Open(x, transit, func(m *signal.Message) { send(m) })
+	ec = w.Fleet.OpenConn(x, transit, func(m *signal.Message) { send(m) })
 	d.conns = append(d.conns, link{c, ec})
 	return c
 }
 
 // ListAddr is where controllers find the exchange list.
-func (w *World) ListAddr() string { return w.listAddr }
+func (w *Runner) ListAddr() string { return w.listAddr }
 
 // Run starts the callers and lets the day pass; progress is told now and then.
-func (w *World) Run(ctx context.Context, hosts Host, progress func(passed time.Duration, calls int)) error {
+func (w *Runner) Run(ctx context.Context, hosts Controllers, progress func(passed time.Duration, calls int)) error {
 	w.hosts = hosts
 	w.accept(w.listLn, func(nc net.Conn) {
 		if w.listAway.Load() {
@@ -182,12 +182,12 @@
 		}
 		var lc *exlist.Conn
 		var c *transport.Conn[*signal.Message]
-		c = w.serve(nc, false, "list", "controller", func(m *signal.Message) { w.List.Message(lc, m) }, func() {
+		c = w.serve(nc, false, "list", "controller", func(m *signal.Message) { w.List.HandleMessage(lc, m) }, func() {
 			w.lists = slices.DeleteFunc(w.lists, func(o *transport.Conn[*signal.Message]) bool { return o == c })
-			w.List.Closed(lc)
+			w.List.ConnClosed(lc)
 		})
 		send := say(c)
-		lc = w.List.Open(func(m *signal.Message) { send(m) })
+		lc = w.List.OpenConn(func(m *signal.Message) { send(m) })
 		w.lists = append(w.lists, c)
 	})
 	for cell := range w.scn.Fleet.Exchanges {
@@ -196,8 +196,8 @@
 			w.redial(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
 				var sc *subscriber.Conn
 				c := w.serve(nc, true, fmt.Sprintf("callers of %d", cell), "controller",
-					func(m *signal.Message) { w.Crowd.Message(sc, m) }, func() { w.Crowd.Closed(cell, sc) })
-				sc = w.Crowd.Open(cell, say(c))
+					func(m *signal.Message) { w.Callers.HandleMessage(sc, m) }, func() { w.Callers.ConnClosed(cell, sc) })
+				sc = w.Callers.OpenConn(cell, say(c))
 				return c
 			})
 		}
@@ -211,7 +211,7 @@
 		w.loop.run(w.ctx)
 	}()
 	end := make(chan struct{})
-	w.loop.post(w.ctx, func() { w.Begin(progress, func() { close(end) }) })
+	w.loop.post(w.ctx, func() { w.Start(progress, func() { close(end) }) })
 	select {
 	case <-end:
 		return nil
@@ -221,7 +221,7 @@
 }
 
 // Close ends all connections and goroutines.
-func (w *World) Close() {
+func (w *Runner) Close() {
 	w.stop()
 	<-w.done
 	w.listLn.Close()
@@ -241,4 +241,4 @@
 }
 
 // Do runs f among the stand-ins, which nobody else may touch while they live.
-func (w *World) Do(f func()) { w.loop.post(w.ctx, f) }
+func (w *Runner) Do(f func()) { w.loop.post(w.ctx, f) }
--- a/internal/virtual/bench_test.go
+++ b/internal/virtual/bench_test.go
@@ -19,9 +19,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				passed += d.Took.Seconds()
+				passed += d.Duration.Seconds()
 				events += d.Events
-				calls += len(d.Crowd.Calls)
+				calls += len(d.Callers.Calls)
 			}
 			s := b.Elapsed().Seconds()
 			b.ReportMetric(passed/s, "simulated-s/s")
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -28,11 +28,11 @@
 
 // Options of a run. The zero value plays the module, without records or capture.
 type Options struct {
-	Policy  string                                             // of the controllers; empty: the module
-	Hop     time.Duration                                      // one way between a controller and a stand-in; 0: 50 us
-	Flows   func(cell int) flow.Sink                           // takes the records of a controller's life; nil: none
-	Capture func(who string, now func() int64) *capture.Writer // nil: none
-	Shape   func(*scene.Scene)                                 // changes the scene before the day begins; nil: as drawn
+	Policy      string                                             // of the controllers; empty: the module
+	HopDelay    time.Duration                                      // one way between a controller and a stand-in; 0: 50 us
+	NewFlowSink func(cell int) flow.Sink                           // takes the records of a controller's life; nil: none
+	NewCapture  func(who string, now func() int64) *capture.Writer // nil: none
+	Prepare     func(*scene.Simulation)                            // changes the scene before the day begins; nil: as drawn
 }
 
 // began is the day on which every run starts.
@@ -53,7 +53,7 @@
 	opt     Options
 	hop     time.Duration
 	clock   *Clock
-	scene   *scene.Scene
+	scene   *scene.Simulation
 	nodes   []*node
 	starts  []uint64 // of each controller
 	doors   map[uint32]*door
@@ -74,33 +74,33 @@
 	mute, stalled bool
 }
 
-// Day is what came of a run.
-type Day struct {
-	*scene.Scene
-	Held   int                // circuits in use when all controllers have left
-	Left   bool               // all controllers have answered what they had, and left
-	Events uint64             // that happened
-	Took   time.Duration      // virtual time from the first to the last
-	Stats  []controller.Stats // of each controller's life, in the order of their ends
+// Result is what came of a run.
+type Result struct {
+	*scene.Simulation
+	CircuitsInUse   int                // circuits in use when all controllers have left
+	AllStopped      bool               // all controllers have answered what they had, and left
+	Events          uint64             // that happened
+	Duration        time.Duration      // virtual time from the first to the last
+	ControllerStats []controller.Stats // of each controller's life, in the order of their ends
 }
 
 // Run plays a scenario to its end.
-func Run(scn *settings.Scenario, opt Options) (*Day, error) {
+func Run(scn *settings.Scenario, opt Options) (*Result, error) {
 	if opt.Policy == "" {
 		opt.Policy = "brain"
 	}
-	if opt.Hop <= 0 {
-		opt.Hop = 50 * time.Microsecond
+	if opt.HopDelay <= 0 {
+		opt.HopDelay = 50 * time.Microsecond
 	}
-	r := &Runner{scn: scn, opt: opt, hop: opt.Hop, clock: &Clock{now: began}, doors: map[uint32]*door{},
+	r := &Runner{scn: scn, opt: opt, hop: opt.HopDelay, clock: &Clock{now: began}, doors: map[uint32]*door{},
 		starts: make([]uint64, scn.Fleet.Exchanges)}
 	r.capture = r.writer("stand-ins")
 	s, err := scene.New(scn, r.clock, edge{r})
 	if err != nil {
 		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
 	}
-	if r.scene = s; opt.Shape != nil {
-		opt.Shape(s)
+	if r.scene = s; opt.Prepare != nil {
+		opt.Prepare(s)
 	}
 	for cell := range scn.Fleet.Exchanges {
 		r.nodes = append(r.nodes, nil)
@@ -111,7 +111,7 @@
 		r.dialTransit(cell)
 	}
 	ended := false
-	s.Begin(nil, func() { ended = true })
+	s.Start(nil, func() { ended = true })
 	if !r.clock.Run(began+scn.Length+time.Hour, func() bool { return ended }) {
 		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
 	}
@@ -121,13 +121,13 @@
 	left := r.clock.Run(r.clock.now+leaveWithin, func() bool {
 		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.left })
 	})
-	d := &Day{Scene: s, Left: left, Events: r.clock.Events(), Took: r.clock.now - began}
+	d := &Result{Simulation: s, AllStopped: left, Events: r.clock.Events(), Duration: r.clock.now - began}
 	for _, n := range r.nodes {
 		n.kill()
 		r.stats = append(r.stats, n.core.Stats())
 	}
 	r.clock.Run(r.clock.now+r.hop, func() bool { return false }) // the connections close
-	d.Held, d.Stats = s.Fleet.Held(), r.stats
+	d.CircuitsInUse, d.ControllerStats = s.Fleet.CircuitsInUse(), r.stats
 	for _, n := range r.nodes {
 		r.err = cmp.Or(r.err, n.capture.Close())
 	}
@@ -138,18 +138,18 @@
 }
 
 func (r *Runner) writer(who string) *capture.Writer {
-	if r.opt.Capture == nil {
+	if r.opt.NewCapture == nil {
 		return nil
 	}
-	return r.opt.Capture(who, func() int64 { return int64(r.clock.now) })
+	return r.opt.NewCapture(who, func() int64 { return int64(r.clock.now) })
 }
 
 func owner(cell int) string { return fmt.Sprint("controller ", cell) }
 
 func (r *Runner) start(cell int) {
 	var sink flow.Sink
-	if r.opt.Flows != nil {
-		sink = r.opt.Flows(cell)
+	if r.opt.NewFlowSink != nil {
+		sink = r.opt.NewFlowSink(cell)
 	}
 	r.nodes[cell] = r.newNode(cell, sink, r.writer(owner(cell)))
 }
@@ -174,12 +174,12 @@
 		}
 		w := r.connect(n, p, "list", true, nil)
 		var lc *exlist.Conn
-		w.message = func(m *signal.Message) { r.scene.List.Message(lc, m) }
+		w.message = func(m *signal.Message) { r.scene.List.HandleMessage(lc, m) }
 		w.closed = func() {
 			r.lists = slices.DeleteFunc(r.lists, func(o *wire) bool { return o == w })
-			r.scene.List.Closed(lc)
+			r.scene.List.ConnClosed(lc)
 		}
-		lc = r.scene.List.Open(func(m *signal.Message) { w.toController(m) })
+		lc = r.scene.List.OpenConn(func(m *signal.Message) { w.toController(m) })
 		r.lists = append(r.lists, w)
 		return w
 	}
@@ -188,7 +188,7 @@
 	if !ok || d == nil || d.shut {
 		return nil
 	}
-	x := r.scene.Exchange(id)
+	x := r.scene.ExchangeByID(id)
 	if x == nil || !x.Up {
 		return nil
 	}
@@ -201,16 +201,16 @@
 // talk serves a connection of an exchange.
 func (r *Runner) talk(d *door, x *exchange.Exchange, w *wire, transit bool) {
 	var ec *exchange.Conn
-	w.message = func(m *signal.Message) { r.scene.Fleet.Message(ec, m) }
+	w.message = func(m *signal.Message) { r.scene.Fleet.HandleMessage(ec, m) }
 	w.closed = func() {
 		d.conns = slices.DeleteFunc(d.conns, func(o *wire) bool { return o == w })
 		delete(d.exch, w)
-		r.scene.Fleet.Closed(ec)
+		r.scene.Fleet.ConnClosed(ec)
 		if transit {
-			r.clock.After(redialAfter, func() { r.dialTransit(x.Cell) })
+			r.clock.After(redialAfter, func() { r.dialTransit(x.Number) })
 		}
 	}
-	ec = r.scene.Fleet.Open(x, transit, func(m *signal.Message) { w.toController(m) })
+	ec = r.scene.Fleet.OpenConn(x, transit, func(m *signal.Message) { w.toController(m) })
 	d.conns = append(d.conns, w)
 	d.exch[w] = ec
 }
@@ -242,29 +242,29 @@
 		w := r.connect(n, n.accept(), fmt.Sprint("callers of ", cell), false, nil)
 		n.wires[w.peer] = w
 		var sc *subscriber.Conn
-		w.message = func(m *signal.Message) { r.scene.Crowd.Message(sc, m) }
+		w.message = func(m *signal.Message) { r.scene.Callers.HandleMessage(sc, m) }
 		w.closed = func() {
-			r.scene.Crowd.Closed(cell, sc)
+			r.scene.Callers.ConnClosed(cell, sc)
 			again()
 		}
-		sc = r.scene.Crowd.Open(cell, w.toController)
+		sc = r.scene.Callers.OpenConn(cell, w.toController)
 	})
 }
 
 // edge is what the scene asks of its connections.
 type edge struct{ r *Runner }
 
-func (e edge) Open(id uint32) (string, error) {
+func (e edge) Listen(id uint32) (string, error) {
 	e.r.doors[id] = &door{exch: map[*wire]*exchange.Conn{}}
 	return fmt.Sprint("exchange:", id), nil
 }
 
-func (e edge) Shut(id uint32) {
+func (e edge) StopListening(id uint32) {
 	e.r.doors[id].shut = true
-	e.Break(id, "out of service", func(*exchange.Conn) bool { return true })
+	e.CloseConns(id, "out of service", func(*exchange.Conn) bool { return true })
 }
 
-func (e edge) Break(id uint32, why string, which func(*exchange.Conn) bool) int {
+func (e edge) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
 	d, n := e.r.doors[id], 0
 	for _, w := range slices.Clone(d.conns) {
 		if which(d.exch[w]) {
@@ -275,13 +275,13 @@
 	return n
 }
 
-// Fault of an exchange's connections; pieces make no difference where messages arrive whole.
-func (e edge) Fault(id uint32, f scene.Fault, on bool) {
+// SetFault of an exchange's connections; pieces make no difference where messages arrive whole.
+func (e edge) SetFault(id uint32, f scene.Fault, on bool) {
 	d := e.r.doors[id]
 	switch f {
-	case scene.Mute:
+	case scene.HalfOpen:
 		d.mute = on
-	case scene.Stalled:
+	case scene.StalledReader:
 		if d.stalled = on; !on {
 			for _, w := range slices.Clone(d.conns) {
 				w.flow()
@@ -290,7 +290,7 @@
 	}
 }
 
-func (e edge) ListAway(away bool) {
+func (e edge) SetListUnavailable(away bool) {
 	if e.r.away = away; away {
 		for _, w := range slices.Clone(e.r.lists) {
 			w.close("the list is away", false)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (e edge) Garbage(perSecond float64) func() {
+func (e edge) SendMalformed(perSecond float64) func() {
 	over := false
 	for cell := range e.r.nodes {
 		n := e.r.nodes[cell]
@@ -313,7 +313,7 @@
 			if over || !w.near {
 				return
 			}
-			n.junk(w.peer, scene.Junk[i%len(scene.Junk)])
+			n.junk(w.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
 			e.r.clock.After(time.Duration(float64(time.Second)/perSecond), func() { next(i + 1) })
 		}
 		next(0)
@@ -321,7 +321,7 @@
 	return func() { over = true }
 }
 
-func (e edge) Restart(cell int) {
+func (e edge) RestartController(cell int) {
 	n := e.r.nodes[cell]
 	n.kill()
 	e.r.stats = append(e.r.stats, n.core.Stats())
@@ -332,7 +332,7 @@
 	e.r.clock.After(restartTakes, func() { e.r.start(cell) })
 }
 
-func (e edge) Fact(name string, v any) { e.r.capture.Fact(name, v) }
+func (e edge) Record(name string, v any) { e.r.capture.Fact(name, v) }
 
 func sortedPeers(m map[controller.Peer]*wire) []controller.Peer {
 	return slices.SortedFunc(maps.Keys(m), func(a, b controller.Peer) int {
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -35,10 +35,10 @@
 func (*file) Close() error { return nil }
 
 // judged plays a day with a capture and lets the auditor judge it.
-func judged(t testing.TB, scn *settings.Scenario, opt Options) (*Day, *audit.Report) {
+func judged(t testing.TB, scn *settings.Scenario, opt Options) (*Result, *audit.Report) {
 	t.Helper()
 	var files []*file
-	opt.Capture = func(who string, now func() int64) *capture.Writer {
+	opt.NewCapture = func(who string, now func() int64) *capture.Writer {
 		f := &file{}
 		files = append(files, f)
 		return capture.NewWriter(f, who, now)
@@ -70,17 +70,17 @@
 				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Rule)
 			}
 		}
-		if !d.Left || d.Held != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
-			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.Left, d.Held, r.Calls)
+		if !d.AllStopped || d.CircuitsInUse != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
+			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.AllStopped, d.CircuitsInUse, r.Calls)
 		}
-		tally := d.Crowd.Tally(all)
-		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.Service(), tally.Offered, d.Events, d.Took)
+		tally := d.Callers.Tally(all)
+		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, d.Events, d.Duration)
 	}
 }
 
 // The same scenario gives the same day to the call; another seed another one.
 func TestSameDayTwice(t *testing.T) {
-	play := func(seed uint64) *Day {
+	play := func(seed uint64) *Result {
 		scn := scenario(t, "bad-day")
 		scn.Seed = seed
 		d, err := Run(scn, Options{})
@@ -90,12 +90,12 @@
 		return d
 	}
 	a, b, c := play(4), play(4), play(5)
-	if a.Events != b.Events || len(a.Crowd.Calls) != len(b.Crowd.Calls) || !reflect.DeepEqual(a.Stats, b.Stats) || a.Fleet.Counts != b.Fleet.Counts {
-		t.Fatalf("%d and %d events, %d and %d calls", a.Events, b.Events, len(a.Crowd.Calls), len(b.Crowd.Calls))
+	if a.Events != b.Events || len(a.Callers.Calls) != len(b.Callers.Calls) || !reflect.DeepEqual(a.ControllerStats, b.ControllerStats) || a.Fleet.Counts != b.Fleet.Counts {
+		t.Fatalf("%d and %d events, %d and %d calls", a.Events, b.Events, len(a.Callers.Calls), len(b.Callers.Calls))
 	}
-	for i := range a.Crowd.Calls {
-		if *a.Crowd.Calls[i] != *b.Crowd.Calls[i] {
-			t.Fatalf("call %d: %+v and %+v", i, *a.Crowd.Calls[i], *b.Crowd.Calls[i])
+	for i := range a.Callers.Calls {
+		if *a.Callers.Calls[i] != *b.Callers.Calls[i] {
+			t.Fatalf("call %d: %+v and %+v", i, *a.Callers.Calls[i], *b.Callers.Calls[i])
 		}
 	}
 	if a.Events == c.Events {
--- a/internal/virtual/stall_test.go
+++ b/internal/virtual/stall_test.go
@@ -17,12 +17,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, seen := range d.Seen() {
-		spared = int(seen.What[len(seen.What)-1] - '0')
+	for _, seen := range d.Troubles() {
+		spared = int(seen.Description[len(seen.Description)-1] - '0')
 	}
-	for _, k := range d.Crowd.Calls {
-		if at := d.Since(k); k.Stood > 0 && k.From != spared && k.Dest != spared && at > 2*time.Second && at < 31*time.Second {
-			all = append(all, k.Stood)
+	for _, k := range d.Callers.Calls {
+		if at := d.FirstAttemptTime(k); k.SetUpTime > 0 && k.Source != spared && k.Dest != spared && at > 2*time.Second && at < 31*time.Second {
+			all = append(all, k.SetUpTime)
 		}
 	}
 	return all, spared
