--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -1,7 +1,7 @@
-// Package interwork is the core of a controller on the platform: callers' binary messages on one
-// side, SIP to the exchanges on the other, as ISUP-SIP interworking is called in the field. It
-// feeds the module and carries out what it decides, and decides nothing about a call itself.
-// It has no socket, goroutine, file or clock: inputs in, effects out, the time handed in.
+// Package interwork implements the core of a controller on the platform: ISUP-SIP interworking between
+// callers, who send binary messages, and exchanges, which are reached over SIP. The core passes events
+// to the routing module and carries out its actions; it takes no routing decision of its own. It has no
+// socket, goroutine, file or clock: Core.Handle takes an input and the current time and returns effects.
 package interwork
 
 import (
@@ -20,51 +20,52 @@
 	"dahliaspindle/internal/wheel"
 )
 
-// ConnID numbers a caller's connection, LinkID one to an exchange. Numbers are not used again.
 type (
+	// ConnID identifies a connection of a caller. It is never reused.
 	ConnID uint64
+	// LinkID identifies a connection to an exchange. It is never reused.
 	LinkID uint64
 )
 
-// Input is what happens to the core.
+// Input is an event that the core handles.
 type Input interface{ input() }
 
 type (
-	// CallerConnected is a caller's connection that was accepted.
+	// CallerConnected reports that a connection of a caller was accepted.
 	CallerConnected struct{ Conn ConnID }
-	// CallerMessage is a message of a caller; ReceivedAt is when its last byte was read.
+	// CallerMessage is a message of a caller. ReceivedAt is the time at which its last byte was read.
 	CallerMessage struct {
 		Conn       ConnID
 		ReceivedAt time.Duration
 		Msg        *isup.Message
 	}
-	// CallerDisconnected is the end of a caller's connection.
+	// CallerDisconnected reports that a connection of a caller was closed.
 	CallerDisconnected struct{ Conn ConnID }
-	// LinkUp is a connection to an exchange that was asked for and stands.
+	// LinkUp reports that a dialed connection to an exchange is established.
 	LinkUp struct{ Link LinkID }
 	// LinkMessage is a message of an exchange.
 	LinkMessage struct {
 		Link LinkID
 		Msg  *sip.Message
 	}
-	// Unsent is a set-up that did not leave and won't.
+	// Unsent reports that a set-up was not sent and will not be.
 	Unsent struct {
 		Link LinkID
 		Msg  *sip.Message
 	}
-	// LinkDown is the end of a connection to an exchange, or of the try to make one.
+	// LinkDown reports that a connection to an exchange was closed or could not be established.
 	LinkDown struct {
 		Link    LinkID
-		Refused bool // nothing listens there
+		Refused bool // the exchange refused the connection
 	}
-	// ExchangeListUpdate are changes to the exchange list.
+	// ExchangeListUpdate brings the whole exchange list or changes to it.
 	ExchangeListUpdate struct {
 		Complete bool
 		Changes  []srvlist.Entry
 	}
-	// Shutdown asks the controller to answer what it has and go.
+	// Shutdown starts a graceful shutdown.
 	Shutdown struct{}
-	// Tick is the passing of time.
+	// Tick reports that time has passed.
 	Tick struct{}
 )
 
@@ -79,7 +80,7 @@
 func (Shutdown) input()           {}
 func (Tick) input()               {}
 
-// Effect is what the core asks for. Effects are carried out in their order.
+// Effect is an action that the core requests. Effects must be carried out in order.
 type Effect interface{ effect() }
 
 type (
@@ -88,8 +89,8 @@
 		Conn ConnID
 		Msg  *isup.Message
 	}
-	// CloseConn closes a caller's connection once what was said on it is written; set-ups that were read
-	// before that still come to the core and are refused.
+	// CloseConn closes a connection of a caller once all messages sent on it are written. Set-ups that
+	// were read before are still passed to the core, which rejects them.
 	CloseConn struct {
 		Conn   ConnID
 		Reason string
@@ -100,34 +101,37 @@
 		Addr    string
 		Timeout time.Duration
 	}
-	// SendToExchange sends a message to an exchange; a set-up that can't leave before Deadline comes back Unsent.
+	// SendToExchange sends a message to an exchange. A set-up that cannot be sent before Deadline is
+	// reported as Unsent.
 	SendToExchange struct {
 		Link     LinkID
 		Msg      *sip.Message
 		Deadline time.Duration
 	}
-	// WithdrawSetUp takes the set-up of a Call-ID back, with a CANCEL if it has left.
+	// WithdrawSetUp withdraws the set-up with the given Call-ID. If it was sent already, Cancel is sent.
 	WithdrawSetUp struct {
 		Link   LinkID
 		CallID string
 		Cancel *sip.Message
 	}
-	// HoldSetUps holds back set-ups that have not left (on a link to an exchange that is draining).
+	// HoldSetUps holds back the unsent set-ups on a link while its exchange is not in service (Hold is
+	// true), or lets them go out again.
 	HoldSetUps struct {
 		Link LinkID
 		Hold bool
 	}
-	// CloseLink closes a connection to an exchange; one that is not idle without giving it what it has not read.
+	// CloseLink closes a connection to an exchange. Unless it is idle, data that the exchange has not
+	// read yet is discarded.
 	CloseLink struct {
 		Link   LinkID
 		Reason string
 		Idle   bool
 	}
-	// CloseListener closes the listener.
+	// CloseListener closes the listener for callers.
 	CloseListener struct{}
-	// ShutdownComplete says that nothing is owed any more.
+	// ShutdownComplete reports that no answer is pending any more and the process may exit.
 	ShutdownComplete struct{}
-	// Log is a line for the log.
+	// Log writes a log record.
 	Log struct {
 		Level   slog.Level
 		Message string
@@ -146,262 +150,284 @@
 func (ShutdownComplete) effect() {}
 func (Log) effect()              {}
 
-// Config is what a core starts with.
+// Config configures a Core.
 type Config struct {
 	Module              policy.Module
 	Settings            brain.Settings
-	ConnectTimeout      time.Duration // a connection that is not up by then counts as not made
-	EpochUnixNano       int64         // Unix nanoseconds at time 0 of the clock
-	MaxLinks            int           // connections to exchanges, at the most
-	ExchangeIdleTimeout time.Duration // exchanges close connections that were idle for so long, 0 never
-	MaxConns            int           // callers' connections, at the most
-	MaxPendingPerConn   int           // set-ups open on one of them, at the most
-	LogAllVerdicts      bool          // each verdict is logged, not only those that the module names
-	MaxCalls            int           // calls open and standing, at the most
+	ConnectTimeout      time.Duration // limit for establishing a connection to an exchange
+	EpochUnixNano       int64         // Unix time in nanoseconds at time 0 of the clock
+	MaxLinks            int           // connections to exchanges
+	ExchangeIdleTimeout time.Duration // idle time after which exchanges close a connection, 0 for never
+	MaxConns            int           // connections of callers, 0 for no limit
+	MaxPendingPerConn   int           // pending set-ups on one connection of a caller
+	LogAllVerdicts      bool          // log every verdict, not only those that the module marks
+	MaxCalls            int           // pending and established calls
 }
 
-// Times of the edge. Nothing here touches a call that the module has.
+// Times and limits of the connections, the records of ended calls and the shutdown. They do not
+// apply to calls that the module is routing.
 const (
-	tellEvery   = time.Second
-	houseEvery  = 50 * time.Millisecond
-	mute        = 2500 * time.Millisecond // a caller's connection that has said nothing
-	idle        = 12 * time.Second        // one without a call
-	quiet       = 250 * time.Millisecond  // a link with set-ups out that says nothing is tested
-	quietStood  = time.Second             // one to an exchange with standing calls
-	testWithin  = 600 * time.Millisecond  // a test that is not answered by then ends the link
-	silentFor   = 4 * time.Second         // an exchange that nothing is heard of has no calls any more
-	refusedFor  = 600 * time.Millisecond  // the same, if it refuses connections
-	recentFor   = 20 * time.Second        // ended calls are remembered
-	recentMost  = 1 << 14
-	leaveTaking = 750 * time.Millisecond // calls are taken after Leave
-	leaveMargin = 300 * time.Millisecond // before it is killed the controller has left
-	shared      = 4                      // set-ups out on one connection before another is made
-	apartFor    = 10 * time.Second       // once one was lost with set-ups out, each gets one of its own for so long
-	linksMost   = 12                     // connections to one exchange, at the most
-	idleMargin  = time.Second            // before the exchange does, at the most, this end closes an idle one
-	retryLeast  = 100 * time.Millisecond // between tries to reach an exchange
-	retryMost   = time.Second
+	stateLogInterval     = time.Second
+	maintenanceInterval  = 50 * time.Millisecond
+	firstMessageTimeout  = 2500 * time.Millisecond // closes a caller's connection without any message
+	idleTimeout          = 12 * time.Second        // closes a caller's connection without calls, or a surplus link
+	pingDelayPending     = 250 * time.Millisecond  // quiet time before a link with attempts in flight is pinged
+	pingDelayEstablished = time.Second             // the same for a link to an exchange with established calls only
+	pingTimeout          = 600 * time.Millisecond  // closes a link whose ping is not answered
+	unresponsiveTimeout  = 4 * time.Second         // ends the calls at an exchange that nothing is received from
+	refusingTimeout      = 600 * time.Millisecond  // ends the calls at an exchange that refuses connections
+	endingRetention      = 20 * time.Second        // ended calls are remembered
+	maxRecentEndings     = 1 << 14
+	shutdownAcceptPeriod = 750 * time.Millisecond // calls are still accepted after Shutdown
+	shutdownMargin       = 300 * time.Millisecond // shutdown completes this long before the platform kills the process
+	setUpsPerLink        = 4                      // attempts in flight on one link before another link is dialed
+	exclusiveLinkPeriod  = 10 * time.Second       // no shared links after one was lost with attempts in flight
+	maxLinksToPeer       = 12
+	maxIdleCloseMargin   = time.Second            // idle links are closed up to this long before the exchange would
+	minConnectRetry      = 100 * time.Millisecond // between attempts to connect to an exchange
+	maxConnectRetry      = time.Second
 )
 
-// From SIGTERM to SIGKILL the platform leaves the longest patience, at most killAfter, and killMore.
+// The platform sends SIGKILL after SIGTERM once the longest patience of callers, but at most
+// maxKillPatience, and killExtraTime have passed.
 const (
-	killAfter = 3 * time.Second
-	killMore  = 700 * time.Millisecond
+	maxKillPatience = 3 * time.Second
+	killExtraTime   = 700 * time.Millisecond
 )
 
-// Stats count what the core did. Those of a kind that is shed have their own.
+// Stats counts what the core did. Events that exceed a limit are counted separately. The field names are
+// written to the log.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Gone, Invalid, Again, Adopted    int
 	Attempts, Resets, TimedOut, NoConnect, Late, Stray, Cut, Forgotten int
 	Tests, TestsLost, ConnsShut                                        int
-	Unsaid, ByesShed                                                   int // releases without a connection; past a bound
+	Unsaid, ByesShed                                                   int // releases that could not be delivered to the caller; BYEs dropped beyond maxPendingByes
 }
 
-type timer struct {
-	try   *attempt
-	token uint64
-	house bool
+// timerEvent tells what a timer was set for: maintenance, the deadline of an attempt or, if attempt is
+// nil, a wake-up of the module with the given token.
+type timerEvent struct {
+	attempt     *callAttempt
+	token       uint64
+	maintenance bool
 }
 
-// tell logs what the controller believes, to be held against what passed.
-func (c *Core) tell() {
-	if c.now < c.tellAt {
+// logState logs the state of the core once per stateLogInterval, for comparison with the traffic.
+func (c *Core) logState() {
+	if c.now < c.nextStateLogAt {
 		return
 	}
-	c.tellAt = c.now + tellEvery
-	c.log(slog.LevelDebug, "state", "open", c.open, "calls", len(c.calls), "tries", len(c.tries), "timers", c.timers.Len(),
-		"callers", len(c.callers), "recent", len(c.recent), "stats", c.Stats)
-	for _, p := range c.peers {
-		up, out := 0, 0
-		for _, l := range p.links {
-			if l.up {
-				up++
+	c.nextStateLogAt = c.now + stateLogInterval
+	c.log(slog.LevelDebug, "state", "open", c.pending, "calls", len(c.calls), "tries", len(c.attempts), "timers", c.timers.Len(),
+		"callers", len(c.conns), "recent", len(c.recentEndings), "stats", c.Stats)
+	for _, peer := range c.peers {
+		upCount, inFlight := 0, 0
+		for _, link := range peer.links {
+			if link.up {
+				upCount++
 			}
-			out += len(l.open)
+			inFlight += len(link.pending)
 		}
-		c.log(slog.LevelDebug, "exchange", "name", p.Name, "cell", p.Number, "state", p.State, "free", p.told.FreeCircuits, "size", p.told.GroupSize,
-			"links", len(p.links), "up", up, "out", out, "waiting", len(p.waiting), "standing", len(p.calls), "fails", p.fails,
-			"heard", c.now-p.heard)
+		c.log(slog.LevelDebug, "exchange", "name", peer.Name, "cell", peer.Number, "state", peer.State,
+			"free", peer.lastReport.FreeCircuits, "size", peer.lastReport.GroupSize, "links", len(peer.links), "up", upCount, "out", inFlight,
+			"waiting", len(peer.waiting), "standing", len(peer.calls), "fails", peer.connectFailures, "heard", c.now-peer.lastHeardAt)
 	}
 }
 
-// Core is one controller. It is not safe for concurrent use.
+// Core is the state of one controller. It is not safe for concurrent use.
 type Core struct {
-	cfg     Config
-	classes map[string]int
-	widest  int
-	grace   time.Duration // from Leave to the last moment to be gone
-	now     time.Duration
-	timers  *wheel.Wheel[timer]
-	out     []Effect
-	module  policy.Dispatcher
-	random  *rand.Rand // jitter of tries to reach an exchange
-	retry   guard.Backoff
+	cfg           Config
+	classIndexes  map[string]int // by class name
+	maxWidth      int            // of all classes, in circuits
+	shutdownGrace time.Duration  // from Shutdown to the latest ShutdownComplete
+	now           time.Duration
+	timers        *wheel.Wheel[timerEvent]
+	effects       []Effect
+	module        policy.Dispatcher
+	random        *rand.Rand // jitter of the intervals between connection attempts
+	retry         guard.Backoff
 
-	callers map[ConnID]*caller
-	order   []*caller // by age
-	calls   map[uint64]*call
-	open    int                 // not answered
-	tries   map[uint64]*attempt // out, by call
+	conns      map[ConnID]*callerConn
+	connsByAge []*callerConn // oldest first; closed ones are removed by maintenance
+	calls      map[uint64]*activeCall
+	pending    int                     // calls without a final answer
+	attempts   map[uint64]*callAttempt // in flight or waiting for a link, by call
 
-	peers    []*peer      // by number
-	cells    map[int]bool // numbers that were ever listed
-	names    map[string]*peer
-	ids      map[uint32]*peer
-	lastID   uint32
-	links    map[LinkID]*link
-	lastLink LinkID
+	peers         []*peerExchange // in ascending order of their ids
+	listedNumbers map[int]bool    // exchange numbers that were ever listed
+	peersByName   map[string]*peerExchange
+	peersByID     map[uint32]*peerExchange
+	lastPeerID    uint32
+	links         map[LinkID]*peerLink
+	lastLinkID    LinkID
 
-	recent  map[uint64]ending
-	recents []uint64 // oldest first
+	recentEndings map[uint64]callEnding
+	recentIDs     []uint64 // oldest first
 
-	leaving      bool
-	leaveAt      time.Duration
-	closed, left bool
-	tellAt       time.Duration
-	Stats        Stats
+	shuttingDown                 bool
+	shutdownAt                   time.Duration
+	listenerClosed, shutdownDone bool
+	nextStateLogAt               time.Duration
+	Stats                        Stats
 }
 
-// ending is how a call ended of late.
-type ending struct {
-	at    time.Duration
-	cause byte
-	ghost *peer // where a set-up was given up that may still be answered
-	link  *link // and on which link
+// callEnding records how a call ended recently, or where an attempt of it was withdrawn.
+type callEnding struct {
+	endedAt       time.Duration
+	cause         byte
+	withdrawnPeer *peerExchange // exchange whose withdrawn set-up may still be answered
+	withdrawnLink *peerLink     // link on which that set-up was sent
 }
 
-// New starts a core.
+// New returns a core that knows no exchange and no connection.
 func New(cfg Config, now time.Duration) *Core {
-	c := &Core{cfg: cfg, module: policy.Dispatcher{Module: cfg.Module}, classes: map[string]int{}, now: now, timers: wheel.New[timer](now), callers: map[ConnID]*caller{},
-		calls: map[uint64]*call{}, tries: map[uint64]*attempt{}, names: map[string]*peer{}, cells: map[int]bool{}, ids: map[uint32]*peer{},
-		links: map[LinkID]*link{}, recent: map[uint64]ending{},
-		random: rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7))}
-	c.retry = guard.Backoff{Min: retryLeast, Max: retryMost, Random: c.random}
-	for i, cl := range cfg.Settings.Classes {
-		c.classes[cl.Name] = i
-		c.widest = max(c.widest, cl.Width)
-		c.grace = max(c.grace, cl.GiveUp)
+	c := &Core{
+		cfg:           cfg,
+		module:        policy.Dispatcher{Module: cfg.Module},
+		classIndexes:  map[string]int{},
+		now:           now,
+		timers:        wheel.New[timerEvent](now),
+		conns:         map[ConnID]*callerConn{},
+		calls:         map[uint64]*activeCall{},
+		attempts:      map[uint64]*callAttempt{},
+		peersByName:   map[string]*peerExchange{},
+		listedNumbers: map[int]bool{},
+		peersByID:     map[uint32]*peerExchange{},
+		links:         map[LinkID]*peerLink{},
+		recentEndings: map[uint64]callEnding{},
+		random:        rand.New(rand.NewPCG(cfg.Settings.Seed, 0x1e7)),
 	}
-	c.grace = min(c.grace, killAfter) + killMore - leaveMargin
-	c.timers.Set(now+houseEvery, timer{house: true})
+	c.retry = guard.Backoff{Min: minConnectRetry, Max: maxConnectRetry, Random: c.random}
+	for i, class := range cfg.Settings.Classes {
+		c.classIndexes[class.Name] = i
+		c.maxWidth = max(c.maxWidth, class.Width)
+		c.shutdownGrace = max(c.shutdownGrace, class.GiveUp)
+	}
+	c.shutdownGrace = min(c.shutdownGrace, maxKillPatience) + killExtraTime - shutdownMargin
+	c.timers.Set(now+maintenanceInterval, timerEvent{maintenance: true})
 	return c
 }
 
-// NextTick is when the core wants a Tick.
+// NextTick returns the time at which the core needs its next Tick.
 func (c *Core) NextTick() time.Duration {
-	at, _ := c.timers.Next() // the house timer is always set
-	return at
+	next, _ := c.timers.Next() // the maintenance timer is always set
+	return next
 }
 
-// Handle takes one input and returns what to do about it.
+// Handle processes the timers that are due and then one input. It returns the effects to carry out.
 func (c *Core) Handle(now time.Duration, in Input) []Effect {
-	c.now, c.out = max(now, c.now), nil
-	c.timers.Advance(c.now, c.fire)
+	c.now, c.effects = max(now, c.now), nil
+	c.timers.Advance(c.now, c.handleTimer)
 	switch in := in.(type) {
 	case CallerConnected:
-		c.callerUp(in.Conn)
+		c.handleCallerConnected(in.Conn)
 	case CallerMessage:
-		c.callerSays(in)
+		c.handleCallerMessage(in)
 	case CallerDisconnected:
-		c.callerDown(in.Conn)
+		c.handleCallerDisconnected(in.Conn)
 	case LinkUp:
-		c.linkUp(in.Link)
+		c.handleLinkUp(in.Link)
 	case LinkMessage:
-		c.linkSays(in)
+		c.handleLinkMessage(in)
 	case Unsent:
-		c.unsent(in)
+		c.handleUnsent(in)
 	case LinkDown:
-		c.linkDown(in)
+		c.handleLinkDown(in)
 	case ExchangeListUpdate:
-		c.listed(in)
+		c.handleExchangeListUpdate(in)
 	case Shutdown:
-		if !c.leaving {
-			c.leaving, c.leaveAt = true, c.now
+		if !c.shuttingDown {
+			c.shuttingDown, c.shutdownAt = true, c.now
 		}
 	}
-	return c.out
+	return c.effects
 }
 
-func (c *Core) fire(t timer) {
+// handleTimer handles an expired timer.
+func (c *Core) handleTimer(event timerEvent) {
 	switch {
-	case t.house:
-		c.house()
-		c.timers.Set(c.now+houseEvery, timer{house: true})
-	case t.try != nil:
-		c.timedOut(t.try)
+	case event.maintenance:
+		c.runMaintenance()
+		c.timers.Set(c.now+maintenanceInterval, timerEvent{maintenance: true})
+	case event.attempt != nil:
+		c.handleAttemptTimeout(event.attempt)
 	default:
-		c.feed(brain.TimerExpired{Token: t.token})
+		c.notifyModule(brain.TimerExpired{Token: event.token})
 	}
 }
 
-func (c *Core) do(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-func (c *Core) log(l slog.Level, text string, args ...any) { c.do(Log{l, text, args}) }
+func (c *Core) log(level slog.Level, message string, args ...any) {
+	c.emit(Log{level, message, args})
+}
 
-// house does what is due now and then: quiet links, callers without a word, what is remembered,
-// the way out.
-func (c *Core) house() {
-	for _, p := range c.peers {
-		c.keep(p)
+// runMaintenance checks the links, closes idle connections, forgets old call endings and advances a
+// shutdown.
+func (c *Core) runMaintenance() {
+	for _, peer := range c.peers {
+		c.maintainLinks(peer)
 	}
-	c.peers = compact(c.peers)
-	c.sweepCallers()
-	c.tell()
-	n := 0
-	for n < len(c.recents) && (c.now-c.recent[c.recents[n]].at > recentFor || len(c.recents)-n > recentMost) {
-		delete(c.recent, c.recents[n])
-		n++
+	c.peers = withoutRemoved(c.peers)
+	c.closeIdleConns()
+	c.logState()
+	expired := 0
+	for expired < len(c.recentIDs) && (c.now-c.recentEndings[c.recentIDs[expired]].endedAt > endingRetention ||
+		len(c.recentIDs)-expired > maxRecentEndings) {
+		delete(c.recentEndings, c.recentIDs[expired])
+		expired++
 	}
-	if c.recents = c.recents[n:]; len(c.recents) == 0 {
-		c.recents = nil
+	if c.recentIDs = c.recentIDs[expired:]; len(c.recentIDs) == 0 {
+		c.recentIDs = nil
 	}
-	if c.leaving && !c.left && c.now-c.leaveAt >= leaveTaking {
-		c.leave()
+	if c.shuttingDown && !c.shutdownDone && c.now-c.shutdownAt >= shutdownAcceptPeriod {
+		c.advanceShutdown()
 	}
 }
 
-// leave sees the controller out (graceful shutdown): once no calls are taken any more it stays for
-// those that are open or stand, since who else would tell their callers that they are over; at the
-// end of its grace what is still open gets its answer.
-func (c *Core) leave() {
-	if !c.closed {
-		c.closed = true
-		c.do(CloseListener{})
+// advanceShutdown carries out a graceful shutdown. It closes the listener and waits for the pending and
+// established calls, because no other process would tell their callers that the calls are over. At the
+// end of the grace period the calls that are still pending get a final answer.
+func (c *Core) advanceShutdown() {
+	if !c.listenerClosed {
+		c.listenerClosed = true
+		c.emit(CloseListener{})
 	}
-	last := c.now-c.leaveAt >= c.grace
+	graceOver := c.now-c.shutdownAt >= c.shutdownGrace
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
-		if x := c.calls[id]; last && x != nil && !x.standing {
-			c.lastWord(x)
+		if call := c.calls[id]; graceOver && call != nil && !call.established {
+			c.answerAtShutdown(call)
 		}
 	}
-	for _, k := range c.order {
-		if k.open == 0 && k.standing == 0 {
-			c.shut(k, "leaving")
+	for _, conn := range c.connsByAge {
+		if conn.pending == 0 && conn.established == 0 {
+			c.closeConn(conn, "shutting down")
 		}
 	}
-	if last || len(c.calls) == 0 {
-		c.left = true
-		c.do(ShutdownComplete{})
+	if graceOver || len(c.calls) == 0 {
+		c.shutdownDone = true
+		c.emit(ShutdownComplete{})
 	}
 }
 
-// lastWord answers a set-up that can't be waited for: failed, or refused if it was never sent on.
-func (c *Core) lastWord(x *call) {
-	c.feed(brain.CallAbandoned{CallID: x.name})
-	if x.attempts > 0 {
+// answerAtShutdown answers a call that is still pending at the end of the grace period: failed, or refused
+// if no attempt was made.
+func (c *Core) answerAtShutdown(call *activeCall) {
+	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
+	if call.attempts > 0 {
 		c.Stats.Failed++
-		c.answer(x, release(x.id, isup.TemporaryFailure))
+		c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
 		return
 	}
 	c.Stats.Refused++
-	c.answer(x, refusal(x.id, 0))
+	c.sendFinalAnswer(call, newCongestionRelease(call.id, 0))
 }
 
-// remember keeps the end of a call.
-func (c *Core) remember(id uint64, e ending) {
-	if _, there := c.recent[id]; !there {
-		c.recents = append(c.recents, id)
+// recordEnding remembers the ending of a call.
+func (c *Core) recordEnding(id uint64, ending callEnding) {
+	if _, found := c.recentEndings[id]; !found {
+		c.recentIDs = append(c.recentIDs, id)
 	}
-	e.at = c.now
-	c.recent[id] = e
+	ending.endedAt = c.now
+	c.recentEndings[id] = ending
 }
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -8,61 +8,64 @@
 	"dahliaspindle/internal/isup"
 )
 
-// feed hands an event to the module and carries out what it asks for.
-func (c *Core) feed(e brain.Event) { c.module.Dispatch(c.now, e, c.act) }
+// notifyModule passes an event to the routing module and carries out the actions it returns.
+func (c *Core) notifyModule(event brain.Event) { c.module.Dispatch(c.now, event, c.applyAction) }
 
-func (c *Core) act(a brain.Action) {
-	switch a := a.(type) {
+// applyAction carries out one action of the routing module. Actions on calls that are not pending any
+// more are ignored.
+func (c *Core) applyAction(action brain.Action) {
+	switch action := action.(type) {
 	case brain.StartAttempt:
-		if x := c.openCall(a.CallID); x != nil && c.tries[x.id] == nil {
-			c.attempt(x, a)
+		if call := c.pendingCall(action.CallID); call != nil && c.attempts[call.id] == nil {
+			c.startAttempt(call, action)
 		}
 	case brain.RefuseCall:
-		if x := c.openCall(a.CallID); x != nil {
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Refused++
-			c.answer(x, refusal(x.id, a.RetryAfter))
+			c.sendFinalAnswer(call, newCongestionRelease(call.id, action.RetryAfter))
 		}
 	case brain.FailCall:
-		if x := c.openCall(a.CallID); x != nil {
+		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Failed++
-			c.answer(x, release(x.id, isup.TemporaryFailure))
+			c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
 		}
 	case brain.CancelAttempt:
-		if id, err := strconv.ParseUint(a.CallID, 16, 64); err == nil {
-			if t := c.tries[id]; t != nil && t.n == a.Attempt {
-				c.withdraw(t, brain.OutcomeCancelled)
+		if id, err := strconv.ParseUint(action.CallID, 16, 64); err == nil {
+			if attempt := c.attempts[id]; attempt != nil && attempt.number == action.Attempt {
+				c.withdrawAttempt(attempt, brain.OutcomeCancelled)
 			}
 		}
 	case brain.SetTimer:
-		c.timers.Set(c.now+a.Delay, timer{token: a.Token})
+		c.timers.Set(c.now+action.Delay, timerEvent{token: action.Token})
 	case brain.Verdict:
 		level := slog.LevelDebug
-		if a.Log {
+		if action.Log {
 			level = slog.LevelInfo
 		}
-		if c.cfg.LogAllVerdicts || a.Log {
-			c.log(level, "verdict", "call", a.CallID, "reason", a.Reason, "scope", a.Scope, "cell", a.ExchangeNumber, "nth", a.Count)
+		if c.cfg.LogAllVerdicts || action.Log {
+			c.log(level, "verdict", "call", action.CallID, "reason", action.Reason, "scope", action.Scope, "cell", action.ExchangeNumber, "nth", action.Count)
 		}
 	}
 }
 
-// openCall is a call that is owed an answer.
-func (c *Core) openCall(name string) *call {
-	id, err := strconv.ParseUint(name, 16, 64)
+// pendingCall returns the call with the given Call-ID if it still awaits its final answer, else nil.
+func (c *Core) pendingCall(callID string) *activeCall {
+	id, err := strconv.ParseUint(callID, 16, 64)
 	if err != nil {
 		return nil
 	}
-	if x := c.calls[id]; x != nil && !x.standing {
-		return x
+	if call := c.calls[id]; call != nil && !call.established {
+		return call
 	}
 	return nil
 }
 
-// ended tells the module of the end of an attempt.
-func (c *Core) ended(t *attempt, e brain.AttemptEnded) {
-	x := t.call
-	e.CallID, e.Attempt, e.ExchangeID, e.Elapsed = x.name, t.n, t.peer.id, c.now-t.sent
-	e.Final = c.calls[x.id] != x || x.standing
-	c.log(slog.LevelDebug, "ended", "call", x.name, "nth", t.n, "outcome", e.Outcome, "note", e.Note, "final", e.Final, "after", e.Elapsed)
-	c.feed(e)
+// reportEnded reports the end of an attempt to the module.
+func (c *Core) reportEnded(attempt *callAttempt, ended brain.AttemptEnded) {
+	call := attempt.call
+	ended.CallID, ended.Attempt, ended.ExchangeID, ended.Elapsed = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
+	ended.Final = c.calls[call.id] != call || call.established
+	c.log(slog.LevelDebug, "ended", "call", call.callID, "nth", attempt.number, "outcome", ended.Outcome, "note", ended.Note,
+		"final", ended.Final, "after", ended.Elapsed)
+	c.notifyModule(ended)
 }
