--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -103,15 +103,15 @@
 		go flows.Serve(ln)
 		collector = ln.Addr().String()
 	}
-	f := &fleet{o: o, collector: collector, list: wd.ListAddr(), w: w, procs: make([]proc, o.Scenario.Fleet.Exchanges)}
-	for cell := range f.procs {
-		if err := f.start(cell); err != nil {
-			f.kill()
+	f := &controllerProcesses{options: o, collectorAddress: collector, listAddress: wd.ListAddr(), captureWriter: w, processes: make([]process, o.Scenario.Fleet.Exchanges)}
+	for cell := range f.processes {
+		if err := f.startController(cell); err != nil {
+			f.killAll()
 			return nil, errors.Join(err, w.Close())
 		}
 	}
 	played := wd.Run(ctx, f, o.Progress)
-	left := f.leave()
+	left := f.stopAll()
 	held := make(chan int, 1)
 	wd.Do(func() { held <- wd.Fleet.CircuitsInUse() })
 	n := <-held
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, wd.Simulation)
+	r := newResult(o, report, wd.Simulation)
 	r.CircuitsInUse = n
 	if flows != nil {
 		r.Flows = flows.Report()
@@ -134,8 +134,8 @@
 	return r, nil
 }
 
-// result puts the judgement and the callers' tables together.
-func result(o Options, report *audit.Report, s *scene.Simulation) *Result {
+// newResult puts the judgement and the callers' tables together.
+func newResult(o Options, report *audit.Report, s *scene.Simulation) *Result {
 	r := &Result{Scenario: o.Scenario.Name, Seed: o.Scenario.Seed, Policy: o.Policy, Exchanges: o.Scenario.Fleet.Exchanges,
 		Rules: report.Rules, Calls: report.Calls, Capture: o.Dir, Messages: report.Messages,
 		Fleet: s.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
@@ -163,38 +163,38 @@
 	}
 }
 
-// fleet is the controllers' processes.
-type fleet struct {
-	o    Options
-	list string
-	w    *capture.Writer
+// controllerProcesses is the controllers' processes.
+type controllerProcesses struct {
+	options       Options
+	listAddress   string
+	captureWriter *capture.Writer
 
-	collector string // for flow records; none if empty
+	collectorAddress string // for flow records; none if empty
 
-	mu      sync.Mutex
-	procs   []proc
-	leaving bool
-	wg      sync.WaitGroup
-	errs    []error
+	mu        sync.Mutex
+	processes []process
+	stopping  bool
+	restarts  sync.WaitGroup
+	errs      []error
 }
 
-type proc struct {
-	cmd  *exec.Cmd
-	addr string
-	runs int
+type process struct {
+	command *exec.Cmd
+	address string
+	starts  int
 }
 
 // Addr is where a controller listens.
-func (f *fleet) Addr(cell int) string {
+func (f *controllerProcesses) Addr(cell int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.procs[cell].addr
+	return f.processes[cell].address
 }
 
-// start runs a controller on a listener that this process opens and passes on.
-func (f *fleet) start(cell int) error {
-	p := &f.procs[cell]
-	addr := p.addr
+// startController runs a controller on a listener that this process opens and passes on.
+func (f *controllerProcesses) startController(cell int) error {
+	p := &f.processes[cell]
+	addr := p.address
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -203,21 +203,21 @@
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer ln.Close()
-	p.addr = ln.Addr().String()
+	p.address = ln.Addr().String()
 	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer file.Close()
-	p.runs++
-	base := filepath.Join(f.o.Dir, fmt.Sprintf("controller-%d.%d", cell, p.runs))
-	set := f.o.Scenario.Controller(cell, f.list)
-	set.Seed += uint64(p.runs) << 32
-	set.Listen, set.Policy = "fd:3", f.o.Policy
+	p.starts++
+	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", cell, p.starts))
+	set := f.options.Scenario.Controller(cell, f.listAddress)
+	set.Seed += uint64(p.starts) << 32
+	set.Listen, set.Policy = "fd:3", f.options.Policy
 	set.Capture.File = base + capture.FileSuffix
-	if f.collector != "" {
-		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collector}}, SummaryInterval: 2 * time.Second,
-			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.o.Dir, fmt.Sprint("spool-", cell))}
+	if f.collectorAddress != "" {
+		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
+			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", cell))}
 	}
 	out, err := os.Create(base + ".xml")
 	if err != nil {
@@ -231,64 +231,64 @@
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer log.Close()
-	p.cmd = exec.Command(f.o.Executable, "run", base+".xml")
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.ExtraFiles = []*os.File{file}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.cmd.Start(); err != nil {
+	p.command = exec.Command(f.options.Executable, "run", base+".xml")
+	p.command.Stdout, p.command.Stderr = log, log
+	p.command.ExtraFiles = []*os.File{file}
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := p.command.Start(); err != nil {
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	return nil
 }
 
 // Restart kills a controller and starts it again, without holding its caller up.
-func (f *fleet) Restart(cell int) {
-	f.wg.Go(func() {
+func (f *controllerProcesses) Restart(cell int) {
+	f.restarts.Go(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.leaving {
+		if f.stopping {
 			return
 		}
-		p := &f.procs[cell]
-		_ = p.cmd.Process.Kill() // fails only if it has ended
-		_ = p.cmd.Wait()         // killed: its status says so
-		f.w.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
-		if err := f.start(cell); err != nil {
+		p := &f.processes[cell]
+		_ = p.command.Process.Kill() // fails only if it has ended
+		_ = p.command.Wait()         // killed: its status says so
+		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
+		if err := f.startController(cell); err != nil {
 			f.errs = append(f.errs, err)
 		}
 	})
 }
 
-// leaveWithin is how long the controllers may take to answer what they have.
-const leaveWithin = 15 * time.Second
+// shutdownTimeout is how long the controllers may take to answer what they have.
+const shutdownTimeout = 15 * time.Second
 
-// leave lets all controllers end, and returns how they failed.
-func (f *fleet) leave() error {
-	f.wg.Wait()
+// stopAll lets all controllers end, and returns how they failed.
+func (f *controllerProcesses) stopAll() error {
+	f.restarts.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving = true
-	for i := range f.procs {
-		_ = f.procs[i].cmd.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
+	f.stopping = true
+	for i := range f.processes {
+		_ = f.processes[i].command.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
 	}
-	timeout := time.AfterFunc(leaveWithin, func() {
-		for i := range f.procs {
-			_ = f.procs[i].cmd.Process.Kill()
+	timeout := time.AfterFunc(shutdownTimeout, func() {
+		for i := range f.processes {
+			_ = f.processes[i].command.Process.Kill()
 		}
 	})
 	defer timeout.Stop()
-	for i := range f.procs {
-		if err := f.procs[i].cmd.Wait(); err != nil {
+	for i := range f.processes {
+		if err := f.processes[i].command.Wait(); err != nil {
 			f.errs = append(f.errs, fmt.Errorf("controller %d: %w", i, err))
 		}
 	}
 	return errors.Join(f.errs...)
 }
 
-// kill ends what was started of a fleet that could not be.
-func (f *fleet) kill() {
-	for i := range f.procs {
-		if c := f.procs[i].cmd; c != nil && c.Process != nil {
+// killAll ends what was started of a fleet that could not be.
+func (f *controllerProcesses) killAll() {
+	for i := range f.processes {
+		if c := f.processes[i].command; c != nil && c.Process != nil {
 			_ = c.Process.Kill()
 			_ = c.Wait()
 		}
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, day.Simulation)
+	r := newResult(o, report, day.Simulation)
 	r.CircuitsInUse = day.CircuitsInUse
 	if !day.AllStopped {
 		r.Notes = append(r.Notes, "not every controller could leave")
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -51,46 +51,46 @@
 }
 
 const (
-	stood = iota
+	established = iota
 	refused
 	failed
 	notTaken
 	unanswered
-	ends
+	outcomeCount
 )
 
-var endNames = [ends]string{"stood", "refused", "failed", "not taken", "unanswered"}
+var outcomeNames = [outcomeCount]string{"stood", "refused", "failed", "not taken", "unanswered"}
 
 type client struct {
-	r    *run
-	conn *transport.Conn[*signal.Message]
-	mu   sync.Mutex
-	tx   uint32
-	open map[uint32]began
+	run             *run
+	conn            *transport.Conn[*signal.Message]
+	mu              sync.Mutex
+	lastTransaction uint32
+	pending         map[uint32]pendingCall
 }
 
-type began struct {
+type pendingCall struct {
 	due     time.Time
 	name    string
 	holding time.Duration
 }
 
 type run struct {
-	o       Options
-	mu      sync.Mutex
-	hists   [ends]*hdrhistogram.Histogram
-	rnd     *rand.Rand
-	timers  sync.WaitGroup
-	clients []*client
+	options       Options
+	mu            sync.Mutex
+	histograms    [outcomeCount]*hdrhistogram.Histogram
+	random        *rand.Rand
+	releaseTimers sync.WaitGroup
+	clients       []*client
 }
 
-// mostDelay is the largest delay told apart.
-const mostDelay = int64(5 * time.Minute)
+// maxRecordedDelay is the largest delay told apart.
+const maxRecordedDelay = int64(5 * time.Minute)
 
-func (r *run) book(end int, d time.Duration) {
+func (r *run) record(end int, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.hists[end].RecordValue(min(max(int64(d), 1), mostDelay)) // within range by min and max
+	_ = r.histograms[end].RecordValue(min(max(int64(d), 1), maxRecordedDelay)) // within range by min and max
 }
 
 // Run makes the calls and waits for the answers.
@@ -102,9 +102,9 @@
 		var d net.Dialer
 		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 	}
-	r := &run{o: o, rnd: rand.New(rand.NewPCG(o.Seed, 0x10ad))}
-	for i := range r.hists {
-		r.hists[i] = hdrhistogram.New(1, mostDelay, 3)
+	r := &run{options: o, random: rand.New(rand.NewPCG(o.Seed, 0x10ad))}
+	for i := range r.histograms {
+		r.histograms[i] = hdrhistogram.New(1, maxRecordedDelay, 3)
 	}
 	for _, addr := range o.Addresses {
 		for range o.ConnsPerAddress {
@@ -113,71 +113,71 @@
 				r.close()
 				return nil, fmt.Errorf("load: %w", err)
 			}
-			c := &client{r: r, open: map[uint32]began{}}
+			c := &client{run: r, pending: map[uint32]pendingCall{}}
 			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}, WriteTimeout: time.Minute}, c)
 			r.clients = append(r.clients, c)
 		}
 	}
 	defer r.close()
 	start := time.Now()
-	n := r.dial(ctx, start)
+	n := r.placeCalls(ctx, start)
 	took := time.Since(start)
 	deadline := time.Now().Add(o.Patience + time.Second)
-	for r.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+	for r.countPending() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 	for _, c := range r.clients {
 		c.mu.Lock()
-		for id, b := range c.open {
-			r.book(unanswered, time.Since(b.due))
-			delete(c.open, id)
+		for id, b := range c.pending {
+			r.record(unanswered, time.Since(b.due))
+			delete(c.pending, id)
 		}
 		c.mu.Unlock()
 	}
-	r.timers.Wait()
+	r.releaseTimers.Wait()
 	res := &Result{Offered: n, Duration: took}
-	for i, h := range r.hists {
-		res.Rows = append(res.Rows, Row{endNames[i], h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
+	for i, h := range r.histograms {
+		res.Rows = append(res.Rows, Row{outcomeNames[i], h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
 			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), time.Duration(h.Max())})
 	}
 	return res, nil
 }
 
-// dial makes the calls at their times, several at once where the clock is behind.
-func (r *run) dial(ctx context.Context, start time.Time) int {
+// placeCalls makes the calls at their times, several at once where the clock is behind.
+func (r *run) placeCalls(ctx context.Context, start time.Time) int {
 	due := start
 	for n := 0; ; n++ {
-		due = due.Add(time.Duration(r.rnd.ExpFloat64() / r.o.Rate * float64(time.Second)))
-		if due.Sub(start) > r.o.Duration || ctx.Err() != nil {
+		due = due.Add(time.Duration(r.random.ExpFloat64() / r.options.Rate * float64(time.Second)))
+		if due.Sub(start) > r.options.Duration || ctx.Err() != nil {
 			return n
 		}
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
 		c := r.clients[n%len(r.clients)]
-		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.o.Seed, n)}
-		m.Put("Class", r.o.Classes[r.rnd.IntN(len(r.o.Classes))]).PutInt("Dest", r.o.Destinations[r.rnd.IntN(len(r.o.Destinations))])
-		m.Put("Number", fmt.Sprint(r.rnd.Uint64N(1<<40))).PutDuration("Left", r.o.Patience)
+		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.options.Seed, n)}
+		m.Put("Class", r.options.Classes[r.random.IntN(len(r.options.Classes))]).PutInt("Dest", r.options.Destinations[r.random.IntN(len(r.options.Destinations))])
+		m.Put("Number", fmt.Sprint(r.random.Uint64N(1<<40))).PutDuration("Left", r.options.Patience)
 		c.mu.Lock()
-		c.tx++
-		m.ID = c.tx
-		c.open[m.ID] = began{due, m.Termination, time.Duration(r.rnd.ExpFloat64() * float64(r.o.MeanHoldingTime))}
+		c.lastTransaction++
+		m.ID = c.lastTransaction
+		c.pending[m.ID] = pendingCall{due, m.Termination, time.Duration(r.random.ExpFloat64() * float64(r.options.MeanHoldingTime))}
 		sent := c.conn.Send(m, time.Hour)
 		if !sent {
-			delete(c.open, m.ID)
+			delete(c.pending, m.ID)
 		}
 		c.mu.Unlock()
 		if !sent {
-			r.book(notTaken, time.Since(due))
+			r.record(notTaken, time.Since(due))
 		}
 	}
 }
 
-func (r *run) open() int {
+func (r *run) countPending() int {
 	n := 0
 	for _, c := range r.clients {
 		c.mu.Lock()
-		n += len(c.open)
+		n += len(c.pending)
 		c.mu.Unlock()
 	}
 	return n
@@ -200,8 +200,8 @@
 		return
 	}
 	c.mu.Lock()
-	b, ok := c.open[m.ID]
-	delete(c.open, m.ID)
+	b, ok := c.pending[m.ID]
+	delete(c.pending, m.ID)
 	c.mu.Unlock()
 	if !ok {
 		return
@@ -209,29 +209,29 @@
 	end := failed
 	switch {
 	case m.Code == 0:
-		end = stood
+		end = established
 	case m.Get("Taken") == "no":
 		end = notTaken
 	case m.Code == signal.InsufficientResources:
 		end = refused
 	}
-	c.r.book(end, time.Since(b.due))
-	if end != stood {
+	c.run.record(end, time.Since(b.due))
+	if end != established {
 		return
 	}
 	release := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.tx++
-		conn.Send(&signal.Message{ID: c.tx, Command: signal.Subtract, Termination: b.name}, 0)
+		c.lastTransaction++
+		conn.Send(&signal.Message{ID: c.lastTransaction, Command: signal.Subtract, Termination: b.name}, 0)
 	}
 	if b.holding <= 0 {
 		release()
 		return
 	}
-	c.r.timers.Add(1)
+	c.run.releaseTimers.Add(1)
 	time.AfterFunc(b.holding, func() {
-		defer c.r.timers.Done()
+		defer c.run.releaseTimers.Done()
 		release()
 	})
 }
@@ -242,11 +242,11 @@
 // Unsent is a call that could not be sent.
 func (c *client) Unsent(_ *transport.Conn[*signal.Message], m *signal.Message) {
 	c.mu.Lock()
-	b, ok := c.open[m.ID]
-	delete(c.open, m.ID)
+	b, ok := c.pending[m.ID]
+	delete(c.pending, m.ID)
 	c.mu.Unlock()
 	if ok {
-		c.r.book(notTaken, time.Since(b.due))
+		c.run.record(notTaken, time.Since(b.due))
 	}
 }
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,16 +12,16 @@
 	"dahliaspindle/internal/transport"
 )
 
-// server answers every third Add well, every third with a refusal, the rest
+// scriptedController answers every third Add well, every third with a refusal, the rest
 // never; it stops answering for a while in the middle.
-type server struct {
+type scriptedController struct {
 	n      int
 	start  time.Time
 	opened map[string]bool
 	t      *testing.T
 }
 
-func (s *server) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
+func (s *scriptedController) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
 	switch m.Command {
 	case signal.Add:
 		s.n++
@@ -43,18 +43,18 @@
 		delete(s.opened, m.Termination)
 	}
 }
-func (*server) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
-func (*server) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
-func (*server) Closed(*transport.Conn[*signal.Message], error)                          {}
+func (*scriptedController) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (*scriptedController) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (*scriptedController) Closed(*transport.Conn[*signal.Message], error)                          {}
 
-func TestOpenLoop(t *testing.T) {
+func TestDelayCountsFromDueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var n memnet.Network
 		ln, err := n.Listen()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{start: time.Now(), opened: map[string]bool{}, t: t}
+		s := &scriptedController{start: time.Now(), opened: map[string]bool{}, t: t}
 		go func() {
 			nc, err := ln.Accept()
 			if err == nil {
@@ -75,7 +75,7 @@
 			t.Errorf("%d calls offered, %d booked", r.Offered, sum)
 		}
 		// the second in which nothing was answered shows in full: arrivals did not wait for it
-		if st := r.Rows[stood]; st.Calls != int64(r.Offered/3) || st.Max < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
+		if st := r.Rows[established]; st.Calls != int64(r.Offered/3) || st.Max < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
 			t.Errorf("%+v", st)
 		}
 		if r.Rows[unanswered].Calls < int64(r.Offered/3) || r.Rows[refused].Calls == 0 {
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -57,17 +57,17 @@
 
 // Run measures the controller and the echo in turn, rate by rate.
 func Run(ctx context.Context, o Options, told func(Step)) (*Result, error) {
-	in, err := newInstant()
+	in, err := newInstantPeers()
 	if err != nil {
 		return nil, err
 	}
 	defer in.close()
-	control, stopControl, err := o.controller(ctx, "controller", in.list.Addr().String(), "")
+	control, stopControl, err := o.startController(ctx, "controller", in.list.Addr().String(), "")
 	if err != nil {
 		return nil, err
 	}
 	defer stopControl()
-	echo, stopEcho, err := o.child(ctx, "echo", "echo", "--listen", "fd:3")
+	echo, stopEcho, err := o.startChild(ctx, "echo", "echo", "--listen", "fd:3")
 	if err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 			return nil, fmt.Errorf("rate: %w", err)
 		}
 		defer hung.Close()
-		go hang(hung)
-		addr, stop, err := o.controller(ctx, "exporting", in.list.Addr().String(), hung.Addr().String())
+		go acceptWithoutReading(hung)
+		addr, stop, err := o.startController(ctx, "exporting", in.list.Addr().String(), hung.Addr().String())
 		if err != nil {
 			return nil, err
 		}
@@ -95,21 +95,21 @@
 			if over[s.name] || ctx.Err() != nil {
 				continue
 			}
-			step, err := o.step(ctx, s.name, s.addr, rate)
+			step, err := o.measureStep(ctx, s.name, s.address, rate)
 			if err != nil {
 				return nil, err
 			}
 			r.Steps = append(r.Steps, step)
 			told(step)
 			if over[s.name] = !step.Passed; step.Passed {
-				*s.best = rate
+				*s.highestRate = rate
 			}
 		}
 	}
 	return r, nil
 }
 
-func (o Options) step(ctx context.Context, name, addr string, rate float64) (Step, error) {
+func (o Options) measureStep(ctx context.Context, name, addr string, rate float64) (Step, error) {
 	res, err := load.Run(ctx, load.Options{Addresses: []string{addr}, Rate: rate, Duration: o.StepDuration, Classes: []string{"call"}, Destinations: []int{1, 2, 3},
 		Patience: 4 * time.Second, MeanHoldingTime: 200 * time.Millisecond, ConnsPerAddress: 4, Seed: uint64(rate)})
 	if err != nil {
@@ -124,12 +124,12 @@
 }
 
 type server struct {
-	name, addr string
-	best       *float64
+	name, address string
+	highestRate   *float64
 }
 
-// hang accepts and never reads.
-func hang(ln net.Listener) {
+// acceptWithoutReading accepts and never reads.
+func acceptWithoutReading(ln net.Listener) {
 	var held []net.Conn
 	defer func() {
 		for _, nc := range held {
@@ -145,8 +145,8 @@
 	}
 }
 
-// controller starts one on settings of its own.
-func (o Options) controller(ctx context.Context, name, list, collector string) (string, func(), error) {
+// startController starts one on settings of its own.
+func (o Options) startController(ctx context.Context, name, list, collector string) (string, func(), error) {
 	set := &settings.Controller{Controllers: 4, Seed: 1, Listen: "fd:3", ListAddress: list,
 		Classes: []settings.Class{{Name: "call", Worth: 1, LateWorth: 0.1, SetUpTarget: time.Second, Patience: 9 * time.Second,
 			HoldingTime: 200 * time.Millisecond, Circuits: 1}},
@@ -164,11 +164,11 @@
 	if err := errors.Join(settings.Write(f, "controller", set), f.Close()); err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	return o.child(ctx, name, "run", file)
+	return o.startChild(ctx, name, "run", file)
 }
 
-// child runs the program on a listener that is passed on.
-func (o Options) child(ctx context.Context, name string, args ...string) (string, func(), error) {
+// startChild runs the program on a listener that is passed on.
+func (o Options) startChild(ctx context.Context, name string, args ...string) (string, func(), error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
@@ -196,19 +196,19 @@
 	}, nil
 }
 
-// instant is a list and three exchanges that answer at once.
-type instant struct {
+// instantPeers is a list and three exchanges that answer at once.
+type instantPeers struct {
 	list  net.Listener
 	exch  [4]net.Listener
 	mu    sync.Mutex
 	conns []*transport.Conn[*signal.Message]
 }
 
-// manyCircuits is the size of every group: circuits are not what is measured.
-const manyCircuits = 1 << 20
+// circuitsPerGroup is the size of every group: circuits are not what is measured.
+const circuitsPerGroup = 1 << 20
 
-func newInstant() (*instant, error) {
-	in := &instant{}
+func newInstantPeers() (*instantPeers, error) {
+	in := &instantPeers{}
 	lines := []signal.Field{{Name: "Complete", Value: "yes"}}
 	for cell := range in.exch {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -220,8 +220,8 @@
 		go in.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
 			c.Send(m.NewReply(), 0)
 			if m.Command == signal.Modify && cell == 0 {
-				c.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Group", fmt.Sprint("1 ", manyCircuits, " ", manyCircuits)).
-					Put("Group", fmt.Sprint("2 ", manyCircuits, " ", manyCircuits)).Put("Group", fmt.Sprint("3 ", manyCircuits, " ", manyCircuits)), 0)
+				c.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Group", fmt.Sprint("1 ", circuitsPerGroup, " ", circuitsPerGroup)).
+					Put("Group", fmt.Sprint("2 ", circuitsPerGroup, " ", circuitsPerGroup)).Put("Group", fmt.Sprint("3 ", circuitsPerGroup, " ", circuitsPerGroup)), 0)
 			}
 		})
 	}
@@ -239,33 +239,33 @@
 	return in, nil
 }
 
-type peer struct {
+type requestHandler struct {
 	on func(*transport.Conn[*signal.Message], *signal.Message)
 }
 
-func (p peer) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
+func (p requestHandler) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
 	if m.Kind == signal.Request {
 		p.on(c, m)
 	}
 }
-func (peer) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
-func (peer) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
-func (peer) Closed(*transport.Conn[*signal.Message], error)                          {}
+func (requestHandler) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (requestHandler) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (requestHandler) Closed(*transport.Conn[*signal.Message], error)                          {}
 
-func (in *instant) accept(ln net.Listener, on func(*transport.Conn[*signal.Message], *signal.Message)) {
+func (in *instantPeers) accept(ln net.Listener, on func(*transport.Conn[*signal.Message], *signal.Message)) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}}, peer{on})
+		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}}, requestHandler{on})
 		in.mu.Lock()
 		in.conns = append(in.conns, c)
 		in.mu.Unlock()
 	}
 }
 
-func (in *instant) close() {
+func (in *instantPeers) close() {
 	for _, ln := range append(in.exch[:], in.list) {
 		ln.Close()
 	}
@@ -288,11 +288,11 @@
 		if err != nil {
 			return fmt.Errorf("echo: %w", err)
 		}
-		go echo(nc)
+		go echoConn(nc)
 	}
 }
 
-func echo(nc net.Conn) {
+func echoConn(nc net.Conn) {
 	defer nc.Close()
 	c := textproto.NewConn(nc)
 	for {
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -22,13 +22,13 @@
 	Transit  bool
 	Send     func(*signal.Message)
 
-	cell     int // of the controller, once it has said so; -1 before
-	circuits bool
-	tx       uint32
-	legs     map[legKey]*leg // set up over it
-	onward   map[uint32]*leg // transit: Adds that wait for their reply, by transaction
-	carried  map[string]*leg // transit: by name in use towards the own controller
-	closed   bool
+	controllerNumber int // of the controller, once it has said so; -1 before
+	reportsCircuits  bool
+	lastTransaction  uint32
+	legs             map[legKey]*leg // set up over it
+	pendingTransit   map[uint32]*leg // transit: Adds that wait for their reply, by transaction
+	transitLegs      map[string]*leg // transit: by name in use towards the own controller
+	closed           bool
 }
 
 type legKey struct {
@@ -46,18 +46,18 @@
 	Unresponsive    bool    // takes set-ups and answers none
 	UnansweredShare float64 // share of set-ups that get no answer
 	CutShare        float64 // share of set-ups that are cut before the answer
-	proc            processor
-	work            time.Duration // of one set-up
+	processor       processor
+	setUpWork       time.Duration // of one set-up
 	conns           []*Conn
-	transit         *Conn
-	own             *Conn // of the controller of its number
+	transitConn     *Conn
+	ownConn         *Conn // of the controller of its number
 }
 
 // Group is the circuits between two numbers.
 type Group struct {
 	LowNumber, HighNumber int
 	Size, Free            int
-	lost                  int
+	lostCircuits          int
 }
 
 // Config are what a fleet is made of.
@@ -78,16 +78,16 @@
 
 // Fleet is all exchanges and the groups between them.
 type Fleet struct {
-	fig       Config
-	s         Scheduler
-	rnd       *rand.Rand
-	Exchanges []*Exchange // in the order of their making
-	cells     map[int]*Exchange
-	groups    map[[2]int]*Group
-	order     []*Group
-	dirty     map[int]map[int]bool // by number, whose groups changed
-	flush     bool
-	lines     map[string]int // free lines of numbers that have few
+	config            Config
+	scheduler         Scheduler
+	random            *rand.Rand
+	Exchanges         []*Exchange // in the order of their making
+	exchangesByNumber map[int]*Exchange
+	groups            map[[2]int]*Group
+	orderedGroups     []*Group
+	changedGroups     map[int]map[int]bool // by number, whose groups changed
+	reportScheduled   bool
+	freeLines         map[string]int // free lines of numbers that have few
 
 	OnStart func(*Exchange) // told of each start of a processor
 	Counts  Counts
@@ -100,21 +100,21 @@
 
 // New makes an empty fleet.
 func New(s Scheduler, rnd *rand.Rand, fig Config) *Fleet {
-	return &Fleet{fig: fig, s: s, rnd: rnd, cells: map[int]*Exchange{}, groups: map[[2]int]*Group{},
-		dirty: map[int]map[int]bool{}, lines: map[string]int{}, OnStart: func(*Exchange) {}}
+	return &Fleet{config: fig, scheduler: s, random: rnd, exchangesByNumber: map[int]*Exchange{}, groups: map[[2]int]*Group{},
+		changedGroups: map[int]map[int]bool{}, freeLines: map[string]int{}, OnStart: func(*Exchange) {}}
 }
 
 // AddExchange brings an exchange into service; work is the time of one set-up on its
 // processor. One of the same number takes over from the one before.
 func (f *Fleet) AddExchange(id uint32, cell, region int, work time.Duration, cold bool) *Exchange {
-	x := &Exchange{ID: id, Number: cell, Region: region, Up: true, work: work}
-	x.proc = processor{s: f.s, first: f.fig.FinishFirst, slow: 1, from: f.fig.ColdCapacity, warm: f.fig.ColdDuration}
+	x := &Exchange{ID: id, Number: cell, Region: region, Up: true, setUpWork: work}
+	x.processor = processor{scheduler: f.scheduler, answersFirst: f.config.FinishFirst, slowdown: 1, initialShare: f.config.ColdCapacity, warmUpTime: f.config.ColdDuration}
 	if cold {
-		x.StartedAt = f.s.Now()
-		x.proc.since = x.StartedAt
+		x.StartedAt = f.scheduler.Now()
+		x.processor.startedAt = x.StartedAt
 	}
 	f.Exchanges = append(f.Exchanges, x)
-	f.cells[cell] = x
+	f.exchangesByNumber[cell] = x
 	f.OnStart(x)
 	return x
 }
@@ -123,7 +123,7 @@
 func (f *Fleet) AddGroup(a, b, size int) {
 	g := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
 	f.groups[[2]int{g.LowNumber, g.HighNumber}] = g
-	f.order = append(f.order, g)
+	f.orderedGroups = append(f.orderedGroups, g)
 }
 
 // ResizeGroup gives a group another number of circuits, or makes or ends one, before
@@ -138,57 +138,57 @@
 		g.Size, g.Free = size, size
 	case g != nil:
 		delete(f.groups, key)
-		f.order = slices.DeleteFunc(f.order, func(o *Group) bool { return o == g })
+		f.orderedGroups = slices.DeleteFunc(f.orderedGroups, func(o *Group) bool { return o == g })
 	}
 }
 
 // Groups lists the groups in the order of their making.
-func (f *Fleet) Groups() []*Group { return f.order }
+func (f *Fleet) Groups() []*Group { return f.orderedGroups }
 
 // Current is the exchange that serves a number.
-func (f *Fleet) Current(cell int) *Exchange { return f.cells[cell] }
+func (f *Fleet) Current(cell int) *Exchange { return f.exchangesByNumber[cell] }
 
-func (f *Fleet) group(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
+func (f *Fleet) groupBetween(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
 
 // LimitLines gives a number so few lines.
-func (f *Fleet) LimitLines(number string, n int) { f.lines[number] = n }
+func (f *Fleet) LimitLines(number string, n int) { f.freeLines[number] = n }
 
 // SetUpsPerSecond is the set-ups that an exchange can do when warm.
-func (x *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(x.work) }
+func (x *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(x.setUpWork) }
 
 // CircuitsInUse counts circuits in use over all groups.
 func (f *Fleet) CircuitsInUse() int {
 	n := 0
-	for _, g := range f.order {
-		n += g.Size - g.lost - g.Free
+	for _, g := range f.orderedGroups {
+		n += g.Size - g.lostCircuits - g.Free
 	}
 	return n
 }
 
 // leg is one set-up at an exchange, over one group.
 type leg struct {
-	conn      *Conn
-	key       legKey
-	name      string
-	add       uint32 // transaction that waits for the reply; 0 once answered
-	near, far *Exchange
-	group     *Group
-	width     int
-	msg       *signal.Message
-	dest      int
-	due       time.Duration
-	line      string // it holds a line of this number
-	onward    string // name of its call in transit at the far end's controller
-	stands    bool
-	over      bool
+	conn         *Conn
+	key          legKey
+	termination  string
+	pendingAdd   uint32 // transaction that waits for the reply; 0 once answered
+	origin, peer *Exchange
+	group        *Group
+	circuits     int
+	request      *signal.Message
+	destination  int
+	deadline     time.Duration
+	lineNumber   string // it holds a line of this number
+	transitName  string // name of its call in transit at the far end's controller
+	established  bool
+	ended        bool
 }
 
 // OpenConn takes a new connection: of a controller, or the exchange's own for calls in transit.
 func (f *Fleet) OpenConn(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
-	c := &Conn{Exchange: x, Transit: transit, Send: send, cell: -1, legs: map[legKey]*leg{},
-		onward: map[uint32]*leg{}, carried: map[string]*leg{}}
+	c := &Conn{Exchange: x, Transit: transit, Send: send, controllerNumber: -1, legs: map[legKey]*leg{},
+		pendingTransit: map[uint32]*leg{}, transitLegs: map[string]*leg{}}
 	if transit {
-		x.transit = c
+		x.transitConn = c
 	} else {
 		x.conns = append(x.conns, c)
 	}
@@ -203,24 +203,24 @@
 	c.closed = true
 	x := c.Exchange
 	if c.Transit {
-		if x.transit == c {
-			x.transit = nil
+		if x.transitConn == c {
+			x.transitConn = nil
 		}
-		for _, name := range sortedKeys(c.carried) {
-			l := c.carried[name]
-			l.onward = ""
-			f.fail(l, "turned-back", true)
+		for _, name := range sortedKeys(c.transitLegs) {
+			l := c.transitLegs[name]
+			l.transitName = ""
+			f.failLeg(l, "turned-back", true)
 		}
 		return
 	}
 	x.conns = slices.DeleteFunc(x.conns, func(o *Conn) bool { return o == c })
-	if x.own == c {
-		x.own = nil
+	if x.ownConn == c {
+		x.ownConn = nil
 	}
-	for _, k := range sortedLegs(c.legs) {
+	for _, k := range sortedLegKeys(c.legs) {
 		l := c.legs[k]
-		l.add, l.stands = 0, false // nobody to tell
-		f.end(l)
+		l.pendingAdd, l.established = 0, false // nobody to tell
+		f.releaseLeg(l)
 	}
 }
 
@@ -230,7 +230,7 @@
 		return
 	}
 	if c.Transit {
-		f.fromOwnController(c, m)
+		f.handleTransitMessage(c, m)
 		return
 	}
 	if m.Kind != signal.Request {
@@ -244,17 +244,17 @@
 			c.Send(m.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
-		if c.cell = cell; cell == x.Number {
-			x.own = c
+		if c.controllerNumber = cell; cell == x.Number {
+			x.ownConn = c
 		}
 		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.StartedAt.Milliseconds())))
 	case signal.Modify:
 		c.Send(m.NewReply())
-		if c.circuits = m.Get("Events") == "circuits" && c.cell == x.Number; c.circuits {
-			f.report(x, nil)
+		if c.reportsCircuits = m.Get("Events") == "circuits" && c.controllerNumber == x.Number; c.reportsCircuits {
+			f.reportCircuits(x, nil)
 		}
 	case signal.AuditValue:
-		c.Send(m.NewReply().PutDuration("Wait", x.proc.wait()))
+		c.Send(m.NewReply().PutDuration("Wait", x.processor.expectedWait()))
 	case signal.Add:
 		f.setUp(c, m)
 	case signal.Subtract:
@@ -263,22 +263,22 @@
 			c.Send(m.NewReply()) // it is released, as was asked
 			return
 		}
-		l.add = 0 // the release answers it
-		f.releaseWork(l, func() { c.Send(m.NewReply()) })
+		l.pendingAdd = 0 // the release answers it
+		f.processRelease(l, func() { c.Send(m.NewReply()) })
 	default:
 		c.Send(m.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
 	}
 }
 
-func (f *Fleet) delay(a, b *Exchange) time.Duration {
-	d := f.fig.InterRegionDelay
+func (f *Fleet) propagationDelay(a, b *Exchange) time.Duration {
+	d := f.config.InterRegionDelay
 	if a.Region == b.Region {
-		d = f.fig.IntraRegionDelay
+		d = f.config.IntraRegionDelay
 	}
-	return time.Duration(float64(d) * (0.9 + 0.2*f.rnd.Float64()))
+	return time.Duration(float64(d) * (0.9 + 0.2*f.random.Float64()))
 }
 
-func times(work time.Duration, k float64) time.Duration { return time.Duration(float64(work) * k) }
+func scaleWork(work time.Duration, k float64) time.Duration { return time.Duration(float64(work) * k) }
 
 // setUp begins a set-up: circuits at once, then the near and the far processor.
 func (f *Fleet) setUp(c *Conn, m *signal.Message) {
@@ -289,305 +289,305 @@
 	width, err2 := m.Int("Width", 1, 1024)
 	left, err3 := m.Duration("Left")
 	switch {
-	case err != nil || err2 != nil || err3 != nil || c.cell < 0:
+	case err != nil || err2 != nil || err3 != nil || c.controllerNumber < 0:
 		c.Send(m.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, err2, err3)))
 		return
 	case c.legs[key] != nil:
 		c.Send(m.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
-	near, g := f.cells[c.cell], f.group(c.cell, x.Number)
-	l := &leg{conn: c, key: key, name: m.Termination, add: m.ID, near: near, far: x, group: g, width: width, msg: m, dest: dest,
-		due: f.s.Now() + left}
+	near, g := f.exchangesByNumber[c.controllerNumber], f.groupBetween(c.controllerNumber, x.Number)
+	l := &leg{conn: c, key: key, termination: m.Termination, pendingAdd: m.ID, origin: near, peer: x, group: g, circuits: width, request: m, destination: dest,
+		deadline: f.scheduler.Now() + left}
 	switch {
 	case near == nil || !near.Up:
-		f.reply(l, "own-processor", signal.TemporaryFailure)
+		f.sendReply(l, "own-processor", signal.TemporaryFailure)
 		return
 	case g == nil || g.Free < width:
 		f.Counts.NoCircuit++
-		f.reply(l, "no-circuit", signal.InsufficientResources)
+		f.sendReply(l, "no-circuit", signal.InsufficientResources)
 		return
 	}
-	f.change(g, -width)
+	f.changeFreeCircuits(g, -width)
 	c.legs[key] = l
-	near.proc.do(times(near.work, 1+f.fig.ExamineWork), false, func() {
-		f.s.After(f.delay(near, x), func() { f.arrive(l) })
+	near.processor.enqueue(scaleWork(near.setUpWork, 1+f.config.ExamineWork), false, func() {
+		f.scheduler.After(f.propagationDelay(near, x), func() { f.handleArrival(l) })
 	})
 }
 
-// arrive is the set-up at the far exchange.
-func (f *Fleet) arrive(l *leg) {
-	x := l.far
+// handleArrival is the set-up at the far exchange.
+func (f *Fleet) handleArrival(l *leg) {
+	x := l.peer
 	switch {
-	case l.over || !x.Up:
+	case l.ended || !x.Up:
 		return
-	case x.Unresponsive || f.rnd.Float64() < x.UnansweredShare:
+	case x.Unresponsive || f.random.Float64() < x.UnansweredShare:
 		f.Counts.Swallowed++
 		return // held until it is called off
-	case f.rnd.Float64() < x.CutShare:
-		f.fail(l, "cut", false)
+	case f.random.Float64() < x.CutShare:
+		f.failLeg(l, "cut", false)
 		return
-	case x.proc.wait() > f.fig.MaxQueueWait:
+	case x.processor.expectedWait() > f.config.MaxQueueWait:
 		f.Counts.TurnedAway++
-		x.proc.do(times(x.work, f.fig.RejectWork), false, func() { f.fail(l, "processor-full", false) })
+		x.processor.enqueue(scaleWork(x.setUpWork, f.config.RejectWork), false, func() { f.failLeg(l, "processor-full", false) })
 		return
 	}
-	if f.fig.ResendAfter > 0 {
-		f.resend(l, f.fig.ResendAfter)
+	if f.config.ResendAfter > 0 {
+		f.scheduleResend(l, f.config.ResendAfter)
 	}
-	x.proc.do(x.work, false, func() {
-		if l.over {
+	x.processor.enqueue(x.setUpWork, false, func() {
+		if l.ended {
 			return
 		}
-		if l.dest != x.Number {
-			f.handOn(l)
+		if l.destination != x.Number {
+			f.forwardTransit(l)
 			return
 		}
-		number := l.msg.Get("Number")
-		if free, few := f.lines[number]; few {
+		number := l.request.Get("Number")
+		if free, few := f.freeLines[number]; few {
 			if free <= 0 {
 				f.Counts.LinesBusy++
-				f.fail(l, "lines-busy", false)
+				f.failLeg(l, "lines-busy", false)
 				return
 			}
-			f.lines[number]--
-			l.line = number
+			f.freeLines[number]--
+			l.lineNumber = number
 		}
-		f.answer(l)
+		f.returnAnswer(l)
 	})
 }
 
-// resend is a set-up that waits and is sent again: work, and nothing else.
-func (f *Fleet) resend(l *leg, gap time.Duration) {
-	f.s.After(gap, func() {
-		if l.over || l.stands || l.add == 0 || !l.far.Up {
+// scheduleResend is a set-up that waits and is sent again: work, and nothing else.
+func (f *Fleet) scheduleResend(l *leg, gap time.Duration) {
+	f.scheduler.After(gap, func() {
+		if l.ended || l.established || l.pendingAdd == 0 || !l.peer.Up {
 			return
 		}
-		l.far.proc.do(times(l.far.work, f.fig.ResendWork), false, func() {})
-		f.resend(l, 2*gap)
+		l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.ResendWork), false, func() {})
+		f.scheduleResend(l, 2*gap)
 	})
 }
 
-// answer brings the word that the call stands back through both processors.
-func (f *Fleet) answer(l *leg) {
-	l.far.proc.do(times(l.far.work, f.fig.FollowUpWork), true, func() {
-		f.s.After(f.delay(l.far, l.near), func() {
-			if l.over || !l.near.Up {
+// returnAnswer brings the word that the call stands back through both processors.
+func (f *Fleet) returnAnswer(l *leg) {
+	l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		f.scheduler.After(f.propagationDelay(l.peer, l.origin), func() {
+			if l.ended || !l.origin.Up {
 				return
 			}
-			l.near.proc.do(times(l.near.work, f.fig.FollowUpWork), true, func() {
-				if l.over {
+			l.origin.processor.enqueue(scaleWork(l.origin.setUpWork, f.config.FollowUpWork), true, func() {
+				if l.ended {
 					return
 				}
-				l.stands = true
+				l.established = true
 				f.Counts.Stood++
-				f.reply(l, "", 0)
+				f.sendReply(l, "", 0)
 			})
 		})
 	})
 }
 
-// handOn gives a call in transit to the own controller.
-func (f *Fleet) handOn(l *leg) {
-	c := l.far.transit
-	left := l.due - f.s.Now()
+// forwardTransit gives a call in transit to the own controller.
+func (f *Fleet) forwardTransit(l *leg) {
+	c := l.peer.transitConn
+	left := l.deadline - f.scheduler.Now()
 	if c == nil || left <= 0 {
-		f.fail(l, "turned-back", false)
+		f.failLeg(l, "turned-back", false)
 		return
 	}
-	c.tx++
-	l.onward = fmt.Sprintf("%s/%d.%s", l.name, l.near.Number, l.key.attempt)
-	if c.carried[l.onward] != nil { // its last try through here is not released yet
-		l.onward = ""
-		f.fail(l, "turned-back", false)
+	c.lastTransaction++
+	l.transitName = fmt.Sprintf("%s/%d.%s", l.termination, l.origin.Number, l.key.attempt)
+	if c.transitLegs[l.transitName] != nil { // its last try through here is not released yet
+		l.transitName = ""
+		f.failLeg(l, "turned-back", false)
 		return
 	}
-	c.onward[c.tx], c.carried[l.onward] = l, l
-	m := &signal.Message{ID: c.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: l.onward}
-	m.Put("Class", l.msg.Get("Class")).PutInt("Dest", l.dest).PutInt("Width", l.width).PutDuration("Left", left)
-	m.PutInt("Source", l.near.Number).PutFlag("Again", l.msg.Flag("Again"))
-	if n := l.msg.Get("Number"); n != "" {
+	c.pendingTransit[c.lastTransaction], c.transitLegs[l.transitName] = l, l
+	m := &signal.Message{ID: c.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: l.transitName}
+	m.Put("Class", l.request.Get("Class")).PutInt("Dest", l.destination).PutInt("Width", l.circuits).PutDuration("Left", left)
+	m.PutInt("Source", l.origin.Number).PutFlag("Again", l.request.Flag("Again"))
+	if n := l.request.Get("Number"); n != "" {
 		m.Put("Number", n)
 	}
 	c.Send(m)
 }
 
-// fromOwnController is the word of the own controller on calls in transit.
-func (f *Fleet) fromOwnController(c *Conn, m *signal.Message) {
+// handleTransitMessage is the word of the own controller on calls in transit.
+func (f *Fleet) handleTransitMessage(c *Conn, m *signal.Message) {
 	switch {
 	case m.Kind == signal.Reply && m.Command == signal.Add:
-		l := c.onward[m.ID]
-		delete(c.onward, m.ID)
-		if l == nil || l.over {
+		l := c.pendingTransit[m.ID]
+		delete(c.pendingTransit, m.ID)
+		if l == nil || l.ended {
 			return
 		}
 		if m.Code == 0 {
-			f.answer(l)
+			f.returnAnswer(l)
 			return
 		}
-		delete(c.carried, l.onward)
-		l.onward = ""
+		delete(c.transitLegs, l.transitName)
+		l.transitName = ""
 		note := "turned-back"
 		if m.Get("Cause") == "processor-full" {
 			note = "turned-back-processor"
 		}
-		f.fail(l, note, false)
+		f.failLeg(l, note, false)
 	case m.Kind == signal.Request && m.Command == signal.Notify:
 		c.Send(m.NewReply())
-		if l := c.carried[m.Termination]; l != nil {
-			delete(c.carried, l.onward)
-			l.onward = ""
-			f.cut(l)
+		if l := c.transitLegs[m.Termination]; l != nil {
+			delete(c.transitLegs, l.transitName)
+			l.transitName = ""
+			f.cutLeg(l)
 		}
 	case m.Kind == signal.Request:
 		c.Send(m.NewReply())
 	}
 }
 
-// reply answers the set-up, if somebody waits for it.
-func (f *Fleet) reply(l *leg, note string, code signal.Code) {
-	if l.add == 0 || l.conn.closed {
+// sendReply answers the set-up, if somebody waits for it.
+func (f *Fleet) sendReply(l *leg, note string, code signal.Code) {
+	if l.pendingAdd == 0 || l.conn.closed {
 		return
 	}
-	l.add = 0
-	r := l.msg.NewReply()
+	l.pendingAdd = 0
+	r := l.request.NewReply()
 	if note != "" {
 		r.Code, r.Text = code, note
 		r.Put("Note", note)
-		if note == "processor-full" && f.fig.ReportsWait {
-			r.PutDuration("Wait", max(l.far.proc.wait()-f.fig.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
+		if note == "processor-full" && f.config.ReportsWait {
+			r.PutDuration("Wait", max(l.peer.processor.expectedWait()-f.config.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
 		}
 	}
 	if g := l.group; g != nil {
-		r.Put("Group", fmt.Sprintf("%d %d %d", l.far.Number, g.Free, g.Size-g.lost))
+		r.Put("Group", fmt.Sprintf("%d %d %d", l.peer.Number, g.Free, g.Size-g.lostCircuits))
 	}
-	if f.fig.ReportsReduction {
-		over := float64(l.far.proc.wait())/float64(f.fig.MaxQueueWait) - 0.3
+	if f.config.ReportsReduction {
+		over := float64(l.peer.processor.expectedWait())/float64(f.config.MaxQueueWait) - 0.3
 		r.Put("Reduce", fmt.Sprintf("%.2f", min(max(over, 0), 0.9)))
 	}
 	l.conn.Send(r)
 }
 
-// fail ends a set-up that will not stand, or a call that was turned back later.
-func (f *Fleet) fail(l *leg, note string, late bool) {
-	if l.over {
+// failLeg ends a set-up that will not stand, or a call that was turned back later.
+func (f *Fleet) failLeg(l *leg, note string, late bool) {
+	if l.ended {
 		return
 	}
-	if l.stands && late {
-		f.cut(l)
+	if l.established && late {
+		f.cutLeg(l)
 		return
 	}
 	if note == "turned-back" || note == "turned-back-processor" {
 		f.Counts.TurnedBack++
 	}
-	f.end(l)
+	f.releaseLeg(l)
 	code := signal.InsufficientResources
 	if note == "cut" {
 		code = signal.TemporaryFailure
 	}
-	f.reply(l, note, code)
+	f.sendReply(l, note, code)
 }
 
-// cut ends a leg at once and tells its controller.
-func (f *Fleet) cut(l *leg) {
-	if l.over {
+// cutLeg ends a leg at once and tells its controller.
+func (f *Fleet) cutLeg(l *leg) {
+	if l.ended {
 		return
 	}
 	f.Counts.Cut++
-	told := l.stands && !l.conn.closed
-	f.end(l)
+	told := l.established && !l.conn.closed
+	f.releaseLeg(l)
 	if !told {
-		f.reply(l, "cut", signal.TemporaryFailure)
+		f.sendReply(l, "cut", signal.TemporaryFailure)
 		return
 	}
-	l.conn.tx++
-	l.conn.Send((&signal.Message{ID: l.conn.tx, Context: l.key.context, Command: signal.Notify, Termination: l.name}).
+	l.conn.lastTransaction++
+	l.conn.Send((&signal.Message{ID: l.conn.lastTransaction, Context: l.key.context, Command: signal.Notify, Termination: l.termination}).
 		Put("Event", "cut").Put("Attempt", l.key.attempt))
 }
 
-// end frees what a leg holds, at once.
-func (f *Fleet) end(l *leg) {
-	if l.over {
+// releaseLeg frees what a leg holds, at once.
+func (f *Fleet) releaseLeg(l *leg) {
+	if l.ended {
 		return
 	}
-	l.over = true
+	l.ended = true
 	delete(l.conn.legs, l.key)
-	f.change(l.group, l.width)
-	if l.line != "" {
-		f.lines[l.line]++
+	f.changeFreeCircuits(l.group, l.circuits)
+	if l.lineNumber != "" {
+		f.freeLines[l.lineNumber]++
 	}
-	if c := l.far.transit; c != nil && l.onward != "" {
-		delete(c.carried, l.onward)
-		c.tx++
-		c.Send(&signal.Message{ID: c.tx, Context: signal.ContextNull, Command: signal.Subtract, Termination: l.onward})
-		l.onward = ""
+	if c := l.peer.transitConn; c != nil && l.transitName != "" {
+		delete(c.transitLegs, l.transitName)
+		c.lastTransaction++
+		c.Send(&signal.Message{ID: c.lastTransaction, Context: signal.ContextNull, Command: signal.Subtract, Termination: l.transitName})
+		l.transitName = ""
 	}
 }
 
-// releaseWork frees a leg behind the work that a release is.
-func (f *Fleet) releaseWork(l *leg, done func()) {
-	if !l.far.Up {
-		f.end(l)
+// processRelease frees a leg behind the work that a release is.
+func (f *Fleet) processRelease(l *leg, done func()) {
+	if !l.peer.Up {
+		f.releaseLeg(l)
 		done()
 		return
 	}
-	l.far.proc.do(times(l.far.work, f.fig.FollowUpWork), true, func() {
-		if l.near.Up {
-			l.near.proc.do(times(l.near.work, f.fig.FollowUpWork), true, func() {})
+	l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		if l.origin.Up {
+			l.origin.processor.enqueue(scaleWork(l.origin.setUpWork, f.config.FollowUpWork), true, func() {})
 		}
-		f.end(l)
+		f.releaseLeg(l)
 		done()
 	})
 }
 
-// change books circuits of a group and tells both ends soon.
-func (f *Fleet) change(g *Group, by int) {
+// changeFreeCircuits books circuits of a group and tells both ends soon.
+func (f *Fleet) changeFreeCircuits(g *Group, by int) {
 	g.Free += by
 	for _, end := range [2][2]int{{g.LowNumber, g.HighNumber}, {g.HighNumber, g.LowNumber}} {
-		if f.dirty[end[0]] == nil {
-			f.dirty[end[0]] = map[int]bool{}
+		if f.changedGroups[end[0]] == nil {
+			f.changedGroups[end[0]] = map[int]bool{}
 		}
-		f.dirty[end[0]][end[1]] = true
+		f.changedGroups[end[0]][end[1]] = true
 	}
-	if f.flush {
+	if f.reportScheduled {
 		return
 	}
-	f.flush = true
-	f.s.After(2*time.Millisecond, func() {
-		f.flush = false
-		for _, cell := range sortedKeys(f.dirty) {
-			if x := f.cells[cell]; x != nil {
-				f.report(x, f.dirty[cell])
+	f.reportScheduled = true
+	f.scheduler.After(2*time.Millisecond, func() {
+		f.reportScheduled = false
+		for _, cell := range sortedKeys(f.changedGroups) {
+			if x := f.exchangesByNumber[cell]; x != nil {
+				f.reportCircuits(x, f.changedGroups[cell])
 			}
 		}
-		clear(f.dirty)
+		clear(f.changedGroups)
 	})
 }
 
 // lines of one report.
-const reportLines = 100
+const maxGroupsPerReport = 100
 
-// report tells the controller of an exchange its groups: some, or all.
-func (f *Fleet) report(x *Exchange, some map[int]bool) {
-	c := x.own
-	if c == nil || !c.circuits || !x.Up {
+// reportCircuits tells the controller of an exchange its groups: some, or all.
+func (f *Fleet) reportCircuits(x *Exchange, some map[int]bool) {
+	c := x.ownConn
+	if c == nil || !c.reportsCircuits || !x.Up {
 		return
 	}
 	var m *signal.Message
-	for _, cell := range sortedKeys(f.cells) {
+	for _, cell := range sortedKeys(f.exchangesByNumber) {
 		if cell == x.Number || some != nil && !some[cell] {
 			continue
 		}
-		if m == nil || len(m.Descriptors) >= reportLines {
+		if m == nil || len(m.Descriptors) >= maxGroupsPerReport {
 			if m != nil {
 				c.Send(m)
 			}
-			c.tx++
-			m = &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
+			c.lastTransaction++
+			m = &signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}
 		}
 		free, size := 0, 0
-		if g := f.group(x.Number, cell); g != nil {
-			free, size = max(g.Free, 0), g.Size-g.lost
+		if g := f.groupBetween(x.Number, cell); g != nil {
+			free, size = max(g.Free, 0), g.Size-g.lostCircuits
 		}
 		m.Put("Group", fmt.Sprintf("%d %d %d", cell, free, size))
 	}
@@ -600,29 +600,29 @@
 // to be closed by who owns them.
 func (f *Fleet) Crash(x *Exchange) {
 	x.Up = false
-	x.proc.restart(f.s.Now())
-	f.cutAll(func(l *leg) bool { return l.near == x || l.far == x })
+	x.processor.reset(f.scheduler.Now())
+	f.cutMatching(func(l *leg) bool { return l.origin == x || l.peer == x })
 }
 
 // Restart brings a crashed processor back, cold.
 func (f *Fleet) Restart(x *Exchange) {
 	x.Up, x.Unresponsive = true, false
-	x.StartedAt = f.s.Now()
-	x.proc.restart(x.StartedAt)
+	x.StartedAt = f.scheduler.Now()
+	x.processor.reset(x.StartedAt)
 	f.OnStart(x)
 }
 
 // Retire ends an exchange that was replaced.
 func (f *Fleet) Retire(x *Exchange) {
 	x.Up = false
-	f.cutAll(func(l *leg) bool { return l.far == x })
+	f.cutMatching(func(l *leg) bool { return l.peer == x })
 }
 
-func (f *Fleet) legs() []*leg {
+func (f *Fleet) allLegs() []*leg {
 	var all []*leg
 	for _, x := range f.Exchanges {
 		for _, c := range x.conns {
-			for _, k := range sortedLegs(c.legs) {
+			for _, k := range sortedLegKeys(c.legs) {
 				all = append(all, c.legs[k])
 			}
 		}
@@ -630,12 +630,12 @@
 	return all
 }
 
-func (f *Fleet) cutAll(which func(*leg) bool) int {
+func (f *Fleet) cutMatching(which func(*leg) bool) int {
 	n := 0
-	for _, l := range f.legs() {
+	for _, l := range f.allLegs() {
 		if which(l) {
 			n++
-			f.cut(l)
+			f.cutLeg(l)
 		}
 	}
 	return n
@@ -643,25 +643,27 @@
 
 // CutCalls cuts a share of the calls that stand and end here.
 func (f *Fleet) CutCalls(share float64) int {
-	return f.cutAll(func(l *leg) bool { return l.stands && l.dest == l.far.Number && f.rnd.Float64() < share })
+	return f.cutMatching(func(l *leg) bool {
+		return l.established && l.destination == l.peer.Number && f.random.Float64() < share
+	})
 }
 
 // LoseCircuits takes a share of the circuits between regions away, and the calls on
 // them; Regain brings them back.
 func (f *Fleet) LoseCircuits(share float64) {
-	for _, g := range f.order {
-		a, b := f.cells[g.LowNumber], f.cells[g.HighNumber]
-		if a == nil || b == nil || a.Region == b.Region || g.lost > 0 {
+	for _, g := range f.orderedGroups {
+		a, b := f.exchangesByNumber[g.LowNumber], f.exchangesByNumber[g.HighNumber]
+		if a == nil || b == nil || a.Region == b.Region || g.lostCircuits > 0 {
 			continue
 		}
-		g.lost = int(math.Round(share * float64(g.Size)))
-		f.change(g, -g.lost)
-		for _, l := range f.legs() {
+		g.lostCircuits = int(math.Round(share * float64(g.Size)))
+		f.changeFreeCircuits(g, -g.lostCircuits)
+		for _, l := range f.allLegs() {
 			if g.Free >= 0 {
 				break
 			}
 			if l.group == g {
-				f.cut(l)
+				f.cutLeg(l)
 			}
 		}
 	}
@@ -669,19 +671,19 @@
 
 // RestoreCircuits ends Lose.
 func (f *Fleet) RestoreCircuits() {
-	for _, g := range f.order {
-		if g.lost > 0 {
-			f.change(g, g.lost)
-			g.lost = 0
+	for _, g := range f.orderedGroups {
+		if g.lostCircuits > 0 {
+			f.changeFreeCircuits(g, g.lostCircuits)
+			g.lostCircuits = 0
 		}
 	}
 }
 
 // SetSlowdown makes a processor so many times slower; Pause lets it stand still.
-func (x *Exchange) SetSlowdown(times float64) { x.proc.slow = max(times, 0.01) }
+func (x *Exchange) SetSlowdown(times float64) { x.processor.slowdown = max(times, 0.01) }
 
 // PauseUntil lets a processor stand still for a while.
-func (x *Exchange) PauseUntil(until time.Duration) { x.proc.paused = until }
+func (x *Exchange) PauseUntil(until time.Duration) { x.processor.pausedUntil = until }
 
 func sortedKeys[K int | string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
@@ -692,7 +694,7 @@
 	return keys
 }
 
-func sortedLegs(m map[legKey]*leg) []legKey {
+func sortedLegKeys(m map[legKey]*leg) []legKey {
 	keys := make([]legKey, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/standin/exchange/processor.go
+++ b/internal/standin/exchange/processor.go
@@ -11,19 +11,19 @@
 // processor is one line on which work is time. It serves answers and releases
 // first, or in turn with set-ups.
 type processor struct {
-	s      Scheduler
-	queues [2][]job // first, then the rest
-	first  bool     // answers go first
-	busy   bool
-	until  time.Duration // end of the job on the line
-	back   time.Duration // work queued, at full speed
-	gen    int           // of its starts: jobs of an earlier one are lost
+	scheduler    Scheduler
+	queues       [2][]job // first, then the rest
+	answersFirst bool     // answers go first
+	busy         bool
+	jobEnd       time.Duration // end of the job on the line
+	backlog      time.Duration // work queued, at full speed
+	generation   int           // of its starts: jobs of an earlier one are lost
 
-	slow   float64       // times slower
-	paused time.Duration // stands still until then
-	since  time.Duration // its start, 0 long ago
-	from   float64       // share of its capacity at the start
-	warm   time.Duration
+	slowdown     float64       // times slower
+	pausedUntil  time.Duration // stands still until then
+	startedAt    time.Duration // its start, 0 long ago
+	initialShare float64       // share of its capacity at the start
+	warmUpTime   time.Duration
 }
 
 type job struct {
@@ -31,67 +31,67 @@
 	done func()
 }
 
-// share is the part of its capacity that it has now.
-func (p *processor) share(now time.Duration) float64 {
-	age := now - p.since
-	if p.since == 0 || age >= p.warm || p.warm <= 0 {
-		return 1 / p.slow
+// capacityShare is the part of its capacity that it has now.
+func (p *processor) capacityShare(now time.Duration) float64 {
+	age := now - p.startedAt
+	if p.startedAt == 0 || age >= p.warmUpTime || p.warmUpTime <= 0 {
+		return 1 / p.slowdown
 	}
-	return (p.from + (1-p.from)*float64(age)/float64(p.warm)) / p.slow
+	return (p.initialShare + (1-p.initialShare)*float64(age)/float64(p.warmUpTime)) / p.slowdown
 }
 
-// wait is how long a set-up that comes now will wait.
-func (p *processor) wait() time.Duration {
-	now := p.s.Now()
-	w := time.Duration(float64(p.back) / p.share(now))
+// expectedWait is how long a set-up that comes now will expectedWait.
+func (p *processor) expectedWait() time.Duration {
+	now := p.scheduler.Now()
+	w := time.Duration(float64(p.backlog) / p.capacityShare(now))
 	if p.busy {
-		w += max(p.until-now, 0)
+		w += max(p.jobEnd-now, 0)
 	}
-	return w + max(p.paused-now, 0)
+	return w + max(p.pausedUntil-now, 0)
 }
 
-// do queues work; done is called when it is through.
-func (p *processor) do(work time.Duration, ends bool, done func()) {
+// enqueue queues work; done is called when it is through.
+func (p *processor) enqueue(work time.Duration, ends bool, done func()) {
 	q := 1
-	if ends && p.first {
+	if ends && p.answersFirst {
 		q = 0
 	}
 	p.queues[q] = append(p.queues[q], job{work, done})
-	p.back += work
+	p.backlog += work
 	if !p.busy {
-		p.next()
+		p.startNext()
 	}
 }
 
-func (p *processor) next() {
+func (p *processor) startNext() {
 	for q := range p.queues {
 		if len(p.queues[q]) == 0 {
 			continue
 		}
 		j := p.queues[q][0]
 		p.queues[q] = p.queues[q][1:]
-		p.back -= j.work
+		p.backlog -= j.work
 		p.busy = true
-		now := p.s.Now()
-		took := time.Duration(float64(j.work)/p.share(now)) + max(p.paused-now, 0)
-		p.until = now + took
-		gen := p.gen
-		p.s.After(took, func() {
-			if p.gen != gen {
+		now := p.scheduler.Now()
+		took := time.Duration(float64(j.work)/p.capacityShare(now)) + max(p.pausedUntil-now, 0)
+		p.jobEnd = now + took
+		gen := p.generation
+		p.scheduler.After(took, func() {
+			if p.generation != gen {
 				return
 			}
 			p.busy = false
 			j.done()
 			if !p.busy {
-				p.next()
+				p.startNext()
 			}
 		})
 		return
 	}
 }
 
-// restart loses all work and starts cold.
-func (p *processor) restart(now time.Duration) {
-	p.gen++
-	p.queues, p.back, p.busy, p.paused, p.since = [2][]job{}, 0, false, 0, now
+// reset loses all work and starts cold.
+func (p *processor) reset(now time.Duration) {
+	p.generation++
+	p.queues, p.backlog, p.busy, p.pausedUntil, p.startedAt = [2][]job{}, 0, false, 0, now
 }
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -19,7 +19,7 @@
 	Addr      string
 }
 
-func (e Entry) line() string {
+func (e Entry) text() string {
 	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Number, e.State, e.StartedAt.Milliseconds(), e.Addr)
 }
 
@@ -31,24 +31,24 @@
 
 // Conn is one controller's connection.
 type Conn struct {
-	Send       func(*signal.Message)
-	subscribed bool
-	tx         uint32
-	last       time.Duration // nothing overtakes what was told before
+	Send            func(*signal.Message)
+	subscribed      bool
+	lastTransaction uint32
+	lastDelivery    time.Duration // nothing overtakes what was told before
 }
 
 // List is the exchange list.
 type List struct {
-	s       Scheduler
-	rnd     *rand.Rand
-	notice  time.Duration
-	entries []Entry
-	conns   []*Conn
+	scheduler Scheduler
+	random    *rand.Rand
+	meanDelay time.Duration
+	entries   []Entry
+	conns     []*Conn
 }
 
 // New makes a list that tells of changes late by notice, on average.
 func New(s Scheduler, rnd *rand.Rand, notice time.Duration) *List {
-	return &List{s: s, rnd: rnd, notice: notice}
+	return &List{scheduler: s, random: rnd, meanDelay: notice}
 }
 
 // Update changes a line, or adds one.
@@ -66,15 +66,15 @@
 		if !c.subscribed {
 			continue
 		}
-		late := time.Duration(float64(l.notice) * (0.5 + l.rnd.Float64()))
-		at := max(l.s.Now()+late, c.last)
-		c.last = at
-		l.s.After(at-l.s.Now(), func() {
+		late := time.Duration(float64(l.meanDelay) * (0.5 + l.random.Float64()))
+		at := max(l.scheduler.Now()+late, c.lastDelivery)
+		c.lastDelivery = at
+		l.scheduler.After(at-l.scheduler.Now(), func() {
 			if !c.subscribed {
 				return
 			}
-			c.tx++
-			c.Send((&signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", e.line()))
+			c.lastTransaction++
+			c.Send((&signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", e.text()))
 		})
 	}
 }
@@ -97,8 +97,8 @@
 	}
 }
 
-// entriesAPage bounds one message; further ones bring the rest as changes.
-const entriesAPage = 100
+// maxEntriesPerMessage bounds one message; further ones bring the rest as changes.
+const maxEntriesPerMessage = 100
 
 // HandleMessage takes a message from a controller.
 func (l *List) HandleMessage(c *Conn, m *signal.Message) {
@@ -110,12 +110,12 @@
 		return
 	}
 	c.subscribed = true
-	for i := 0; i == 0 || i < len(l.entries); i += entriesAPage {
-		c.tx++
-		n := &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
+	for i := 0; i == 0 || i < len(l.entries); i += maxEntriesPerMessage {
+		c.lastTransaction++
+		n := &signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}
 		n.PutFlag("Complete", i == 0)
-		for _, e := range l.entries[i:min(i+entriesAPage, len(l.entries))] {
-			n.Put("Exchange", e.line())
+		for _, e := range l.entries[i:min(i+maxEntriesPerMessage, len(l.entries))] {
+			n.Put("Exchange", e.text())
 		}
 		c.Send(n)
 	}
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -7,42 +7,42 @@
 	"dahliaspindle/internal/standin/subscriber"
 )
 
-// settle is the time for links to come up before the first call, and for the
+// settleTime is the time for links to come up before the first call, and for the
 // last calls to end.
-const settle = 1500 * time.Millisecond
+const settleTime = 1500 * time.Millisecond
 
 // Start starts the calls when the controllers know the list and their circuits.
 func (w *Simulation) Start(progress func(time.Duration, int), end func()) {
-	w.s.After(settle, func() {
-		w.began = w.s.Now()
-		w.next = w.began
+	w.scheduler.After(settleTime, func() {
+		w.startedAt = w.scheduler.Now()
+		w.nextCall = w.startedAt
 		w.dialling = true
-		w.dialNext()
-		for i := range w.scn.Troubles {
-			t := w.scn.Troubles[i]
-			w.s.After(t.At, func() { w.trouble(t) })
+		w.scheduleNextCall()
+		for i := range w.scenario.Troubles {
+			t := w.scenario.Troubles[i]
+			w.scheduler.After(t.At, func() { w.startTrouble(t) })
 		}
 		var tick func()
 		tick = func() {
-			passed := w.s.Now() - w.began
+			passed := w.scheduler.Now() - w.startedAt
 			if progress != nil {
-				progress(min(passed, w.scn.Length), len(w.Callers.Calls))
+				progress(min(passed, w.scenario.Length), len(w.Callers.Calls))
 			}
-			if passed < w.scn.Length {
-				w.s.After(200*time.Millisecond, tick)
+			if passed < w.scenario.Length {
+				w.scheduler.After(200*time.Millisecond, tick)
 			}
 		}
 		tick()
-		w.s.After(w.scn.Length, func() {
+		w.scheduler.After(w.scenario.Length, func() {
 			w.dialling = false
 			var wait func()
 			left := 15
 			wait = func() { // until nobody waits for an answer any more
-				if left--; left > 0 && w.unanswered() > 0 {
-					w.s.After(200*time.Millisecond, wait)
+				if left--; left > 0 && w.countPending() > 0 {
+					w.scheduler.After(200*time.Millisecond, wait)
 					return
 				}
-				w.s.After(300*time.Millisecond, func() {
+				w.scheduler.After(300*time.Millisecond, func() {
 					w.Callers.Finished = true
 					end()
 				})
@@ -52,7 +52,7 @@
 	})
 }
 
-func (w *Simulation) unanswered() int {
+func (w *Simulation) countPending() int {
 	n := 0
 	for _, k := range w.Callers.Calls {
 		if k.Outcome == subscriber.Pending && k.SetUpTime == 0 {
@@ -62,35 +62,35 @@
 	return n
 }
 
-// dialNext lets calls come as a Poisson stream that waits for nobody: a timer
+// scheduleNextCall lets calls come as a Poisson stream that waits for nobody: a timer
 // that fires late makes one call late, not all that follow.
-func (w *Simulation) dialNext() {
+func (w *Simulation) scheduleNextCall() {
 	if !w.dialling {
 		return
 	}
-	passed := (w.s.Now() - w.began).Seconds()
-	rate := w.rate * w.scn.Load.Level * w.burst * (1 + w.scn.Load.Swing*math.Sin(passed/4))
-	w.next += subscriber.ArrivalInterval(w.rnd, rate)
-	w.s.After(w.next-w.s.Now(), func() {
+	passed := (w.scheduler.Now() - w.startedAt).Seconds()
+	rate := w.callRate * w.scenario.Load.Level * w.burstFactor * (1 + w.scenario.Load.Swing*math.Sin(passed/4))
+	w.nextCall += subscriber.ArrivalInterval(w.random, rate)
+	w.scheduler.After(w.nextCall-w.scheduler.Now(), func() {
 		if w.dialling {
-			w.dial()
-			w.dialNext()
+			w.placeCall()
+			w.scheduleNextCall()
 		}
 	})
 }
 
-func (w *Simulation) dial() {
-	n := w.scn.Fleet.Exchanges
-	from := w.rnd.IntN(n)
-	if w.flood > 0 && w.rnd.Float64() < w.flood {
-		from = w.flooded
+func (w *Simulation) placeCall() {
+	n := w.scenario.Fleet.Exchanges
+	from := w.random.IntN(n)
+	if w.floodShare > 0 && w.random.Float64() < w.floodShare {
+		from = w.floodSource
 	}
-	if w.hot > 0 && w.rnd.Float64() < w.hot && from != w.hotDest {
-		w.Callers.Dial(from, w.hotDest, HotNumber)
+	if w.hotShare > 0 && w.random.Float64() < w.hotShare && from != w.hotDestination {
+		w.Callers.Dial(from, w.hotDestination, HotNumber)
 		return
 	}
-	x := w.rnd.Float64() * w.scn.Fleet.ErlangPerExchange
-	for j, v := range w.weights[from] {
+	x := w.random.Float64() * w.scenario.Fleet.ErlangPerExchange
+	for j, v := range w.trafficMatrix[from] {
 		if x -= v; x < 0 && j != from {
 			w.Callers.Dial(from, j, "")
 			return
@@ -100,9 +100,9 @@
 }
 
 // Troubles lists the troubles that came.
-func (w *Simulation) Troubles() []TroubleRecord { return w.seen }
+func (w *Simulation) Troubles() []TroubleRecord { return w.troubles }
 
 // FirstAttemptTime is when a call was first tried, counted from the day's begin.
 func (w *Simulation) FirstAttemptTime(k *subscriber.Call) time.Duration {
-	return k.FirstAttemptAt - w.began
+	return k.FirstAttemptAt - w.startedAt
 }
--- a/internal/standin/scene/scene.go
+++ b/internal/standin/scene/scene.go
@@ -43,41 +43,41 @@
 // ListedExchange is one exchange with its place in the list.
 type ListedExchange struct {
 	*exchange.Exchange
-	addr string
+	address string
 }
 
 // Simulation is the stand-ins of one scenario.
 type Simulation struct {
-	scn  *settings.Scenario
-	s    exchange.Scheduler
-	rnd  *rand.Rand
-	edge Environment
+	scenario    *settings.Scenario
+	scheduler   exchange.Scheduler
+	random      *rand.Rand
+	environment Environment
 
-	source *rand.PCG // of rnd
+	randomSource *rand.PCG // of rnd
 
 	Fleet   *exchange.Fleet
 	List    *exlist.List
 	Callers *subscriber.Callers
 
-	hosts    []*ListedExchange
-	weights  [][]float64 // traffic from row to column
-	rate     float64     // of all first tries at load 1, a second
-	began    time.Duration
-	next     time.Duration // first try
-	dialling bool
-	nextID   uint32
+	exchanges     []*ListedExchange
+	trafficMatrix [][]float64 // traffic from row to column
+	callRate      float64     // of all first tries at load 1, a second
+	startedAt     time.Duration
+	nextCall      time.Duration // first try
+	dialling      bool
+	lastID        uint32
 
-	burst, flood, hot float64
-	flooded           int
-	hotDest           int
-	seen              []TroubleRecord
+	burstFactor, floodShare, hotShare float64
+	floodSource                       int
+	hotDestination                    int
+	troubles                          []TroubleRecord
 }
 
 // HotNumber is the one that many call in the trouble of that name.
 const HotNumber = "4040"
 
-// hotLines is how many lines it has.
-const hotLines = 4
+// hotNumberLines is how many lines it has.
+const hotNumberLines = 4
 
 // TroubleRecord is a trouble that came.
 type TroubleRecord struct {
@@ -89,28 +89,28 @@
 
 // New draws a fleet and brings it into service.
 func New(scn *settings.Scenario, s exchange.Scheduler, edge Environment) (*Simulation, error) {
-	w := &Simulation{scn: scn, s: s, edge: edge, source: rand.NewPCG(scn.Seed, stream), burst: 1}
-	w.rnd = rand.New(w.source)
+	w := &Simulation{scenario: scn, scheduler: s, environment: edge, randomSource: rand.NewPCG(scn.Seed, randomStream), burstFactor: 1}
+	w.random = rand.New(w.randomSource)
 	if err := w.build(); err != nil {
 		return nil, err
 	}
 	return w, nil
 }
 
-const stream = 0xda411a
+const randomStream = 0xda411a
 
 // Reseed draws all that is still to come from another seed: other calls in the
 // fleet that was drawn.
-func (w *Simulation) Reseed(seed uint64) { w.source.Seed(seed, stream+1) }
+func (w *Simulation) Reseed(seed uint64) { w.randomSource.Seed(seed, randomStream+1) }
 
 // Traffic is what each exchange's callers offer to each other one now, in
 // circuits taken at the same time if none were lost, at the load's level.
 func (w *Simulation) Traffic() [][]float64 {
-	all := make([][]float64, len(w.weights))
+	all := make([][]float64, len(w.trafficMatrix))
 	for i := range all {
-		all[i] = make([]float64, len(w.weights[i]))
-		for j, v := range w.weights[i] {
-			all[i][j] = v * w.scn.Load.Level
+		all[i] = make([]float64, len(w.trafficMatrix[i]))
+		for j, v := range w.trafficMatrix[i] {
+			all[i][j] = v * w.scenario.Load.Level
 		}
 	}
 	return all
@@ -123,11 +123,11 @@
 }
 
 func (w *Simulation) build() error {
-	s := w.scn
+	s := w.scenario
 	f, p := s.Fleet, s.Processor
-	w.edge.Record("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
+	w.environment.Record("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
 		ReleaseTime: s.Rules.ReleaseTime, OverloadFactor: s.Rules.OverloadFactor, OverloadDuration: s.Rules.OverloadDuration})
-	w.Fleet = exchange.New(w.s, w.rnd, exchange.Config{IntraRegionDelay: f.IntraRegionDelay, InterRegionDelay: f.InterRegionDelay, MaxQueueWait: p.MaxQueueWait, ExamineWork: p.ExamineWork, RejectWork: p.RejectWork,
+	w.Fleet = exchange.New(w.scheduler, w.random, exchange.Config{IntraRegionDelay: f.IntraRegionDelay, InterRegionDelay: f.InterRegionDelay, MaxQueueWait: p.MaxQueueWait, ExamineWork: p.ExamineWork, RejectWork: p.RejectWork,
 		FollowUpWork: p.FollowUpWork, ResendWork: p.ResendWork, ResendAfter: p.ResendAfter, FinishFirst: p.FinishFirst, ReportsWait: p.ReportsWait,
 		ReportsReduction: p.ReportsReduction, ColdCapacity: s.Rules.ColdCapacity, ColdDuration: s.Rules.ColdDuration})
 	w.Fleet.OnStart = func(x *exchange.Exchange) {
@@ -135,7 +135,7 @@
 		if x.StartedAt > 0 {
 			c.InitialShare, c.WarmUpTime = s.Rules.ColdCapacity, s.Rules.ColdDuration
 		}
-		w.edge.Record("capacity", c)
+		w.environment.Record("capacity", c)
 	}
 	share, seconds := 0.0, 0.0
 	var classes []subscriber.Class
@@ -146,27 +146,27 @@
 			SetUpTarget: c.SetUpTarget, Patience: c.Patience, HoldingTime: c.HoldingTime})
 	}
 	each := f.ErlangPerExchange / (seconds / share) // calls a second that one exchange's callers make
-	w.rate = each * float64(f.Exchanges)
+	w.callRate = each * float64(f.Exchanges)
 	work := time.Duration(p.Utilization / (each * (2 + p.ExamineWork + 4*p.FollowUpWork)) * float64(time.Second))
-	w.draw(f)
+	w.drawTraffic(f)
 	h := s.Callers
-	w.Callers = subscriber.New(w.s, w.rnd, classes, subscriber.Behavior{MaxRedials: h.MaxRedials, MeanRedialDelay: h.MeanRedialDelay,
+	w.Callers = subscriber.New(w.scheduler, w.random, classes, subscriber.Behavior{MaxRedials: h.MaxRedials, MeanRedialDelay: h.MeanRedialDelay,
 		AttemptShare: h.AttemptShare, ImpatientShare: h.ImpatientShare, HonourShare: h.HonourShare, MarksRetries: s.Rules.CallersMarkRetries})
-	w.List = exlist.New(w.s, w.rnd, s.List.MeanDelay)
-	w.nextID = w.rnd.Uint32N(1<<20) + 1<<20
+	w.List = exlist.New(w.scheduler, w.random, s.List.MeanDelay)
+	w.lastID = w.random.Uint32N(1<<20) + 1<<20
 	for cell := range f.Exchanges {
-		if _, err := w.add(cell, cell%f.Regions, work, false); err != nil {
+		if _, err := w.addExchange(cell, cell%f.Regions, work, false); err != nil {
 			return err
 		}
 	}
 	if s.Rules.RouteAdvice && s.List.AdviceAge > 0 {
-		w.Callers.RouteAdvice = w.advice()
+		w.Callers.RouteAdvice = w.newRouteAdvice()
 	}
 	return nil
 }
 
-// draw makes the plan, the groups that it asks for, and the traffic that misses it.
-func (w *Simulation) draw(f settings.Fleet) {
+// drawTraffic makes the plan, the groups that it asks for, and the traffic that misses it.
+func (w *Simulation) drawTraffic(f settings.Fleet) {
 	n := f.Exchanges
 	plan := make([][]float64, n)
 	for i := range plan {
@@ -174,7 +174,7 @@
 		sum := 0.0
 		for j := range plan[i] {
 			if i != j {
-				plan[i][j] = lognormal(w.rnd, f.PairVariation)
+				plan[i][j] = lognormal(w.random, f.PairVariation)
 				sum += plan[i][j]
 			}
 		}
@@ -204,34 +204,34 @@
 			w.Fleet.AddGroup(p.a, p.b, max(int(math.Ceil(load+f.SpareFactor*math.Sqrt(load))), 2))
 		}
 	}
-	w.weights = plan
-	w.drift(f.ForecastError)
+	w.trafficMatrix = plan
+	w.driftTraffic(f.ForecastError)
 	if f.DriftPeriod > 0 {
 		var again func()
 		again = func() {
-			w.drift(f.ForecastError / 2)
-			w.s.After(f.DriftPeriod, again)
+			w.driftTraffic(f.ForecastError / 2)
+			w.scheduler.After(f.DriftPeriod, again)
 		}
-		w.s.After(f.DriftPeriod, again)
+		w.scheduler.After(f.DriftPeriod, again)
 	}
 }
 
-func (w *Simulation) drift(cv float64) {
-	for i := range w.weights {
+func (w *Simulation) driftTraffic(cv float64) {
+	for i := range w.trafficMatrix {
 		sum, was := 0.0, 0.0
-		for j, v := range w.weights[i] {
+		for j, v := range w.trafficMatrix[i] {
 			was += v
-			w.weights[i][j] = v * lognormal(w.rnd, cv)
-			sum += w.weights[i][j]
+			w.trafficMatrix[i][j] = v * lognormal(w.random, cv)
+			sum += w.trafficMatrix[i][j]
 		}
-		for j := range w.weights[i] {
-			w.weights[i][j] *= was / sum
+		for j := range w.trafficMatrix[i] {
+			w.trafficMatrix[i][j] *= was / sum
 		}
 	}
 }
 
-// advice is a centre that looks at all groups now and then.
-func (w *Simulation) advice() func(from, dest int) int {
+// newRouteAdvice is a centre that looks at all groups now and then.
+func (w *Simulation) newRouteAdvice() func(from, dest int) int {
 	best := map[[2]int]int{}
 	var look func()
 	look = func() {
@@ -240,7 +240,7 @@
 		for _, g := range w.Fleet.Groups() {
 			free[[2]int{g.LowNumber, g.HighNumber}], free[[2]int{g.HighNumber, g.LowNumber}] = g.Free, g.Free
 		}
-		n := w.scn.Fleet.Exchanges
+		n := w.scenario.Fleet.Exchanges
 		for a := range n {
 			for b := range n {
 				room, at := 0, -1
@@ -252,7 +252,7 @@
 				best[[2]int{a, b}] = at
 			}
 		}
-		w.s.After(w.scn.List.AdviceAge, look)
+		w.scheduler.After(w.scenario.List.AdviceAge, look)
 	}
 	look()
 	return func(from, dest int) int {
@@ -263,22 +263,22 @@
 	}
 }
 
-// add brings an exchange into service and the list.
-func (w *Simulation) add(cell, region int, work time.Duration, cold bool) (*ListedExchange, error) {
-	w.nextID += 1 + w.rnd.Uint32N(1000)
-	addr, err := w.edge.Listen(w.nextID)
+// addExchange brings an exchange into service and the list.
+func (w *Simulation) addExchange(cell, region int, work time.Duration, cold bool) (*ListedExchange, error) {
+	w.lastID += 1 + w.random.Uint32N(1000)
+	addr, err := w.environment.Listen(w.lastID)
 	if err != nil {
 		return nil, fmt.Errorf("exchange %d: %w", cell, err)
 	}
-	h := &ListedExchange{w.Fleet.AddExchange(w.nextID, cell, region, work, cold), addr}
-	w.hosts = append(w.hosts, h)
-	w.List.Update(h.entry("in"))
+	h := &ListedExchange{w.Fleet.AddExchange(w.lastID, cell, region, work, cold), addr}
+	w.exchanges = append(w.exchanges, h)
+	w.List.Update(h.listEntry("in"))
 	return h, nil
 }
 
 // ExchangeByID finds one by its id, nil if there is none.
 func (w *Simulation) ExchangeByID(id uint32) *exchange.Exchange {
-	for _, h := range w.hosts {
+	for _, h := range w.exchanges {
 		if h.ID == id {
 			return h.Exchange
 		}
@@ -286,6 +286,6 @@
 	return nil
 }
 
-func (h *ListedExchange) entry(state string) exlist.Entry {
-	return exlist.Entry{ID: h.ID, Number: h.Number, State: state, StartedAt: h.StartedAt, Addr: h.addr}
+func (h *ListedExchange) listEntry(state string) exlist.Entry {
+	return exlist.Entry{ID: h.ID, Number: h.Number, State: state, StartedAt: h.StartedAt, Addr: h.address}
 }
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -12,72 +12,72 @@
 	"dahliaspindle/scenarios"
 )
 
-// coarse is a clock whose timers fire a tick late, as real ones do.
-type coarse struct {
-	now, tick time.Duration
-	all       events
-	seq       int
+// coarseClock is a clock whose timers fire a tick late, as real ones do.
+type coarseClock struct {
+	now, tick    time.Duration
+	pending      eventQueue
+	lastSequence int
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at       time.Duration
+	sequence int
+	callback func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	x := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return x
 }
 
-func (c *coarse) Now() time.Duration { return c.now }
-func (c *coarse) After(d time.Duration, f func()) {
-	c.seq++
-	heap.Push(&c.all, event{(c.now + max(d, 0) + c.tick).Truncate(c.tick), c.seq, f})
+func (c *coarseClock) Now() time.Duration { return c.now }
+func (c *coarseClock) After(d time.Duration, f func()) {
+	c.lastSequence++
+	heap.Push(&c.pending, event{(c.now + max(d, 0) + c.tick).Truncate(c.tick), c.lastSequence, f})
 }
 
-// nowhere is an edge that nobody reaches.
-type nowhere struct{}
+// unreachableEnvironment is an edge that nobody reaches.
+type unreachableEnvironment struct{}
 
-func (nowhere) Listen(uint32) (string, error)                            { return "nowhere", nil }
-func (nowhere) StopListening(uint32)                                     {}
-func (nowhere) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (nowhere) SetFault(uint32, scene.Fault, bool)                       {}
-func (nowhere) SetListUnavailable(bool)                                  {}
-func (nowhere) SendMalformed(float64) func()                             { return func() {} }
-func (nowhere) RestartController(int)                                    {}
-func (nowhere) Record(string, any)                                       {}
+func (unreachableEnvironment) Listen(uint32) (string, error)                            { return "nowhere", nil }
+func (unreachableEnvironment) StopListening(uint32)                                     {}
+func (unreachableEnvironment) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
+func (unreachableEnvironment) SetFault(uint32, scene.Fault, bool)                       {}
+func (unreachableEnvironment) SetListUnavailable(bool)                                  {}
+func (unreachableEnvironment) SendMalformed(float64) func()                             { return func() {} }
+func (unreachableEnvironment) RestartController(int)                                    {}
+func (unreachableEnvironment) Record(string, any)                                       {}
 
 // Calls come as often as the scenario says, however late timers fire: an open
 // loop. (Intervals that each began at a late timer lost a third of the calls
 // at 30 exchanges.)
-func TestCallsComeAtTheirRate(t *testing.T) {
+func TestCallsArriveAtConfiguredRate(t *testing.T) {
 	text, _ := scenarios.Text("bad-day")
 	scn, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	scn.Troubles, scn.Fleet.Exchanges, scn.Load.Level, scn.Load.Swing = nil, 30, 1, 0
-	c := &coarse{tick: time.Millisecond}
-	s, err := scene.New(scn, c, nowhere{})
+	c := &coarseClock{tick: time.Millisecond}
+	s, err := scene.New(scn, c, unreachableEnvironment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := false
 	s.Start(nil, func() { ended = true })
 	for !ended {
-		e := heap.Pop(&c.all).(event)
+		e := heap.Pop(&c.pending).(event)
 		c.now = e.at
-		e.do()
+		e.callback()
 	}
 	// 30 exchanges of 100 erlang of circuits; a call keeps 6.7 circuit-seconds on average
 	want := 30 * 100 / 6.7 * scn.Length.Seconds()
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -41,10 +41,10 @@
 
 // Conn is a connection to a controller.
 type Conn struct {
-	Send  func(*signal.Message) bool
-	tx    uint32
-	tries map[uint32]*try // unanswered, by transaction
-	names map[string]*try // unanswered and standing
+	Send            func(*signal.Message) bool
+	lastTransaction uint32
+	pendingAttempts map[uint32]*attempt // unanswered, by transaction
+	attemptsByName  map[string]*attempt // unanswered and standing
 }
 
 // ConnPool reaches a controller; it may have several connections.
@@ -81,30 +81,30 @@
 	RetriedAfterCut bool // was cut and came again
 }
 
-type try struct {
-	call   *Call
-	conn   *Conn
-	line   *ConnPool
-	tx     uint32
-	name   string
-	number string
-	stands bool
-	over   bool
-	began  time.Duration
-	first  time.Duration // of the call, or of its coming again
+type attempt struct {
+	call           *Call
+	conn           *Conn
+	pool           *ConnPool
+	transaction    uint32
+	name           string
+	number         string
+	established    bool
+	ended          bool
+	startedAt      time.Duration
+	firstAttemptAt time.Duration // of the call, or of its coming again
 }
 
 // Callers is all callers.
 type Callers struct {
-	s           Scheduler
-	rnd         *rand.Rand
+	scheduler   Scheduler
+	random      *rand.Rand
 	classes     []Class
-	habits      Behavior
-	total       float64
-	lines       map[int]*ConnPool
+	behavior    Behavior
+	totalShare  float64
+	pools       map[int]*ConnPool
 	Calls       []*Call
-	names       uint64
-	open        int
+	nameCount   uint64
+	openCalls   int
 	RouteAdvice func(from, dest int) int // the centre's advice; nil: none
 
 	RetryCutCallsUntil time.Duration // calls cut before this come again
@@ -113,54 +113,54 @@
 
 // New makes a crowd without a line.
 func New(s Scheduler, rnd *rand.Rand, classes []Class, habits Behavior) *Callers {
-	c := &Callers{s: s, rnd: rnd, classes: classes, habits: habits, lines: map[int]*ConnPool{}}
+	c := &Callers{scheduler: s, random: rnd, classes: classes, behavior: habits, pools: map[int]*ConnPool{}}
 	for _, cl := range classes {
-		c.total += cl.Share
+		c.totalShare += cl.Share
 	}
 	return c
 }
 
 // OpenConn brings a connection to a controller into use.
 func (c *Callers) OpenConn(cell int, send func(*signal.Message) bool) *Conn {
-	l := c.lines[cell]
+	l := c.pools[cell]
 	if l == nil {
 		l = &ConnPool{Number: cell}
-		c.lines[cell] = l
+		c.pools[cell] = l
 	}
-	conn := &Conn{Send: send, tries: map[uint32]*try{}, names: map[string]*try{}}
+	conn := &Conn{Send: send, pendingAttempts: map[uint32]*attempt{}, attemptsByName: map[string]*attempt{}}
 	l.conns = append(l.conns, conn)
 	return conn
 }
 
 // ConnClosed ends one: its calls are lost to their callers.
 func (c *Callers) ConnClosed(cell int, conn *Conn) {
-	l := c.lines[cell]
+	l := c.pools[cell]
 	for i := range l.conns {
 		if l.conns[i] == conn {
 			l.conns = append(l.conns[:i], l.conns[i+1:]...)
 			break
 		}
 	}
-	var all []*try
-	for _, t := range conn.names {
+	var all []*attempt
+	for _, t := range conn.attemptsByName {
 		all = append(all, t)
 	}
-	sortTries(all)
+	sortAttempts(all)
 	for _, t := range all {
-		if t.stands {
-			c.cut(t)
+		if t.established {
+			c.callCut(t)
 		} else {
-			c.ended(t, Lost, 0)
+			c.attemptFailed(t, Lost, 0)
 		}
 	}
 }
 
 // OpenCalls tells how many calls are unanswered or stand.
-func (c *Callers) OpenCalls() int { return c.open }
+func (c *Callers) OpenCalls() int { return c.openCalls }
 
-// draw takes a class by its share.
-func (c *Callers) draw() int {
-	x := c.rnd.Float64() * c.total
+// drawClass takes a class by its share.
+func (c *Callers) drawClass() int {
+	x := c.random.Float64() * c.totalShare
 	for i, cl := range c.classes {
 		if x -= cl.Share; x < 0 {
 			return i
@@ -171,71 +171,71 @@
 
 // Dial makes a first try; number "" draws one that nobody else calls.
 func (c *Callers) Dial(from, dest int, number string) *Call {
-	call := &Call{Class: c.draw(), FirstAttemptAt: c.s.Now(), Source: from, Dest: dest, ToHotNumber: number != ""}
+	call := &Call{Class: c.drawClass(), FirstAttemptAt: c.scheduler.Now(), Source: from, Dest: dest, ToHotNumber: number != ""}
 	c.Calls = append(c.Calls, call)
 	if number == "" {
-		number = fmt.Sprint(1e9 + c.rnd.Int64N(1e14))
+		number = fmt.Sprint(1e9 + c.random.Int64N(1e14))
 	}
-	c.dial(call, number, c.s.Now(), false)
+	c.dialAttempt(call, number, c.scheduler.Now(), false)
 	return call
 }
 
-func (c *Callers) dial(call *Call, number string, first time.Duration, again bool) {
+func (c *Callers) dialAttempt(call *Call, number string, first time.Duration, again bool) {
 	cl := c.classes[call.Class]
-	now := c.s.Now()
-	left := min(time.Duration(float64(cl.Patience)*c.habits.AttemptShare), first+cl.Patience-now)
-	l := c.lines[call.Source]
+	now := c.scheduler.Now()
+	left := min(time.Duration(float64(cl.Patience)*c.behavior.AttemptShare), first+cl.Patience-now)
+	l := c.pools[call.Source]
 	if left <= 0 || l == nil || len(l.conns) == 0 {
-		c.settle(call, Lost)
+		c.setOutcome(call, Lost)
 		return
 	}
 	l.next++
 	conn := l.conns[l.next%len(l.conns)]
-	c.names++
-	conn.tx++
-	t := &try{call: call, conn: conn, line: l, tx: conn.tx, name: fmt.Sprintf("c%d-%d", call.Source, c.names), number: number,
-		began: now, first: first}
+	c.nameCount++
+	conn.lastTransaction++
+	t := &attempt{call: call, conn: conn, pool: l, transaction: conn.lastTransaction, name: fmt.Sprintf("c%d-%d", call.Source, c.nameCount), number: number,
+		startedAt: now, firstAttemptAt: first}
 	call.Attempts++
-	m := &signal.Message{ID: t.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
+	m := &signal.Message{ID: t.transaction, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
 	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
-	m.PutFlag("Repeat", c.habits.MarksRetries && call.Attempts > 1 && !again).PutFlag("Again", again)
+	m.PutFlag("Repeat", c.behavior.MarksRetries && call.Attempts > 1 && !again).PutFlag("Again", again)
 	if c.RouteAdvice != nil {
 		m.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
 	}
-	c.open++
-	conn.tries[t.tx], conn.names[t.name] = t, t
+	c.openCalls++
+	conn.pendingAttempts[t.transaction], conn.attemptsByName[t.name] = t, t
 	if !conn.Send(m) {
-		c.ended(t, Lost, 0)
+		c.attemptFailed(t, Lost, 0)
 		return
 	}
 	leaves := left
-	if c.rnd.Float64() < c.habits.ImpatientShare {
-		leaves = time.Duration(c.rnd.Float64() * float64(left))
+	if c.random.Float64() < c.behavior.ImpatientShare {
+		leaves = time.Duration(c.random.Float64() * float64(left))
 	}
-	c.s.After(leaves, func() {
-		if !t.over && !t.stands {
-			c.hangUp(t)
-			c.ended(t, GaveUp, 0)
+	c.scheduler.After(leaves, func() {
+		if !t.ended && !t.established {
+			c.sendRelease(t)
+			c.attemptFailed(t, GaveUp, 0)
 		}
 	})
 }
 
-func (c *Callers) hangUp(t *try) {
-	t.conn.tx++
-	t.conn.Send(&signal.Message{ID: t.conn.tx, Command: signal.Subtract, Termination: t.name})
+func (c *Callers) sendRelease(t *attempt) {
+	t.conn.lastTransaction++
+	t.conn.Send(&signal.Message{ID: t.conn.lastTransaction, Command: signal.Subtract, Termination: t.name})
 }
 
 // HandleMessage takes a message from a controller.
 func (c *Callers) HandleMessage(conn *Conn, m *signal.Message) {
 	switch {
 	case m.Kind == signal.Reply && m.Command == signal.Add:
-		t := conn.tries[m.ID]
-		delete(conn.tries, m.ID)
-		if t == nil || t.over {
+		t := conn.pendingAttempts[m.ID]
+		delete(conn.pendingAttempts, m.ID)
+		if t == nil || t.ended {
 			return // it was given up in the same moment: the Subtract is under way
 		}
 		if m.Code == 0 {
-			c.stands(t)
+			c.callEstablished(t)
 			return
 		}
 		back, _ := m.Duration("Backoff")
@@ -243,14 +243,14 @@
 		if m.Code == signal.Unavailable {
 			end = Failed
 		}
-		c.ended(t, end, back)
+		c.attemptFailed(t, end, back)
 	case m.Kind == signal.Request && m.Command == signal.Notify:
 		conn.Send(m.NewReply())
-		if t := conn.names[m.Termination]; t != nil && t.stands {
+		if t := conn.attemptsByName[m.Termination]; t != nil && t.established {
 			if m.Get("Event") == "cut" {
-				c.cut(t)
+				c.callCut(t)
 			} else {
-				c.done(t)
+				c.callCompleted(t)
 			}
 		}
 	case m.Kind == signal.Request:
@@ -258,27 +258,27 @@
 	}
 }
 
-func (c *Callers) stands(t *try) {
-	t.stands = true
-	now := c.s.Now()
+func (c *Callers) callEstablished(t *attempt) {
+	t.established = true
+	now := c.scheduler.Now()
 	if t.call.SetUpTime == 0 {
 		t.call.SetUpTime = max(now-t.call.FirstAttemptAt, 1)
 	}
-	holding := time.Duration(float64(c.classes[t.call.Class].HoldingTime) * c.rnd.ExpFloat64())
-	if t.call.RetriedAfterCut && now-t.first > c.classes[t.call.Class].SetUpTarget {
+	holding := time.Duration(float64(c.classes[t.call.Class].HoldingTime) * c.random.ExpFloat64())
+	if t.call.RetriedAfterCut && now-t.firstAttemptAt > c.classes[t.call.Class].SetUpTarget {
 		t.call.Outcome = Cut // it came again, and stood too late
 	}
-	c.s.After(holding, func() {
-		if !t.over {
-			c.hangUp(t)
-			c.done(t)
+	c.scheduler.After(holding, func() {
+		if !t.ended {
+			c.sendRelease(t)
+			c.callCompleted(t)
 		}
 	})
 }
 
-// done ends a call that stood to its end.
-func (c *Callers) done(t *try) {
-	c.drop(t)
+// callCompleted ends a call that stood to its end.
+func (c *Callers) callCompleted(t *attempt) {
+	c.removeAttempt(t)
 	call := t.call
 	if call.Outcome == Cut {
 		return
@@ -289,55 +289,55 @@
 	}
 }
 
-func (c *Callers) drop(t *try) {
-	t.over = true
-	c.open--
-	delete(t.conn.names, t.name)
+func (c *Callers) removeAttempt(t *attempt) {
+	t.ended = true
+	c.openCalls--
+	delete(t.conn.attemptsByName, t.name)
 }
 
-func (c *Callers) cut(t *try) {
-	c.drop(t)
+func (c *Callers) callCut(t *attempt) {
+	c.removeAttempt(t)
 	if c.Finished {
 		return
 	}
-	now := c.s.Now()
+	now := c.scheduler.Now()
 	if now < c.RetryCutCallsUntil && t.call.Outcome != Cut {
 		t.call.RetriedAfterCut = true
-		c.s.After(500*time.Millisecond+time.Duration(c.rnd.Float64()*float64(time.Second)), func() {
-			c.dial(t.call, t.number, c.s.Now(), true)
+		c.scheduler.After(500*time.Millisecond+time.Duration(c.random.Float64()*float64(time.Second)), func() {
+			c.dialAttempt(t.call, t.number, c.scheduler.Now(), true)
 		})
 		return
 	}
 	t.call.Outcome = Cut
 }
 
-// ended is a try that did not stand: the caller may dial again.
-func (c *Callers) ended(t *try, e Outcome, back time.Duration) {
-	c.drop(t)
+// attemptFailed is a try that did not stand: the caller may dial again.
+func (c *Callers) attemptFailed(t *attempt, e Outcome, back time.Duration) {
+	c.removeAttempt(t)
 	call := t.call
 	cl := c.classes[call.Class]
-	gap := time.Duration(float64(c.habits.MeanRedialDelay) * (0.3 + c.rnd.ExpFloat64()*0.7))
-	if back > 0 && c.rnd.Float64() < c.habits.HonourShare {
+	gap := time.Duration(float64(c.behavior.MeanRedialDelay) * (0.3 + c.random.ExpFloat64()*0.7))
+	if back > 0 && c.random.Float64() < c.behavior.HonourShare {
 		gap = max(gap, back)
 	}
 	if call.ToHotNumber {
 		gap /= 2
 	}
-	if call.RetriedAfterCut || call.Attempts > c.habits.MaxRedials || c.s.Now()+gap >= t.first+cl.Patience {
-		c.settle(call, e)
+	if call.RetriedAfterCut || call.Attempts > c.behavior.MaxRedials || c.scheduler.Now()+gap >= t.firstAttemptAt+cl.Patience {
+		c.setOutcome(call, e)
 		return
 	}
-	c.s.After(gap, func() { c.dial(call, t.number, t.first, false) })
+	c.scheduler.After(gap, func() { c.dialAttempt(call, t.number, t.firstAttemptAt, false) })
 }
 
-func (c *Callers) settle(call *Call, e Outcome) {
+func (c *Callers) setOutcome(call *Call, e Outcome) {
 	if call.RetriedAfterCut {
 		e = Cut
 	}
 	call.Outcome = e
 }
 
-func sortTries(all []*try) {
+func sortAttempts(all []*attempt) {
 	for i := 1; i < len(all); i++ {
 		for j := i; j > 0 && all[j].name < all[j-1].name; j-- {
 			all[j], all[j-1] = all[j-1], all[j]
@@ -373,7 +373,7 @@
 		}
 		t.Offered++
 		t.Worth += worth
-		switch e := k.end(cl); e {
+		switch e := k.finalOutcome(cl); e {
 		case InTime:
 			t.InTime++
 			t.Earned += worth
@@ -397,7 +397,7 @@
 	return t
 }
 
-func (k *Call) end(cl Class) Outcome {
+func (k *Call) finalOutcome(cl Class) Outcome {
 	if k.Outcome != Pending || k.SetUpTime == 0 {
 		return k.Outcome
 	}
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -9,41 +9,41 @@
 	"dahliaspindle/internal/standin/scene"
 )
 
-// faults is what goes wrong with the sockets of one exchange.
-type faults struct {
-	stalled   atomic.Bool // reads nothing
-	mute      atomic.Bool // half open: the connection stands, nothing comes and nothing is heard
-	fragments atomic.Bool // writes in small pieces
-	ended     atomic.Bool
-	mu        sync.Mutex
-	gates     []chan struct{}
+// connFaults is what goes wrong with the sockets of one exchange.
+type connFaults struct {
+	stalled        atomic.Bool // reads nothing
+	halfOpen       atomic.Bool // half open: the connection stands, nothing comes and nothing is heard
+	fragments      atomic.Bool // writes in small pieces
+	disabled       atomic.Bool
+	mu             sync.Mutex
+	blockedReaders []chan struct{}
 }
 
-// open lets everything through, for good.
-func (f *faults) open() {
-	f.ended.Store(true)
-	f.release()
+// removeAll lets everything through, for good.
+func (f *connFaults) removeAll() {
+	f.disabled.Store(true)
+	f.releaseReaders()
 }
 
-// release wakes readers that were held.
-func (f *faults) release() {
+// releaseReaders wakes readers that were held.
+func (f *connFaults) releaseReaders() {
 	f.stalled.Store(false)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, g := range f.gates {
+	for _, g := range f.blockedReaders {
 		close(g)
 	}
-	f.gates = nil
+	f.blockedReaders = nil
 }
 
-func (f *faults) hold(over <-chan struct{}) {
+func (f *connFaults) blockReader(over <-chan struct{}) {
 	f.mu.Lock()
-	if !f.stalled.Load() || f.ended.Load() {
+	if !f.stalled.Load() || f.disabled.Load() {
 		f.mu.Unlock()
 		return
 	}
 	g := make(chan struct{})
-	f.gates = append(f.gates, g)
+	f.blockedReaders = append(f.blockedReaders, g)
 	f.mu.Unlock()
 	select {
 	case <-g:
@@ -53,32 +53,32 @@
 
 type faultyConn struct {
 	net.Conn
-	f    *faults
-	over chan struct{}
-	once sync.Once
+	faults    *connFaults
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func (f *faults) wrap(nc net.Conn) net.Conn {
-	return &faultyConn{Conn: nc, f: f, over: make(chan struct{})}
+func (f *connFaults) wrap(nc net.Conn) net.Conn {
+	return &faultyConn{Conn: nc, faults: f, closed: make(chan struct{})}
 }
 
 func (c *faultyConn) Close() error {
-	c.once.Do(func() { close(c.over) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
-	if c.f.stalled.Load() {
-		c.f.hold(c.over)
+	if c.faults.stalled.Load() {
+		c.faults.blockReader(c.closed)
 	}
 	return c.Conn.Read(p)
 }
 
 func (c *faultyConn) Write(p []byte) (int, error) {
 	switch {
-	case c.f.mute.Load():
+	case c.faults.halfOpen.Load():
 		return len(p), nil
-	case !c.f.fragments.Load():
+	case !c.faults.fragments.Load():
 		return c.Conn.Write(p)
 	}
 	for n := 0; n < len(p); {
@@ -92,12 +92,12 @@
 	return len(p), nil
 }
 
-// garbage sends what can't be read to each controller.
-func (w *Runner) garbage(perSecond float64) func() {
+// sendMalformed sends what can't be read to each controller.
+func (w *Runner) sendMalformed(perSecond float64) func() {
 	stop := make(chan struct{})
-	for cell := range w.scn.Fleet.Exchanges {
+	for cell := range w.scenario.Fleet.Exchanges {
 		w.wg.Go(func() {
-			nc, err := w.net.Dial(w.ctx, w.hosts.Addr(cell))
+			nc, err := w.network.Dial(w.ctx, w.controllers.Addr(cell))
 			if err != nil {
 				return
 			}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -33,181 +33,183 @@
 	Restart(cell int)
 }
 
-// door is the sockets of one exchange.
-type door struct {
-	ln    net.Listener
-	conns []link // in the order of their making
-	wire  *faults
+// exchangeListener is the sockets of one exchange.
+type exchangeListener struct {
+	listener net.Listener
+	conns    []exchangeConn // in the order of their making
+	faults   *connFaults
 }
 
-type link struct {
-	c  *transport.Conn[*signal.Message]
-	ec *exchange.Conn
+type exchangeConn struct {
+	conn      *transport.Conn[*signal.Message]
+	simulated *exchange.Conn
 }
 
 // Runner is the stand-ins of one scenario on a network.
 type Runner struct {
 	*scene.Simulation
-	scn     *settings.Scenario
-	loop    *loop
-	net     Network
-	capture *capture.Writer
-	hosts   Controllers
-
-	ctx      context.Context
-	stop     context.CancelFunc
-	wg       sync.WaitGroup
-	done     chan struct{}
-	doors    map[uint32]*door // by exchange
-	order    []*door
-	listLn   net.Listener
-	listAddr string
-	listAway atomic.Bool
-	lists    []*transport.Conn[*signal.Message]
+	scenario    *settings.Scenario
+	loop        *eventLoop
+	network     Network
+	capture     *capture.Writer
+	controllers Controllers
+
+	ctx              context.Context
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	loopDone         chan struct{}
+	listeners        map[uint32]*exchangeListener // by exchange
+	orderedListeners []*exchangeListener
+	listListener     net.Listener
+	listAddress      string
+	listUnavailable  atomic.Bool
+	listConns        []*transport.Conn[*signal.Message]
 }
 
 // New draws a fleet and opens its listeners.
 func New(scn *settings.Scenario, n Network, w *capture.Writer) (*Runner, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	wd := &Runner{scn: scn, loop: newLoop(), net: n, capture: w, ctx: ctx, stop: stop, done: make(chan struct{}),
-		doors: map[uint32]*door{}}
-	s, err := scene.New(scn, wd.loop, edge{wd})
+	wd := &Runner{scenario: scn, loop: newEventLoop(), network: n, capture: w, ctx: ctx, cancel: stop, loopDone: make(chan struct{}),
+		listeners: map[uint32]*exchangeListener{}}
+	s, err := scene.New(scn, wd.loop, environment{wd})
 	if err == nil {
 		wd.Simulation = s
-		wd.listLn, err = n.Listen()
+		wd.listListener, err = n.Listen()
 	}
 	if err != nil {
 		stop()
 		return nil, fmt.Errorf("opening the stand-ins' doors: %w", err)
 	}
-	wd.listAddr = wd.listLn.Addr().String()
+	wd.listAddress = wd.listListener.Addr().String()
 	return wd, nil
 }
 
-// edge is what the scene asks of its sockets. All but Open come in the loop.
-type edge struct{ w *Runner }
+// environment is what the scene asks of its sockets. All but Open come in the loop.
+type environment struct{ runner *Runner }
 
-func (e edge) Listen(id uint32) (string, error) {
-	ln, err := e.w.net.Listen()
+func (e environment) Listen(id uint32) (string, error) {
+	ln, err := e.runner.network.Listen()
 	if err != nil {
 		return "", err
 	}
-	d := &door{ln: ln, wire: &faults{}}
-	e.w.doors[id], e.w.order = d, append(e.w.order, d)
-	e.w.accept(ln, func(nc net.Conn) { e.w.acceptExchange(d, id, nc) })
+	d := &exchangeListener{listener: ln, faults: &connFaults{}}
+	e.runner.listeners[id], e.runner.orderedListeners = d, append(e.runner.orderedListeners, d)
+	e.runner.acceptConns(ln, func(nc net.Conn) { e.runner.acceptExchange(d, id, nc) })
 	return ln.Addr().String(), nil
 }
 
-func (e edge) StopListening(id uint32) {
+func (e environment) StopListening(id uint32) {
 	e.CloseConns(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
-	e.w.doors[id].ln.Close()
+	e.runner.listeners[id].listener.Close()
 }
 
-func (e edge) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
+func (e environment) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
 	n := 0
-	for _, l := range e.w.doors[id].conns {
-		if which(l.ec) {
+	for _, l := range e.runner.listeners[id].conns {
+		if which(l.simulated) {
 			n++
-			l.c.Close(fmt.Errorf("%s", why))
+			l.conn.Close(fmt.Errorf("%s", why))
 		}
 	}
 	return n
 }
 
-func (e edge) SetFault(id uint32, f scene.Fault, on bool) {
-	wire := e.w.doors[id].wire
+func (e environment) SetFault(id uint32, f scene.Fault, on bool) {
+	wire := e.runner.listeners[id].faults
 	switch {
 	case f == scene.HalfOpen:
-		wire.mute.Store(on)
+		wire.halfOpen.Store(on)
 	case f == scene.FragmentedWrites:
 		wire.fragments.Store(on)
 	case on:
 		wire.stalled.Store(true)
 	default:
-		wire.release()
+		wire.releaseReaders()
 	}
 }
 
-func (e edge) SetListUnavailable(away bool) {
-	e.w.listAway.Store(away)
+func (e environment) SetListUnavailable(away bool) {
+	e.runner.listUnavailable.Store(away)
 	if away {
-		for _, c := range e.w.lists {
+		for _, c := range e.runner.listConns {
 			c.Close(fmt.Errorf("the list is away"))
 		}
 	}
 }
 
-func (e edge) SendMalformed(perSecond float64) func() { return e.w.garbage(perSecond) }
-func (e edge) RestartController(cell int)             { e.w.hosts.Restart(cell) }
-func (e edge) Record(name string, v any)              { e.w.capture.Fact(name, v) }
+func (e environment) SendMalformed(perSecond float64) func() {
+	return e.runner.sendMalformed(perSecond)
+}
+func (e environment) RestartController(cell int) { e.runner.controllers.Restart(cell) }
+func (e environment) Record(name string, v any)  { e.runner.capture.Fact(name, v) }
 
-func (w *Runner) acceptExchange(d *door, id uint32, nc net.Conn) {
+func (w *Runner) acceptExchange(d *exchangeListener, id uint32, nc net.Conn) {
 	if x := w.ExchangeByID(id); x != nil && x.Up {
-		w.talk(d, x, d.wire.wrap(nc), false)
+		w.serveExchange(d, x, d.faults.wrap(nc), false)
 	} else {
 		nc.Close()
 	}
 }
 
-// talk serves a connection of an exchange: a controller's, or its own to its controller.
-func (w *Runner) talk(d *door, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
+// serveExchange serves a connection of an exchange: a controller's, or its own to its controller.
+func (w *Runner) serveExchange(d *exchangeListener, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
 	var ec *exchange.Conn
 	var c *transport.Conn[*signal.Message]
 	c = w.serve(nc, transit, exchangeOwner(x.ID), "controller",
 		func(m *signal.Message) {
-			if transit || !d.wire.mute.Load() {
+			if transit || !d.faults.halfOpen.Load() {
 				w.Fleet.HandleMessage(ec, m)
 			}
 		},
 		func() {
-			d.conns = slices.DeleteFunc(d.conns, func(l link) bool { return l.c == c })
+			d.conns = slices.DeleteFunc(d.conns, func(l exchangeConn) bool { return l.conn == c })
 			w.Fleet.ConnClosed(ec)
 		})
-	send := say(c)
+	send := sendFunc(c)
 	ec = w.Fleet.OpenConn(x, transit, func(m *signal.Message) { send(m) })
-	d.conns = append(d.conns, link{c, ec})
+	d.conns = append(d.conns, exchangeConn{c, ec})
 	return c
 }
 
 // ListAddr is where controllers find the exchange list.
-func (w *Runner) ListAddr() string { return w.listAddr }
+func (w *Runner) ListAddr() string { return w.listAddress }
 
 // Run starts the callers and lets the day pass; progress is told now and then.
 func (w *Runner) Run(ctx context.Context, hosts Controllers, progress func(passed time.Duration, calls int)) error {
-	w.hosts = hosts
-	w.accept(w.listLn, func(nc net.Conn) {
-		if w.listAway.Load() {
+	w.controllers = hosts
+	w.acceptConns(w.listListener, func(nc net.Conn) {
+		if w.listUnavailable.Load() {
 			nc.Close()
 			return
 		}
 		var lc *exlist.Conn
 		var c *transport.Conn[*signal.Message]
 		c = w.serve(nc, false, "list", "controller", func(m *signal.Message) { w.List.HandleMessage(lc, m) }, func() {
-			w.lists = slices.DeleteFunc(w.lists, func(o *transport.Conn[*signal.Message]) bool { return o == c })
+			w.listConns = slices.DeleteFunc(w.listConns, func(o *transport.Conn[*signal.Message]) bool { return o == c })
 			w.List.ConnClosed(lc)
 		})
-		send := say(c)
+		send := sendFunc(c)
 		lc = w.List.OpenConn(func(m *signal.Message) { send(m) })
-		w.lists = append(w.lists, c)
+		w.listConns = append(w.listConns, c)
 	})
-	for cell := range w.scn.Fleet.Exchanges {
+	for cell := range w.scenario.Fleet.Exchanges {
 		addr := hosts.Addr(cell)
-		for range w.scn.Callers.Connections {
-			w.redial(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
+		for range w.scenario.Callers.Connections {
+			w.maintainConn(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
 				var sc *subscriber.Conn
 				c := w.serve(nc, true, fmt.Sprintf("callers of %d", cell), "controller",
 					func(m *signal.Message) { w.Callers.HandleMessage(sc, m) }, func() { w.Callers.ConnClosed(cell, sc) })
-				sc = w.Callers.OpenConn(cell, say(c))
+				sc = w.Callers.OpenConn(cell, sendFunc(c))
 				return c
 			})
 		}
-		w.redial(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
+		w.maintainConn(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
 			x := w.Fleet.Current(cell)
-			return w.talk(w.doors[x.ID], x, nc, true)
+			return w.serveExchange(w.listeners[x.ID], x, nc, true)
 		})
 	}
 	go func() {
-		defer close(w.done)
+		defer close(w.loopDone)
 		w.loop.run(w.ctx)
 	}()
 	end := make(chan struct{})
@@ -222,19 +224,19 @@
 
 // Close ends all connections and goroutines.
 func (w *Runner) Close() {
-	w.stop()
-	<-w.done
-	w.listLn.Close()
-	for _, d := range w.order {
-		d.ln.Close()
-		d.wire.open()
+	w.cancel()
+	<-w.loopDone
+	w.listListener.Close()
+	for _, d := range w.orderedListeners {
+		d.listener.Close()
+		d.faults.removeAll()
 		for _, l := range d.conns {
-			l.c.Close(errEnd)
-			<-l.c.Done()
+			l.conn.Close(errRunEnded)
+			<-l.conn.Done()
 		}
 	}
-	for _, c := range w.lists {
-		c.Close(errEnd)
+	for _, c := range w.listConns {
+		c.Close(errRunEnded)
 		<-c.Done()
 	}
 	w.wg.Wait()
--- a/internal/virtual/bench_test.go
+++ b/internal/virtual/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkDay(b *testing.B) {
 	for _, n := range []int{7, 30, 80, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			scn := scenario(b, "bad-day")
+			scn := loadScenario(b, "bad-day")
 			scn.Length, scn.Troubles, scn.Load.Level = 4*time.Second, nil, 1
 			scn.Fleet.Exchanges = n
 			passed, events, calls := 0.0, uint64(0), 0
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -6,7 +6,7 @@
 // to the next. It is the Sched of all stand-ins.
 type Clock struct {
 	now    time.Duration
-	q      queue
+	queue  queue
 	events uint64
 }
 
@@ -14,7 +14,7 @@
 func (c *Clock) Now() time.Duration { return c.now }
 
 // After calls f when d has passed.
-func (c *Clock) After(d time.Duration, f func()) { c.q.push(c.now+max(d, 0), f) }
+func (c *Clock) After(d time.Duration, f func()) { c.queue.push(c.now+max(d, 0), f) }
 
 // Events counts what has happened.
 func (c *Clock) Events() uint64 { return c.events }
@@ -22,8 +22,8 @@
 // Run lets time pass until over says so after an event, or nothing is to come,
 // or the end is reached; it tells whether over did.
 func (c *Clock) Run(end time.Duration, over func() bool) bool {
-	for c.q.len() > 0 && c.q.next() <= end {
-		at, do := c.q.pop()
+	for c.queue.len() > 0 && c.queue.next() <= end {
+		at, do := c.queue.pop()
 		c.now = at
 		c.events++
 		do()
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -19,88 +19,88 @@
 // node is one controller: its core and what the daemon does around it, without
 // goroutines. It dies with a restart; another takes its cell.
 type node struct {
-	r       *Runner
-	cell    int
-	set     *settings.Controller
-	core    *controller.Controller
-	wires   map[controller.Peer]*wire
-	links   map[controller.Peer]*keeper
-	callers uint64 // connections taken
-	inputs  []controller.Input
+	runner      *Runner
+	cell        int
+	settings    *settings.Controller
+	core        *controller.Controller
+	connections map[controller.Peer]*connection
+	links       map[controller.Peer]*peerLink
+	callerCount uint64 // connections taken
+	inputs      []controller.Input
 	stepping,
-	dead, left bool
-	due     time.Duration // the clock input that is set; 0: none
+	killed, stopped bool
+	timerAt time.Duration // the clock input that is set; 0: none
 	capture *capture.Writer
 }
 
-// keeper keeps a link to a peer: dialled again when it is lost.
-type keeper struct {
-	addr  string
-	tries int
-	retry guard.Backoff
-	over  bool
+// peerLink keeps a link to a peer: dialled again when it is lost.
+type peerLink struct {
+	address  string
+	attempts int
+	backoff  guard.Backoff
+	closed   bool
 }
 
 func (r *Runner) newNode(cell int, sink flow.Sink, w *capture.Writer) *node {
-	set := r.scn.Controller(cell, "list")
-	set.Policy = r.opt.Policy
-	r.starts[cell]++
-	set.Seed += r.starts[cell] << 32
+	set := r.scenario.Controller(cell, "list")
+	set.Policy = r.options.Policy
+	r.startCounts[cell]++
+	set.Seed += r.startCounts[cell] << 32
 	set.SetDefaults()
-	n := &node{r: r, cell: cell, set: set, wires: map[controller.Peer]*wire{}, links: map[controller.Peer]*keeper{}, capture: w}
+	n := &node{runner: r, cell: cell, settings: set, connections: map[controller.Peer]*connection{}, links: map[controller.Peer]*peerLink{}, capture: w}
 	n.core = controller.New(r.clock.now, setup.ControllerConfig(r.clock.now, set, sink))
-	n.keep(controller.Peer{Role: controller.RoleExchangeList}, "list")
+	n.maintainLink(controller.Peer{Role: controller.RoleExchangeList}, "list")
 	return n
 }
 
-// step hands an input to the core and carries its effects out; what they bring
+// handleInput hands an input to the core and carries its effects out; what they bring
 // about at once waits its turn.
-func (n *node) step(in controller.Input) {
+func (n *node) handleInput(in controller.Input) {
 	n.inputs = append(n.inputs, in)
 	if n.stepping {
 		return
 	}
 	n.stepping = true
-	for len(n.inputs) > 0 && !n.dead {
+	for len(n.inputs) > 0 && !n.killed {
 		in := n.inputs[0]
 		n.inputs = n.inputs[1:]
-		for _, e := range n.core.Handle(n.r.clock.now, in) {
-			n.carryOut(e)
+		for _, e := range n.core.Handle(n.runner.clock.now, in) {
+			n.applyEffect(e)
 		}
 	}
 	n.inputs, n.stepping = nil, false
-	n.arm()
+	n.setTimer()
 }
 
-// arm sets the clock input that the core wants next.
-func (n *node) arm() {
+// setTimer sets the clock input that the core wants next.
+func (n *node) setTimer() {
 	at, ok := n.core.NextDeadline()
-	if !ok || n.dead || n.due != 0 && n.due <= at {
+	if !ok || n.killed || n.timerAt != 0 && n.timerAt <= at {
 		return
 	}
-	n.due = max(at, n.r.clock.now)
-	due := n.due
-	n.r.clock.After(due-n.r.clock.now, func() {
-		if n.due == due && !n.dead {
-			n.due = 0
-			n.step(controller.Input{Kind: controller.InputTimer})
+	n.timerAt = max(at, n.runner.clock.now)
+	due := n.timerAt
+	n.runner.clock.After(due-n.runner.clock.now, func() {
+		if n.timerAt == due && !n.killed {
+			n.timerAt = 0
+			n.handleInput(controller.Input{Kind: controller.InputTimer})
 		}
 	})
 }
 
-func (n *node) carryOut(e controller.Effect) {
+func (n *node) applyEffect(e controller.Effect) {
 	switch e.Kind {
 	case controller.EffectSend:
-		w := n.wires[e.Peer]
-		if (w == nil || !w.toStandIn(e.Message)) && e.Deadline > 0 {
-			n.step(controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
+		w := n.connections[e.Peer]
+		if (w == nil || !w.sendToRemote(e.Message)) && e.Deadline > 0 {
+			n.handleInput(controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
 		}
 	case controller.EffectConnect:
-		n.keep(e.Peer, e.Address)
+		n.maintainLink(e.Peer, e.Address)
 	case controller.EffectDisconnect:
-		n.hangUp(e.Peer)
+		n.closeLink(e.Peer)
 	case controller.EffectClose:
-		if w := n.wires[e.Peer]; w != nil {
+		if w := n.connections[e.Peer]; w != nil {
 			w.close(e.Text, true)
 		}
 	case controller.EffectVerdict:
@@ -108,97 +108,97 @@
 			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.ExchangeNumber))
 		}
 	case controller.EffectStopped:
-		n.left = true
+		n.stopped = true
 	case controller.EffectBlock, controller.EffectUnblock: // nothing waits to leave: what was said is on its way
 	case controller.EffectLog:
-		n.r.logs++
+		n.runner.logCount++
 	}
 }
 
-// keep starts to keep a link, in place of one at another address.
-func (n *node) keep(p controller.Peer, addr string) {
-	n.hangUp(p)
-	k := &keeper{addr: addr, retry: guard.Backoff{Min: n.set.Peers.MinRetryDelay, Max: n.set.Peers.MaxRetryDelay,
-		Random: rand.New(rand.NewPCG(n.set.Seed, uint64(n.set.Number)<<32^p.ID))}}
+// maintainLink starts to maintainLink a link, in place of one at another address.
+func (n *node) maintainLink(p controller.Peer, addr string) {
+	n.closeLink(p)
+	k := &peerLink{address: addr, backoff: guard.Backoff{Min: n.settings.Peers.MinRetryDelay, Max: n.settings.Peers.MaxRetryDelay,
+		Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^p.ID))}}
 	n.links[p] = k
-	n.dial(p, k)
+	n.dialPeer(p, k)
 }
 
-func (n *node) hangUp(p controller.Peer) {
+func (n *node) closeLink(p controller.Peer) {
 	if k := n.links[p]; k != nil {
-		k.over = true
+		k.closed = true
 		delete(n.links, p)
 	}
-	if w := n.wires[p]; w != nil && p.Role != controller.RoleCaller {
+	if w := n.connections[p]; w != nil && p.Role != controller.RoleCaller {
 		w.close("closed by this end", true)
 	}
 }
 
-// dial tries once; a link that does not come to stand, or is lost, is tried again.
-func (n *node) dial(p controller.Peer, k *keeper) {
-	n.r.clock.After(n.r.hop, func() {
-		if k.over || n.dead {
+// dialPeer tries once; a link that does not come to stand, or is lost, is tried again.
+func (n *node) dialPeer(p controller.Peer, k *peerLink) {
+	n.runner.clock.After(n.runner.hopDelay, func() {
+		if k.closed || n.killed {
 			return
 		}
-		k.tries++
-		if w := n.r.answer(n, p, k.addr); w != nil {
-			n.wires[p] = w
-			n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
+		k.attempts++
+		if w := n.runner.acceptDial(n, p, k.address); w != nil {
+			n.connections[p] = w
+			n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: p})
 			return
 		}
-		n.again(p, k)
+		n.scheduleRedial(p, k)
 	})
 }
 
-func (n *node) again(p controller.Peer, k *keeper) {
-	n.r.clock.After(k.retry.Delay(k.tries), func() { n.dial(p, k) })
+func (n *node) scheduleRedial(p controller.Peer, k *peerLink) {
+	n.runner.clock.After(k.backoff.Delay(k.attempts), func() { n.dialPeer(p, k) })
 }
 
-// lost is the end of a connection.
-func (n *node) lost(w *wire) {
-	if n.wires[w.peer] == w {
-		delete(n.wires, w.peer)
+// connectionLost is the end of a connection.
+func (n *node) connectionLost(w *connection) {
+	if n.connections[w.peer] == w {
+		delete(n.connections, w.peer)
 	}
-	if n.dead {
+	if n.killed {
 		return
 	}
-	n.step(controller.Input{Kind: controller.InputDisconnected, Peer: w.peer})
+	n.handleInput(controller.Input{Kind: controller.InputDisconnected, Peer: w.peer})
 	if k := n.links[w.peer]; k != nil {
-		k.tries = 1
-		n.again(w.peer, k)
+		k.attempts = 1
+		n.scheduleRedial(w.peer, k)
 	}
 }
 
-// accept takes a caller's connection.
-func (n *node) accept() controller.Peer {
-	n.callers++
-	p := controller.Peer{Role: controller.RoleCaller, ID: n.callers}
-	n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
+// acceptCaller takes a caller's connection.
+func (n *node) acceptCaller() controller.Peer {
+	n.callerCount++
+	p := controller.Peer{Role: controller.RoleCaller, ID: n.callerCount}
+	n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: p})
 	return p
 }
 
 // kill ends a controller at once: its connections break.
 func (n *node) kill() {
-	n.dead = true
-	for _, p := range sortedPeers(n.wires) {
-		n.wires[p].close("killed", true)
+	n.killed = true
+	for _, p := range sortedPeers(n.connections) {
+		n.connections[p].close("killed", true)
 	}
 }
 
-// junk hands over what can't be read.
-func (n *node) junk(p controller.Peer, text string) {
-	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.set.Limits.LineBytes, MaxMessageBytes: n.set.Limits.MessageBytes}).Read()
+// receiveMalformed hands over what can't be read.
+func (n *node) receiveMalformed(p controller.Peer, text string) {
+	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.settings.Limits.LineBytes, MaxMessageBytes: n.settings.Limits.MessageBytes}).Read()
 	if err == nil {
-		n.step(controller.Input{Kind: controller.InputMessage, Peer: p, Message: m})
+		n.handleInput(controller.Input{Kind: controller.InputMessage, Peer: p, Message: m})
 		return
 	}
 	if bad, ok := err.(*signal.SyntaxError); ok {
-		n.step(controller.Input{Kind: controller.InputMalformed, Peer: p, SyntaxError: *bad})
+		n.handleInput(controller.Input{Kind: controller.InputMalformed, Peer: p, SyntaxError: *bad})
 	}
 }
 
-// exchangeID reads the address of an exchange's door.
-func exchangeID(addr string) (uint32, bool) {
+// parseExchangeAddress reads the address of an exchange's door.
+func parseExchangeAddress(addr string) (uint32, bool) {
 	s, ok := strings.CutPrefix(addr, "exchange:")
 	if !ok {
 		return 0, false
--- a/internal/virtual/queue.go
+++ b/internal/virtual/queue.go
@@ -8,67 +8,67 @@
 // little behind it, so a flat tree with few cache misses beats one that is half
 // as wide (measured in queue_test.go beside container/heap).
 type queue struct {
-	all []entry
-	seq uint64
+	entries      []entry
+	lastSequence uint64
 }
 
 type entry struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	at       time.Duration
+	sequence uint64
+	callback func()
 }
 
-func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
-const branches = 4
+const branchingFactor = 4
 
-func (q *queue) len() int { return len(q.all) }
+func (q *queue) len() int { return len(q.entries) }
 
 // next is the time of the first event; there must be one.
-func (q *queue) next() time.Duration { return q.all[0].at }
+func (q *queue) next() time.Duration { return q.entries[0].at }
 
 func (q *queue) push(at time.Duration, do func()) {
-	q.seq++
-	e := entry{at, q.seq, do}
-	q.all = append(q.all, e)
-	i := len(q.all) - 1
+	q.lastSequence++
+	e := entry{at, q.lastSequence, do}
+	q.entries = append(q.entries, e)
+	i := len(q.entries) - 1
 	for i > 0 {
-		up := (i - 1) / branches
-		if !e.before(&q.all[up]) {
+		up := (i - 1) / branchingFactor
+		if !e.before(&q.entries[up]) {
 			break
 		}
-		q.all[i] = q.all[up]
+		q.entries[i] = q.entries[up]
 		i = up
 	}
-	q.all[i] = e
+	q.entries[i] = e
 }
 
 // pop takes the first event out.
 func (q *queue) pop() (time.Duration, func()) {
-	first := q.all[0]
-	last := len(q.all) - 1
-	e := q.all[last]
-	q.all[last] = entry{} // its closure is free to go
-	q.all = q.all[:last]
+	first := q.entries[0]
+	last := len(q.entries) - 1
+	e := q.entries[last]
+	q.entries[last] = entry{} // its closure is free to go
+	q.entries = q.entries[:last]
 	i := 0
 	for last > 0 {
-		least := i*branches + 1
+		least := i*branchingFactor + 1
 		if least >= last {
 			break
 		}
-		for k := least + 1; k < min(least+branches, last); k++ {
-			if q.all[k].before(&q.all[least]) {
+		for k := least + 1; k < min(least+branchingFactor, last); k++ {
+			if q.entries[k].before(&q.entries[least]) {
 				least = k
 			}
 		}
-		if !q.all[least].before(&e) {
+		if !q.entries[least].before(&e) {
 			break
 		}
-		q.all[i] = q.all[least]
+		q.entries[i] = q.entries[least]
 		i = least
 	}
 	if last > 0 {
-		q.all[i] = e
+		q.entries[i] = e
 	}
-	return first.at, first.do
+	return first.at, first.callback
 }
--- a/internal/virtual/queue_test.go
+++ b/internal/virtual/queue_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the reference: container/heap over the same entries.
-type plain []entry
+// referenceHeap is the reference: container/heap over the same entries.
+type referenceHeap []entry
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(i, j int) bool { return p[i].before(&p[j]) }
-func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *plain) Push(x any)        { *p = append(*p, x.(entry)) }
-func (p *plain) Pop() any {
+func (p referenceHeap) Len() int           { return len(p) }
+func (p referenceHeap) Less(i, j int) bool { return p[i].before(&p[j]) }
+func (p referenceHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *referenceHeap) Push(x any)        { *p = append(*p, x.(entry)) }
+func (p *referenceHeap) Pop() any {
 	e := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return e
@@ -26,7 +26,7 @@
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
-		var p plain
+		var p referenceHeap
 		got := -1
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			if len(p) > 0 && rapid.Bool().Draw(t, "pop") {
@@ -36,15 +36,15 @@
 				}
 				at, do := q.pop()
 				do()
-				if at != want.at || got != int(want.seq)-1 || q.len() != len(p) {
-					t.Fatalf("popped %v number %d, want %v number %d", at, got, want.at, want.seq-1)
+				if at != want.at || got != int(want.sequence)-1 || q.len() != len(p) {
+					t.Fatalf("popped %v number %d, want %v number %d", at, got, want.at, want.sequence-1)
 				}
 				continue
 			}
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at"))
-			n := int(q.seq)
+			n := int(q.lastSequence)
 			q.push(at, func() { got = n })
-			heap.Push(&p, entry{at: at, seq: q.seq})
+			heap.Push(&p, entry{at: at, sequence: q.lastSequence})
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	})
 	b.Run("container heap", func(b *testing.B) {
 		rnd := rand.New(rand.NewPCG(1, 1))
-		var p plain
+		var p referenceHeap
 		seq := uint64(0)
 		for range size {
 			seq++
@@ -77,7 +77,7 @@
 		for b.Loop() {
 			e := heap.Pop(&p).(entry)
 			seq++
-			heap.Push(&p, entry{e.at + time.Duration(rnd.ExpFloat64()*1e9), seq, e.do})
+			heap.Push(&p, entry{e.at + time.Duration(rnd.ExpFloat64()*1e9), seq, e.callback})
 		}
 	})
 }
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -35,43 +35,43 @@
 	Prepare     func(*scene.Simulation)                            // changes the scene before the day begins; nil: as drawn
 }
 
-// began is the day on which every run starts.
-var began = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
+// startTime is the day on which every run starts.
+var startTime = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// restartTakes is how long a killed controller is away.
-const restartTakes = 50 * time.Millisecond
+// restartTime is how long a killed controller is away.
+const restartTime = 50 * time.Millisecond
 
-// redialAfter is how soon a stand-in dials again.
-const redialAfter = 50 * time.Millisecond
+// redialDelay is how soon a stand-in dials again.
+const redialDelay = 50 * time.Millisecond
 
-// leaveWithin is how long the controllers may take to answer what they have.
-const leaveWithin = 15 * time.Second
+// shutdownTimeout is how long the controllers may take to answer what they have.
+const shutdownTimeout = 15 * time.Second
 
 // Runner is one day under way.
 type Runner struct {
-	scn     *settings.Scenario
-	opt     Options
-	hop     time.Duration
-	clock   *Clock
-	scene   *scene.Simulation
-	nodes   []*node
-	starts  []uint64 // of each controller
-	doors   map[uint32]*door
-	away    bool // the list
-	lists   []*wire
-	capture *capture.Writer
-	conns   int
-	logs    int
-	stats   []controller.Stats // of controllers that have ended
-	err     error              // of the first capture that could not be written
+	scenario        *settings.Scenario
+	options         Options
+	hopDelay        time.Duration
+	clock           *Clock
+	simulation      *scene.Simulation
+	nodes           []*node
+	startCounts     []uint64 // of each controller
+	ports           map[uint32]*exchangePort
+	listUnavailable bool // the list
+	listConnections []*connection
+	capture         *capture.Writer
+	connectionCount int
+	logCount        int
+	endedStats      []controller.Stats // of controllers that have ended
+	captureErr      error              // of the first capture that could not be written
 }
 
-// door is where an exchange is reached.
-type door struct {
-	conns         []*wire // in the order of their making
-	exch          map[*wire]*exchange.Conn
-	shut          bool
-	mute, stalled bool
+// exchangePort is where an exchange is reached.
+type exchangePort struct {
+	connections       []*connection // in the order of their making
+	exchangeConns     map[*connection]*exchange.Conn
+	closed            bool
+	halfOpen, stalled bool
 }
 
 // Result is what came of a run.
@@ -92,19 +92,19 @@
 	if opt.HopDelay <= 0 {
 		opt.HopDelay = 50 * time.Microsecond
 	}
-	r := &Runner{scn: scn, opt: opt, hop: opt.HopDelay, clock: &Clock{now: began}, doors: map[uint32]*door{},
-		starts: make([]uint64, scn.Fleet.Exchanges)}
-	r.capture = r.writer("stand-ins")
-	s, err := scene.New(scn, r.clock, edge{r})
+	r := &Runner{scenario: scn, options: opt, hopDelay: opt.HopDelay, clock: &Clock{now: startTime}, ports: map[uint32]*exchangePort{},
+		startCounts: make([]uint64, scn.Fleet.Exchanges)}
+	r.capture = r.newCaptureWriter("stand-ins")
+	s, err := scene.New(scn, r.clock, environment{r})
 	if err != nil {
 		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
 	}
-	if r.scene = s; opt.Prepare != nil {
+	if r.simulation = s; opt.Prepare != nil {
 		opt.Prepare(s)
 	}
 	for cell := range scn.Fleet.Exchanges {
 		r.nodes = append(r.nodes, nil)
-		r.start(cell)
+		r.startController(cell)
 		for range scn.Callers.Connections {
 			r.dialCallers(cell)
 		}
@@ -112,162 +112,162 @@
 	}
 	ended := false
 	s.Start(nil, func() { ended = true })
-	if !r.clock.Run(began+scn.Length+time.Hour, func() bool { return ended }) {
+	if !r.clock.Run(startTime+scn.Length+time.Hour, func() bool { return ended }) {
 		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
 	}
 	for _, n := range r.nodes {
-		n.step(controller.Input{Kind: controller.InputShutdown})
+		n.handleInput(controller.Input{Kind: controller.InputShutdown})
 	}
-	left := r.clock.Run(r.clock.now+leaveWithin, func() bool {
-		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.left })
+	left := r.clock.Run(r.clock.now+shutdownTimeout, func() bool {
+		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.stopped })
 	})
-	d := &Result{Simulation: s, AllStopped: left, Events: r.clock.Events(), Duration: r.clock.now - began}
+	d := &Result{Simulation: s, AllStopped: left, Events: r.clock.Events(), Duration: r.clock.now - startTime}
 	for _, n := range r.nodes {
 		n.kill()
-		r.stats = append(r.stats, n.core.Stats())
+		r.endedStats = append(r.endedStats, n.core.Stats())
 	}
-	r.clock.Run(r.clock.now+r.hop, func() bool { return false }) // the connections close
-	d.CircuitsInUse, d.ControllerStats = s.Fleet.CircuitsInUse(), r.stats
+	r.clock.Run(r.clock.now+r.hopDelay, func() bool { return false }) // the connections close
+	d.CircuitsInUse, d.ControllerStats = s.Fleet.CircuitsInUse(), r.endedStats
 	for _, n := range r.nodes {
-		r.err = cmp.Or(r.err, n.capture.Close())
+		r.captureErr = cmp.Or(r.captureErr, n.capture.Close())
 	}
-	if err := cmp.Or(r.err, r.capture.Close()); err != nil {
+	if err := cmp.Or(r.captureErr, r.capture.Close()); err != nil {
 		return nil, fmt.Errorf("the capture of %s: %w", scn.Name, err)
 	}
 	return d, nil
 }
 
-func (r *Runner) writer(who string) *capture.Writer {
-	if r.opt.NewCapture == nil {
+func (r *Runner) newCaptureWriter(who string) *capture.Writer {
+	if r.options.NewCapture == nil {
 		return nil
 	}
-	return r.opt.NewCapture(who, func() int64 { return int64(r.clock.now) })
+	return r.options.NewCapture(who, func() int64 { return int64(r.clock.now) })
 }
 
-func owner(cell int) string { return fmt.Sprint("controller ", cell) }
+func controllerOwner(cell int) string { return fmt.Sprint("controller ", cell) }
 
-func (r *Runner) start(cell int) {
+func (r *Runner) startController(cell int) {
 	var sink flow.Sink
-	if r.opt.NewFlowSink != nil {
-		sink = r.opt.NewFlowSink(cell)
+	if r.options.NewFlowSink != nil {
+		sink = r.options.NewFlowSink(cell)
 	}
-	r.nodes[cell] = r.newNode(cell, sink, r.writer(owner(cell)))
+	r.nodes[cell] = r.newNode(cell, sink, r.newCaptureWriter(controllerOwner(cell)))
 }
 
-// connect makes a connection that both ends know of.
-func (r *Runner) connect(n *node, p controller.Peer, far string, dialed bool, d *door) *wire {
-	r.conns++
-	w := &wire{r: r, n: n, peer: p, near: true, far: true, door: d}
+// newConnection makes a connection that both ends know of.
+func (r *Runner) newConnection(n *node, p controller.Peer, far string, dialed bool, d *exchangePort) *connection {
+	r.connectionCount++
+	w := &connection{runner: r, node: n, peer: p, controllerOpen: true, remoteOpen: true, port: d}
 	if r.capture != nil {
-		key := fmt.Sprint("wire ", r.conns)
-		w.nearTap = n.capture.Open(key, capture.Endpoint{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
-		w.farTap = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
+		key := fmt.Sprint("wire ", r.connectionCount)
+		w.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
+		w.remoteRecorder = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
 	}
 	return w
 }
 
-// answer is a controller's call at a door; nil if nobody opens.
-func (r *Runner) answer(n *node, p controller.Peer, addr string) *wire {
+// acceptDial is a controller's call at a door; nil if nobody opens.
+func (r *Runner) acceptDial(n *node, p controller.Peer, addr string) *connection {
 	if p.Role == controller.RoleExchangeList {
-		if r.away {
+		if r.listUnavailable {
 			return nil
 		}
-		w := r.connect(n, p, "list", true, nil)
+		w := r.newConnection(n, p, "list", true, nil)
 		var lc *exlist.Conn
-		w.message = func(m *signal.Message) { r.scene.List.HandleMessage(lc, m) }
-		w.closed = func() {
-			r.lists = slices.DeleteFunc(r.lists, func(o *wire) bool { return o == w })
-			r.scene.List.ConnClosed(lc)
+		w.onMessage = func(m *signal.Message) { r.simulation.List.HandleMessage(lc, m) }
+		w.onClosed = func() {
+			r.listConnections = slices.DeleteFunc(r.listConnections, func(o *connection) bool { return o == w })
+			r.simulation.List.ConnClosed(lc)
 		}
-		lc = r.scene.List.OpenConn(func(m *signal.Message) { w.toController(m) })
-		r.lists = append(r.lists, w)
+		lc = r.simulation.List.OpenConn(func(m *signal.Message) { w.sendToController(m) })
+		r.listConnections = append(r.listConnections, w)
 		return w
 	}
-	id, ok := exchangeID(addr)
-	d := r.doors[id]
-	if !ok || d == nil || d.shut {
+	id, ok := parseExchangeAddress(addr)
+	d := r.ports[id]
+	if !ok || d == nil || d.closed {
 		return nil
 	}
-	x := r.scene.ExchangeByID(id)
+	x := r.simulation.ExchangeByID(id)
 	if x == nil || !x.Up {
 		return nil
 	}
-	w := r.connect(n, p, fmt.Sprint("exchange ", id), true, d)
-	w.faulty = true
-	r.talk(d, x, w, false)
+	w := r.newConnection(n, p, fmt.Sprint("exchange ", id), true, d)
+	w.subjectToFaults = true
+	r.serveExchange(d, x, w, false)
 	return w
 }
 
-// talk serves a connection of an exchange.
-func (r *Runner) talk(d *door, x *exchange.Exchange, w *wire, transit bool) {
+// serveExchange serves a connection of an exchange.
+func (r *Runner) serveExchange(d *exchangePort, x *exchange.Exchange, w *connection, transit bool) {
 	var ec *exchange.Conn
-	w.message = func(m *signal.Message) { r.scene.Fleet.HandleMessage(ec, m) }
-	w.closed = func() {
-		d.conns = slices.DeleteFunc(d.conns, func(o *wire) bool { return o == w })
-		delete(d.exch, w)
-		r.scene.Fleet.ConnClosed(ec)
+	w.onMessage = func(m *signal.Message) { r.simulation.Fleet.HandleMessage(ec, m) }
+	w.onClosed = func() {
+		d.connections = slices.DeleteFunc(d.connections, func(o *connection) bool { return o == w })
+		delete(d.exchangeConns, w)
+		r.simulation.Fleet.ConnClosed(ec)
 		if transit {
-			r.clock.After(redialAfter, func() { r.dialTransit(x.Number) })
+			r.clock.After(redialDelay, func() { r.dialTransit(x.Number) })
 		}
 	}
-	ec = r.scene.Fleet.OpenConn(x, transit, func(m *signal.Message) { w.toController(m) })
-	d.conns = append(d.conns, w)
-	d.exch[w] = ec
+	ec = r.simulation.Fleet.OpenConn(x, transit, func(m *signal.Message) { w.sendToController(m) })
+	d.connections = append(d.connections, w)
+	d.exchangeConns[w] = ec
 }
 
 // dialTransit connects the exchange of a cell with its controller.
 func (r *Runner) dialTransit(cell int) {
-	r.clock.After(r.hop, func() {
-		n, x := r.nodes[cell], r.scene.Fleet.Current(cell)
-		if n.dead {
-			r.clock.After(redialAfter, func() { r.dialTransit(cell) })
+	r.clock.After(r.hopDelay, func() {
+		n, x := r.nodes[cell], r.simulation.Fleet.Current(cell)
+		if n.killed {
+			r.clock.After(redialDelay, func() { r.dialTransit(cell) })
 			return
 		}
-		d := r.doors[x.ID]
-		w := r.connect(n, n.accept(), fmt.Sprint("exchange ", x.ID), false, d)
-		n.wires[w.peer] = w
-		r.talk(d, x, w, true)
+		d := r.ports[x.ID]
+		w := r.newConnection(n, n.acceptCaller(), fmt.Sprint("exchange ", x.ID), false, d)
+		n.connections[w.peer] = w
+		r.serveExchange(d, x, w, true)
 	})
 }
 
 // dialCallers connects subscribers with their controller.
 func (r *Runner) dialCallers(cell int) {
-	r.clock.After(r.hop, func() {
-		again := func() { r.clock.After(redialAfter, func() { r.dialCallers(cell) }) }
+	r.clock.After(r.hopDelay, func() {
+		again := func() { r.clock.After(redialDelay, func() { r.dialCallers(cell) }) }
 		n := r.nodes[cell]
-		if n.dead {
+		if n.killed {
 			again()
 			return
 		}
-		w := r.connect(n, n.accept(), fmt.Sprint("callers of ", cell), false, nil)
-		n.wires[w.peer] = w
+		w := r.newConnection(n, n.acceptCaller(), fmt.Sprint("callers of ", cell), false, nil)
+		n.connections[w.peer] = w
 		var sc *subscriber.Conn
-		w.message = func(m *signal.Message) { r.scene.Callers.HandleMessage(sc, m) }
-		w.closed = func() {
-			r.scene.Callers.ConnClosed(cell, sc)
+		w.onMessage = func(m *signal.Message) { r.simulation.Callers.HandleMessage(sc, m) }
+		w.onClosed = func() {
+			r.simulation.Callers.ConnClosed(cell, sc)
 			again()
 		}
-		sc = r.scene.Callers.OpenConn(cell, w.toController)
+		sc = r.simulation.Callers.OpenConn(cell, w.sendToController)
 	})
 }
 
-// edge is what the scene asks of its connections.
-type edge struct{ r *Runner }
+// environment is what the scene asks of its connections.
+type environment struct{ runner *Runner }
 
-func (e edge) Listen(id uint32) (string, error) {
-	e.r.doors[id] = &door{exch: map[*wire]*exchange.Conn{}}
+func (e environment) Listen(id uint32) (string, error) {
+	e.runner.ports[id] = &exchangePort{exchangeConns: map[*connection]*exchange.Conn{}}
 	return fmt.Sprint("exchange:", id), nil
 }
 
-func (e edge) StopListening(id uint32) {
-	e.r.doors[id].shut = true
+func (e environment) StopListening(id uint32) {
+	e.runner.ports[id].closed = true
 	e.CloseConns(id, "out of service", func(*exchange.Conn) bool { return true })
 }
 
-func (e edge) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
-	d, n := e.r.doors[id], 0
-	for _, w := range slices.Clone(d.conns) {
-		if which(d.exch[w]) {
+func (e environment) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
+	d, n := e.runner.ports[id], 0
+	for _, w := range slices.Clone(d.connections) {
+		if which(d.exchangeConns[w]) {
 			n++
 			w.close(why, false)
 		}
@@ -276,65 +276,65 @@
 }
 
 // SetFault of an exchange's connections; pieces make no difference where messages arrive whole.
-func (e edge) SetFault(id uint32, f scene.Fault, on bool) {
-	d := e.r.doors[id]
+func (e environment) SetFault(id uint32, f scene.Fault, on bool) {
+	d := e.runner.ports[id]
 	switch f {
 	case scene.HalfOpen:
-		d.mute = on
+		d.halfOpen = on
 	case scene.StalledReader:
 		if d.stalled = on; !on {
-			for _, w := range slices.Clone(d.conns) {
-				w.flow()
+			for _, w := range slices.Clone(d.connections) {
+				w.resumeReading()
 			}
 		}
 	}
 }
 
-func (e edge) SetListUnavailable(away bool) {
-	if e.r.away = away; away {
-		for _, w := range slices.Clone(e.r.lists) {
+func (e environment) SetListUnavailable(away bool) {
+	if e.runner.listUnavailable = away; away {
+		for _, w := range slices.Clone(e.runner.listConnections) {
 			w.close("the list is away", false)
 		}
 	}
 }
 
-func (e edge) SendMalformed(perSecond float64) func() {
+func (e environment) SendMalformed(perSecond float64) func() {
 	over := false
-	for cell := range e.r.nodes {
-		n := e.r.nodes[cell]
-		if n.dead {
+	for cell := range e.runner.nodes {
+		n := e.runner.nodes[cell]
+		if n.killed {
 			continue
 		}
-		w := e.r.connect(n, n.accept(), "junk", false, nil)
-		n.wires[w.peer] = w
-		w.message, w.closed = func(*signal.Message) {}, func() {}
+		w := e.runner.newConnection(n, n.acceptCaller(), "junk", false, nil)
+		n.connections[w.peer] = w
+		w.onMessage, w.onClosed = func(*signal.Message) {}, func() {}
 		var next func(i int)
 		next = func(i int) {
-			if over || !w.near {
+			if over || !w.controllerOpen {
 				return
 			}
-			n.junk(w.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
-			e.r.clock.After(time.Duration(float64(time.Second)/perSecond), func() { next(i + 1) })
+			n.receiveMalformed(w.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
+			e.runner.clock.After(time.Duration(float64(time.Second)/perSecond), func() { next(i + 1) })
 		}
 		next(0)
 	}
 	return func() { over = true }
 }
 
-func (e edge) RestartController(cell int) {
-	n := e.r.nodes[cell]
+func (e environment) RestartController(cell int) {
+	n := e.runner.nodes[cell]
 	n.kill()
-	e.r.stats = append(e.r.stats, n.core.Stats())
-	e.r.capture.Fact("killed", capture.Killed{Owner: owner(cell)})
-	if err := n.capture.Close(); err != nil && e.r.err == nil {
-		e.r.err = err
+	e.runner.endedStats = append(e.runner.endedStats, n.core.Stats())
+	e.runner.capture.Fact("killed", capture.Killed{Owner: controllerOwner(cell)})
+	if err := n.capture.Close(); err != nil && e.runner.captureErr == nil {
+		e.runner.captureErr = err
 	}
-	e.r.clock.After(restartTakes, func() { e.r.start(cell) })
+	e.runner.clock.After(restartTime, func() { e.runner.startController(cell) })
 }
 
-func (e edge) Record(name string, v any) { e.r.capture.Fact(name, v) }
+func (e environment) Record(name string, v any) { e.runner.capture.Fact(name, v) }
 
-func sortedPeers(m map[controller.Peer]*wire) []controller.Peer {
+func sortedPeers(m map[controller.Peer]*connection) []controller.Peer {
 	return slices.SortedFunc(maps.Keys(m), func(a, b controller.Peer) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.ID, b.ID))
 	})
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -14,7 +14,7 @@
 	"dahliaspindle/scenarios"
 )
 
-func scenario(t testing.TB, name string) *settings.Scenario {
+func loadScenario(t testing.TB, name string) *settings.Scenario {
 	t.Helper()
 	text, ok := scenarios.Text(name)
 	if !ok {
@@ -27,19 +27,19 @@
 	return s
 }
 
-func all(*subscriber.Call) bool { return true }
+func anyCall(*subscriber.Call) bool { return true }
 
-// file is a capture in memory.
-type file struct{ bytes.Buffer }
+// memoryFile is a capture in memory.
+type memoryFile struct{ bytes.Buffer }
 
-func (*file) Close() error { return nil }
+func (*memoryFile) Close() error { return nil }
 
-// judged plays a day with a capture and lets the auditor judge it.
-func judged(t testing.TB, scn *settings.Scenario, opt Options) (*Result, *audit.Report) {
+// runAudited plays a day with a capture and lets the auditor judge it.
+func runAudited(t testing.TB, scn *settings.Scenario, opt Options) (*Result, *audit.Report) {
 	t.Helper()
-	var files []*file
+	var files []*memoryFile
 	opt.NewCapture = func(who string, now func() int64) *capture.Writer {
-		f := &file{}
+		f := &memoryFile{}
 		files = append(files, f)
 		return capture.NewWriter(f, who, now)
 	}
@@ -57,11 +57,11 @@
 }
 
 // The bad day, with its killed controllers: every rule, no circuit left.
-func TestBadDayKeepsTheRules(t *testing.T) {
+func TestBadDayKeepsRules(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		scn := scenario(t, "bad-day")
+		scn := loadScenario(t, "bad-day")
 		scn.Seed = seed
-		d, r := judged(t, scn, Options{})
+		d, r := runAudited(t, scn, Options{})
 		for _, b := range r.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
@@ -73,15 +73,15 @@
 		if !d.AllStopped || d.CircuitsInUse != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
 			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.AllStopped, d.CircuitsInUse, r.Calls)
 		}
-		tally := d.Callers.Tally(all)
+		tally := d.Callers.Tally(anyCall)
 		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, d.Events, d.Duration)
 	}
 }
 
 // The same scenario gives the same day to the call; another seed another one.
-func TestSameDayTwice(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	play := func(seed uint64) *Result {
-		scn := scenario(t, "bad-day")
+		scn := loadScenario(t, "bad-day")
 		scn.Seed = seed
 		d, err := Run(scn, Options{})
 		if err != nil {
--- a/internal/virtual/stall_test.go
+++ b/internal/virtual/stall_test.go
@@ -8,10 +8,10 @@
 	"dahliaspindle/internal/settings"
 )
 
-// took is how long the set-ups took, on one day, that no hit exchange is an end of.
-func took(t testing.TB, seed uint64, load float64, spared int, troubles ...settings.Trouble) (all []time.Duration, hit int) {
+// setUpTimes is how long the set-ups setUpTimes, on one day, that no hit exchange is an end of.
+func setUpTimes(t testing.TB, seed uint64, load float64, spared int, troubles ...settings.Trouble) (all []time.Duration, hit int) {
 	t.Helper()
-	scn := scenario(t, "bad-day")
+	scn := loadScenario(t, "bad-day")
 	scn.Seed, scn.Length, scn.Troubles, scn.Load.Level = seed, 32*time.Second, troubles, load
 	d, err := Run(scn, Options{})
 	if err != nil {
@@ -28,7 +28,7 @@
 	return all, spared
 }
 
-func p99(all []time.Duration) time.Duration {
+func percentile99(all []time.Duration) time.Duration {
 	slices.Sort(all)
 	return all[len(all)*99/100]
 }
@@ -37,14 +37,14 @@
 // that it is no end of stays within 1.5 times that of the same days without.
 // Days are taken together: where circuits run out now and then, p99 of a single
 // day changes up to fivefold for a microsecond in the wires.
-func TestStalledReaderOnALoadedFleet(t *testing.T) {
+func TestStalledReaderOnLoadedFleet(t *testing.T) {
 	var with, without []time.Duration
 	for seed := uint64(1); seed <= 16; seed++ {
-		w, hit := took(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
-		o, _ := took(t, seed, 0.8, hit)
+		w, hit := setUpTimes(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
+		o, _ := setUpTimes(t, seed, 0.8, hit)
 		with, without = append(with, w...), append(without, o...)
 	}
-	a, b := p99(with), p99(without)
+	a, b := percentile99(with), percentile99(without)
 	t.Logf("p99 %v of %d calls, without the stalled one %v of %d", a, len(with), b, len(without))
 	if len(with) < 20000 || float64(a) > 1.5*float64(b) {
 		t.Errorf("p99 %v of %d calls, without the stalled one %v", a, len(with), b)
