--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,43 +27,43 @@
 
 // Options of a play.
 type Options struct {
-	Scenario *settings.Scenario
-	Policy   string // of the controllers
-	Dir      string // for settings, logs and the capture
-	Flows    bool   // export flow records to a collector of the demo's own
-	Exe      string // the program that runs a controller: EXE run FILE
-	Progress func(passed time.Duration, calls int)
+	Scenario    *settings.Scenario
+	Policy      string // of the controllers
+	Dir         string // for settings, logs and the capture
+	ExportFlows bool   // export flow records to a collector of the demo's own
+	Executable  string // the program that runs a controller: EXE run FILE
+	Progress    func(passed time.Duration, calls int)
 }
 
 // Row is one line of a table.
 type Row struct {
-	Name    string           `json:"name"`
-	Tally   subscriber.Tally `json:"tally"`
-	Service float64          `json:"service"`
+	Name         string           `json:"name"`
+	Tally        subscriber.Tally `json:"tally"`
+	ServiceRatio float64          `json:"service"`
 }
 
 // Result is what came of it.
 type Result struct {
-	Scenario  string          `json:"scenario"`
-	Seed      uint64          `json:"seed"`
-	Policy    string          `json:"policy"`
-	Exchanges int             `json:"exchanges"`
-	Rules     []audit.Rule    `json:"rules"`
-	Calls     audit.Calls     `json:"calls"`
-	Capture   string          `json:"capture"`
-	Messages  int             `json:"messages"`
-	Classes   []Row           `json:"classes"`
-	Troubles  []Row           `json:"troubles"`
-	Held      int             `json:"circuits_held_at_end"`
-	Fleet     exchange.Counts `json:"fleet"`
-	Breaches  []audit.Breach  `json:"breaches,omitempty"`
-	Notes     []string        `json:"notes,omitempty"`
-	Flows     *collect.Report `json:"flows,omitempty"`
-	Service   float64         `json:"service"`
+	Scenario      string          `json:"scenario"`
+	Seed          uint64          `json:"seed"`
+	Policy        string          `json:"policy"`
+	Exchanges     int             `json:"exchanges"`
+	Rules         []audit.Rule    `json:"rules"`
+	Calls         audit.Calls     `json:"calls"`
+	Capture       string          `json:"capture"`
+	Messages      int             `json:"messages"`
+	Classes       []Row           `json:"classes"`
+	Troubles      []Row           `json:"troubles"`
+	CircuitsInUse int             `json:"circuits_held_at_end"`
+	Fleet         exchange.Counts `json:"fleet"`
+	Breaches      []audit.Breach  `json:"breaches,omitempty"`
+	Notes         []string        `json:"notes,omitempty"`
+	Flows         *collect.Report `json:"flows,omitempty"`
+	ServiceRatio  float64         `json:"service"`
 }
 
-// OK tells whether every rule held.
-func (r *Result) OK() bool {
+// RulesKept tells whether every rule held.
+func (r *Result) RulesKept() bool {
 	for _, u := range r.Rules {
 		if u.Broken > 0 {
 			return false
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	wd, err := world.New(o.Scenario, world.Net{
+	wd, err := world.New(o.Scenario, world.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 	}, w)
@@ -91,7 +91,7 @@
 	}
 	var flows *collect.Collector
 	collector := ""
-	if o.Flows {
+	if o.ExportFlows {
 		if flows, err = collect.New(filepath.Join(o.Dir, "flows.ipfix")); err != nil {
 			return nil, errors.Join(err, w.Close())
 		}
@@ -103,17 +103,17 @@
 		go flows.Serve(ln)
 		collector = ln.Addr().String()
 	}
-	f := &fleet{o: o, collector: collector, list: wd.ListAddr(), w: w, procs: make([]proc, o.Scenario.Fleet.Exchanges)}
-	for cell := range f.procs {
-		if err := f.start(cell); err != nil {
-			f.kill()
+	f := &controllerProcesses{options: o, collectorAddress: collector, listAddress: wd.ListAddr(), captureWriter: w, processes: make([]process, o.Scenario.Fleet.Exchanges)}
+	for cell := range f.processes {
+		if err := f.startController(cell); err != nil {
+			f.killAll()
 			return nil, errors.Join(err, w.Close())
 		}
 	}
 	played := wd.Run(ctx, f, o.Progress)
-	left := f.leave()
+	left := f.stopAll()
 	held := make(chan int, 1)
-	wd.Do(func() { held <- wd.Fleet.Held() })
+	wd.Do(func() { held <- wd.Fleet.CircuitsInUse() })
 	n := <-held
 	wd.Close()
 	if err := errors.Join(played, left, w.Close()); err != nil {
@@ -123,8 +123,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, wd.Scene)
-	r.Held = n
+	r := newResult(o, report, wd.Simulation)
+	r.CircuitsInUse = n
 	if flows != nil {
 		r.Flows = flows.Report()
 		if err := flows.Close(); err != nil {
@@ -134,67 +134,67 @@
 	return r, nil
 }
 
-// result puts the judgement and the callers' tables together.
-func result(o Options, report *audit.Report, s *scene.Scene) *Result {
+// newResult puts the judgement and the callers' tables together.
+func newResult(o Options, report *audit.Report, s *scene.Simulation) *Result {
 	r := &Result{Scenario: o.Scenario.Name, Seed: o.Scenario.Seed, Policy: o.Policy, Exchanges: o.Scenario.Fleet.Exchanges,
 		Rules: report.Rules, Calls: report.Calls, Capture: o.Dir, Messages: report.Messages,
 		Fleet: s.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
-	Tables(r, o.Scenario, s)
+	AddTables(r, o.Scenario, s)
 	return r
 }
 
-// Tables counts a scene's calls by class and by trouble.
-func Tables(r *Result, scn *settings.Scenario, wd *scene.Scene) {
+// AddTables counts a scene's calls by class and by trouble.
+func AddTables(r *Result, scn *settings.Scenario, wd *scene.Simulation) {
 	add := func(name string, rows *[]Row, which func(*subscriber.Call) bool) {
-		t := wd.Crowd.Tally(which)
-		*rows = append(*rows, Row{name, t, t.Service()})
+		t := wd.Callers.Tally(which)
+		*rows = append(*rows, Row{name, t, t.ServiceRatio()})
 	}
 	for i, c := range scn.Classes {
-		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.Hot })
+		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.ToHotNumber })
 	}
-	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.Hot })
+	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
 	add("all", &r.Classes, func(*subscriber.Call) bool { return true })
-	r.Service = r.Classes[len(r.Classes)-1].Service
-	for _, s := range wd.Seen() {
-		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.What), &r.Troubles, func(k *subscriber.Call) bool {
-			at := wd.Since(k)
-			return at >= s.From && at < s.To
+	r.ServiceRatio = r.Classes[len(r.Classes)-1].ServiceRatio
+	for _, s := range wd.Troubles() {
+		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.Description), &r.Troubles, func(k *subscriber.Call) bool {
+			at := wd.FirstAttemptTime(k)
+			return at >= s.Start && at < s.End
 		})
 	}
 }
 
-// fleet is the controllers' processes.
-type fleet struct {
-	o    Options
-	list string
-	w    *capture.Writer
+// controllerProcesses is the controllers' processes.
+type controllerProcesses struct {
+	options       Options
+	listAddress   string
+	captureWriter *capture.Writer
 
-	collector string // for flow records; none if empty
+	collectorAddress string // for flow records; none if empty
 
-	mu      sync.Mutex
-	procs   []proc
-	leaving bool
-	wg      sync.WaitGroup
-	errs    []error
+	mu        sync.Mutex
+	processes []process
+	stopping  bool
+	restarts  sync.WaitGroup
+	errs      []error
 }
 
-type proc struct {
-	cmd  *exec.Cmd
-	addr string
-	runs int
+type process struct {
+	command *exec.Cmd
+	address string
+	starts  int
 }
 
 // Addr is where a controller listens.
-func (f *fleet) Addr(cell int) string {
+func (f *controllerProcesses) Addr(cell int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.procs[cell].addr
+	return f.processes[cell].address
 }
 
-// start runs a controller on a listener that this process opens and passes on.
-func (f *fleet) start(cell int) error {
-	p := &f.procs[cell]
-	addr := p.addr
+// startController runs a controller on a listener that this process opens and passes on.
+func (f *controllerProcesses) startController(cell int) error {
+	p := &f.processes[cell]
+	addr := p.address
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -203,21 +203,21 @@
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer ln.Close()
-	p.addr = ln.Addr().String()
+	p.address = ln.Addr().String()
 	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer file.Close()
-	p.runs++
-	base := filepath.Join(f.o.Dir, fmt.Sprintf("controller-%d.%d", cell, p.runs))
-	set := f.o.Scenario.Controller(cell, f.list)
-	set.Seed += uint64(p.runs) << 32
-	set.Listen, set.Policy = "fd:3", f.o.Policy
+	p.starts++
+	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", cell, p.starts))
+	set := f.options.Scenario.Controller(cell, f.listAddress)
+	set.Seed += uint64(p.starts) << 32
+	set.Listen, set.Policy = "fd:3", f.options.Policy
 	set.Capture.File = base + capture.FileSuffix
-	if f.collector != "" {
-		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collector}}, SummaryInterval: 2 * time.Second,
-			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.o.Dir, fmt.Sprint("spool-", cell))}
+	if f.collectorAddress != "" {
+		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
+			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", cell))}
 	}
 	out, err := os.Create(base + ".xml")
 	if err != nil {
@@ -231,64 +231,64 @@
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	defer log.Close()
-	p.cmd = exec.Command(f.o.Exe, "run", base+".xml")
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.ExtraFiles = []*os.File{file}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.cmd.Start(); err != nil {
+	p.command = exec.Command(f.options.Executable, "run", base+".xml")
+	p.command.Stdout, p.command.Stderr = log, log
+	p.command.ExtraFiles = []*os.File{file}
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := p.command.Start(); err != nil {
 		return fmt.Errorf("controller %d: %w", cell, err)
 	}
 	return nil
 }
 
 // Restart kills a controller and starts it again, without holding its caller up.
-func (f *fleet) Restart(cell int) {
-	f.wg.Go(func() {
+func (f *controllerProcesses) Restart(cell int) {
+	f.restarts.Go(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.leaving {
+		if f.stopping {
 			return
 		}
-		p := &f.procs[cell]
-		_ = p.cmd.Process.Kill() // fails only if it has ended
-		_ = p.cmd.Wait()         // killed: its status says so
-		f.w.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
-		if err := f.start(cell); err != nil {
+		p := &f.processes[cell]
+		_ = p.command.Process.Kill() // fails only if it has ended
+		_ = p.command.Wait()         // killed: its status says so
+		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
+		if err := f.startController(cell); err != nil {
 			f.errs = append(f.errs, err)
 		}
 	})
 }
 
-// leaveWithin is how long the controllers may take to answer what they have.
-const leaveWithin = 15 * time.Second
+// shutdownTimeout is how long the controllers may take to answer what they have.
+const shutdownTimeout = 15 * time.Second
 
-// leave lets all controllers end, and returns how they failed.
-func (f *fleet) leave() error {
-	f.wg.Wait()
+// stopAll lets all controllers end, and returns how they failed.
+func (f *controllerProcesses) stopAll() error {
+	f.restarts.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving = true
-	for i := range f.procs {
-		_ = f.procs[i].cmd.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
+	f.stopping = true
+	for i := range f.processes {
+		_ = f.processes[i].command.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
 	}
-	timeout := time.AfterFunc(leaveWithin, func() {
-		for i := range f.procs {
-			_ = f.procs[i].cmd.Process.Kill()
+	timeout := time.AfterFunc(shutdownTimeout, func() {
+		for i := range f.processes {
+			_ = f.processes[i].command.Process.Kill()
 		}
 	})
 	defer timeout.Stop()
-	for i := range f.procs {
-		if err := f.procs[i].cmd.Wait(); err != nil {
+	for i := range f.processes {
+		if err := f.processes[i].command.Wait(); err != nil {
 			f.errs = append(f.errs, fmt.Errorf("controller %d: %w", i, err))
 		}
 	}
 	return errors.Join(f.errs...)
 }
 
-// kill ends what was started of a fleet that could not be.
-func (f *fleet) kill() {
-	for i := range f.procs {
-		if c := f.procs[i].cmd; c != nil && c.Process != nil {
+// killAll ends what was started of a fleet that could not be.
+func (f *controllerProcesses) killAll() {
+	for i := range f.processes {
+		if c := f.processes[i].command; c != nil && c.Process != nil {
 			_ = c.Process.Kill()
 			_ = c.Wait()
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,16 +12,16 @@
 	"dahliaspindle/internal/transport"
 )
 
-// server answers every third Add well, every third with a refusal, the rest
+// scriptedController answers every third Add well, every third with a refusal, the rest
 // never; it stops answering for a while in the middle.
-type server struct {
+type scriptedController struct {
 	n      int
 	start  time.Time
 	opened map[string]bool
 	t      *testing.T
 }
 
-func (s *server) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
+func (s *scriptedController) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
 	switch m.Command {
 	case signal.Add:
 		s.n++
@@ -43,26 +43,26 @@
 		delete(s.opened, m.Termination)
 	}
 }
-func (*server) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
-func (*server) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
-func (*server) Closed(*transport.Conn[*signal.Message], error)                          {}
+func (*scriptedController) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
+func (*scriptedController) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
+func (*scriptedController) Closed(*transport.Conn[*signal.Message], error)                          {}
 
-func TestOpenLoop(t *testing.T) {
+func TestDelayCountsFromDueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var n memnet.Network
 		ln, err := n.Listen()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &server{start: time.Now(), opened: map[string]bool{}, t: t}
+		s := &scriptedController{start: time.Now(), opened: map[string]bool{}, t: t}
 		go func() {
 			nc, err := ln.Accept()
 			if err == nil {
 				transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, s)
 			}
 		}()
-		r, err := Run(t.Context(), Options{To: []string{ln.Addr().String()}, Rate: 300, For: 3 * time.Second, Classes: []string{"x"},
-			Dests: []int{1}, Patience: 2 * time.Second, Holding: 100 * time.Millisecond, Conns: 1, Seed: 7,
+		r, err := Run(t.Context(), Options{Addresses: []string{ln.Addr().String()}, Rate: 300, Duration: 3 * time.Second, Classes: []string{"x"},
+			Destinations: []int{1}, Patience: 2 * time.Second, MeanHoldingTime: 100 * time.Millisecond, ConnsPerAddress: 1, Seed: 7,
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return n.Dial(ctx, addr) }})
 		if err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 			t.Errorf("%d calls offered, %d booked", r.Offered, sum)
 		}
 		// the second in which nothing was answered shows in full: arrivals did not wait for it
-		if st := r.Rows[stood]; st.Calls != int64(r.Offered/3) || st.Most < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
+		if st := r.Rows[established]; st.Calls != int64(r.Offered/3) || st.Max < 900*time.Millisecond || st.P50 > 10*time.Millisecond {
 			t.Errorf("%+v", st)
 		}
 		if r.Rows[unanswered].Calls < int64(r.Offered/3) || r.Rows[refused].Calls == 0 {
