--- a/cmd/dahliaspindle/dimension.go
+++ b/cmd/dahliaspindle/dimension.go
@@ -99,23 +99,23 @@
 // readTries reads a file of flow records.
 func readTries(file string) (*read, error) {
 	tally := collect.NewTally()
-	if err := tally.File(file); err != nil {
+	if err := tally.AddFile(file); err != nil {
 		return nil, exit{2, err}
 	}
 	m := &read{names: map[uint8]string{}}
 	seen := map[[2]uint64]bool{} // by life and number: a record may have come twice
 	if err := readFlows(file, func(_ uint32, r *ipfix.Record) error {
-		k, ok := flow.CallOf(r)
-		if !ok || k.Route == flow.Transit { // a call in transit is counted where it begins
+		k, ok := flow.CallRecordOf(r)
+		if !ok || k.Route == flow.RouteTransit { // a call in transit is counted where it begins
 			return nil
 		}
 		life, id, _ := flow.Identity(r)
 		if key := [2]uint64{life<<16 ^ uint64(uint32(k.Source)), id}; !seen[key] {
 			seen[key] = true
-			_, m.names[k.Class], _ = flow.Far(r)
+			_, m.names[k.Class], _ = flow.CallAttributes(r)
 			m.tries = append(m.tries, measure.Try{At: k.Start, Source: k.Source, Dest: k.Dest, Via: k.Via, Class: k.Class,
-				Circuits: int(k.Circuits), Number: k.Number, Repeat: k.Repeat, Lost: k.Outcome != flow.Ended && k.Outcome != flow.Cut,
-				Cut: k.Outcome == flow.Cut, Stood: k.Stood, Life: life})
+				Circuits: int(k.Circuits), Number: k.CalledNumber, Repeat: k.Repeat, Lost: k.Outcome != flow.CallEnded && k.Outcome != flow.CallCut,
+				Cut: k.Outcome == flow.CallCut, Stood: k.EstablishedFor, Life: life})
 		}
 		return nil
 	}); err != nil {
--- a/cmd/dahliaspindle/flows.go
+++ b/cmd/dahliaspindle/flows.go
@@ -51,10 +51,10 @@
 	if err != nil {
 		return err
 	}
-	col.Faults.Refuse.Store(c.Refuse)
-	col.Faults.Stop.Store(c.Stop)
-	col.Faults.ResetOne.Store(c.Reset)
-	col.Faults.Late.Store(int64(c.Late))
+	col.Faults.RefuseConnections.Store(c.Refuse)
+	col.Faults.StopReading.Store(c.Stop)
+	col.Faults.ResetEach.Store(c.Reset)
+	col.Faults.ReadDelay.Store(int64(c.Late))
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return fmt.Errorf("collector: %w", err)
@@ -80,12 +80,12 @@
 		return nil
 	}
 	type key struct{ kind, outcome string }
-	sums := map[key]*collect.Line{}
+	sums := map[key]*collect.ReportLine{}
 	var order []key
 	for _, l := range r.Lines {
 		k := key{l.Kind, l.Outcome}
 		if sums[k] == nil {
-			sums[k] = &collect.Line{Kind: l.Kind, Outcome: l.Outcome}
+			sums[k] = &collect.ReportLine{Kind: l.Kind, Outcome: l.Outcome}
 			order = append(order, k)
 		}
 		s := sums[k]
@@ -102,10 +102,10 @@
 		t.AppendRow(table.Row{s.Kind, s.Outcome, s.Counted, s.Received, s.Folded, s.Dropped, s.Difference})
 	}
 	t.Render()
-	fmt.Printf("difference %d; %d came again and were marked, %d twice unmarked, %d missed by sequence numbers\n", r.Difference, r.Resent, r.Double, r.Gaps)
-	if r.Unended > 0 || r.Unknown > 0 || r.Bad > 0 {
+	fmt.Printf("difference %d; %d came again and were marked, %d twice unmarked, %d missed by sequence numbers\n", r.Difference, r.Resent, r.Duplicates, r.SequenceGaps)
+	if r.Unfinished > 0 || r.UnknownSets > 0 || r.Unreadable > 0 {
 		fmt.Printf("%d controllers run yet or were killed, with %d records; %d sets without a template; %d messages that can't be read\n",
-			r.Unended, r.Orphans, r.Unknown, r.Bad)
+			r.Unfinished, r.OrphanRecords, r.UnknownSets, r.Unreadable)
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 			return nil
 		}
 		n++
-		row := flow.Words(r, it)
+		row := flow.Describe(r, it)
 		if c.JSON {
 			m := map[string]string{"controller": strconv.Itoa(int(domain))}
 			for _, f := range row {
@@ -161,7 +161,7 @@
 	}
 	defer f.Close()
 	d := ipfix.NewDecoder(flow.Elements()...)
-	if err := collect.EachMessage(f, func(b []byte) error {
+	if err := collect.ForEachMessage(f, func(b []byte) error {
 		m, err := d.Decode(b)
 		if err != nil {
 			return err
@@ -190,14 +190,14 @@
 	s := collect.NewSketch(c.Size)
 	if err := readFlows(c.File, func(_ uint32, r *ipfix.Record) error {
 		it, ok := flow.ItemOf(r)
-		if !ok || it.Record != flow.Call || !it.Counts() {
+		if !ok || it.RecordKind != flow.KindCall || !it.HasRecords() {
 			return nil
 		}
-		dest, class, hash := flow.Far(r)
+		dest, class, hash := flow.CallAttributes(r)
 		key := map[string]string{"far": strconv.Itoa(int(dest)), "class": class, "outcome": it.Outcome.String(),
 			"number": strconv.FormatUint(hash, 16)}[c.By]
-		if key != "" && (c.By != "number" || it.Kind == flow.CallItem) {
-			s.Add(key, it.N)
+		if key != "" && (c.By != "number" || it.Kind == flow.ItemCall) {
+			s.Add(key, it.RecordCount)
 		}
 		return nil
 	}); err != nil {
@@ -213,7 +213,7 @@
 	t := newTable("Calls by " + c.By)
 	t.AppendHeader(table.Row{c.By, "calls", "too high by, at the most"})
 	for _, x := range top {
-		t.AppendRow(table.Row{x.Key, x.Count, x.Over})
+		t.AppendRow(table.Row{x.Key, x.Count, x.MaxError})
 	}
 	t.Render()
 	fmt.Printf("no count is too high by more than %d\n", bound)
@@ -229,7 +229,7 @@
 func (c *flowsVerifyCmd) Run() error {
 	t := collect.NewTally()
 	for _, f := range c.Files {
-		if err := t.File(f); err != nil {
+		if err := t.AddFile(f); err != nil {
 			return exit{2, err}
 		}
 	}
@@ -261,7 +261,7 @@
 func against(r *collect.Report, rep *audit.Report) (bad []string) {
 	counted := map[string]uint64{}
 	for _, l := range r.Lines {
-		if l.Kind == flow.Call.String() {
+		if l.Kind == flow.KindCall.String() {
 			counted[fmt.Sprint("controller ", l.Domain)] += l.Counted
 		}
 	}
--- a/cmd/dahliaspindle/flows_test.go
+++ b/cmd/dahliaspindle/flows_test.go
@@ -91,9 +91,9 @@
 		col.Serve(ln)
 	}()
 	for range 2 {
-		before := col.Messages()
+		before := col.MessageCount()
 		c := controller(t, dir, listen, at)
-		for i := 0; col.Messages() < before+20 && i < 500; i++ {
+		for i := 0; col.MessageCount() < before+20 && i < 500; i++ {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if err := c.Process.Kill(); err != nil {
@@ -118,8 +118,8 @@
 		t.Error(err)
 	}
 	what := fmt.Sprintf("counted %d, received %d, in sums %d, dropped %d, resent %d, twice unmarked %d", r.Counted, r.Received, r.Folded, r.Dropped,
-		r.Resent, r.Double)
-	if r.Double != 0 || r.Difference != 0 || r.Counted < 5000 || r.Dropped != 0 {
+		r.Resent, r.Duplicates)
+	if r.Duplicates != 0 || r.Difference != 0 || r.Counted < 5000 || r.Dropped != 0 {
 		t.Error(what)
 	}
 	t.Log(what)
--- a/internal/collect/collector.go
+++ b/internal/collect/collector.go
@@ -17,11 +17,11 @@
 
 // Faults is what a collector does wrong; they may change while it runs.
 type Faults struct {
-	Refuse   atomic.Bool  // connections are closed as they come
-	Stop     atomic.Bool  // nothing is read
-	ResetOne atomic.Bool  // each connection is reset after a message
-	Late     atomic.Int64 // nanoseconds before each message is read
-	KeepOpen atomic.Bool  // a connection that ends is not closed by this end
+	RefuseConnections atomic.Bool  // connections are closed as they come
+	StopReading       atomic.Bool  // nothing is read
+	ResetEach         atomic.Bool  // each connection is reset after a message
+	ReadDelay         atomic.Int64 // nanoseconds before each message is read
+	KeepOpen          atomic.Bool  // a connection that ends is not closed by this end
 }
 
 // Collector takes messages over TCP (or TLS, by its listener) and UDP.
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		if c.Faults.Refuse.Load() {
+		if c.Faults.RefuseConnections.Load() {
 			nc.Close()
 			continue
 		}
@@ -71,9 +71,9 @@
 	}
 }
 
-// Datagrams takes messages from a socket until it is closed.
-func (c *Collector) Datagrams(pc net.PacketConn) {
-	buf := make([]byte, ipfix.MostMessage)
+// ServePacket takes messages from a socket until it is closed.
+func (c *Collector) ServePacket(pc net.PacketConn) {
+	buf := make([]byte, ipfix.MaxMessageLength)
 	for {
 		n, from, err := pc.ReadFrom(buf)
 		if err != nil {
@@ -90,7 +90,7 @@
 	if c.file != nil && c.err == nil {
 		_, c.err = c.file.Write(b)
 	}
-	_, _ = c.tally.Message(source, b) // one that can't be read is in the report
+	_, _ = c.tally.AddMessage(source, b) // one that can't be read is in the report
 }
 
 func (c *Collector) serve(nc net.Conn, source string) {
@@ -104,10 +104,10 @@
 	r := bufio.NewReader(nc)
 	var buf []byte
 	for {
-		for c.Faults.Stop.Load() {
+		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Duration(c.Faults.Late.Load()); d > 0 {
+		if d := time.Duration(c.Faults.ReadDelay.Load()); d > 0 {
 			time.Sleep(d)
 		}
 		b, err := ipfix.ReadMessage(r, buf)
@@ -120,37 +120,37 @@
 		if err != nil {
 			return
 		}
-		for c.Faults.Stop.Load() {
+		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
 		buf = b
 		c.take(source, b)
-		if c.Faults.ResetOne.Load() {
-			Reset(nc)
+		if c.Faults.ResetEach.Load() {
+			ResetConnection(nc)
 			return
 		}
 	}
 }
 
-// Reset ends a connection so that what was not read is known to be lost.
-func Reset(nc net.Conn) {
+// ResetConnection ends a connection so that what was not read is known to be lost.
+func ResetConnection(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // the close below says the rest
 	}
 	nc.Close()
 }
 
-// Cut resets all connections.
-func (c *Collector) Cut() {
+// ResetAll resets all connections.
+func (c *Collector) ResetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.conns { // each for itself
-		Reset(nc)
+		ResetConnection(nc)
 	}
 }
 
-// Messages is how many were read.
-func (c *Collector) Messages() int {
+// MessageCount is how many were read.
+func (c *Collector) MessageCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.held
@@ -165,9 +165,9 @@
 
 // Close ends all connections and the file.
 func (c *Collector) Close() error {
-	c.Faults.Stop.Store(false)
+	c.Faults.StopReading.Store(false)
 	c.Faults.KeepOpen.Store(false)
-	c.Cut()
+	c.ResetAll()
 	c.wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,6 +187,6 @@
 		ln.Close()
 		pc.Close()
 	})
-	c.wg.Go(func() { c.Datagrams(pc) })
+	c.wg.Go(func() { c.ServePacket(pc) })
 	c.Serve(ln)
 }
--- a/internal/collect/sketch_test.go
+++ b/internal/collect/sketch_test.go
@@ -25,8 +25,8 @@
 		in := map[string]bool{}
 		for _, x := range top {
 			in[x.Key] = true
-			if x.Count < exact[x.Key] || x.Count-x.Over > exact[x.Key] || x.Count-exact[x.Key] > bound {
-				t.Fatalf("%s: %d (over %d, bound %d), exactly %d", x.Key, x.Count, x.Over, bound, exact[x.Key])
+			if x.Count < exact[x.Key] || x.Count-x.MaxError > exact[x.Key] || x.Count-exact[x.Key] > bound {
+				t.Fatalf("%s: %d (over %d, bound %d), exactly %d", x.Key, x.Count, x.MaxError, bound, exact[x.Key])
 			}
 		}
 		for k, c := range exact {
--- a/internal/collect/tally.go
+++ b/internal/collect/tally.go
@@ -18,11 +18,11 @@
 // Tally adds up records by controller (observation domain). It is not safe for
 // concurrent use.
 type Tally struct {
-	domains map[uint32]*domain
-	dec     map[string]*ipfix.Decoder                           // by source: templates are a stream's own
-	Unknown int                                                 // sets without a template
-	Bad     int                                                 // messages that can't be read
-	Each    func(r *ipfix.Record, it *flow.Item, domain uint32) // told of each record that counts; nil for none
+	domains     map[uint32]*domain
+	dec         map[string]*ipfix.Decoder                           // by source: templates are a stream's own
+	UnknownSets int                                                 // sets without a template
+	Unreadable  int                                                 // messages that can't be read
+	OnRecord    func(r *ipfix.Record, it *flow.Item, domain uint32) // told of each record that counts; nil for none
 }
 
 type domain struct {
@@ -53,8 +53,8 @@
 // Forget drops what is remembered of a source: its connection is over.
 func (t *Tally) Forget(source string) { delete(t.dec, source) }
 
-// Message adds a message of a source in; it returns how many records it held.
-func (t *Tally) Message(source string, b []byte) (int, error) {
+// AddMessage adds a message of a source in; it returns how many records it held.
+func (t *Tally) AddMessage(source string, b []byte) (int, error) {
 	d := t.dec[source]
 	if d == nil {
 		d = ipfix.NewDecoder(flow.Elements()...)
@@ -62,10 +62,10 @@
 	}
 	m, err := d.Decode(b)
 	if err != nil {
-		t.Bad++
+		t.Unreadable++
 		return 0, err
 	}
-	t.Unknown += m.Unknown
+	t.UnknownSets += m.UnknownSets
 	dom := t.domains[m.Domain]
 	if dom == nil {
 		dom = &domain{lives: map[uint64]*life{}, next: map[string]uint32{}}
@@ -97,21 +97,21 @@
 	}
 	seen := l.seen
 	switch it.Kind {
-	case flow.CountItem:
-		counted, dropped := flow.CountedOf(r)
+	case flow.ItemCounts:
+		counted, dropped := flow.CountsOf(r)
 		if seq < l.word {
 			return
 		}
 		l.word, l.final = seq, l.final || flags&flow.FlagFinal != 0
-		l.counted[it.Record][min(it.Class, flow.MostClasses-1)][it.Outcome] = counted
-		l.dropped[it.Record][min(it.Class, flow.MostClasses-1)][it.Outcome] = dropped
+		l.counted[it.RecordKind][min(it.Class, flow.MaxClasses-1)][it.Outcome] = counted
+		l.dropped[it.RecordKind][min(it.Class, flow.MaxClasses-1)][it.Outcome] = dropped
 		return
-	case flow.FoldItem:
+	case flow.ItemFolded:
 		seen = l.sums
-	case flow.SummaryItem:
+	case flow.ItemSummary:
 		if !l.sums[seq] {
 			l.sums[seq] = true
-			dom.summed += flow.CallsOf(r)
+			dom.summed += flow.SummaryCallsOf(r)
 		}
 		return
 	}
@@ -124,18 +124,18 @@
 		return
 	}
 	seen[seq] = true
-	if it.Kind == flow.FoldItem {
-		it.Count(&l.folded)
+	if it.Kind == flow.ItemFolded {
+		it.AddTo(&l.folded)
 	} else {
-		it.Count(&l.got)
+		it.AddTo(&l.got)
 	}
-	if t.Each != nil {
-		t.Each(r, it, id)
+	if t.OnRecord != nil {
+		t.OnRecord(r, it, id)
 	}
 }
 
-// Line is what became of the records of one kind, class and outcome of a controller.
-type Line struct {
+// ReportLine is what became of the records of one kind, class and outcome of a controller.
+type ReportLine struct {
 	Domain     uint32 `json:"domain"`
 	Kind       string `json:"kind"`
 	Class      uint8  `json:"class"`
@@ -149,28 +149,28 @@
 
 // Report is all lines, and what was seen of the streams.
 type Report struct {
-	Lines      []Line `json:"lines"`
-	Counted    uint64 `json:"counted"`
-	Received   uint64 `json:"received"`
-	Folded     uint64 `json:"folded"`
-	Dropped    uint64 `json:"dropped"`
-	Difference uint64 `json:"difference"` // added up without signs
-	Resent     uint64 `json:"resent"`
-	Double     uint64 `json:"double"` // twice without a mark
-	Gaps       uint64 `json:"gaps"`
-	Summed     uint64 `json:"summed"`  // calls by the summaries of intervals, of all controllers
-	Unended    int    `json:"unended"` // controllers that run yet, or were killed: not in the sums
-	Orphans    uint64 `json:"orphans"` // records of theirs
-	Unknown    int    `json:"unknown_sets"`
-	Bad        int    `json:"unreadable"`
+	Lines         []ReportLine `json:"lines"`
+	Counted       uint64       `json:"counted"`
+	Received      uint64       `json:"received"`
+	Folded        uint64       `json:"folded"`
+	Dropped       uint64       `json:"dropped"`
+	Difference    uint64       `json:"difference"` // added up without signs
+	Resent        uint64       `json:"resent"`
+	Duplicates    uint64       `json:"double"` // twice without a mark
+	SequenceGaps  uint64       `json:"gaps"`
+	SummaryCalls  uint64       `json:"summed"`  // calls by the summaries of intervals, of all controllers
+	Unfinished    int          `json:"unended"` // controllers that run yet, or were killed: not in the sums
+	OrphanRecords uint64       `json:"orphans"` // records of theirs
+	UnknownSets   int          `json:"unknown_sets"`
+	Unreadable    int          `json:"unreadable"`
 }
 
 // OK tells whether everything that was counted is accounted for, once.
-func (r *Report) OK() bool { return r.Difference == 0 && r.Double == 0 && r.Counted > 0 }
+func (r *Report) OK() bool { return r.Difference == 0 && r.Duplicates == 0 && r.Counted > 0 }
 
 // Report adds up.
 func (t *Tally) Report() *Report {
-	rep := &Report{Unknown: t.Unknown, Bad: t.Bad}
+	rep := &Report{UnknownSets: t.UnknownSets, Unreadable: t.Unreadable}
 	var ids []uint32
 	for id := range t.domains {
 		ids = append(ids, id)
@@ -178,16 +178,16 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		d := t.domains[id]
-		rep.Gaps += d.gaps
+		rep.SequenceGaps += d.gaps
 		rep.Resent += d.resent
-		rep.Double += d.double
-		rep.Summed += d.summed
+		rep.Duplicates += d.double
+		rep.SummaryCalls += d.summed
 		var counted, got, folded, dropped flow.Counts
 		for _, l := range d.lives { // sums: the order does not matter
 			if !l.final {
-				rep.Unended++
-				for k := range flow.Kinds {
-					rep.Orphans += l.got.Sum(k) + l.folded.Sum(k)
+				rep.Unfinished++
+				for k := range flow.KindCount {
+					rep.OrphanRecords += l.got.Sum(k) + l.folded.Sum(k)
 				}
 				continue
 			}
@@ -199,7 +199,7 @@
 		for k := range counted {
 			for c := range counted[k] {
 				for o := range counted[k][c] {
-					n := Line{id, flow.Kind(k).String(), uint8(c), flow.Outcome(o).String(), counted[k][c][o], got[k][c][o], folded[k][c][o], dropped[k][c][o], 0}
+					n := ReportLine{id, flow.Kind(k).String(), uint8(c), flow.Outcome(o).String(), counted[k][c][o], got[k][c][o], folded[k][c][o], dropped[k][c][o], 0}
 					if n.Counted+n.Received+n.Folded+n.Dropped == 0 {
 						continue
 					}
@@ -227,17 +227,17 @@
 	}
 }
 
-// File adds an IPFIX file (RFC 5655) in. A torn end is an error that says so;
+// AddFile adds an IPFIX file (RFC 5655) in. A torn end is an error that says so;
 // what came before it is added.
-func (t *Tally) File(path string) error {
+func (t *Tally) AddFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("flows: %w", err)
 	}
 	defer f.Close()
 	defer t.Forget(path)
-	if err := EachMessage(f, func(b []byte) error {
-		_, err := t.Message(path, b)
+	if err := ForEachMessage(f, func(b []byte) error {
+		_, err := t.AddMessage(path, b)
 		return err
 	}); err != nil {
 		return fmt.Errorf("flows: %s: %w", path, err)
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// EachMessage hands out the messages of an IPFIX file, each valid until the next.
-func EachMessage(f io.Reader, each func([]byte) error) error {
+// ForEachMessage hands out the messages of an IPFIX file, each valid until the next.
+func ForEachMessage(f io.Reader, each func([]byte) error) error {
 	r := bufio.NewReaderSize(f, 1<<16)
 	var buf []byte
 	for n := 1; ; n++ {
@@ -264,11 +264,11 @@
 	}
 }
 
-// Top is a far end, class or outcome with its count.
-type Top struct {
-	Key   string `json:"key"`
-	Count uint64 `json:"count"`
-	Over  uint64 `json:"over"` // by so much at the most Count is too high
+// TopEntry is a far end, class or outcome with its count.
+type TopEntry struct {
+	Key      string `json:"key"`
+	Count    uint64 `json:"count"`
+	MaxError uint64 `json:"over"` // by so much at the most Count is too high
 }
 
 // Sketch keeps the heaviest of many keys in a bounded table: Space-Saving
@@ -283,7 +283,7 @@
 }
 
 type entry struct {
-	Top
+	TopEntry
 	i int
 }
 
@@ -301,7 +301,7 @@
 		return
 	}
 	if len(s.heap) < s.size {
-		e := &entry{Top{key, n, 0}, len(s.heap)}
+		e := &entry{TopEntry{key, n, 0}, len(s.heap)}
 		s.heap = append(s.heap, e)
 		s.at[key] = e
 		s.up(e.i)
@@ -309,7 +309,7 @@
 	}
 	e := s.heap[0] // the least makes room, and leaves its count as the error
 	delete(s.at, e.Key)
-	e.Key, e.Over, e.Count = key, e.Count, e.Count+n
+	e.Key, e.MaxError, e.Count = key, e.Count, e.Count+n
 	s.at[key] = e
 	s.down(0)
 }
@@ -342,10 +342,10 @@
 }
 
 // Top lists the heaviest, and by how much any count may be too high.
-func (s *Sketch) Top(k int) (top []Top, errorBound uint64) {
+func (s *Sketch) Top(k int) (top []TopEntry, errorBound uint64) {
 	for _, e := range s.heap {
-		top = append(top, e.Top)
+		top = append(top, e.TopEntry)
 	}
-	slices.SortFunc(top, func(a, b Top) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(top, func(a, b TopEntry) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
 	return top[:min(k, len(top))], s.n / uint64(s.size)
 }
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -336,11 +336,11 @@
 		case call.state == stateEstablished:
 			if outcome == brain.OutcomeReset {
 				c.stats.Cut++
-				c.recordCallEnd(call, flow.Cut)
+				c.recordCallEnd(call, flow.CallCut)
 				c.notifyCaller(call, "cut")
 			} else {
 				c.stats.Ended++
-				c.recordCallEnd(call, flow.Ended)
+				c.recordCallEnd(call, flow.CallEnded)
 				c.notifyCaller(call, "end")
 			}
 			if call.caller != nil {
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -223,7 +223,7 @@
 	case statePending:
 		c.stats.Abandoned++
 		call.state = stateEnded
-		c.recordCallEnd(call, flow.Left)
+		c.recordCallEnd(call, flow.CallAbandoned)
 		c.notifyModule(brain.CallAbandoned{CallID: call.id}) // cancels the attempt in flight before the final reply
 		c.sendFinalReply(call, &signal.Message{Code: signal.DoesNotExist, Text: "the caller left"})
 		if call.attempt == nil || call.attempt.stage == stageReleased {
@@ -231,7 +231,7 @@
 		}
 	case stateEstablished:
 		c.stats.Ended++
-		c.recordCallEnd(call, flow.Ended)
+		c.recordCallEnd(call, flow.CallEnded)
 		c.releaseCall(call, brain.OutcomeCompleted)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -399,7 +399,7 @@
 	for _, id := range sortedKeys(c.calls) {
 		if call := c.calls[id]; call.state == stateEstablished {
 			c.notifyCaller(call, "cut")
-			c.recordCallEnd(call, flow.Cut)
+			c.recordCallEnd(call, flow.CallCut)
 			c.releaseCall(call, brain.OutcomeReset)
 		}
 	}
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -10,20 +10,20 @@
 // recordCallEnd counts a call at its end and emits its flow record. It is called
 // once for each accepted call.
 func (c *Controller) recordCallEnd(call *call, outcome flow.Outcome) {
-	c.fillCallRecord(call, flow.Call, outcome)
+	c.fillCallRecord(call, flow.KindCall, outcome)
 	*c.counts.At(&c.record)++
-	if r := &c.record; c.config.TrafficMeter != nil && r.Route != flow.Transit {
+	if r := &c.record; c.config.TrafficMeter != nil && r.Route != flow.RouteTransit {
 		c.config.TrafficMeter.Add(c.now, measure.Try{
 			At:       r.Start,
 			Source:   r.Source,
 			Dest:     r.Dest,
 			Class:    r.Class,
 			Circuits: call.circuits,
-			Number:   r.Number,
+			Number:   r.CalledNumber,
 			Repeat:   r.Repeat,
-			Lost:     outcome != flow.Ended && outcome != flow.Cut,
-			Cut:      outcome == flow.Cut,
-			Stood:    r.Stood,
+			Lost:     outcome != flow.CallEnded && outcome != flow.CallCut,
+			Cut:      outcome == flow.CallCut,
+			Stood:    r.EstablishedFor,
 		})
 	}
 	c.emitRecord()
@@ -35,7 +35,7 @@
 	if call.state != stateEstablished {
 		return
 	}
-	c.fillCallRecord(call, flow.Interim, flow.Stands)
+	c.fillCallRecord(call, flow.KindInterim, flow.CallEstablished)
 	*c.counts.At(&c.record)++
 	c.emitRecord()
 	c.timers.Set(c.now+c.config.InterimInterval, timer{interimCall: call})
@@ -44,26 +44,26 @@
 // fillCallRecord makes c.record the record of a call.
 func (c *Controller) fillCallRecord(call *call, kind flow.Kind, outcome flow.Outcome) {
 	c.record = flow.Record{
-		Kind:     kind,
-		Outcome:  outcome,
-		Class:    uint8(call.class),
-		Context:  call.context,
-		Number:   call.calledNumber,
-		Start:    call.acceptedAt,
-		SetUp:    c.now - call.acceptedAt,
-		Source:   int32(call.sourceExchange),
-		Dest:     int32(call.destination),
-		Via:      -1,
-		Circuits: uint16(call.circuits),
-		N:        uint8(min(call.attempts, 255)),
-		Tandems:  uint8(min(call.tandemAttempts, 255)),
-		Repeat:   call.repeat,
-		Reason:   string(call.verdict.Reason),
-		Scope:    string(call.verdict.Scope),
-		Where:    int32(call.verdict.ExchangeNumber),
+		Kind:           kind,
+		Outcome:        outcome,
+		Class:          uint8(call.class),
+		Context:        call.context,
+		CalledNumber:   call.calledNumber,
+		Start:          call.acceptedAt,
+		SetUp:          c.now - call.acceptedAt,
+		Source:         int32(call.sourceExchange),
+		Dest:           int32(call.destination),
+		Via:            -1,
+		Circuits:       uint16(call.circuits),
+		Attempts:       uint8(min(call.attempts, 255)),
+		TandemAttempts: uint8(min(call.tandemAttempts, 255)),
+		Repeat:         call.repeat,
+		VerdictReason:  string(call.verdict.Reason),
+		VerdictScope:   string(call.verdict.Scope),
+		VerdictNumber:  int32(call.verdict.ExchangeNumber),
 	}
 	if call.establishedAt > 0 {
-		c.record.SetUp, c.record.Stood = call.establishedAt-call.acceptedAt, c.now-call.establishedAt
+		c.record.SetUp, c.record.EstablishedFor = call.establishedAt-call.acceptedAt, c.now-call.establishedAt
 		if call.attempt != nil && call.attempt.link != nil {
 			c.record.Via = int32(call.attempt.link.number)
 		}
@@ -76,23 +76,23 @@
 func routeOf(call *call, via int) flow.Route {
 	switch {
 	case call.transit:
-		return flow.Transit
+		return flow.RouteTransit
 	case via >= 0 && via != call.destination:
-		return flow.Tandem
+		return flow.RouteTandem
 	}
-	return flow.Direct
+	return flow.RouteDirect
 }
 
 // flowOutcomes maps the routing module's outcomes to those of flow records.
 var flowOutcomes = [...]flow.Outcome{
-	brain.OutcomeCompleted:   flow.Done,
-	brain.OutcomeFailed:      flow.Error,
-	brain.OutcomeRejected:    flow.Full,
-	brain.OutcomeTimedOut:    flow.TimedOut,
-	brain.OutcomeUnreachable: flow.NoConnect,
-	brain.OutcomeReset:       flow.Reset,
-	brain.OutcomeCancelled:   flow.Cancelled,
-	brain.OutcomeNotSent:     flow.Moot,
+	brain.OutcomeCompleted:   flow.AttemptCompleted,
+	brain.OutcomeFailed:      flow.AttemptFailed,
+	brain.OutcomeRejected:    flow.AttemptRejected,
+	brain.OutcomeTimedOut:    flow.AttemptTimedOut,
+	brain.OutcomeUnreachable: flow.AttemptUnreachable,
+	brain.OutcomeReset:       flow.AttemptReset,
+	brain.OutcomeCancelled:   flow.AttemptCancelled,
+	brain.OutcomeNotSent:     flow.AttemptNotSent,
 }
 
 // recordAttemptEnd counts an attempt when its outcome is reported to the routing
@@ -100,27 +100,27 @@
 func (c *Controller) recordAttemptEnd(attempt *attempt, outcome brain.Outcome, reply *signal.Message) {
 	call := attempt.call
 	c.record = flow.Record{
-		Kind:     flow.Attempt,
-		Outcome:  flowOutcomes[outcome],
-		Class:    uint8(call.class),
-		Context:  call.context,
-		Number:   call.calledNumber,
-		Start:    attempt.startedAt,
-		SetUp:    c.now - attempt.startedAt,
-		Source:   int32(call.sourceExchange),
-		Dest:     int32(call.destination),
-		Via:      -1,
-		Circuits: uint16(call.circuits),
-		N:        uint8(min(attempt.number, 255)),
-		Exchange: attempt.exchangeID,
-		Repeat:   call.repeat,
-		Where:    -1,
+		Kind:          flow.KindAttempt,
+		Outcome:       flowOutcomes[outcome],
+		Class:         uint8(call.class),
+		Context:       call.context,
+		CalledNumber:  call.calledNumber,
+		Start:         attempt.startedAt,
+		SetUp:         c.now - attempt.startedAt,
+		Source:        int32(call.sourceExchange),
+		Dest:          int32(call.destination),
+		Via:           -1,
+		Circuits:      uint16(call.circuits),
+		Attempts:      uint8(min(attempt.number, 255)),
+		Exchange:      attempt.exchangeID,
+		Repeat:        call.repeat,
+		VerdictNumber: -1,
 	}
 	if attempt.link != nil {
 		c.record.Via = int32(attempt.link.number)
 	}
 	if call.attempt == attempt && call.establishedAt > 0 {
-		c.record.SetUp, c.record.Stood = call.establishedAt-attempt.startedAt, c.now-call.establishedAt
+		c.record.SetUp, c.record.EstablishedFor = call.establishedAt-attempt.startedAt, c.now-call.establishedAt
 	}
 	if reply.Kind == signal.Reply {
 		c.record.Note = uint8(failureNotes[reply.Get("Note")].note)
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -34,7 +34,7 @@
 	case brain.RefuseCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Refused++
-			c.recordCallEnd(call, flow.Refused)
+			c.recordCallEnd(call, flow.CallRefused)
 			msg := &signal.Message{Code: signal.InsufficientResources, Text: "refused"}
 			if action.RetryAfter > 0 {
 				msg.PutDuration("Backoff", action.RetryAfter)
@@ -44,7 +44,7 @@
 	case brain.FailCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Failed++
-			c.recordCallEnd(call, flow.Failed)
+			c.recordCallEnd(call, flow.CallFailed)
 			c.finishCall(call, &signal.Message{Code: signal.Unavailable, Text: "failed"})
 		}
 	case brain.CancelAttempt:
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -121,7 +121,7 @@
 			case stageEstablished:
 				call := attempt.call
 				c.stats.Cut++
-				c.recordCallEnd(call, flow.Cut)
+				c.recordCallEnd(call, flow.CallCut)
 				c.notifyCaller(call, "cut")
 				if call.caller != nil {
 					delete(call.caller.calls, call.name)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -232,9 +232,9 @@
 		if got := flow.Counts(*sink); got != *h.controller.Counts() {
 			t.Fatalf("recorded %v, counted %v", got, *h.controller.Counts())
 		}
-		if stats, counts := h.controller.Stats(), h.controller.Counts(); uint64(stats.Accepted) != counts.Sum(flow.Call) ||
-			uint64(stats.Attempts) != counts.Sum(flow.Attempt) || stats.Accepted != len(calls) {
-			t.Fatalf("%d calls and %d attempts, counted %d and %d", stats.Accepted, stats.Attempts, counts.Sum(flow.Call), counts.Sum(flow.Attempt))
+		if stats, counts := h.controller.Stats(), h.controller.Counts(); uint64(stats.Accepted) != counts.Sum(flow.KindCall) ||
+			uint64(stats.Attempts) != counts.Sum(flow.KindAttempt) || stats.Accepted != len(calls) {
+			t.Fatalf("%d calls and %d attempts, counted %d and %d", stats.Accepted, stats.Attempts, counts.Sum(flow.KindCall), counts.Sum(flow.KindAttempt))
 		}
 	})
 }
--- a/internal/daemon/flows.go
+++ b/internal/daemon/flows.go
@@ -26,19 +26,19 @@
 		return nil, err
 	}
 	config := export.Config{
-		Copies:   flows.Mode == "copies",
-		Ring:     flows.RingCapacity,
-		Queue:    flows.QueueCapacity,
-		Replay:   flows.ReplayRate,
-		Interval: flows.SummaryInterval,
-		Confirm:  flows.ConfirmAfter,
-		Log:      log,
-		Now:      func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+		SendToAll:       flows.Mode == "copies",
+		RingCapacity:    flows.RingCapacity,
+		QueueCapacity:   flows.QueueCapacity,
+		ReplayRate:      flows.ReplayRate,
+		SummaryInterval: flows.SummaryInterval,
+		ConfirmAfter:    flows.ConfirmAfter,
+		Log:             log,
+		Now:             func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 	}
 	var classes []string
 	for _, class := range set.Classes {
 		classes = append(classes, class.Name)
-		config.Shed.Worth = append(config.Shed.Worth, class.Worth)
+		config.Shed.ClassWorth = append(config.Shed.ClassWorth, class.Worth)
 	}
 	dialers := map[string]*export.TLS{}
 	for _, collector := range flows.Collectors {
@@ -72,25 +72,25 @@
 	codec := flow.NewCodec(uint32(set.Number), uint64(time.Now().UnixMilli()), classes, key)
 	if flows.SpoolDirectory != "" {
 		spoolCount := 1
-		if config.Copies {
+		if config.SendToAll {
 			spoolCount = len(flows.Collectors)
 		}
 		for i := range spoolCount {
-			dir, err := spool.MakeDir(filepath.Join(flows.SpoolDirectory, fmt.Sprint("lane-", i)))
+			dir, err := spool.CreateDir(filepath.Join(flows.SpoolDirectory, fmt.Sprint("lane-", i)))
 			if err != nil {
 				return nil, err
 			}
 			opened, err := spool.Open(dir, spool.Config{
-				Most:    flows.MaxSpoolBytes,
-				Segment: min(max(flows.MaxSpoolBytes/16, 64<<10), 8<<20),
-				Age:     flows.MaxSpoolAge,
-				Sync:    time.Second,
+				MaxBytes:     flows.MaxSpoolBytes,
+				SegmentBytes: min(max(flows.MaxSpoolBytes/16, 64<<10), 8<<20),
+				MaxAge:       flows.MaxSpoolAge,
+				SyncDelay:    time.Second,
 			}, codec)
 			if err != nil {
 				return nil, err
 			}
-			if status := opened.Status(); status.Torn+status.Strange > 0 {
-				log.Warn("flow export: spool repaired", "torn", status.Torn, "set aside", status.Strange)
+			if status := opened.Status(); status.Torn+status.SetAside > 0 {
+				log.Warn("flow export: spool repaired", "torn", status.Torn, "set aside", status.SetAside)
 			}
 			config.Spools = append(config.Spools, opened)
 		}
--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -62,7 +62,7 @@
 func (s *station) close() {
 	s.ln.Close()
 	s.wg.Wait()
-	s.c.Cut()
+	s.c.ResetAll()
 }
 
 func (s *station) end() {
@@ -88,7 +88,7 @@
 	t.Helper()
 	codec := flow.NewCodec(7, 1_700_000_000_000+lives.Add(1), classes, []byte("key"))
 	for _, f := range fs {
-		s, err := spool.Open(f, spool.Config{Most: 8 << 20, Segment: 64 << 10, Sync: 50 * time.Millisecond}, codec)
+		s, err := spool.Open(f, spool.Config{MaxBytes: 8 << 20, SegmentBytes: 64 << 10, SyncDelay: 50 * time.Millisecond}, codec)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,9 +106,9 @@
 	}
 	cfg.Now = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 	cfg.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg.Interval, cfg.Confirm = 100*time.Millisecond, 200*time.Millisecond
-	cfg.RetryFrom, cfg.RetryMost, cfg.Write = 5*time.Millisecond, 50*time.Millisecond, 300*time.Millisecond
-	cfg.Shed.Worth = []float64{1, 5}
+	cfg.SummaryInterval, cfg.ConfirmAfter = 100*time.Millisecond, 200*time.Millisecond
+	cfg.MinRetryDelay, cfg.MaxRetryDelay, cfg.WriteTimeout = 5*time.Millisecond, 50*time.Millisecond, 300*time.Millisecond
+	cfg.Shed.ClassWorth = []float64{1, 5}
 	e, err := New(cfg, codec)
 	if err != nil {
 		t.Fatal(err)
@@ -126,11 +126,11 @@
 func (p *process) calls(n int, over time.Duration) {
 	from := time.Now()
 	for i := range n {
-		for _, k := range []flow.Kind{flow.Call, flow.Attempt} {
+		for _, k := range []flow.Kind{flow.KindCall, flow.KindAttempt} {
 			p.seq++
-			r := flow.Record{Kind: k, Seq: p.seq, Class: uint8(i % 2), Outcome: flow.Ended, Dest: int32(i % 9), Number: uint64(i), Reason: "no circuit free"}
-			if k == flow.Attempt {
-				r.Outcome = flow.Done
+			r := flow.Record{Kind: k, Seq: p.seq, Class: uint8(i % 2), Outcome: flow.CallEnded, Dest: int32(i % 9), CalledNumber: uint64(i), VerdictReason: "no circuit free"}
+			if k == flow.KindAttempt {
+				r.Outcome = flow.AttemptCompleted
 			}
 			*p.put.At(&r)++
 			p.e.Put(&r)
@@ -146,15 +146,15 @@
 	p.stop()
 	<-p.ended
 	if *p.e.Counted() != p.put {
-		t.Errorf("counted %d calls and %d attempts, put %d and %d", p.e.Counted().Sum(flow.Call), p.e.Counted().Sum(flow.Attempt),
-			p.put.Sum(flow.Call), p.put.Sum(flow.Attempt))
+		t.Errorf("counted %d calls and %d attempts, put %d and %d", p.e.Counted().Sum(flow.KindCall), p.e.Counted().Sum(flow.KindAttempt),
+			p.put.Sum(flow.KindCall), p.put.Sum(flow.KindAttempt))
 	}
 }
 
 // exact asks that everything counted is there, once, and nothing is unknown.
 func exact(t *testing.T, r *collect.Report) {
 	t.Helper()
-	if !r.OK() || r.Unended != 0 || r.Unknown != 0 || r.Bad != 0 {
+	if !r.OK() || r.Unfinished != 0 || r.UnknownSets != 0 || r.Unreadable != 0 {
 		t.Errorf("%+v", r)
 	}
 	t.Logf("counted %d, received %d, folded %d, dropped %d, resent %d", r.Counted, r.Received, r.Folded, r.Dropped, r.Resent)
@@ -199,29 +199,29 @@
 			p.calls(1000, 300*time.Millisecond)
 		}, func(r *collect.Report) string { return whole(r, 4000) }},
 		{"resets after each message", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.ResetOne.Store(true)
+			s.c.Faults.ResetEach.Store(true)
 			p.calls(1000, 700*time.Millisecond)
-			s.c.Faults.ResetOne.Store(false)
+			s.c.Faults.ResetEach.Store(false)
 			p.calls(500, time.Second)
 		}, nil},
 		{"accepts and never reads, then resets", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.Stop.Store(true)
+			s.c.Faults.StopReading.Store(true)
 			p.calls(20000, time.Second)
-			s.c.Cut()
-			s.c.Faults.Stop.Store(false)
+			s.c.ResetAll()
+			s.c.Faults.StopReading.Store(false)
 			p.calls(500, time.Second)
 		}, nil},
 		{"resets during the replay", true, func(t *testing.T, s *station, p *process) {
 			s.close()
 			p.calls(3000, 300*time.Millisecond)
-			s.c.Faults.Late.Store(int64(time.Millisecond))
-			s.c.Faults.Stop.Store(true)
+			s.c.Faults.ReadDelay.Store(int64(time.Millisecond))
+			s.c.Faults.StopReading.Store(true)
 			s.open()
 			p.calls(100, 500*time.Millisecond) // the replay begins, and lies in the buffers
-			s.c.Cut()
-			s.c.Faults.Stop.Store(false)
+			s.c.ResetAll()
+			s.c.Faults.StopReading.Store(false)
 			p.calls(100, time.Second)
-			for i := 0; p.e.Status().Spool[0].Segments > 0; i++ {
+			for i := 0; p.e.Status().Spools[0].Segments > 0; i++ {
 				if i > 500 {
 					t.Fatal("the replay does not go on behind the break")
 				}
@@ -229,10 +229,10 @@
 			}
 		}, func(r *collect.Report) string { return whole(r, 6400) }},
 		{"refuses", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.Refuse.Store(true)
-			s.c.Cut()
+			s.c.Faults.RefuseConnections.Store(true)
+			s.c.ResetAll()
 			p.calls(1000, 300*time.Millisecond)
-			s.c.Faults.Refuse.Store(false)
+			s.c.Faults.RefuseConnections.Store(false)
 			p.calls(500, time.Second)
 		}, nil},
 		{"never ends a connection", false, func(t *testing.T, s *station, p *process) {
@@ -240,10 +240,10 @@
 			p.calls(2000, 3*time.Second)
 		}, nil},
 		{"flood", false, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.Late.Store(int64(5 * time.Millisecond))
+			s.c.Faults.ReadDelay.Store(int64(5 * time.Millisecond))
 			p.calls(200, 300*time.Millisecond)
 			p.calls(100000, 500*time.Millisecond)
-			s.c.Faults.Late.Store(0)
+			s.c.Faults.ReadDelay.Store(0)
 			p.calls(200, 500*time.Millisecond)
 		}, func(r *collect.Report) string {
 			if r.Folded == 0 {
@@ -258,9 +258,9 @@
 			s := newStation(t)
 			defer s.end()
 			cfg := tcp(s)
-			cfg.Queue, cfg.Replay, cfg.Close = 15000, 50000, 4*time.Second
+			cfg.QueueCapacity, cfg.ReplayRate, cfg.ShutdownTimeout = 15000, 50000, 4*time.Second
 			if c.name == "resets during the replay" {
-				cfg.Replay = 4000 // it goes on behind the break
+				cfg.ReplayRate = 4000 // it goes on behind the break
 			}
 			var fs []spool.FS
 			if c.spool {
@@ -276,7 +276,7 @@
 				p = start(t, cfg, fs)
 				p.calls(1, 10*time.Millisecond)
 				for i := 0; i < 300; i++ {
-					if st := p.e.Status(); len(st.Spool) > 0 && st.Spool[0].Segments == 0 {
+					if st := p.e.Status(); len(st.Spools) > 0 && st.Spools[0].Segments == 0 {
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -284,7 +284,7 @@
 				p.end(t)
 			}
 			r := s.c.Report()
-			for i := 0; r.Unended > 0 && i < 200; i++ { // what is in the sockets yet is read
+			for i := 0; r.Unfinished > 0 && i < 200; i++ { // what is in the sockets yet is read
 				time.Sleep(10 * time.Millisecond)
 				r = s.c.Report()
 			}
@@ -299,8 +299,8 @@
 }
 
 func whole(r *collect.Report, n uint64) string {
-	if calls := r.Counted / 2; r.Summed != calls { // an attempt each
-		return fmt.Sprintf("%d calls in the summaries, %d counted", r.Summed, calls)
+	if calls := r.Counted / 2; r.SummaryCalls != calls { // an attempt each
+		return fmt.Sprintf("%d calls in the summaries, %d counted", r.SummaryCalls, calls)
 	}
 	if r.Received < n || r.Dropped+r.Folded > 0 {
 		return fmt.Sprintf("%d received whole, want %d", r.Received, n)
@@ -321,7 +321,7 @@
 	p.calls(500, 500*time.Millisecond)
 	p.end(t)
 	ra, rb := a.c.Report(), b.c.Report()
-	if ra.Orphans == 0 && ra.Received == 0 || rb.Received == 0 || rb.Unended != 0 || int(ra.Orphans+rb.Received) < 2000 {
+	if ra.OrphanRecords == 0 && ra.Received == 0 || rb.Received == 0 || rb.Unfinished != 0 || int(ra.OrphanRecords+rb.Received) < 2000 {
 		t.Errorf("failover: first %+v, second %+v", ra, rb)
 	}
 
@@ -329,7 +329,7 @@
 	defer a.end()
 	defer c.end()
 	fs := []spool.FS{mustDir(t, filepath.Join(dir, "a")), mustDir(t, filepath.Join(dir, "c"))}
-	cfg := Config{Collectors: []Collector{{Address: a.addr, Transport: "tcp"}, {Address: c.addr, Transport: "tcp"}}, Copies: true, Replay: 50000}
+	cfg := Config{Collectors: []Collector{{Address: a.addr, Transport: "tcp"}, {Address: c.addr, Transport: "tcp"}}, SendToAll: true, ReplayRate: 50000}
 	p = start(t, cfg, fs)
 	p.calls(300, 200*time.Millisecond)
 	c.close()
@@ -348,7 +348,7 @@
 
 func mustDir(t *testing.T, path string) spool.FS {
 	t.Helper()
-	d, err := spool.MakeDir(path)
+	d, err := spool.CreateDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -367,9 +367,9 @@
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
-			wg.Go(func() { c.Datagrams(pc) })
+			wg.Go(func() { c.ServePacket(pc) })
 			p := start(t, Config{Collectors: []Collector{{Address: pc.LocalAddr().String(), Transport: "udp", Protocol: proto, MTU: 600}},
-				Templates: 100 * time.Millisecond}, nil)
+				TemplateInterval: 100 * time.Millisecond}, nil)
 			p.calls(1000, 500*time.Millisecond)
 			p.end(t)
 			time.Sleep(50 * time.Millisecond)
@@ -379,7 +379,7 @@
 			if err := c.Close(); err != nil {
 				t.Fatal(err)
 			}
-			if lost := r.Difference; lost > 0 && r.Gaps == 0 || r.Received < 1500 || r.Bad != 0 { // datagrams may be lost, but not unseen
+			if lost := r.Difference; lost > 0 && r.SequenceGaps == 0 || r.Received < 1500 || r.Unreadable != 0 { // datagrams may be lost, but not unseen
 				t.Errorf("%+v", r)
 			}
 		})
@@ -396,8 +396,8 @@
 	defer s.end()
 	s.close()
 	cfg := tcp(s)
-	cfg.Queue = 2000
-	cfg.Shed = shed.Config{Folds: 20}
+	cfg.QueueCapacity = 2000
+	cfg.Shed = shed.Config{MaxSums: 20}
 	p := start(t, cfg, []spool.FS{full{mustDir(t, t.TempDir())}})
 	p.calls(20000, time.Second)
 	s.open()
@@ -412,12 +412,12 @@
 
 // The call path: no allocation, also when nobody takes the records.
 func TestPutDoesNotAllocate(t *testing.T) {
-	e, err := New(Config{Collectors: []Collector{{Address: "x", Transport: "tcp"}}, Ring: 64,
+	e, err := New(Config{Collectors: []Collector{{Address: "x", Transport: "tcp"}}, RingCapacity: 64,
 		Now: func() time.Duration { return 0 }}, flow.NewCodec(1, 1, classes, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &flow.Record{Reason: "no circuit free"}
+	r := &flow.Record{VerdictReason: "no circuit free"}
 	if n := testing.AllocsPerRun(1000, func() { e.Put(r) }); n != 0 {
 		t.Fatalf("%v allocations", n)
 	}
--- a/internal/export/exporter.go
+++ b/internal/export/exporter.go
@@ -34,43 +34,43 @@
 
 // Config of an exporting process.
 type Config struct {
-	Collectors []Collector
-	Copies     bool          // to all of them; else to the first that can be reached
-	Ring       int           // records between the call path and the exporter
-	Queue      int           // records that wait in memory, for each lane
-	Replay     float64       // records a second from the spool, at the most
-	Interval   time.Duration // of sums and counts
-	Templates  time.Duration // sent again over UDP after this
-	Confirm    time.Duration // written records are made sure of after this
-	Unsure     int           // bytes: more than the buffers of both ends of a connection
-	Write      time.Duration // bound on one write
-	Close      time.Duration // bound on the end of Run
-	RetryFrom  time.Duration
-	RetryMost  time.Duration
-	Shed       shed.Config
-	Spools     []*spool.Spool // one for each lane, or none
-	Dial       func(ctx context.Context, c Collector) (net.Conn, error)
-	Now        func() time.Duration // since 1970
-	Log        *slog.Logger
+	Collectors          []Collector
+	SendToAll           bool          // to all of them; else to the first that can be reached
+	RingCapacity        int           // records between the call path and the exporter
+	QueueCapacity       int           // records that wait in memory, for each lane
+	ReplayRate          float64       // records a second from the spool, at the most
+	SummaryInterval     time.Duration // of sums and counts
+	TemplateInterval    time.Duration // sent again over UDP after this
+	ConfirmAfter        time.Duration // written records are made sure of after this
+	MaxUnconfirmedBytes int           // bytes: more than the buffers of both ends of a connection
+	WriteTimeout        time.Duration // bound on one write
+	ShutdownTimeout     time.Duration // bound on the end of Run
+	MinRetryDelay       time.Duration
+	MaxRetryDelay       time.Duration
+	Shed                shed.Config
+	Spools              []*spool.Spool // one for each lane, or none
+	Dial                func(ctx context.Context, c Collector) (net.Conn, error)
+	Now                 func() time.Duration // since 1970
+	Log                 *slog.Logger
 }
 
-// Defaults fills in what is left open.
-func (c *Config) Defaults() {
-	def(&c.Ring, 1<<14)
-	def(&c.Queue, 50000)
-	def(&c.Replay, 2000)
-	def(&c.Interval, 10*time.Second)
-	def(&c.Templates, 30*time.Second)
-	def(&c.Confirm, 20*time.Second)
-	def(&c.Unsure, 8<<20)
-	def(&c.Write, 5*time.Second)
-	def(&c.Close, 3*time.Second)
-	def(&c.RetryFrom, 200*time.Millisecond)
-	def(&c.RetryMost, 10*time.Second)
-	def(&c.Shed.Budget, 1000)
-	def(&c.Shed.AgeMost, 20*time.Second)
-	def(&c.Shed.Hold, 5*time.Second)
-	def(&c.Shed.Folds, 8192)
+// SetDefaults fills in what is left open.
+func (c *Config) SetDefaults() {
+	def(&c.RingCapacity, 1<<14)
+	def(&c.QueueCapacity, 50000)
+	def(&c.ReplayRate, 2000)
+	def(&c.SummaryInterval, 10*time.Second)
+	def(&c.TemplateInterval, 30*time.Second)
+	def(&c.ConfirmAfter, 20*time.Second)
+	def(&c.MaxUnconfirmedBytes, 8<<20)
+	def(&c.WriteTimeout, 5*time.Second)
+	def(&c.ShutdownTimeout, 3*time.Second)
+	def(&c.MinRetryDelay, 200*time.Millisecond)
+	def(&c.MaxRetryDelay, 10*time.Second)
+	def(&c.Shed.MaxRecordRate, 1000)
+	def(&c.Shed.MaxAge, 20*time.Second)
+	def(&c.Shed.MinLevelDuration, 5*time.Second)
+	def(&c.Shed.MaxSums, 8192)
 	for i := range c.Collectors {
 		if c.Collectors[i].Protocol == 0 {
 			c.Collectors[i].Protocol = ipfix.IPFIX
@@ -91,7 +91,7 @@
 	cfg   Config
 	codec *flow.Codec
 	ring  *ring.Ring[flow.Record]
-	full  [flow.Kinds][flow.MostClasses][flow.Outcomes]atomic.Uint64 // the ring had no room
+	full  [flow.KindCount][flow.MaxClasses][flow.OutcomeCount]atomic.Uint64 // the ring had no room
 
 	lanes   []*lane
 	shed    *shed.Shedder
@@ -117,29 +117,29 @@
 type Status struct {
 	Counted, Folded, Dropped uint64 // records, all kinds
 	Sent                     uint64 // written to collectors, by lane summed
-	Unsaid                   uint64 // summaries and counts that there was no room for
-	Queue                    int
-	Level                    string
-	Spool                    []spool.Status
-	Up                       []bool // by collector
+	Undelivered              uint64 // summaries and counts that there was no room for
+	QueueLength              int
+	ShedLevel                string
+	Spools                   []spool.Status
+	Connected                []bool // by collector
 }
 
 // New makes an exporter.
 func New(cfg Config, codec *flow.Codec) (*Exporter, error) {
-	cfg.Defaults()
+	cfg.SetDefaults()
 	if len(cfg.Collectors) == 0 {
 		return nil, fmt.Errorf("export: no collector")
 	}
-	e := &Exporter{cfg: cfg, codec: codec, ring: ring.New[flow.Record](cfg.Ring), shed: shed.New(cfg.Shed),
+	e := &Exporter{cfg: cfg, codec: codec, ring: ring.New[flow.Record](cfg.RingCapacity), shed: shed.New(cfg.Shed),
 		folds: map[shed.Key]*shed.Sum{}, sums: map[farClass]*flow.Summary{}, from: cfg.Now(), words: make(chan word, 64), warned: map[string]time.Duration{}}
 	lanes := 1
-	if cfg.Copies {
+	if cfg.SendToAll {
 		lanes = len(cfg.Collectors)
 	}
 	for i := range lanes {
 		l := &lane{cfg: &e.cfg, codec: codec, warn: e.warn}
 		for j, c := range cfg.Collectors {
-			if !cfg.Copies || i == j {
+			if !cfg.SendToAll || i == j {
 				l.streams = append(l.streams, &stream{to: c})
 			}
 		}
@@ -161,7 +161,7 @@
 func (e *Exporter) summary(r *flow.Record) *flow.Summary {
 	k := farClass{r.Dest, r.Class}
 	if e.sums[k] == nil {
-		if len(e.sums) >= e.cfg.Shed.Folds {
+		if len(e.sums) >= e.cfg.Shed.MaxSums {
 			k.far = -1
 		}
 		if e.sums[k] == nil {
@@ -175,7 +175,7 @@
 // Put takes a record from the call path: no lock, no allocation, no system call.
 func (e *Exporter) Put(r *flow.Record) {
 	if !e.ring.Put(r) {
-		e.full[r.Kind][min(r.Class, flow.MostClasses-1)][r.Outcome].Add(1)
+		e.full[r.Kind][min(r.Class, flow.MaxClasses-1)][r.Outcome].Add(1)
 	}
 }
 
@@ -226,14 +226,14 @@
 	}
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	e.flushAt = e.cfg.Now() + e.cfg.Interval
+	e.flushAt = e.cfg.Now() + e.cfg.SummaryInterval
 	done := ctx.Done()
 	var leaveBy time.Duration
 	for {
 		select {
 		case <-done:
 			done = nil
-			leaveBy = e.cfg.Now() + e.cfg.Close
+			leaveBy = e.cfg.Now() + e.cfg.ShutdownTimeout
 			e.drain(e.cfg.Now())
 			e.flush(leaveBy, true)
 		case <-ticker.C:
@@ -244,7 +244,7 @@
 		if done != nil {
 			e.drain(now)
 			if now >= e.flushAt {
-				e.flushAt = now + e.cfg.Interval
+				e.flushAt = now + e.cfg.SummaryInterval
 				e.flush(now, false)
 			}
 		}
@@ -290,17 +290,17 @@
 			}
 		}
 	}
-	e.shed.Look(now, e.state(now))
+	e.shed.Update(now, e.state(now))
 	var r flow.Record
 	for n := e.ring.Len(); n > 0 && e.ring.Take(&r); n-- {
 		*e.counted.At(&r)++
 		e.summary(&r).Add(&r)
-		key := shed.KeyOf(&r)
+		key := shed.KeyFor(&r)
 		sum := e.folds[key]
 		switch e.shed.Decide(&r, len(e.folds), sum != nil) {
-		case shed.Whole:
+		case shed.Send:
 			for _, l := range e.lanes {
-				l.add(now, e.codec.Of(&r)) // each its own: marks differ
+				l.add(now, e.codec.RecordItem(&r)) // each its own: marks differ
 			}
 		case shed.Fold:
 			if sum == nil {
@@ -339,9 +339,9 @@
 	st := shed.State{Reachable: true}
 	worst := -1.0
 	for _, l := range e.lanes {
-		s := shed.State{Queue: len(l.queue), QueueMost: e.cfg.Queue, Oldest: l.age(now), Reachable: l.active() != nil}
+		s := shed.State{QueueLength: len(l.queue), QueueCapacity: e.cfg.QueueCapacity, OldestAge: l.age(now), Reachable: l.active() != nil}
 		if l.spool != nil {
-			s.Spool, s.SpoolMost = l.spool.Bytes(), l.spool.Most()
+			s.SpoolBytes, s.MaxSpoolBytes = l.spool.Bytes(), l.spool.MaxBytes()
 		}
 		if p := e.cfg.Shed.Pressure(s); p > worst {
 			worst, st = p, s
@@ -355,16 +355,16 @@
 	for _, key := range e.order {
 		sum := e.folds[key]
 		e.foldSeq++
-		f := flow.Folded{Kind: key.Kind, Class: key.Class, Outcome: key.Outcome, Far: key.Far, Seq: e.foldSeq, Count: sum.Count,
-			First: sum.First, Last: sum.Last, SetUp: sum.SetUp, Stood: sum.Stood, Attempts: sum.Attempts}
+		f := flow.Folded{Kind: key.Kind, Class: key.Class, Outcome: key.Outcome, Dest: key.Dest, Seq: e.foldSeq, Count: sum.Count,
+			FirstStart: sum.FirstStart, LastStart: sum.LastStart, SetUp: sum.SetUp, EstablishedFor: sum.EstablishedFor, Attempts: sum.Attempts}
 		for _, l := range e.lanes {
-			l.add(now, e.codec.OfFold(f))
+			l.add(now, e.codec.FoldedItem(f))
 		}
 	}
 	for _, k := range e.sumKeys {
 		e.foldSeq++
 		for _, l := range e.lanes {
-			l.add(now, e.codec.OfSummary(e.foldSeq, k.class, k.far, e.from, now, e.sums[k]))
+			l.add(now, e.codec.SummaryItem(e.foldSeq, k.class, k.far, e.from, now, e.sums[k]))
 		}
 	}
 	clear(e.sums)
@@ -383,8 +383,8 @@
 			}
 		}
 		e.foldSeq++
-		l.add(now, e.codec.OfCounts(e.foldSeq, &e.counted, &e.folded, &dropped, final)...)
-		l.add(now, e.codec.OfStats(notSent, l.sent))
+		l.add(now, e.codec.CountItems(e.foldSeq, &e.counted, &e.folded, &dropped, final)...)
+		l.add(now, e.codec.StatisticsItem(notSent, l.sent))
 	}
 }
 
@@ -468,8 +468,8 @@
 }
 
 func (e *Exporter) report(time.Duration) {
-	st := Status{Level: e.shed.Level().String()}
-	for k := range flow.Kinds {
+	st := Status{ShedLevel: e.shed.Level().String()}
+	for k := range flow.KindCount {
 		st.Counted += e.counted.Sum(k)
 		st.Folded += e.folded.Sum(k)
 		st.Dropped += e.dropped.Sum(k)
@@ -477,13 +477,13 @@
 	for _, l := range e.lanes {
 		st.Sent += l.sent
 		st.Dropped += l.lostN
-		st.Unsaid += l.unsaid
-		st.Queue += len(l.queue)
+		st.Undelivered += l.unsaid
+		st.QueueLength += len(l.queue)
 		if l.spool != nil {
-			st.Spool = append(st.Spool, l.spool.Status())
+			st.Spools = append(st.Spools, l.spool.Status())
 		}
 		for _, s := range l.streams {
-			st.Up = append(st.Up, s.up)
+			st.Connected = append(st.Connected, s.up)
 		}
 	}
 	e.mu.Lock()
--- a/internal/export/lane.go
+++ b/internal/export/lane.go
@@ -71,10 +71,10 @@
 func (l *lane) add(now time.Duration, items ...*flow.Item) {
 	for _, it := range items {
 		switch {
-		case len(l.queue) >= l.cfg.Queue && it.Counts():
+		case len(l.queue) >= l.cfg.QueueCapacity && it.HasRecords():
 			l.drop(it)
 			continue
-		case len(l.queue) >= l.cfg.Queue && it.Kind == flow.SummaryItem, len(l.queue) >= l.cfg.Queue+wordsMost:
+		case len(l.queue) >= l.cfg.QueueCapacity && it.Kind == flow.ItemSummary, len(l.queue) >= l.cfg.QueueCapacity+wordsMost:
 			l.unsaid++ // of these a later one tells more
 			continue
 		}
@@ -84,8 +84,8 @@
 }
 
 func (l *lane) drop(it *flow.Item) {
-	it.Count(&l.lost)
-	l.lostN += it.N
+	it.AddTo(&l.lost)
+	l.lostN += it.RecordCount
 }
 
 // front puts items back where they came from.
@@ -125,8 +125,8 @@
 	n := len(l.queue)
 	switch s := l.active(); {
 	case all || s == nil:
-	case n > l.cfg.Queue*3/4:
-		n -= l.cfg.Queue / 2 // the oldest: the spool is replayed in order, live records go first
+	case n > l.cfg.QueueCapacity*3/4:
+		n -= l.cfg.QueueCapacity / 2 // the oldest: the spool is replayed in order, live records go first
 	default:
 		return
 	}
@@ -157,7 +157,7 @@
 		s.sending++
 		return s, &batch{fin: true}
 	}
-	if udp(s.to) && now-s.template >= l.cfg.Templates {
+	if udp(s.to) && now-s.template >= l.cfg.TemplateInterval {
 		l.open(now, s)
 	}
 	if len(s.opening) > 0 {
@@ -169,9 +169,9 @@
 	if len(l.queue) > 0 {
 		return s, l.pack(now, s, false, l.take(packMost))
 	}
-	l.pace = min(l.pace+l.cfg.Replay*(now-l.paceAt).Seconds(), l.cfg.Replay/4+1)
+	l.pace = min(l.pace+l.cfg.ReplayRate*(now-l.paceAt).Seconds(), l.cfg.ReplayRate/4+1)
 	l.paceAt = now
-	if l.spool == nil || l.pace < 1 || !l.spool.Waiting() {
+	if l.spool == nil || l.pace < 1 || !l.spool.HasPending() {
 		return nil, nil
 	}
 	items, err := l.spool.Next()
@@ -197,14 +197,14 @@
 	b := &batch{replay: replay}
 	for i, it := range items {
 		l.scratch = l.codec.Values(it, l.scratch)
-		err := s.w.Data(l.codec.Template(it.Kind), l.scratch)
+		err := s.w.AddRecord(l.codec.Template(it.Kind), l.scratch)
 		if errors.Is(err, ipfix.ErrFull) {
 			if !replay {
 				l.front(now, items[i:])
 				break
 			}
-			b.data = append(b.data, s.w.Take(now.Milliseconds(), 0)...)
-			err = s.w.Data(l.codec.Template(it.Kind), l.scratch)
+			b.data = append(b.data, s.w.Finish(now.Milliseconds(), 0)...)
+			err = s.w.AddRecord(l.codec.Template(it.Kind), l.scratch)
 		}
 		if err != nil { // larger than any message of this collector's: it can't be told
 			l.drop(it)
@@ -212,7 +212,7 @@
 		}
 		b.items = append(b.items, it)
 	}
-	b.data = append(b.data, s.w.Take(now.Milliseconds(), 0)...)
+	b.data = append(b.data, s.w.Finish(now.Milliseconds(), 0)...)
 	s.sending++
 	return b
 }
@@ -223,8 +223,8 @@
 	if udp(s.to) || s.noFin || len(s.unsure) == 0 {
 		return false
 	}
-	waits := l.spool != nil && l.spool.Waiting() && len(l.queue) == 0
-	return s.bytes >= l.cfg.Unsure/2 || now-s.since >= l.cfg.Confirm || waits && now-s.since >= l.cfg.Confirm/5
+	waits := l.spool != nil && l.spool.HasPending() && len(l.queue) == 0
+	return s.bytes >= l.cfg.MaxUnconfirmedBytes/2 || now-s.since >= l.cfg.ConfirmAfter || waits && now-s.since >= l.cfg.ConfirmAfter/5
 }
 
 // connected starts a stream afresh: the collector may have no memory of templates.
@@ -242,7 +242,7 @@
 func (l *lane) open(now time.Duration, s *stream) {
 	s.template, s.opening = now, nil
 	err := l.codec.Preamble(s.w, func() {
-		if b := s.w.Take(now.Milliseconds(), 0); b != nil {
+		if b := s.w.Finish(now.Milliseconds(), 0); b != nil {
 			s.opening = append(s.opening, &batch{data: append([]byte(nil), b...)})
 		}
 	})
@@ -270,7 +270,7 @@
 	s.unsure = append(s.unsure, b)
 	s.bytes += len(b.data)
 	// What lies more than both sockets' buffers behind has been read.
-	for s.noFin && s.bytes > l.cfg.Unsure {
+	for s.noFin && s.bytes > l.cfg.MaxUnconfirmedBytes {
 		if s.bytes -= len(s.unsure[0].data); s.unsure[0].replay {
 			l.arrived()
 		}
@@ -291,7 +291,7 @@
 }
 
 func (l *lane) arrived() {
-	if err := l.spool.Arrived(); err != nil {
+	if err := l.spool.Confirm(); err != nil {
 		l.warn("the spool can't be written", err)
 	}
 }
--- a/internal/export/sender.go
+++ b/internal/export/sender.go
@@ -27,7 +27,7 @@
 }
 
 func (n *sender) run(ctx context.Context) {
-	retry := guard.Backoff{Min: n.e.cfg.RetryFrom, Max: n.e.cfg.RetryMost, Random: rand.New(rand.NewPCG(n.e.codec.Life, n.seed))}
+	retry := guard.Backoff{Min: n.e.cfg.MinRetryDelay, Max: n.e.cfg.MaxRetryDelay, Random: rand.New(rand.NewPCG(n.e.codec.Incarnation, n.seed))}
 	for try := 1; ctx.Err() == nil; try++ {
 		nc, err := n.e.cfg.Dial(ctx, n.s.to)
 		if err == nil {
@@ -36,7 +36,7 @@
 				try = 0 // ended in order: at once again
 				continue
 			}
-			if time.Since(began) > n.e.cfg.RetryMost {
+			if time.Since(began) > n.e.cfg.MaxRetryDelay {
 				try = 1
 			}
 		} else {
@@ -81,7 +81,7 @@
 			if b.fin {
 				return n.fin(ctx, nc, over)
 			}
-			_ = nc.SetWriteDeadline(time.Now().Add(n.e.cfg.Write)) // fails only on a closed connection
+			_ = nc.SetWriteDeadline(time.Now().Add(n.e.cfg.WriteTimeout)) // fails only on a closed connection
 			if _, err := nc.Write(b.data); err != nil && !udp(n.s.to) {
 				n.tell(word{kind: broke, err: err, b: b})
 				return false
--- a/internal/export/tls_test.go
+++ b/internal/export/tls_test.go
@@ -136,7 +136,7 @@
 				t.Fatal(err)
 			}
 			dial := func(ctx context.Context, c Collector) (net.Conn, error) { return d.Dial(ctx, &net.Dialer{}, c.Address) }
-			p := start(t, Config{Collectors: []Collector{{Address: ln.Addr().String(), Transport: "tls"}}, Dial: dial, Close: time.Second}, nil)
+			p := start(t, Config{Collectors: []Collector{{Address: ln.Addr().String(), Transport: "tls"}}, Dial: dial, ShutdownTimeout: time.Second}, nil)
 			p.calls(200, 300*time.Millisecond)
 			p.end(t)
 			ln.Close()
@@ -150,7 +150,7 @@
 				if !strings.Contains(log.String(), "ends soon") {
 					t.Error("an hour to its end, and no warning")
 				}
-			} else if r.Received+r.Orphans > 0 {
+			} else if r.Received+r.OrphanRecords > 0 {
 				t.Errorf("%+v", r)
 			}
 		})
--- a/internal/flow/words.go
+++ b/internal/flow/words.go
@@ -7,9 +7,9 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// Words tells a record as a person would read it: names and values, the kind of
+// Describe tells a record as a person would read it: names and values, the kind of
 // record first.
-func Words(r *ipfix.Record, it *Item) [][2]string {
+func Describe(r *ipfix.Record, it *Item) [][2]string {
 	what := [itemKinds]string{"call", "attempt", "sum", "counts", "statistics", "format", "summary"}[it.Kind]
 	row := [][2]string{{"record", what}}
 	t := templates[it.Kind]
@@ -27,9 +27,9 @@
 			s = fmt.Sprintf("%016x", v.Num)
 		case f.Type == ipfix.String:
 			s = v.Str
-		case f.Type == ipfix.Millis:
+		case f.Type == ipfix.DateTimeMilliseconds:
 			s = time.UnixMilli(int64(v.Num)).UTC().Format("2006-01-02T15:04:05.000Z")
-		case f.Len == 4 && uint32(v.Num) == ^uint32(0):
+		case f.Length == 4 && uint32(v.Num) == ^uint32(0):
 			continue // none
 		default:
 			s = fmt.Sprint(v.Num)
--- a/internal/ipfix/decode.go
+++ b/internal/ipfix/decode.go
@@ -26,13 +26,13 @@
 
 // Message is one message as it was read.
 type Message struct {
-	Protocol  Protocol
-	Time      int64 // export time, seconds since 1970
-	Sequence  uint32
-	Domain    uint32
-	Records   []Record
-	Templates int // template records, withdrawals too
-	Unknown   int // sets without a known template
+	Protocol      Protocol
+	ExportTime    int64 // export time, seconds since 1970
+	Sequence      uint32
+	Domain        uint32
+	Records       []Record
+	TemplateCount int // template records, withdrawals too
+	UnknownSets   int // sets without a known template
 }
 
 // Decoder reads the messages of one stream: it remembers templates, and the
@@ -67,8 +67,8 @@
 // 10.4; files, RFC 5655). io.EOF is the end between two, io.ErrUnexpectedEOF
 // that within one.
 func ReadMessage(r io.Reader, buf []byte) ([]byte, error) {
-	if cap(buf) < MostMessage {
-		buf = make([]byte, MostMessage)
+	if cap(buf) < MaxMessageLength {
+		buf = make([]byte, MaxMessageLength)
 	}
 	buf = buf[:headerIPFIX]
 	if _, err := io.ReadFull(r, buf); err != nil {
@@ -103,14 +103,14 @@
 		if len(b) < headerIPFIX || int(binary.BigEndian.Uint16(b[2:])) != len(b) {
 			return nil, malformed(2, "the length is not that of the message")
 		}
-		m.Time = int64(binary.BigEndian.Uint32(b[4:]))
+		m.ExportTime = int64(binary.BigEndian.Uint32(b[4:]))
 		m.Sequence = binary.BigEndian.Uint32(b[8:])
 		m.Domain = binary.BigEndian.Uint32(b[12:])
 	case NetFlow9:
 		if at = header9; len(b) < header9 {
 			return nil, malformed(0, "%d bytes", len(b))
 		}
-		m.Time = int64(binary.BigEndian.Uint32(b[8:]))
+		m.ExportTime = int64(binary.BigEndian.Uint32(b[8:]))
 		m.Sequence = binary.BigEndian.Uint32(b[12:])
 		m.Domain = binary.BigEndian.Uint32(b[16:])
 	default:
@@ -134,7 +134,7 @@
 		case id >= firstTemplateID:
 			err = d.readData(m, body, id)
 		default:
-			m.Unknown++
+			m.UnknownSets++
 		}
 		if err != nil {
 			return nil, err
@@ -171,7 +171,7 @@
 			}
 			return malformed(start, "template id %d", t.ID)
 		}
-		m.Templates++
+		m.TemplateCount++
 		if count == 0 && m.Protocol == IPFIX {
 			delete(d.templates, d.key(m, t.ID))
 			continue
@@ -180,13 +180,13 @@
 			if c.left() < 2 {
 				return malformed(start, "an options template ends early")
 			}
-			t.Scope = int(c.u16())
+			t.ScopeCount = int(c.u16())
 			if m.Protocol == NetFlow9 { // bytes of scopes, then bytes of options
 				scope := count / 4
-				count, t.Scope = scope+t.Scope/4, scope
+				count, t.ScopeCount = scope+t.ScopeCount/4, scope
 			}
-			if t.Scope == 0 || t.Scope > count {
-				return malformed(start, "%d scope fields of %d", t.Scope, count)
+			if t.ScopeCount == 0 || t.ScopeCount > count {
+				return malformed(start, "%d scope fields of %d", t.ScopeCount, count)
 			}
 		}
 		size := 0
@@ -194,9 +194,9 @@
 			if c.left() < 4 {
 				return malformed(start, "a template of %d fields ends early", count)
 			}
-			f := Element{ID: c.u16(), Len: c.u16()}
+			f := Element{ID: c.u16(), Length: c.u16()}
 			switch {
-			case m.Protocol == NetFlow9 && i < t.Scope:
+			case m.Protocol == NetFlow9 && i < t.ScopeCount:
 			case f.ID&enterpriseBit != 0 && m.Protocol == NetFlow9:
 				f.PEN, f.ID = ownPEN, f.ID&^enterpriseBit
 			case f.ID&enterpriseBit != 0:
@@ -208,8 +208,8 @@
 				c.at += 4
 			}
 			d.name(&f)
-			if size += int(f.Len); f.Len == Variable {
-				size -= Variable - 1
+			if size += int(f.Length); f.Length == VariableLength {
+				size -= VariableLength - 1
 			}
 			t.Fields = append(t.Fields, f)
 		}
@@ -230,13 +230,13 @@
 // name gives a field the type that is known of its element, or one by its length.
 func (d *Decoder) name(f *Element) {
 	if e, ok := d.Elements[[2]uint32{f.PEN, uint32(f.ID)}]; ok {
-		if n := e.Type.size(); n == 0 || int(f.Len) <= n && f.Len > 0 {
+		if n := e.Type.size(); n == 0 || int(f.Length) <= n && f.Length > 0 {
 			f.Type, f.Name = e.Type, e.Name
 			return
 		}
 	}
 	f.Name = fmt.Sprintf("%d/%d", f.PEN, f.ID)
-	switch f.Len {
+	switch f.Length {
 	case 1:
 		f.Type = Unsigned8
 	case 2:
@@ -251,15 +251,15 @@
 func (d *Decoder) readData(m *Message, c *cursor, id uint16) error {
 	t := d.templates[d.key(m, id)]
 	if t == nil {
-		m.Unknown++
+		m.UnknownSets++
 		return nil
 	}
 	least := 0
 	for _, f := range t.Fields {
-		if f.Len == Variable {
+		if f.Length == VariableLength {
 			least++
 		} else {
-			least += int(f.Len)
+			least += int(f.Length)
 		}
 	}
 	for c.left() >= least && c.left() > 0 {
@@ -279,8 +279,8 @@
 }
 
 func (c *cursor) value(f *Element, v *Value, p Protocol) error {
-	n := int(f.Len)
-	if f.Len == Variable {
+	n := int(f.Length)
+	if f.Length == VariableLength {
 		if c.left() < 1 {
 			return malformed(c.base+c.at, "a value ends early")
 		}
@@ -302,7 +302,7 @@
 		if raw[0] == 1 {
 			v.Num = 1
 		}
-	case f.Type == String && (p == NetFlow9 || f.Len != Variable):
+	case f.Type == String && (p == NetFlow9 || f.Length != VariableLength):
 		v.Str = strings.TrimRight(string(raw), "\x00")
 	case f.Type == String || f.Type == OctetArray || n > 8:
 		v.Str = string(raw)
@@ -320,22 +320,22 @@
 
 // The elements by which a stream describes others (RFC 5610).
 var (
-	elemPEN       = Element{ID: 346, Type: Unsigned32, Len: 4, Name: "privateEnterpriseNumber"}
-	elemID        = Element{ID: 303, Type: Unsigned16, Len: 2, Name: "informationElementId"}
-	elemType      = Element{ID: 339, Type: Unsigned8, Len: 1, Name: "informationElementDataType"}
-	elemSemantics = Element{ID: 344, Type: Unsigned8, Len: 1, Name: "informationElementSemantics"}
-	elemUnits     = Element{ID: 345, Type: Unsigned16, Len: 2, Name: "informationElementUnits"}
-	elemName      = Element{ID: 341, Type: String, Len: Variable, Name: "informationElementName"}
+	elemPEN       = Element{ID: 346, Type: Unsigned32, Length: 4, Name: "privateEnterpriseNumber"}
+	elemID        = Element{ID: 303, Type: Unsigned16, Length: 2, Name: "informationElementId"}
+	elemType      = Element{ID: 339, Type: Unsigned8, Length: 1, Name: "informationElementDataType"}
+	elemSemantics = Element{ID: 344, Type: Unsigned8, Length: 1, Name: "informationElementSemantics"}
+	elemUnits     = Element{ID: 345, Type: Unsigned16, Length: 2, Name: "informationElementUnits"}
+	elemName      = Element{ID: 341, Type: String, Length: VariableLength, Name: "informationElementName"}
 )
 
-// Describing is the options template for the descriptions of elements.
-func Describing(id uint16) *Template {
-	return &Template{ID: id, Scope: 2, Fields: []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}}
+// TypeInfoTemplate is the options template for the descriptions of elements.
+func TypeInfoTemplate(id uint16) *Template {
+	return &Template{ID: id, ScopeCount: 2, Fields: []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}}
 }
 
-// Description is the record that describes an element; units are those of the
+// TypeInfoRecord is the record that describes an element; units are those of the
 // IANA registry informationElementUnits, 0 for none.
-func Description(e Element, units uint16) []Value {
+func TypeInfoRecord(e Element, units uint16) []Value {
 	semantics := uint64(0) // default
 	if e.Type == Unsigned64 {
 		semantics = 1 // quantity
@@ -363,5 +363,5 @@
 	}
 }
 
-// Known are IANA's elements that are used here.
-var Known = []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}
+// TypeInfoElements are IANA's elements that are used here.
+var TypeInfoElements = []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -16,21 +16,21 @@
 type Type uint8
 
 const (
-	OctetArray Type = 0
-	Unsigned8  Type = 1
-	Unsigned16 Type = 2
-	Unsigned32 Type = 3
-	Unsigned64 Type = 4
-	Signed8    Type = 5
-	Signed16   Type = 6
-	Signed32   Type = 7
-	Signed64   Type = 8
-	Float32    Type = 9
-	Float64    Type = 10
-	Boolean    Type = 11
-	String     Type = 13
-	Seconds    Type = 14 // dateTimeSeconds
-	Millis     Type = 15 // dateTimeMilliseconds, of UTC since 1970
+	OctetArray           Type = 0
+	Unsigned8            Type = 1
+	Unsigned16           Type = 2
+	Unsigned32           Type = 3
+	Unsigned64           Type = 4
+	Signed8              Type = 5
+	Signed16             Type = 6
+	Signed32             Type = 7
+	Signed64             Type = 8
+	Float32              Type = 9
+	Float64              Type = 10
+	Boolean              Type = 11
+	String               Type = 13
+	DateTimeSeconds      Type = 14 // dateTimeSeconds
+	DateTimeMilliseconds Type = 15 // dateTimeMilliseconds, of UTC since 1970
 )
 
 // size is the full length of a type in bytes, 0 where it varies.
@@ -40,32 +40,32 @@
 		return 1
 	case Unsigned16, Signed16:
 		return 2
-	case Unsigned32, Signed32, Float32, Seconds:
+	case Unsigned32, Signed32, Float32, DateTimeSeconds:
 		return 4
-	case Unsigned64, Signed64, Float64, Millis:
+	case Unsigned64, Signed64, Float64, DateTimeMilliseconds:
 		return 8
 	}
 	return 0
 }
 
-// Variable is the length of a field whose records tell it (RFC 7011, 7).
-const Variable = 65535
+// VariableLength is the length of a field whose records tell it (RFC 7011, 7).
+const VariableLength = 65535
 
 // Element is an information element as a template lists it.
 type Element struct {
-	PEN  uint32 // private enterprise number, 0 for IANA's
-	ID   uint16 // below 32768
-	Type Type
-	Len  uint16 // bytes in a record, or Variable
-	Name string
+	PEN    uint32 // private enterprise number, 0 for IANA's
+	ID     uint16 // below 32768
+	Type   Type
+	Length uint16 // bytes in a record, or Variable
+	Name   string
 }
 
 // Template tells how the records of a set are laid out. The first Scope fields
 // of an options template (Scope above 0) say what the rest is about.
 type Template struct {
-	ID     uint16 // from 256
-	Scope  int
-	Fields []Element
+	ID         uint16 // from 256
+	ScopeCount int
+	Fields     []Element
 }
 
 // Value is one field's value: Num for numbers, times and booleans (signed ones
@@ -87,10 +87,10 @@
 	headerIPFIX = 16
 	header9     = 20
 	setHeader   = 4
-	// LeastMessage is the smallest bound on a message that a Writer takes.
-	LeastMessage = 256
-	// MostMessage is the largest: its length stands in 16 bits.
-	MostMessage = 65535
+	// MinMessageLength is the smallest bound on a message that a Writer takes.
+	MinMessageLength = 256
+	// MaxMessageLength is the largest: its length stands in 16 bits.
+	MaxMessageLength = 65535
 )
 
 // ErrFull says that the message has no room for what was to be added; the
@@ -116,7 +116,7 @@
 
 // NewWriter starts a stream of messages of at most so many bytes.
 func NewWriter(p Protocol, domain uint32, most int) *Writer {
-	return &Writer{proto: p, domain: domain, most: min(max(most, LeastMessage), MostMessage)}
+	return &Writer{proto: p, domain: domain, most: min(max(most, MinMessageLength), MaxMessageLength)}
 }
 
 // Sequence is the number that the next message carries: data records before it
@@ -126,8 +126,8 @@
 // SetSequence goes on from another's count.
 func (w *Writer) SetSequence(n uint32) { w.seq = n }
 
-// Records is the number of data records in the message that is being made.
-func (w *Writer) Records() int { return w.data }
+// RecordCount is the number of data records in the message that is being made.
+func (w *Writer) RecordCount() int { return w.data }
 
 func (w *Writer) begin() {
 	if len(w.buf) > 0 {
@@ -200,20 +200,20 @@
 	firstTemplateID = 256
 )
 
-// Template adds a template's record.
-func (w *Writer) Template(t *Template) error {
+// AddTemplate adds a template's record.
+func (w *Writer) AddTemplate(t *Template) error {
 	if w.proto == NetFlow9 {
 		return w.template9(t)
 	}
 	set := uint16(setTemplate)
-	if t.Scope > 0 {
+	if t.ScopeCount > 0 {
 		set = setOptions
 	}
 	return w.add(set, func() {
 		w.buf = binary.BigEndian.AppendUint16(w.buf, t.ID)
 		w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(t.Fields)))
-		if t.Scope > 0 {
-			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(t.Scope))
+		if t.ScopeCount > 0 {
+			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(t.ScopeCount))
 		}
 		for _, f := range t.Fields {
 			id := f.ID
@@ -221,7 +221,7 @@
 				id |= enterpriseBit
 			}
 			w.buf = binary.BigEndian.AppendUint16(w.buf, id)
-			w.buf = binary.BigEndian.AppendUint16(w.buf, f.Len)
+			w.buf = binary.BigEndian.AppendUint16(w.buf, f.Length)
 			if f.PEN != 0 {
 				w.buf = binary.BigEndian.AppendUint32(w.buf, f.PEN)
 			}
@@ -238,10 +238,10 @@
 }
 
 func len9(f Element) uint16 {
-	if f.Len == Variable {
+	if f.Length == VariableLength {
 		return v9String
 	}
-	return f.Len
+	return f.Length
 }
 
 func id9(f Element) uint16 {
@@ -256,20 +256,20 @@
 
 func (w *Writer) template9(t *Template) error {
 	set := uint16(set9Template)
-	if t.Scope > 0 {
+	if t.ScopeCount > 0 {
 		set = set9Options
 	}
 	return w.add(set, func() {
 		w.buf = binary.BigEndian.AppendUint16(w.buf, t.ID)
-		if t.Scope > 0 {
-			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(4*t.Scope))
-			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(4*(len(t.Fields)-t.Scope)))
+		if t.ScopeCount > 0 {
+			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(4*t.ScopeCount))
+			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(4*(len(t.Fields)-t.ScopeCount)))
 		} else {
 			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(t.Fields)))
 		}
 		for i, f := range t.Fields {
 			id := id9(f)
-			if i < t.Scope {
+			if i < t.ScopeCount {
 				id = scopeSystem
 			}
 			w.buf = binary.BigEndian.AppendUint16(w.buf, id)
@@ -278,14 +278,14 @@
 	})
 }
 
-// Withdraw adds the withdrawal of a template (RFC 7011, 8.1); not over UDP, and
+// WithdrawTemplate adds the withdrawal of a template (RFC 7011, 8.1); not over UDP, and
 // unknown to version 9, where it does nothing.
-func (w *Writer) Withdraw(t *Template) error {
+func (w *Writer) WithdrawTemplate(t *Template) error {
 	if w.proto == NetFlow9 {
 		return nil
 	}
 	set := uint16(setTemplate)
-	if t.Scope > 0 {
+	if t.ScopeCount > 0 {
 		set = setOptions
 	}
 	return w.add(set, func() {
@@ -294,8 +294,8 @@
 	})
 }
 
-// Data adds a record of a template. ErrFull asks for Take first.
-func (w *Writer) Data(t *Template, values []Value) error {
+// AddRecord adds a record of a template. ErrFull asks for Take first.
+func (w *Writer) AddRecord(t *Template, values []Value) error {
 	if len(values) != len(t.Fields) {
 		return fmt.Errorf("template %d has %d fields, the record %d", t.ID, len(t.Fields), len(values))
 	}
@@ -314,8 +314,8 @@
 }
 
 func (w *Writer) value(f *Element, v *Value) {
-	switch n := f.Len; {
-	case n == Variable && w.proto == NetFlow9:
+	switch n := f.Length; {
+	case n == VariableLength && w.proto == NetFlow9:
 		s := v.Str
 		for len(s) > v9String || !utf8.ValidString(s) && f.Type == String {
 			s = s[:min(len(s)-1, v9String)]
@@ -324,7 +324,7 @@
 		for range v9String - len(s) {
 			w.buf = append(w.buf, 0)
 		}
-	case n == Variable:
+	case n == VariableLength:
 		s := v.Str
 		if len(s) < 255 {
 			w.buf = append(w.buf, byte(len(s)))
@@ -353,9 +353,9 @@
 	}
 }
 
-// Take ends the message and returns it, valid until the next call; nil if there
+// Finish ends the message and returns it, valid until the next call; nil if there
 // is nothing in it. Times are in milliseconds since 1970, up since the start.
-func (w *Writer) Take(now, up int64) []byte {
+func (w *Writer) Finish(now, up int64) []byte {
 	if len(w.buf) <= w.empty() {
 		return nil
 	}
@@ -382,5 +382,5 @@
 	return b
 }
 
-// Float is a float's bits, for Value.Num.
-func Float(x float64) uint64 { return math.Float64bits(x) }
+// FloatBits is a float's bits, for Value.Num.
+func FloatBits(x float64) uint64 { return math.Float64bits(x) }
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -15,19 +15,19 @@
 const pen = ownPEN
 
 var all = []Element{
-	{ID: 152, Type: Millis, Len: 8, Name: "flowStartMilliseconds"},
-	{PEN: pen, ID: 1, Type: String, Len: Variable, Name: "class"},
-	{PEN: pen, ID: 2, Type: Unsigned8, Len: 1, Name: "u8"},
-	{PEN: pen, ID: 3, Type: Unsigned16, Len: 2, Name: "u16"},
-	{PEN: pen, ID: 4, Type: Unsigned32, Len: 4, Name: "u32"},
-	{PEN: pen, ID: 5, Type: Unsigned64, Len: 8, Name: "u64"},
-	{PEN: pen, ID: 6, Type: Boolean, Len: 1, Name: "flag"},
-	{PEN: pen, ID: 7, Type: Float64, Len: 8, Name: "float"},
-	{PEN: pen, ID: 8, Type: Unsigned64, Len: 3, Name: "reduced"},
-	{PEN: pen, ID: 9, Type: Signed32, Len: 4, Name: "signed"},
+	{ID: 152, Type: DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"},
+	{PEN: pen, ID: 1, Type: String, Length: VariableLength, Name: "class"},
+	{PEN: pen, ID: 2, Type: Unsigned8, Length: 1, Name: "u8"},
+	{PEN: pen, ID: 3, Type: Unsigned16, Length: 2, Name: "u16"},
+	{PEN: pen, ID: 4, Type: Unsigned32, Length: 4, Name: "u32"},
+	{PEN: pen, ID: 5, Type: Unsigned64, Length: 8, Name: "u64"},
+	{PEN: pen, ID: 6, Type: Boolean, Length: 1, Name: "flag"},
+	{PEN: pen, ID: 7, Type: Float64, Length: 8, Name: "float"},
+	{PEN: pen, ID: 8, Type: Unsigned64, Length: 3, Name: "reduced"},
+	{PEN: pen, ID: 9, Type: Signed32, Length: 4, Name: "signed"},
 }
 
-func decoder() *Decoder { return NewDecoder(append(all, Known...)...) }
+func decoder() *Decoder { return NewDecoder(append(all, TypeInfoElements...)...) }
 
 // genRecords draws templates and records that fit them.
 func genRecords(t *rapid.T, p Protocol) ([]*Template, [][]Value, []*Template) {
@@ -42,7 +42,7 @@
 			}
 		}
 		if rapid.Bool().Draw(t, "options") && len(tmpl.Fields) > 1 {
-			tmpl.Scope = 1
+			tmpl.ScopeCount = 1
 		}
 		ts = append(ts, tmpl)
 	}
@@ -67,7 +67,7 @@
 			case f.Type == Signed32:
 				rec[i].Num = uint64(int64(rapid.Int32().Draw(t, "signed")))
 			default:
-				rec[i].Num = rapid.Uint64().Draw(t, "number") >> (64 - 8*f.Len)
+				rec[i].Num = rapid.Uint64().Draw(t, "number") >> (64 - 8*f.Length)
 			}
 		}
 		recs, of = append(recs, rec), append(of, tmpl)
@@ -83,8 +83,8 @@
 			var got []Record
 			sent := 0
 			take := func() {
-				seq, n := w.Sequence(), w.Records()
-				b := w.Take(1_700_000_000_000, 5000)
+				seq, n := w.Sequence(), w.RecordCount()
+				b := w.Finish(1_700_000_000_000, 5000)
 				if b == nil {
 					return
 				}
@@ -92,7 +92,7 @@
 				if err != nil {
 					t.Fatalf("%v in % x", err, b)
 				}
-				if m.Domain != 7 || m.Time != 1_700_000_000 || m.Sequence != seq || len(m.Records) != n || m.Unknown != 0 {
+				if m.Domain != 7 || m.ExportTime != 1_700_000_000 || m.Sequence != seq || len(m.Records) != n || m.UnknownSets != 0 {
 					t.Fatalf("%+v, want sequence %d and %d records", m, seq, n)
 				}
 				if p == IPFIX && m.Sequence != uint32(sent) {
@@ -113,10 +113,10 @@
 				}
 			}
 			for _, tmpl := range ts {
-				add(func() error { return w.Template(tmpl) })
+				add(func() error { return w.AddTemplate(tmpl) })
 			}
 			for i := range recs {
-				add(func() error { return w.Data(of[i], recs[i]) })
+				add(func() error { return w.AddRecord(of[i], recs[i]) })
 			}
 			take()
 			if len(got) != len(recs) {
@@ -138,18 +138,18 @@
 	for _, p := range []Protocol{IPFIX, NetFlow9} {
 		rapid.Check(t, func(t *rapid.T) {
 			ts, recs, of := genRecords(t, p)
-			w := NewWriter(p, 9, MostMessage)
+			w := NewWriter(p, 9, MaxMessageLength)
 			for _, tmpl := range ts {
-				if err := w.Template(tmpl); err != nil {
+				if err := w.AddTemplate(tmpl); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for i := range recs {
-				if err := w.Data(of[i], recs[i]); err != nil {
+				if err := w.AddRecord(of[i], recs[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
-			b := bytes.Clone(w.Take(1_700_000_000_000, 1000))
+			b := bytes.Clone(w.Finish(1_700_000_000_000, 1000))
 			var v9 netflow.NFv9Packet
 			var v10 netflow.IPFIXPacket
 			if err := netflow.DecodeMessageVersion(bytes.NewBuffer(b), netflow.CreateTemplateSystem(), &v9, &v10); err != nil {
@@ -178,10 +178,10 @@
 			for i := range recs {
 				for j, f := range of[i].Fields {
 					raw := got[i][j].Value.([]byte)
-					want := NewWriter(p, 0, MostMessage)
-					want.value(&Element{ID: f.ID, PEN: f.PEN, Type: f.Type, Len: f.Len}, &recs[i][j])
+					want := NewWriter(p, 0, MaxMessageLength)
+					want.value(&Element{ID: f.ID, PEN: f.PEN, Type: f.Type, Length: f.Length}, &recs[i][j])
 					bytesWant := want.buf
-					if p == IPFIX && f.Len == Variable { // the length in front is the other's too
+					if p == IPFIX && f.Length == VariableLength { // the length in front is the other's too
 						if bytesWant[0] == 255 {
 							bytesWant = bytesWant[3:]
 						} else {
@@ -199,17 +199,17 @@
 }
 
 func TestDescriptionsTeach(t *testing.T) {
-	own := Element{PEN: pen, ID: 77, Type: String, Len: Variable, Name: "reason"}
-	desc := Describing(300)
+	own := Element{PEN: pen, ID: 77, Type: String, Length: VariableLength, Name: "reason"}
+	desc := TypeInfoTemplate(300)
 	data := &Template{ID: 301, Fields: []Element{own}}
 	w := NewWriter(IPFIX, 1, 1400)
-	d := NewDecoder(Known...)
-	for _, err := range []error{w.Template(desc), w.Template(data), w.Data(desc, Description(own, 0)), w.Data(data, []Value{{Str: "busy"}})} {
+	d := NewDecoder(TypeInfoElements...)
+	for _, err := range []error{w.AddTemplate(desc), w.AddTemplate(data), w.AddRecord(desc, TypeInfoRecord(own, 0)), w.AddRecord(data, []Value{{Str: "busy"}})} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	m, err := d.Decode(w.Take(0, 0))
+	m, err := d.Decode(w.Finish(0, 0))
 	if err != nil || len(m.Records) != 2 {
 		t.Fatalf("%+v, %v", m, err)
 	}
@@ -221,10 +221,10 @@
 func TestWithdrawnTemplateIsUnknown(t *testing.T) {
 	tmpl := &Template{ID: 256, Fields: all[:1]}
 	w, d := NewWriter(IPFIX, 1, 1400), decoder()
-	w.Template(tmpl)
-	w.Withdraw(tmpl)
-	w.Data(tmpl, []Value{{Num: 1}})
-	if m, err := d.Decode(w.Take(0, 0)); err != nil || m.Unknown != 1 || m.Templates != 2 || len(m.Records) != 0 {
+	w.AddTemplate(tmpl)
+	w.WithdrawTemplate(tmpl)
+	w.AddRecord(tmpl, []Value{{Num: 1}})
+	if m, err := d.Decode(w.Finish(0, 0)); err != nil || m.UnknownSets != 1 || m.TemplateCount != 2 || len(m.Records) != 0 {
 		t.Fatalf("%+v, %v", m, err)
 	}
 }
@@ -234,9 +234,9 @@
 	w := NewWriter(IPFIX, 1, 1400)
 	var stream []byte
 	for range 3 {
-		w.Template(tmpl)
-		w.Data(tmpl, []Value{{Num: 5}})
-		stream = append(stream, w.Take(0, 0)...)
+		w.AddTemplate(tmpl)
+		w.AddRecord(tmpl, []Value{{Num: 5}})
+		stream = append(stream, w.Finish(0, 0)...)
 	}
 	for cut := range len(stream) + 1 {
 		r, n := bytes.NewReader(stream[:cut]), 0
@@ -254,20 +254,20 @@
 func TestBoundsOfTheWriter(t *testing.T) {
 	tmpl := &Template{ID: 256, Fields: []Element{all[1]}}
 	w := NewWriter(IPFIX, 1, 300)
-	if err := w.Data(tmpl, []Value{{Str: strings.Repeat("x", 400)}}); err == nil || errors.Is(err, ErrFull) {
+	if err := w.AddRecord(tmpl, []Value{{Str: strings.Repeat("x", 400)}}); err == nil || errors.Is(err, ErrFull) {
 		t.Errorf("a record larger than any message: %v", err)
 	}
-	if err := w.Data(tmpl, nil); err == nil {
+	if err := w.AddRecord(tmpl, nil); err == nil {
 		t.Error("a record without its fields")
 	}
-	if w.Take(0, 0) != nil {
+	if w.Finish(0, 0) != nil {
 		t.Error("an empty message")
 	}
 	n := 0
-	for w.Data(tmpl, []Value{{Str: "0123456789"}}) == nil {
+	for w.AddRecord(tmpl, []Value{{Str: "0123456789"}}) == nil {
 		n++
 	}
-	if b := w.Take(0, 0); len(b) > 300 || n < 20 {
+	if b := w.Finish(0, 0); len(b) > 300 || n < 20 {
 		t.Errorf("%d records in %d bytes", n, len(b))
 	}
 }
@@ -275,10 +275,10 @@
 func FuzzDecode(f *testing.F) {
 	for _, p := range []Protocol{IPFIX, NetFlow9} {
 		w := NewWriter(p, 1, 1400)
-		w.Template(&Template{ID: 256, Fields: all})
-		w.Template(&Template{ID: 257, Scope: 1, Fields: all[3:6]})
-		w.Data(&Template{ID: 256, Fields: all}, make([]Value, len(all)))
-		f.Add(bytes.Clone(w.Take(1, 1)))
+		w.AddTemplate(&Template{ID: 256, Fields: all})
+		w.AddTemplate(&Template{ID: 257, ScopeCount: 1, Fields: all[3:6]})
+		w.AddRecord(&Template{ID: 256, Fields: all}, make([]Value, len(all)))
+		f.Add(bytes.Clone(w.Finish(1, 1)))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) > 4 && binary.BigEndian.Uint16(b) == uint16(IPFIX) {
@@ -312,9 +312,9 @@
 			total := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				if w.Data(t, v) != nil {
-					total += len(w.Take(0, 0))
-					w.Data(t, v)
+				if w.AddRecord(t, v) != nil {
+					total += len(w.Finish(0, 0))
+					w.AddRecord(t, v)
 				}
 			}
 			b.SetBytes(int64(total / max(b.N, 1)))
@@ -325,10 +325,10 @@
 
 func full() []byte {
 	w, t, v := benchMessage(IPFIX)
-	w.Template(t)
-	for w.Data(t, v) == nil {
+	w.AddTemplate(t)
+	for w.AddRecord(t, v) == nil {
 	}
-	return bytes.Clone(w.Take(0, 0))
+	return bytes.Clone(w.Finish(0, 0))
 }
 
 func BenchmarkCopy(b *testing.B) {
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -60,10 +60,10 @@
 }
 
 func (s records) Put(r *flow.Record) {
-	if r.Kind == flow.Call && r.Route != flow.Transit {
+	if r.Kind == flow.KindCall && r.Route != flow.RouteTransit {
 		*s.all = append(*s.all, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
-			Number: r.Number, Repeat: r.Repeat, Lost: r.Outcome != flow.Ended && r.Outcome != flow.Cut, Cut: r.Outcome == flow.Cut,
-			Stood: r.Stood, Life: s.life})
+			Number: r.CalledNumber, Repeat: r.Repeat, Lost: r.Outcome != flow.CallEnded && r.Outcome != flow.CallCut, Cut: r.Outcome == flow.CallCut,
+			Stood: r.EstablishedFor, Life: s.life})
 	}
 }
 
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -5,61 +5,61 @@
 
 import "sync/atomic"
 
-type line [64]byte // keeps what two cores write on lines of their own
+type cacheLinePad [64]byte // keeps what two cores write on lines of their own
 
 // Ring holds up to a power of two of values. Put is for one goroutine at a
 // time, Take for one other.
 type Ring[T any] struct {
-	slots []T
-	mask  uint64
-	_     line
-	tail  atomic.Uint64 // next to be put
-	seen  uint64        // the producer's view of head
-	_     line
-	head  atomic.Uint64 // next to be taken
-	known uint64        // the consumer's view of tail
-	_     line
+	slots      []T
+	mask       uint64
+	_          cacheLinePad
+	tail       atomic.Uint64 // next to be put
+	cachedHead uint64        // the producer's view of head
+	_          cacheLinePad
+	head       atomic.Uint64 // next to be taken
+	cachedTail uint64        // the consumer's view of tail
+	_          cacheLinePad
 }
 
 // New makes a ring of at least n slots.
-func New[T any](n int) *Ring[T] {
+func New[T any](minSlots int) *Ring[T] {
 	size := 1
-	for size < n {
+	for size < minSlots {
 		size <<= 1
 	}
 	return &Ring[T]{slots: make([]T, size), mask: uint64(size - 1)}
 }
 
 // Put copies a value in; false if the ring is full.
-func (r *Ring[T]) Put(v *T) bool {
-	t := r.tail.Load()
-	if t-r.seen >= uint64(len(r.slots)) {
-		if r.seen = r.head.Load(); t-r.seen >= uint64(len(r.slots)) {
+func (r *Ring[T]) Put(value *T) bool {
+	tail := r.tail.Load()
+	if tail-r.cachedHead >= uint64(len(r.slots)) {
+		if r.cachedHead = r.head.Load(); tail-r.cachedHead >= uint64(len(r.slots)) {
 			return false
 		}
 	}
-	r.slots[t&r.mask] = *v
-	r.tail.Store(t + 1)
+	r.slots[tail&r.mask] = *value
+	r.tail.Store(tail + 1)
 	return true
 }
 
 // Take copies the oldest value out; false if there is none.
-func (r *Ring[T]) Take(v *T) bool {
-	h := r.head.Load()
-	if h == r.known {
-		if r.known = r.tail.Load(); h == r.known {
+func (r *Ring[T]) Take(value *T) bool {
+	head := r.head.Load()
+	if head == r.cachedTail {
+		if r.cachedTail = r.tail.Load(); head == r.cachedTail {
 			return false
 		}
 	}
-	*v = r.slots[h&r.mask]
-	r.head.Store(h + 1)
+	*value = r.slots[head&r.mask]
+	r.head.Store(head + 1)
 	return true
 }
 
 // Len is the number of values held, as of some moment during the call.
 func (r *Ring[T]) Len() int {
-	h := r.head.Load()
-	return int(r.tail.Load() - h)
+	head := r.head.Load()
+	return int(r.tail.Load() - head)
 }
 
 // Cap is the number of slots.
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -16,7 +16,7 @@
 	go func() {
 		full := 0
 		for i := uint64(1); i <= n; {
-			if r.Put(&flow.Record{Seq: i, Number: ^i, Context: uint32(i)}) {
+			if r.Put(&flow.Record{Seq: i, CalledNumber: ^i, Context: uint32(i)}) {
 				i++
 			} else {
 				full++
@@ -31,8 +31,8 @@
 			runtime.Gosched()
 			continue
 		}
-		if v.Seq != want || v.Number != ^want || v.Context != uint32(want) {
-			t.Fatalf("took %d (%x), want %d", v.Seq, v.Number, want)
+		if v.Seq != want || v.CalledNumber != ^want || v.Context != uint32(want) {
+			t.Fatalf("took %d (%x), want %d", v.Seq, v.CalledNumber, want)
 		}
 		want++
 	}
@@ -62,7 +62,7 @@
 
 func TestNoAllocation(t *testing.T) {
 	r := New[flow.Record](1024)
-	rec := &flow.Record{Reason: "no circuit free"}
+	rec := &flow.Record{VerdictReason: "no circuit free"}
 	var v flow.Record
 	if n := testing.AllocsPerRun(1000, func() { r.Put(rec); r.Take(&v) }); n != 0 {
 		t.Fatalf("%v allocations", n)
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -10,9 +10,9 @@
 	"dahliaspindle/internal/flow"
 )
 
-var cfg = Config{Worth: []float64{1, 2, 6}, Budget: 100, AgeMost: 10 * time.Second, Hold: 2 * time.Second, Folds: 64}
+var cfg = Config{ClassWorth: []float64{1, 2, 6}, MaxRecordRate: 100, MaxAge: 10 * time.Second, MinLevelDuration: 2 * time.Second, MaxSums: 64}
 
-func queue(n int) State { return State{Queue: n, QueueMost: 1000, Reachable: true} }
+func queue(n int) State { return State{QueueLength: n, QueueCapacity: 1000, Reachable: true} }
 
 func record(k flow.Kind, class uint8, far int32) *flow.Record {
 	return &flow.Record{Kind: k, Class: class, Dest: far}
@@ -22,11 +22,11 @@
 // and the order of loss holds.
 func TestOrderOfLoss(t *testing.T) {
 	rank := func(s *Shedder, k flow.Kind, class uint8) bool { return s.whole(record(k, class, 1)) }
-	for level := None; level < Levels; level++ {
+	for level := LevelNone; level < LevelCount; level++ {
 		s := New(cfg)
 		s.level = level
-		cheapA, dearA := rank(s, flow.Attempt, 0), rank(s, flow.Attempt, 2)
-		cheapC, dearC := rank(s, flow.Call, 0), rank(s, flow.Call, 2)
+		cheapA, dearA := rank(s, flow.KindAttempt, 0), rank(s, flow.KindAttempt, 2)
+		cheapC, dearC := rank(s, flow.KindCall, 0), rank(s, flow.KindCall, 2)
 		if cheapA && !dearA || dearA && !cheapC || cheapC && !dearC {
 			t.Errorf("%v: cheap attempts %v, dear attempts %v, cheap calls %v, dear calls %v", level, cheapA, dearA, cheapC, dearC)
 		}
@@ -44,14 +44,14 @@
 
 func TestLevelsRiseAtOnceAndFallSlowly(t *testing.T) {
 	s := New(cfg)
-	if l := s.Look(time.Second, queue(900)); l != MostCalls {
+	if l := s.Update(time.Second, queue(900)); l != LevelMostCalls {
 		t.Fatalf("%v at nine tenths", l)
 	}
-	for now, want := time.Second, MostCalls; now < 12*time.Second; now += 100 * time.Millisecond {
-		if passed := now - time.Second; passed > 0 && passed%(2*time.Second) == 0 && want > None {
+	for now, want := time.Second, LevelMostCalls; now < 12*time.Second; now += 100 * time.Millisecond {
+		if passed := now - time.Second; passed > 0 && passed%(2*time.Second) == 0 && want > LevelNone {
 			want--
 		}
-		if l := s.Look(now, queue(0)); l != want {
+		if l := s.Update(now, queue(0)); l != want {
 			t.Fatalf("%v: %v, want %v", now, l, want)
 		}
 	}
@@ -63,9 +63,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(cfg)
 		mark := rapid.SampledFrom([]int{400, 550, 700, 850}).Draw(t, "mark")
-		last, changes := None, 0
+		last, changes := LevelNone, 0
 		for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
-			l := s.Look(now, queue(mark+rapid.IntRange(-100, 100).Draw(t, "noise")))
+			l := s.Update(now, queue(mark+rapid.IntRange(-100, 100).Draw(t, "noise")))
 			if l != last {
 				changes++
 			}
@@ -82,11 +82,11 @@
 		s    State
 		want float64
 	}{
-		{State{Queue: 500, QueueMost: 1000, Reachable: true}, 0.5},
-		{State{Queue: 5000, QueueMost: 1000, Reachable: true}, 1},
-		{State{Queue: 1, QueueMost: 1000, Oldest: 5 * time.Second, Reachable: true}, 0.5},
-		{State{Queue: 1, QueueMost: 1000, Oldest: 5 * time.Hour, Spool: 30, SpoolMost: 100}, 0.3},
-		{State{Spool: 90, SpoolMost: 100, Reachable: true}, 0},
+		{State{QueueLength: 500, QueueCapacity: 1000, Reachable: true}, 0.5},
+		{State{QueueLength: 5000, QueueCapacity: 1000, Reachable: true}, 1},
+		{State{QueueLength: 1, QueueCapacity: 1000, OldestAge: 5 * time.Second, Reachable: true}, 0.5},
+		{State{QueueLength: 1, QueueCapacity: 1000, OldestAge: 5 * time.Hour, SpoolBytes: 30, MaxSpoolBytes: 100}, 0.3},
+		{State{SpoolBytes: 90, MaxSpoolBytes: 100, Reachable: true}, 0},
 		{State{}, 0},
 	} {
 		if got := cfg.Pressure(c.s); got != c.want {
@@ -99,23 +99,23 @@
 // nothing is dropped while its sum is there.
 func TestFairBetweenFarEnds(t *testing.T) {
 	s := New(cfg)
-	s.Look(0, queue(600)) // Attempts
-	if s.Level() != Attempts {
+	s.Update(0, queue(600)) // Attempts
+	if s.Level() != LevelAttempts {
 		t.Fatal(s.Level())
 	}
 	for n := range 10 {
-		s.Decide(record(flow.Call, 0, int32(n)), 0, false)
+		s.Decide(record(flow.KindCall, 0, int32(n)), 0, false)
 	}
-	s.Look(time.Second, queue(600)) // ten far ends: ten a second each
+	s.Update(time.Second, queue(600)) // ten far ends: ten a second each
 	whole := map[int32]int{}
 	for range 50 {
-		if s.Decide(record(flow.Call, 0, 1), 0, true) == Whole {
+		if s.Decide(record(flow.KindCall, 0, 1), 0, true) == Send {
 			whole[1]++
 		}
 	}
 	for range 5 {
 		for far := int32(2); far < 10; far++ {
-			if s.Decide(record(flow.Call, 0, far), 0, true) == Whole {
+			if s.Decide(record(flow.KindCall, 0, far), 0, true) == Send {
 				whole[far]++
 			}
 		}
@@ -132,15 +132,15 @@
 
 func TestDropOnlyWhenNoSumIsLeft(t *testing.T) {
 	s := New(cfg)
-	s.level = MostCalls
-	r := record(flow.Attempt, 0, 1)
-	if v := s.Decide(r, cfg.Folds-1, false); v != Fold {
+	s.level = LevelMostCalls
+	r := record(flow.KindAttempt, 0, 1)
+	if v := s.Decide(r, cfg.MaxSums-1, false); v != Fold {
 		t.Error(v)
 	}
-	if v := s.Decide(r, cfg.Folds, true); v != Fold {
+	if v := s.Decide(r, cfg.MaxSums, true); v != Fold {
 		t.Error(v)
 	}
-	if v := s.Decide(r, cfg.Folds, false); v != Drop {
+	if v := s.Decide(r, cfg.MaxSums, false); v != Drop {
 		t.Error(v)
 	}
 }
@@ -168,8 +168,8 @@
 			}
 			if decide(now, r, queued) {
 				queued++
-				if r.Kind == flow.Call {
-					worth += cfg.Worth[r.Class]
+				if r.Kind == flow.KindCall {
+					worth += cfg.ClassWorth[r.Class]
 					if r.Dest != 1 {
 						quiet++
 					}
@@ -188,10 +188,10 @@
 	next := time.Duration(0)
 	ours, quiet := flood(func(now time.Duration, r *flow.Record, queued int) bool {
 		if now >= next {
-			s.Look(now, queue(queued))
+			s.Update(now, queue(queued))
 			next = now + 10*time.Millisecond
 		}
-		return queued < 1000 && s.Decide(r, 0, true) == Whole
+		return queued < 1000 && s.Decide(r, 0, true) == Send
 	})
 	newest, quietNewest := flood(func(_ time.Duration, _ *flow.Record, queued int) bool { return queued < 1000 })
 	type slot struct {
@@ -209,9 +209,9 @@
 			}
 			q = q[1:]
 		}
-		x := slot{quiet: r.Dest != 1 && r.Kind == flow.Call}
-		if r.Kind == flow.Call {
-			x.worth = cfg.Worth[r.Class]
+		x := slot{quiet: r.Dest != 1 && r.Kind == flow.KindCall}
+		if r.Kind == flow.KindCall {
+			x.worth = cfg.ClassWorth[r.Class]
 		}
 		q = append(q, x)
 		if len(q) > 1000 {
--- a/internal/spool/fs.go
+++ b/internal/spool/fs.go
@@ -23,7 +23,7 @@
 	Replace(name string, content []byte) error
 	Rename(from, to string) error
 	// List names the files, with their sizes, sorted.
-	List() ([]Info, error)
+	List() ([]FileInfo, error)
 	// SyncDir makes creations and removals durable.
 	SyncDir() error
 }
@@ -34,8 +34,8 @@
 	Sync() error
 }
 
-// Info is a file's name and size.
-type Info struct {
+// FileInfo is a file's name and size.
+type FileInfo struct {
 	Name string
 	Size int64
 }
@@ -92,20 +92,20 @@
 }
 
 // List names the files.
-func (d Dir) List() ([]Info, error) {
+func (d Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
-	var all []Info
+	var all []FileInfo
 	for _, e := range entries {
 		info, err := e.Info()
 		if err != nil || e.IsDir() {
 			continue // gone meanwhile, or not ours
 		}
-		all = append(all, Info{e.Name(), info.Size()})
+		all = append(all, FileInfo{e.Name(), info.Size()})
 	}
-	slices.SortFunc(all, func(a, b Info) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b FileInfo) int { return strings.Compare(a.Name, b.Name) })
 	return all, nil
 }
 
@@ -118,8 +118,8 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// MakeDir makes the directory of a spool and checks that it can be written.
-func MakeDir(path string) (Dir, error) {
+// CreateDir makes the directory of a spool and checks that it can be written.
+func CreateDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
 	}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -20,22 +20,22 @@
 
 // Config bounds a spool.
 type Config struct {
-	Most    int64         // bytes of all segments; the oldest go first
-	Segment int64         // bytes of one
-	Age     time.Duration // segments whose last record is older go; 0: never
-	Sync    time.Duration // written records are made durable after so long at the latest
+	MaxBytes     int64         // bytes of all segments; the oldest go first
+	SegmentBytes int64         // bytes of one
+	MaxAge       time.Duration // segments whose last record is older go; 0: never
+	SyncDelay    time.Duration // written records are made durable after so long at the latest
 }
 
-// Lost is records that went unread, by kind, class and outcome.
-type Lost = flow.Counts
+// LostCounts is records that went unread, by kind, class and outcome.
+type LostCounts = flow.Counts
 
 // Info of what is in a spool.
 type Status struct {
-	Bytes    int64 `json:"bytes"`
-	Segments int   `json:"segments"`
-	Torn     int   `json:"torn"`     // ends that were cut when it was opened
-	Strange  int   `json:"strange"`  // files set aside: of another version, or unreadable from the start
-	Failures int   `json:"failures"` // writes that failed
+	Bytes         int64 `json:"bytes"`
+	Segments      int   `json:"segments"`
+	Torn          int   `json:"torn"`     // ends that were cut when it was opened
+	SetAside      int   `json:"strange"`  // files set aside: of another version, or unreadable from the start
+	WriteFailures int   `json:"failures"` // writes that failed
 }
 
 const (
@@ -74,12 +74,12 @@
 	reader   File
 	readAt   int64
 	dec      *ipfix.Decoder
-	lost     Lost
+	lost     LostCounts
 	scratch  []ipfix.Value
 }
 
-// ErrBroken says that the spool can't be written; it tries again later.
-var ErrBroken = errors.New("the spool can't be written")
+// ErrNotWritable says that the spool can't be written; it tries again later.
+var ErrNotWritable = errors.New("the spool can't be written")
 
 // Open looks through a directory: ends that are torn are cut, files of another
 // version are set aside, and the replay goes on where it stood.
@@ -99,7 +99,7 @@
 		good, err := s.scan(&seg)
 		switch {
 		case err != nil && good == 0:
-			s.status.Strange++
+			s.status.SetAside++
 			if err := fs.Rename(i.Name, i.Name+asideMark); err != nil {
 				return nil, fmt.Errorf("spool: setting %s aside: %w", i.Name, err)
 			}
@@ -140,11 +140,11 @@
 		if err != nil {
 			return good, err
 		}
-		if first && !flow.SameFormat(m) {
+		if first && !flow.HasCurrentFormat(m) {
 			return 0, fmt.Errorf("segment %d: not of this format", seg.n)
 		}
 		good += int64(len(b))
-		seg.until = m.Time
+		seg.until = m.ExportTime
 	}
 }
 
@@ -178,17 +178,17 @@
 // Bytes is its size.
 func (s *Spool) Bytes() int64 { return s.status.Bytes }
 
-// Waiting tells whether there is something to replay.
-func (s *Spool) Waiting() bool {
+// HasPending tells whether there is something to replay.
+func (s *Spool) HasPending() bool {
 	return slices.ContainsFunc(s.segs, func(g segment) bool {
 		return g.n > s.at.Segment && g.size > 0 || g.n == s.at.Segment && s.at.Done < g.size
 	})
 }
 
 // TakeLost returns what went unread since the last call.
-func (s *Spool) TakeLost() Lost {
+func (s *Spool) TakeLost() LostCounts {
 	l := s.lost
-	s.lost = Lost{}
+	s.lost = LostCounts{}
 	return l
 }
 
@@ -199,30 +199,30 @@
 		return nil
 	}
 	s.expire(now)
-	if s.file != nil && s.segs[len(s.segs)-1].size >= s.cfg.Segment {
+	if s.file != nil && s.segs[len(s.segs)-1].size >= s.cfg.SegmentBytes {
 		if err := s.rotate(); err != nil {
 			return err
 		}
 	}
 	if s.file == nil {
 		if err := s.create(now); err != nil {
-			s.status.Failures++
-			return fmt.Errorf("%w: %w", ErrBroken, err)
+			s.status.WriteFailures++
+			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
 	}
 	var buf []byte
 	take := func() {
-		if b := s.w.Take(now.Milliseconds(), 0); b != nil {
+		if b := s.w.Finish(now.Milliseconds(), 0); b != nil {
 			buf = append(buf, b...)
 		}
 	}
 	for _, it := range items {
 		t := s.codec.Template(it.Kind)
 		s.scratch = s.codec.Values(it, s.scratch)
-		err := s.w.Data(t, s.scratch)
+		err := s.w.AddRecord(t, s.scratch)
 		if errors.Is(err, ipfix.ErrFull) {
 			take()
-			err = s.w.Data(t, s.scratch)
+			err = s.w.AddRecord(t, s.scratch)
 		}
 		if err != nil {
 			return fmt.Errorf("spool: %w", err)
@@ -235,7 +235,7 @@
 	last := &s.segs[len(s.segs)-1]
 	last.until = int64(now / time.Second)
 	if !s.unsynced {
-		s.unsynced, s.syncAt = true, now+s.cfg.Sync
+		s.unsynced, s.syncAt = true, now+s.cfg.SyncDelay
 	}
 	s.evict()
 	return nil
@@ -251,14 +251,14 @@
 		s.status.Bytes += int64(n)
 		return nil
 	}
-	s.status.Failures++
+	s.status.WriteFailures++
 	_ = s.file.Close() // it failed already
 	s.file = nil
 	f, cut := s.fs.Append(segmentName(seg.n), seg.size)
 	if cut == nil {
 		cut = f.Close()
 	}
-	return fmt.Errorf("%w: %w", ErrBroken, errors.Join(err, cut))
+	return fmt.Errorf("%w: %w", ErrNotWritable, errors.Join(err, cut))
 }
 
 // create starts a segment with the templates and the format's mark.
@@ -274,7 +274,7 @@
 	}
 	s.w = ipfix.NewWriter(ipfix.IPFIX, s.codec.Domain, 16<<10)
 	var head []byte
-	if err := s.codec.Preamble(s.w, func() { head = append(head, s.w.Take(now.Milliseconds(), 0)...) }); err != nil {
+	if err := s.codec.Preamble(s.w, func() { head = append(head, s.w.Finish(now.Milliseconds(), 0)...) }); err != nil {
 		return errors.Join(err, f.Close())
 	}
 	if _, err := f.Write(head); err != nil {
@@ -293,8 +293,8 @@
 	err := errors.Join(s.file.Sync(), s.file.Close())
 	s.file, s.unsynced = nil, false
 	if err != nil {
-		s.status.Failures++
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		s.status.WriteFailures++
+		return fmt.Errorf("%w: %w", ErrNotWritable, err)
 	}
 	return nil
 }
@@ -305,8 +305,8 @@
 	if s.unsynced && now >= s.syncAt && s.file != nil {
 		s.unsynced = false
 		if err := s.file.Sync(); err != nil {
-			s.status.Failures++
-			return fmt.Errorf("%w: %w", ErrBroken, err)
+			s.status.WriteFailures++
+			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
 	}
 	return nil
@@ -315,9 +315,9 @@
 // expire drops segments whose last record is older than Age. A clock that has
 // stepped back makes nothing old.
 func (s *Spool) expire(now time.Duration) {
-	for s.cfg.Age > 0 && len(s.segs) > 0 {
+	for s.cfg.MaxAge > 0 && len(s.segs) > 0 {
 		g := s.segs[0]
-		if s.file != nil && len(s.segs) == 1 || int64(now/time.Second)-g.until <= int64(s.cfg.Age/time.Second) {
+		if s.file != nil && len(s.segs) == 1 || int64(now/time.Second)-g.until <= int64(s.cfg.MaxAge/time.Second) {
 			return
 		}
 		s.dropOldest()
@@ -326,7 +326,7 @@
 
 // evict drops the oldest segments while there are too many bytes.
 func (s *Spool) evict() {
-	for s.status.Bytes > s.cfg.Most && len(s.segs) > 1 {
+	for s.status.Bytes > s.cfg.MaxBytes && len(s.segs) > 1 {
 		s.dropOldest()
 	}
 }
@@ -343,7 +343,7 @@
 	}
 	s.closeReader(g.n)
 	if err := s.fs.Remove(segmentName(g.n)); err != nil {
-		s.status.Failures++
+		s.status.WriteFailures++
 	}
 	s.status.Bytes -= g.size
 	s.segs = s.segs[1:]
@@ -369,7 +369,7 @@
 		if at >= from {
 			for i := range m.Records {
 				if it, ok := flow.ItemOf(&m.Records[i]); ok {
-					it.Count(&s.lost)
+					it.AddTo(&s.lost)
 				}
 			}
 		}
@@ -422,7 +422,7 @@
 			m, err = s.dec.Decode(b)
 		}
 		if err != nil { // it was good when it was opened: the disk has lost it
-			s.status.Failures++
+			s.status.WriteFailures++
 			s.count(segment{n: g.n, size: s.readAt}, s.readAt)
 			s.closeReader(g.n)
 			s.at.Done, s.at.Begun = g.size, g.size
@@ -438,10 +438,10 @@
 		if !again {
 			s.at.Begun = s.readAt
 			if err := s.writeCursor(); err != nil {
-				s.status.Failures++
+				s.status.WriteFailures++
 				s.at.Begun, s.readAt = at, at
 				s.closeReader(g.n)
-				return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+				return nil, fmt.Errorf("%w: %w", ErrNotWritable, err)
 			}
 		}
 		var items []*flow.Item
@@ -466,9 +466,9 @@
 	return s.readAt
 }
 
-// Arrived books that all that Next has returned has arrived: segments read to
+// Confirm books that all that Next has returned has arrived: segments read to
 // their end go.
-func (s *Spool) Arrived() error {
+func (s *Spool) Confirm() error {
 	s.at.Done = s.readPlace()
 	s.at.Begun = max(s.at.Begun, s.at.Done)
 	for len(s.segs) > 0 {
@@ -478,15 +478,15 @@
 		}
 		s.closeReader(g.n)
 		if err := s.fs.Remove(segmentName(g.n)); err != nil {
-			s.status.Failures++
+			s.status.WriteFailures++
 			return fmt.Errorf("spool: %w", err)
 		}
 		s.status.Bytes -= g.size
 		s.segs = s.segs[1:]
 	}
 	if err := s.writeCursor(); err != nil {
-		s.status.Failures++
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		s.status.WriteFailures++
+		return fmt.Errorf("%w: %w", ErrNotWritable, err)
 	}
 	return nil
 }
@@ -512,5 +512,5 @@
 	return nil
 }
 
-// Most is its bound in bytes.
-func (s *Spool) Most() int64 { return s.cfg.Most }
+// MaxBytes is its bound in bytes.
+func (s *Spool) MaxBytes() int64 { return s.cfg.MaxBytes }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -69,10 +69,10 @@
 	d.files[name] = &blob{bytes.Clone(c), bytes.Clone(c)}
 	return nil
 }
-func (d *disk) List() ([]Info, error) {
-	var all []Info
+func (d *disk) List() ([]FileInfo, error) {
+	var all []FileInfo
 	for _, n := range slices.Sorted(maps.Keys(d.files)) {
-		all = append(all, Info{n, int64(len(d.files[n].data))})
+		all = append(all, FileInfo{n, int64(len(d.files[n].data))})
 	}
 	return all, nil
 }
@@ -123,7 +123,7 @@
 func items(from, n int) []*flow.Item {
 	var all []*flow.Item
 	for i := range n {
-		all = append(all, codec.Of(&flow.Record{Seq: uint64(from + i), Class: uint8(i % 2), Outcome: flow.Refused, Reason: "no circuit free"}))
+		all = append(all, codec.RecordItem(&flow.Record{Seq: uint64(from + i), Class: uint8(i % 2), Outcome: flow.CallRefused, VerdictReason: "no circuit free"}))
 	}
 	return all
 }
@@ -131,7 +131,7 @@
 func seq(it *flow.Item) uint64  { return codec.Values(it, nil)[1].Num }
 func resent(it *flow.Item) bool { return codec.Values(it, nil)[2].Num&flow.FlagResent != 0 }
 
-var small = Config{Most: 1 << 20, Segment: 8 << 10, Age: time.Hour, Sync: time.Second}
+var small = Config{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxAge: time.Hour, SyncDelay: time.Second}
 
 func open(t fataler, fs FS, cfg Config) *Spool {
 	t.Helper()
@@ -151,13 +151,13 @@
 // drain replays all that is there, as a collector would confirm it.
 func drain(t fataler, s *Spool) (all []*flow.Item) {
 	t.Helper()
-	for s.Waiting() {
+	for s.HasPending() {
 		got, err := s.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got == nil {
-			if err := s.Arrived(); err != nil {
+			if err := s.Confirm(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -191,7 +191,7 @@
 				t.Fatalf("record %d is %d, resent %v", i, seq(it), resent(it))
 			}
 		}
-		if s.Waiting() || s.Bytes() != 0 {
+		if s.HasPending() || s.Bytes() != 0 {
 			t.Fatalf("%+v is left", s.Status())
 		}
 		// and it goes on
@@ -249,7 +249,7 @@
 	at := bytes.Index(data, []byte{1, 5, 0, 10}) // a set of id 261 with 4 and 2 bytes: the format
 	data[at+9]++
 	s = open(t, d, small)
-	if s.Status().Strange != 1 || s.Waiting() || d.files[segmentName(1)+asideMark] == nil {
+	if s.Status().SetAside != 1 || s.HasPending() || d.files[segmentName(1)+asideMark] == nil {
 		t.Fatalf("%+v", s.Status())
 	}
 	if err := s.Write(time.Hour, items(1, 3)); err != nil || len(drain(t, s)) != 3 {
@@ -270,7 +270,7 @@
 				t.Fatal(err)
 			}
 			break_(d)
-			if err := s.Write(time.Hour, items(100, 5)); !errors.Is(err, ErrBroken) {
+			if err := s.Write(time.Hour, items(100, 5)); !errors.Is(err, ErrNotWritable) {
 				t.Fatalf("%v", err)
 			}
 			d.room, d.failing, d.short = -1, nil, false
@@ -284,7 +284,7 @@
 			if fmt.Sprint(seqs) != "[1 2 3 4 5 200 201 202 203 204]" {
 				t.Fatalf("%v", seqs)
 			}
-			if s.Status().Failures == 0 {
+			if s.Status().WriteFailures == 0 {
 				t.Error("no failure counted")
 			}
 		})
@@ -296,20 +296,20 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := MakeDir(file + "/spool"); err == nil {
+	if _, err := CreateDir(file + "/spool"); err == nil {
 		t.Fatal("a spool below a file")
 	}
 }
 
 func TestSizeAndAgeBound(t *testing.T) {
-	cfg := Config{Most: 20 << 10, Segment: 6 << 10, Age: time.Minute, Sync: time.Second}
+	cfg := Config{MaxBytes: 20 << 10, SegmentBytes: 6 << 10, MaxAge: time.Minute, SyncDelay: time.Second}
 	s := open(t, newDisk(), cfg)
 	now := 100 * time.Hour
 	for i := range 100 {
 		if err := s.Write(now, items(1+10*i, 10)); err != nil {
 			t.Fatal(err)
 		}
-		if s.Bytes() > cfg.Most+cfg.Segment {
+		if s.Bytes() > cfg.MaxBytes+cfg.SegmentBytes {
 			t.Fatalf("%d bytes", s.Bytes())
 		}
 	}
@@ -325,8 +325,8 @@
 	lostNow := s.TakeLost()
 	got := drain(t, s)
 	kept = len(got)
-	if n := lost.Sum(flow.Call) + lostNow.Sum(flow.Call) + uint64(kept); n != 1001 || lost.Sum(flow.Call) == 0 || lostNow.Sum(flow.Call) == 0 {
-		t.Fatalf("%d lost by size, %d by age, %d kept", lost.Sum(flow.Call), lostNow.Sum(flow.Call), kept)
+	if n := lost.Sum(flow.KindCall) + lostNow.Sum(flow.KindCall) + uint64(kept); n != 1001 || lost.Sum(flow.KindCall) == 0 || lostNow.Sum(flow.KindCall) == 0 {
+		t.Fatalf("%d lost by size, %d by age, %d kept", lost.Sum(flow.KindCall), lostNow.Sum(flow.KindCall), kept)
 	}
 }
 
@@ -336,7 +336,7 @@
 func TestReplayWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDisk()
-		cfg := Config{Most: 1 << 30, Segment: 4 << 10, Sync: 0}
+		cfg := Config{MaxBytes: 1 << 30, SegmentBytes: 4 << 10, SyncDelay: 0}
 		s := open(t, d, cfg)
 		next := 1
 		must := map[uint64]bool{} // durable: must come
@@ -381,7 +381,7 @@
 				}
 			case 4:
 				if rapid.Bool().Draw(t, "arrived") {
-					if err := s.Arrived(); err != nil {
+					if err := s.Confirm(); err != nil {
 						t.Fatal(err)
 					}
 					for _, n := range pending {
@@ -399,7 +399,7 @@
 		}
 		s.Rewind()
 		pending = nil
-		for s.Waiting() {
+		for s.HasPending() {
 			got, err := s.Next()
 			if err != nil {
 				t.Fatal(err)
@@ -408,7 +408,7 @@
 				take(it)
 			}
 			if got == nil {
-				if err := s.Arrived(); err != nil {
+				if err := s.Confirm(); err != nil {
 					t.Fatal(err)
 				}
 				for _, n := range pending {
