--- a/cmd/dahliaspindle/commands.go
+++ b/cmd/dahliaspindle/commands.go
@@ -86,7 +86,7 @@
 }
 
 func (c *demoCmd) scenario() (*settings.Scenario, error) {
-	if text, ok := scenarios.Text(c.Scenario); ok {
+	if text, ok := scenarios.XML(c.Scenario); ok {
 		return settings.ParseScenario(c.Scenario+".xml", strings.NewReader(text))
 	}
 	return settings.ReadScenario(c.Scenario)
@@ -200,15 +200,15 @@
 	tallies("First tries during each trouble", r.Troubles)
 	printRules(r.Rules, r.Breaches, r.Notes)
 	fmt.Printf("%d calls taken, %d answered, %d left by their callers or connections, %d with killed controllers; %d messages; %d circuits held at the end\n",
-		r.Calls.Taken, r.Calls.Answered, r.Calls.Left, r.Calls.Killed, r.Messages, r.Held)
+		r.Calls.Received, r.Calls.Answered, r.Calls.Abandoned, r.Calls.Killed, r.Messages, r.Held)
 	fmt.Printf("capture: %s\n", r.Capture)
 }
 
-func printRules(rules []audit.Rule, breaches []audit.Breach, notes []string) {
+func printRules(rules []audit.RuleResult, breaches []audit.Breach, notes []string) {
 	t := newTable("The five rules, from what passed over the sockets")
 	t.AppendHeader(table.Row{"rule", "", "cases", "broken"})
 	for _, u := range rules {
-		t.AppendRow(table.Row{u.Rule, u.Title, u.Cases, u.Broken})
+		t.AppendRow(table.Row{u.Number, u.Title, u.Cases, u.Breaches})
 	}
 	t.Render()
 	for _, b := range breaches {
@@ -225,7 +225,7 @@
 }
 
 func (c *auditCmd) Run() error {
-	r, err := audit.Path(c.Capture)
+	r, err := audit.CheckPath(c.Capture)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -236,7 +236,7 @@
 	} else {
 		printRules(r.Rules, r.Breaches, r.Notes)
 		fmt.Printf("%d calls taken, %d answered, %d left, %d with killed controllers; %d messages\n",
-			r.Calls.Taken, r.Calls.Answered, r.Calls.Left, r.Calls.Killed, r.Messages)
+			r.Calls.Received, r.Calls.Answered, r.Calls.Abandoned, r.Calls.Killed, r.Messages)
 	}
 	if !r.OK() {
 		return exit{1, errors.New("a rule was broken")}
--- a/cmd/dahliaspindle/flows.go
+++ b/cmd/dahliaspindle/flows.go
@@ -242,7 +242,7 @@
 		bad = append(bad, errors.New("what was counted is not all accounted for"))
 	}
 	if c.Capture != "" {
-		rep, err := audit.Path(c.Capture)
+		rep, err := audit.CheckPath(c.Capture)
 		if err != nil {
 			return exit{2, err}
 		}
@@ -265,9 +265,9 @@
 			counted[fmt.Sprint("controller ", l.Domain)] += l.Counted
 		}
 	}
-	for _, o := range rep.Owners {
-		if n := counted[o.Owner]; !o.Killed && n != uint64(o.Taken) {
-			bad = append(bad, fmt.Sprintf("%s: the capture shows %d calls taken, the records tell of %d", o.Owner, o.Taken, n))
+	for _, o := range rep.Controllers {
+		if n := counted[o.Controller]; !o.Killed && n != uint64(o.Accepted) {
+			bad = append(bad, fmt.Sprintf("%s: the capture shows %d calls taken, the records tell of %d", o.Controller, o.Accepted, n))
 		}
 	}
 	return bad
--- a/cmd/dahliaspindle/flows_test.go
+++ b/cmd/dahliaspindle/flows_test.go
@@ -20,7 +20,7 @@
 // controller starts one that exports to a collector, with a spool.
 func controller(t *testing.T, dir, listen, collector string) *exec.Cmd {
 	t.Helper()
-	text, _ := scenarios.Text("bad-day")
+	text, _ := scenarios.XML("bad-day")
 	scn, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dahliaspindle/main_test.go
+++ b/cmd/dahliaspindle/main_test.go
@@ -43,7 +43,7 @@
 // shortDay is the bad day's fleet for five seconds, with a few of its troubles.
 func shortDay(t *testing.T) string {
 	t.Helper()
-	text, _ := scenarios.Text("bad-day")
+	text, _ := scenarios.XML("bad-day")
 	text = strings.Replace(text, `length="28s"`, `length="5s"`, 1)
 	text = strings.Replace(text, `exchanges="7"`, `exchanges="4"`, 1)
 	i, j := strings.Index(text, "<trouble"), strings.LastIndex(text, "</scenario>")
@@ -68,11 +68,11 @@
 	}
 	// timing is the machine's here: what no noise can break is asked for
 	for _, u := range r.Rules {
-		if u.Broken > 0 && u.Rule != 1 || u.Cases == 0 && u.Rule < 4 {
+		if u.Breaches > 0 && u.Number != 1 || u.Cases == 0 && u.Number < 4 {
 			t.Errorf("%+v", u)
 		}
 	}
-	if (status == 0) != r.OK() || r.Calls.Killed+r.Calls.Left+r.Calls.Answered != r.Calls.Taken || r.Calls.Taken < 100 || r.Held != 0 {
+	if (status == 0) != r.OK() || r.Calls.Killed+r.Calls.Abandoned+r.Calls.Answered != r.Calls.Received || r.Calls.Received < 100 || r.Held != 0 {
 		t.Errorf("status %d, %+v, %d circuits held\n%s", status, r.Calls, r.Held, errs)
 	}
 	if _, _, again := program(t, "audit", dir); again != status {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -16,17 +16,17 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Titles of the rules, by number; the first is not used.
-var Titles = [6]string{"", "one final answer, in time", "never two attempts out", "nothing new past the drain grace",
+// RuleTitles of the rules, by number; the first is not used.
+var RuleTitles = [6]string{"", "one final answer, in time", "never two attempts out", "nothing new past the drain grace",
 	"no cold exchange pushed over", "no resend within the release time"}
 
 // Breach is one broken rule.
 type Breach struct {
-	Rule  int           `json:"rule"`
-	At    time.Duration `json:"at"` // since the capture's first record
-	Owner string        `json:"owner"`
-	Call  string        `json:"call,omitempty"`
-	What  string        `json:"what"`
+	Rule        int           `json:"rule"`
+	Time        time.Duration `json:"at"` // since the capture's first record
+	Controller  string        `json:"owner"`
+	Call        string        `json:"call,omitempty"`
+	Description string        `json:"what"`
 }
 
 func (b Breach) String() string {
@@ -34,42 +34,42 @@
 	if b.Call != "" {
 		call = " call " + b.Call
 	}
-	return fmt.Sprintf("rule %d at %.3fs by %s%s: %s", b.Rule, b.At.Seconds(), b.Owner, call, b.What)
+	return fmt.Sprintf("rule %d at %.3fs by %s%s: %s", b.Rule, b.Time.Seconds(), b.Controller, call, b.Description)
 }
 
-// Rule is what was found of one.
-type Rule struct {
-	Rule   int    `json:"rule"`
-	Title  string `json:"title"`
-	Cases  int    `json:"cases"` // examined
-	Broken int    `json:"broken"`
+// RuleResult is what was found of one.
+type RuleResult struct {
+	Number   int    `json:"rule"`
+	Title    string `json:"title"`
+	Cases    int    `json:"cases"` // examined
+	Breaches int    `json:"broken"`
 }
 
-// Calls counts what controllers took and answered.
-type Calls struct {
-	Taken    int `json:"taken"`
-	NotTaken int `json:"not_taken"` // of these answered, but refused before they were taken
-	Answered int `json:"answered"`
-	Left     int `json:"left"`   // their callers left first, or their connection broke
-	Killed   int `json:"killed"` // their controller was killed
+// CallCounts counts what controllers took and answered.
+type CallCounts struct {
+	Received    int `json:"taken"`
+	NotAccepted int `json:"not_taken"` // of these answered, but refused before they were taken
+	Answered    int `json:"answered"`
+	Abandoned   int `json:"left"`   // their callers left first, or their connection broke
+	Killed      int `json:"killed"` // their controller was killed
 }
 
-// Owner is what one controller took.
-type Owner struct {
-	Owner  string `json:"owner"`
-	Taken  int    `json:"taken"` // without those that it said it did not take
-	Killed bool   `json:"killed,omitempty"`
+// ControllerCalls is what one controller took.
+type ControllerCalls struct {
+	Controller string `json:"owner"`
+	Accepted   int    `json:"taken"` // without those that it said it did not take
+	Killed     bool   `json:"killed,omitempty"`
 }
 
 // Report is the judgement of a capture.
 type Report struct {
-	Rules    []Rule   `json:"rules"` // the five, in order
-	Calls    Calls    `json:"calls"`
-	Owners   []Owner  `json:"owners"`
-	Messages int      `json:"messages"`
-	Breaches []Breach `json:"breaches,omitempty"` // the first hundred
-	Notes    []string `json:"notes,omitempty"`    // what could not be read or seen
-	all      int
+	Rules       []RuleResult      `json:"rules"` // the five, in order
+	Calls       CallCounts        `json:"calls"`
+	Controllers []ControllerCalls `json:"owners"`
+	Messages    int               `json:"messages"`
+	Breaches    []Breach          `json:"breaches,omitempty"` // the first hundred
+	Notes       []string          `json:"notes,omitempty"`    // what could not be read or seen
+	all         int
 }
 
 // OK tells whether no rule was broken.
@@ -91,8 +91,8 @@
 	conn uint64
 }
 
-// Path judges the capture at a path: a directory of files, or one file.
-func Path(path string) (*Report, error) {
+// CheckPath judges the capture at a path: a directory of files, or one file.
+func CheckPath(path string) (*Report, error) {
 	files, err := capture.Files(path)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := Judge(recs)
+	r := Check(recs)
 	r.Notes = append(notes, r.Notes...)
 	return r, nil
 }
@@ -114,7 +114,7 @@
 	var all Records
 	var notes []string
 	for i, f := range files {
-		add := Collect(&all, i)
+		add := Collector(&all, i)
 		if err := capture.ReadFile(f, add); errors.Is(err, capture.ErrTruncated) {
 			notes = append(notes, err.Error())
 		} else if err != nil {
@@ -137,8 +137,8 @@
 	})
 }
 
-// Collect returns what takes the records of one file, in their order.
-func Collect(all *Records, file int) func(capture.Record) {
+// Collector returns what takes the records of one file, in their order.
+func Collector(all *Records, file int) func(capture.Record) {
 	conns := map[uint64]capture.Endpoint{}
 	who := ""
 	return func(r capture.Record) {
@@ -226,12 +226,12 @@
 	began  []int64
 }
 
-// Judge looks at records in the order of their time.
-func Judge(recs Records) *Report {
+// Check looks at records in the order of their time.
+func Check(recs Records) *Report {
 	recs.sort()
 	j := &judge{report: &Report{}, owners: map[string]*owner{}, to: map[uint64][]setup{}, from: map[int][]setup{}}
 	for n := 1; n <= 5; n++ {
-		j.report.Rules = append(j.report.Rules, Rule{Rule: n, Title: Titles[n]})
+		j.report.Rules = append(j.report.Rules, RuleResult{Number: n, Title: RuleTitles[n]})
 	}
 	ruled := false
 	for i := range recs {
@@ -251,7 +251,7 @@
 	for _, o := range j.order {
 		j.end(o)
 		if j.owners[o.name] == o {
-			j.report.Owners = append(j.report.Owners, Owner{o.name, o.taken - o.notTaken, o.killed})
+			j.report.Controllers = append(j.report.Controllers, ControllerCalls{o.name, o.taken - o.notTaken, o.killed})
 		}
 	}
 	j.cold()
@@ -260,7 +260,7 @@
 
 func (j *judge) breach(rule int, at int64, o *owner, call, what string) {
 	j.report.all++
-	j.report.Rules[rule-1].Broken++
+	j.report.Rules[rule-1].Breaches++
 	if len(j.report.Breaches) < mostBreaches {
 		j.report.Breaches = append(j.report.Breaches, Breach{rule, time.Duration(at - j.start), o.name, call, what})
 	}
@@ -366,7 +366,7 @@
 			return // the id was used before: no new call
 		}
 		j.cases(1)
-		j.report.Calls.Taken++
+		j.report.Calls.Received++
 		o.taken++
 		c := &call{owner: o, name: m.Termination, conn: r.key, at: r.At, out: map[attempt]string{}}
 		if left, err := m.Duration("Left"); err == nil {
@@ -379,7 +379,7 @@
 	case signal.Subtract:
 		if c := o.byName[m.Termination]; c != nil && c.conn == r.key && c.answered == 0 && !c.left {
 			c.left, c.leftAt = true, r.At
-			j.report.Calls.Left++
+			j.report.Calls.Abandoned++
 		}
 	}
 }
@@ -400,7 +400,7 @@
 		}
 		c.answered = r.At
 		if m.Get("Taken") == "no" {
-			j.report.Calls.NotTaken++
+			j.report.Calls.NotAccepted++
 			o.notTaken++
 		}
 		if !c.left {
@@ -503,7 +503,7 @@
 		for _, c := range o.open() {
 			if c.conn == r.key {
 				c.left, c.leftAt = true, r.At
-				j.report.Calls.Left++
+				j.report.Calls.Abandoned++
 			}
 		}
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -48,10 +48,10 @@
 		t.Fatal(err)
 	}
 	var recs Records
-	if err := capture.Read(bytes.NewReader(p.file.Bytes()), "tape", Collect(&recs, 0)); err != nil {
+	if err := capture.Read(bytes.NewReader(p.file.Bytes()), "tape", Collector(&recs, 0)); err != nil {
 		t.Fatal(err)
 	}
-	return Judge(recs)
+	return Check(recs)
 }
 
 // at runs what happens a time later.
@@ -98,7 +98,7 @@
 	p := newTape()
 	good(p)
 	r := p.judge(t)
-	if !r.OK() || len(r.Breaches) > 0 || r.Calls.Taken != 1 || r.Calls.Answered != 1 {
+	if !r.OK() || len(r.Breaches) > 0 || r.Calls.Received != 1 || r.Calls.Answered != 1 {
 		t.Fatalf("%+v", r)
 	}
 	for n, want := range []int{1, 2, 2, 0, 1} {
@@ -210,11 +210,11 @@
 				t.Fatalf("%d breaches, want one: %v", len(r.Breaches), r.Breaches)
 			}
 			b := r.Breaches[0]
-			if b.Rule != c.rule || b.Call != c.call || !strings.Contains(b.What, c.what) || r.OK() || r.Rules[c.rule-1].Broken != 1 {
+			if b.Rule != c.rule || b.Call != c.call || !strings.Contains(b.Description, c.what) || r.OK() || r.Rules[c.rule-1].Breaches != 1 {
 				t.Errorf("%v", b)
 			}
-			if c.rule != 4 && (b.At < time.Duration(c.at*ms) || b.At > time.Duration(c.at*ms)+time.Millisecond) {
-				t.Errorf("at %v, want %d ms", b.At, c.at)
+			if c.rule != 4 && (b.Time < time.Duration(c.at*ms) || b.Time > time.Duration(c.at*ms)+time.Millisecond) {
+				t.Errorf("at %v, want %d ms", b.Time, c.at)
 			}
 		})
 	}
@@ -372,13 +372,13 @@
 				}
 			})
 			var recs Records
-			if err := capture.Read(bytes.NewReader(file.Bytes()), "rogue", Collect(&recs, 0)); err != nil {
+			if err := capture.Read(bytes.NewReader(file.Bytes()), "rogue", Collector(&recs, 0)); err != nil {
 				t.Fatal(err)
 			}
-			r := Judge(recs)
+			r := Check(recs)
 			for _, u := range r.Rules {
-				if (u.Broken > 0) != (u.Rule == rule) {
-					t.Errorf("rule %d: %d of %d broken", u.Rule, u.Broken, u.Cases)
+				if (u.Breaches > 0) != (u.Number == rule) {
+					t.Errorf("rule %d: %d of %d broken", u.Number, u.Breaches, u.Cases)
 				}
 			}
 			if len(r.Breaches) == 0 || rule != 4 && r.Breaches[0].Call != "c0" {
--- a/internal/calllog/frame.go
+++ b/internal/calllog/frame.go
@@ -25,11 +25,11 @@
 	table   = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged says that entries that were durable can't be read any more.
-var ErrDamaged = errors.New("the log is damaged")
+// ErrCorrupt says that entries that were durable can't be read any more.
+var ErrCorrupt = errors.New("the log is damaged")
 
-// ErrVersion says that a file is of a later format.
-var ErrVersion = errors.New("written by a later version")
+// ErrUnsupportedVersion says that a file is of a later format.
+var ErrUnsupportedVersion = errors.New("written by a later version")
 
 func appendHead(b []byte, first uint64) []byte {
 	from := len(b)
@@ -43,9 +43,9 @@
 	switch {
 	case len(b) < headSize || string(b[:8]) != string(letters),
 		binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], table):
-		return 0, fmt.Errorf("no head: %w", ErrDamaged)
+		return 0, fmt.Errorf("no head: %w", ErrCorrupt)
 	case binary.LittleEndian.Uint32(b[8:]) != version:
-		return 0, fmt.Errorf("format %d: %w", binary.LittleEndian.Uint32(b[8:]), ErrVersion)
+		return 0, fmt.Errorf("format %d: %w", binary.LittleEndian.Uint32(b[8:]), ErrUnsupportedVersion)
 	}
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
@@ -91,7 +91,7 @@
 			for skip := at + 1; skip <= len(b)-frameSize; skip++ {
 				for k := range uint64(ahead) {
 					if _, ok := readFrame(b[skip:], number+k); ok {
-						return at, number, fmt.Errorf("entry %d, at byte %d: %w", number, at, ErrDamaged)
+						return at, number, fmt.Errorf("entry %d, at byte %d: %w", number, at, ErrCorrupt)
 					}
 				}
 			}
--- a/internal/calllog/log.go
+++ b/internal/calllog/log.go
@@ -19,8 +19,8 @@
 
 // Options of a log. Zero fields take the defaults.
 type Options struct {
-	Segment int // bytes after which a file is ended; 8 MiB
-	Most    int // bytes that wait to be written at the most; 4 MiB
+	SegmentBytes    int // bytes after which a file is ended; 8 MiB
+	MaxPendingBytes int // bytes that wait to be written at the most; 4 MiB
 }
 
 // Errors of Append.
@@ -65,7 +65,7 @@
 		return 0, l.err
 	case l.closed:
 		return 0, ErrClosed
-	case len(l.waiting) >= l.opt.Most:
+	case len(l.waiting) >= l.opt.MaxPendingBytes:
 		return 0, ErrFull
 	}
 	var err error
@@ -89,8 +89,8 @@
 	return l.durable
 }
 
-// Wait returns when an entry is durable, or can't become so.
-func (l *Log) Wait(ctx context.Context, number uint64) error {
+// WaitDurable returns when an entry is durable, or can't become so.
+func (l *Log) WaitDurable(ctx context.Context, number uint64) error {
 	for {
 		l.mu.Lock()
 		durable, err, changed := l.durable, l.err, l.changed
@@ -140,7 +140,7 @@
 }
 
 func (l *Log) put(group []byte, upto uint64) error {
-	if l.size > headSize && l.size+len(group) > l.opt.Segment {
+	if l.size > headSize && l.size+len(group) > l.opt.SegmentBytes {
 		if err := l.rotate(l.Durable()); err != nil {
 			return err
 		}
@@ -184,7 +184,7 @@
 func (l *Log) Snapshot(s State, below uint64) error {
 	fail := func(err error) error { return fmt.Errorf("a snapshot of the call log: %w", err) }
 	if below > 0 { // what it tells must not be newer than the log
-		if err := l.Wait(context.Background(), below-1); err != nil {
+		if err := l.WaitDurable(context.Background(), below-1); err != nil {
 			return fail(err)
 		}
 	}
--- a/internal/calllog/log_test.go
+++ b/internal/calllog/log_test.go
@@ -21,7 +21,7 @@
 // history makes entries that can follow each other, from a source of choices.
 type history struct {
 	choose func(n int) int
-	calls  map[uint32]*Held
+	calls  map[uint32]*CallState
 	order  []uint32
 	next   uint32
 	n      uint32 // attempts so far
@@ -32,42 +32,42 @@
 		h.next++
 		h.order = append(h.order, h.next)
 		t := &Taken{Context: h.next, Name: fmt.Sprint("call ", h.next), Dest: uint32(h.choose(9)), Width: 1, Due: int64(h.next) * 1e9}
-		h.calls[h.next] = &Held{Taken: t}
+		h.calls[h.next] = &CallState{Accepted: t}
 		return &Entry{What: &Entry_Taken{Taken: t}}
 	}
 	id := h.order[h.choose(len(h.order))]
 	c := h.calls[id]
 	switch {
-	case len(c.Attempts) > 0 && c.Stood == nil && !c.Over && h.choose(2) == 0:
-		c.Stood = &Stood{Context: id, At: 7}
-		return &Entry{What: &Entry_Stood{Stood: c.Stood}}
+	case len(c.Attempts) > 0 && c.Established == nil && !c.CallerDone && h.choose(2) == 0:
+		c.Established = &Stood{Context: id, At: 7}
+		return &Entry{What: &Entry_Stood{Stood: c.Established}}
 	case len(c.Attempts) > 0 && h.choose(2) == 0:
 		a := c.Attempts[0]
 		c.Attempts = c.Attempts[1:]
 		h.drop(id, c)
 		return &Entry{What: &Entry_Let{Let: &Let{Context: id, Attempt: a.Attempt}}}
-	case !c.Over && c.Stood == nil && h.choose(2) == 0:
+	case !c.CallerDone && c.Established == nil && h.choose(2) == 0:
 		h.n++
 		a := &Sent{Context: id, Attempt: h.n, Exchange: uint32(100 + h.choose(9))}
 		c.Attempts = append(c.Attempts, a)
 		return &Entry{What: &Entry_Sent{Sent: a}}
-	case !c.Over:
-		c.Over = true
+	case !c.CallerDone:
+		c.CallerDone = true
 		h.drop(id, c)
 		return &Entry{What: &Entry_Over{Over: &Over{Context: id}}}
 	}
 	return &Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(h.choose(5)), State: uint32(h.choose(3))}}}
 }
 
-func (h *history) drop(id uint32, c *Held) {
-	if c.Over && len(c.Attempts) == 0 {
+func (h *history) drop(id uint32, c *CallState) {
+	if c.CallerDone && len(c.Attempts) == 0 {
 		delete(h.calls, id)
 		h.order = slices.DeleteFunc(h.order, func(x uint32) bool { return x == id })
 	}
 }
 
 func newHistory(choose func(int) int) *history {
-	return &history{choose: choose, calls: map[uint32]*Held{}}
+	return &history{choose: choose, calls: map[uint32]*CallState{}}
 }
 
 // fixed is a history that is the same each time.
@@ -96,7 +96,7 @@
 	Fatalf(string, ...any)
 }
 
-func open(t fataler, d disk.Dir, o Options) (*Log, *Found) {
+func open(t fataler, d disk.Dir, o Options) (*Log, *Recovery) {
 	l, f, err := Open(d, o)
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 
 // filled is a directory with entries of a fixed history, closed, and the
 // fingerprints of the states after each number of them.
-func filled(t *testing.T, n int, o Options) (*disk.Memory, []string) {
+func filled(t *testing.T, n int, o Options) (*disk.MemoryDir, []string) {
 	t.Helper()
-	d := disk.NewMemory()
+	d := disk.NewMemoryDir()
 	l, f := open(t, d, o)
 	s, h := f.State, fixed()
 	prints := []string{fingerprint(t, s)}
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Wait(context.Background(), number); err != nil {
+		if err := l.WaitDurable(context.Background(), number); err != nil {
 			t.Fatal(err)
 		}
 		if s, err = s.Apply(e); err != nil {
@@ -136,7 +136,7 @@
 // before it, the torn end goes, and the next life's entries follow.
 func TestTornAtEveryByte(t *testing.T) {
 	whole, prints := filled(t, 20, Options{})
-	b, err := whole.Read(segmentName(0))
+	b, err := whole.ReadFile(segmentName(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,10 +151,10 @@
 	}
 	for size := start; size < len(b); size++ {
 		d, _ := filled(t, 20, Options{})
-		d.Spoil(segmentName(0), func(b []byte) []byte { return b[:size] })
+		d.Corrupt(segmentName(0), func(b []byte) []byte { return b[:size] })
 		l, f := open(t, d, Options{})
-		if fingerprint(t, f.State) != prints[19] || f.Next != 19 || f.Torn != size-start {
-			t.Fatalf("%d bytes left: %d entries, %d torn", size-start, f.Next, f.Torn)
+		if fingerprint(t, f.State) != prints[19] || f.NextEntry != 19 || f.TornBytes != size-start {
+			t.Fatalf("%d bytes left: %d entries, %d torn", size-start, f.NextEntry, f.TornBytes)
 		}
 		n, err := l.Append(&Entry{What: &Entry_Life{Life: &Life{Number: 5}}})
 		if err != nil || n != 19 {
@@ -163,7 +163,7 @@
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if g, err := Look(d); err != nil || g.Next != 20 || g.State.Life.GetNumber() != 5 || g.Torn != 0 {
+		if g, err := Inspect(d); err != nil || g.NextEntry != 20 || g.State.Incarnation.GetNumber() != 5 || g.TornBytes != 0 {
 			t.Fatalf("%d bytes left: the next life is read as %+v, %v", size-start, g, err)
 		}
 	}
@@ -173,7 +173,7 @@
 // place is named.
 func TestFlippedBitInTheMiddle(t *testing.T) {
 	whole, _ := filled(t, 12, Options{})
-	b, err := whole.Read(segmentName(0))
+	b, err := whole.ReadFile(segmentName(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,15 +185,15 @@
 	})
 	for bit := range 8 * last {
 		d, _ := filled(t, 12, Options{})
-		d.Spoil(segmentName(0), func(b []byte) []byte {
+		d.Corrupt(segmentName(0), func(b []byte) []byte {
 			b = bytes.Clone(b)
 			b[bit/8] ^= 1 << (bit % 8)
 			return b
 		})
-		if _, _, err := Open(d, Options{}); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrVersion) {
+		if _, _, err := Open(d, Options{}); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
 			t.Fatalf("bit %d of byte %d: %v", bit%8, bit/8, err)
 		}
-		if _, _, err := Open(d, Options{}); errors.Is(err, disk.ErrHeld) {
+		if _, _, err := Open(d, Options{}); errors.Is(err, disk.ErrLocked) {
 			t.Fatal("a log that was not opened is held")
 		}
 	}
@@ -210,15 +210,15 @@
 }
 
 func crashAnywhere(t *rapid.T) {
-	d := disk.NewMemory()
+	d := disk.NewMemoryDir()
 	held, gate := false, make(chan struct{})
-	d.Fail = func(op, _ string) error {
+	d.InjectFault = func(op, _ string) error {
 		if held && (op == "write" || op == "sync") {
 			<-gate
 		}
 		return nil
 	}
-	l, f := open(t, d, Options{Segment: 300})
+	l, f := open(t, d, Options{SegmentBytes: 300})
 	synctest.Wait()
 	held = true
 	freely := func(do func() error) { // without holding the writer
@@ -249,7 +249,7 @@
 			safe = n
 		case 1:
 			if n > 0 {
-				freely(func() error { return l.Wait(context.Background(), n-1) })
+				freely(func() error { return l.WaitDurable(context.Background(), n-1) })
 				safe = n
 			}
 		case 2, 3, 4, 5: // one operation of the writer
@@ -279,9 +279,9 @@
 		t.Fatal(err)
 	}
 	for lives := range 2 { // what is found is found again
-		l2, g := open(t, crashed, Options{Segment: 300})
-		if g.Next < safe || g.Next >= uint64(len(prints)) || fingerprint(t, g.State) != prints[g.Next] {
-			t.Fatalf("life %d: %d entries of %d, %d were safe", lives, g.Next, len(prints)-1, safe)
+		l2, g := open(t, crashed, Options{SegmentBytes: 300})
+		if g.NextEntry < safe || g.NextEntry >= uint64(len(prints)) || fingerprint(t, g.State) != prints[g.NextEntry] {
+			t.Fatalf("life %d: %d entries of %d, %d were safe", lives, g.NextEntry, len(prints)-1, safe)
 		}
 		if err := l2.Close(); err != nil {
 			t.Fatal(err)
@@ -291,9 +291,9 @@
 
 // A snapshot newer than the log, one older, one spoilt, and a hole between them.
 func TestSnapshotsAndLogs(t *testing.T) {
-	make := func() (*disk.Memory, []string) {
-		d := disk.NewMemory()
-		l, f := open(t, d, Options{Segment: 150})
+	make := func() (*disk.MemoryDir, []string) {
+		d := disk.NewMemoryDir()
+		l, f := open(t, d, Options{SegmentBytes: 150})
 		s, h := f.State, fixed()
 		prints := []string{fingerprint(t, s)}
 		for i := range 90 {
@@ -302,7 +302,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := l.Wait(context.Background(), n); err != nil {
+			if err := l.WaitDurable(context.Background(), n); err != nil {
 				t.Fatal(err)
 			}
 			if s, err = s.Apply(e); err != nil {
@@ -323,19 +323,19 @@
 	d, prints := make()
 	names, _ := d.List()
 	logs := numbers(names, "log")
-	if f, err := Look(d); err != nil || f.Snapshot != 60 || f.Next != 90 || f.Entries != 30 || fingerprint(t, f.State) != prints[90] {
+	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 60 || f.NextEntry != 90 || f.ReplayedEntries != 30 || fingerprint(t, f.State) != prints[90] {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	if logs[0] > 30 || logs[1] <= 30 {
 		t.Errorf("logs from %v are kept, the older snapshot needs them from 30", logs)
 	}
 	spoil := func(b []byte) []byte { b = bytes.Clone(b); b[len(b)/2] ^= 4; return b }
-	d.Spoil(snapshotName(60), spoil)
-	if f, err := Look(d); err != nil || f.Snapshot != 30 || f.Next != 90 || len(f.Spoilt) != 1 || fingerprint(t, f.State) != prints[90] {
+	d.Corrupt(snapshotName(60), spoil)
+	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 30 || f.NextEntry != 90 || len(f.UnreadableSnapshots) != 1 || fingerprint(t, f.State) != prints[90] {
 		t.Errorf("the newer snapshot spoilt: %+v, %v", f, err)
 	}
-	d.Spoil(snapshotName(30), spoil)
-	if _, err := Look(d); !errors.Is(err, ErrDamaged) {
+	d.Corrupt(snapshotName(30), spoil)
+	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("both spoilt: %v", err)
 	}
 	d, _ = make()
@@ -346,7 +346,7 @@
 			}
 		}
 	}
-	if f, err := Look(d); err != nil || f.Snapshot != 60 || f.Next < 60 || f.Next >= 90 || fingerprint(t, f.State) != prints[f.Next] {
+	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 60 || f.NextEntry < 60 || f.NextEntry >= 90 || fingerprint(t, f.State) != prints[f.NextEntry] {
 		t.Errorf("a snapshot newer than the log: %+v, %v", f, err)
 	}
 	d, _ = make()
@@ -354,7 +354,7 @@
 	if err := d.Remove(segmentName(hole)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Look(d); !errors.Is(err, ErrDamaged) {
+	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("without %s: %v", segmentName(hole), err)
 	}
 }
@@ -362,15 +362,15 @@
 // A full disk and a sync that fails: nothing is called durable that is not, the
 // log takes no more, and what was durable is there in the next life.
 func TestFailingDisk(t *testing.T) {
-	for name, break_ := range map[string]func(*disk.Memory){
-		"full":  func(d *disk.Memory) { d.Room = 5 },
-		"sync":  func(d *disk.Memory) { d.Fail = failing("sync", unix.EIO) },
-		"write": func(d *disk.Memory) { d.Fail = failing("write", unix.EIO) },
+	for name, break_ := range map[string]func(*disk.MemoryDir){
+		"full":  func(d *disk.MemoryDir) { d.FreeBytes = 5 },
+		"sync":  func(d *disk.MemoryDir) { d.InjectFault = failing("sync", unix.EIO) },
+		"write": func(d *disk.MemoryDir) { d.InjectFault = failing("write", unix.EIO) },
 	} {
 		d, prints := filled(t, 10, Options{})
 		l, f := open(t, d, Options{})
-		if f.Next != 10 {
-			t.Fatal(f.Next)
+		if f.NextEntry != 10 {
+			t.Fatal(f.NextEntry)
 		}
 		h := fixed()
 		for range 10 {
@@ -381,10 +381,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Wait(context.Background(), n); err == nil || l.Durable() != 10 {
+		if err := l.WaitDurable(context.Background(), n); err == nil || l.Durable() != 10 {
 			t.Errorf("%s: durable up to %d, %v", name, l.Durable(), err)
 		}
-		d.Fail, d.Room = nil, -1 // it works again: the log does not trust it
+		d.InjectFault, d.FreeBytes = nil, -1 // it works again: the log does not trust it
 		if _, err := l.Append(h.entry()); err == nil {
 			t.Errorf("%s: the log goes on", name)
 		}
@@ -393,8 +393,8 @@
 		}
 		c := d.Crash(func(string, int) int { return 0 })
 		_, g := open(t, c, Options{})
-		if g.Next != 10 || fingerprint(t, g.State) != prints[10] {
-			t.Errorf("%s: %d entries in the next life", name, g.Next)
+		if g.NextEntry != 10 || fingerprint(t, g.State) != prints[10] {
+			t.Errorf("%s: %d entries in the next life", name, g.NextEntry)
 		}
 	}
 }
@@ -411,13 +411,13 @@
 // One directory has one holder; what waits is bounded; entries that can't follow
 // are told; a log of a later format is left alone.
 func TestEdges(t *testing.T) {
-	d := disk.NewMemory()
-	l, f := open(t, d, Options{Most: 10})
-	if _, _, err := Open(d, Options{}); !errors.Is(err, disk.ErrHeld) {
+	d := disk.NewMemoryDir()
+	l, f := open(t, d, Options{MaxPendingBytes: 10})
+	if _, _, err := Open(d, Options{}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
 	block := make(chan struct{})
-	d.Fail = func(op, name string) error {
+	d.InjectFault = func(op, name string) error {
 		if op == "write" {
 			<-block
 		}
@@ -441,31 +441,31 @@
 	}
 	for _, e := range []*Entry{{What: &Entry_Sent{Sent: &Sent{Context: 1}}}, {What: &Entry_Stood{Stood: &Stood{Context: 1}}},
 		{What: &Entry_Let{Let: &Let{Context: 1}}}, {What: &Entry_Over{Over: &Over{Context: 1}}}, {What: &Entry_Life{Life: &Life{}}}} {
-		if _, err := f.State.Apply(e); !errors.Is(err, ErrDamaged) {
+		if _, err := f.State.Apply(e); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%v: %v", e, err)
 		}
 	}
-	d.Spoil(segmentName(0), func([]byte) []byte { // as a later version would write it
+	d.Corrupt(segmentName(0), func([]byte) []byte { // as a later version would write it
 		b := appendHead(nil, 0)
 		b[8]++
 		return binary.LittleEndian.AppendUint32(b[:20], crc32.Checksum(b[:20], table))
 	})
-	if _, err := Look(d); !errors.Is(err, ErrVersion) {
+	if _, err := Inspect(d); !errors.Is(err, ErrUnsupportedVersion) {
 		t.Errorf("a later format: %v", err)
 	}
 }
 
 // words is a log of entries any of which could be missing unseen, but for their numbers.
-func words(t *testing.T, n int, o Options) *disk.Memory {
+func words(t *testing.T, n int, o Options) *disk.MemoryDir {
 	t.Helper()
-	d := disk.NewMemory()
+	d := disk.NewMemoryDir()
 	l, _ := open(t, d, o)
 	for i := range n {
 		number, err := l.Append(&Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(i + 1), At: 1e15}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Wait(context.Background(), number); err != nil {
+		if err := l.WaitDurable(context.Background(), number); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -485,17 +485,17 @@
 		},
 	} {
 		d := words(t, 5, Options{})
-		b, err := d.Read(segmentName(0))
+		b, err := d.ReadFile(segmentName(0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		size = (len(b) - headSize) / 5
-		d.Spoil(segmentName(0), spoil)
-		if _, err := Look(d); !errors.Is(err, ErrDamaged) {
+		d.Corrupt(segmentName(0), spoil)
+		if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d := words(t, 30, Options{Segment: 100})
+	d := words(t, 30, Options{SegmentBytes: 100})
 	names, err := d.List()
 	if err != nil {
 		t.Fatal(err)
@@ -507,7 +507,7 @@
 	if err := d.Remove(segmentName(logs[2])); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Look(d); !errors.Is(err, ErrDamaged) {
+	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("without a file: %v", err)
 	}
 }
@@ -518,7 +518,7 @@
 	l, _ := open(t, d, Options{})
 	begun, gate := make(chan struct{}), make(chan struct{})
 	failed := false
-	d.Fail = func(op, _ string) error {
+	d.InjectFault = func(op, _ string) error {
 		if op == "write" && !failed {
 			failed = true
 			close(begun)
@@ -537,13 +537,13 @@
 		t.Fatal(err)
 	}
 	close(gate)
-	if err := l.Wait(context.Background(), second); err == nil || l.Durable() != 3 {
+	if err := l.WaitDurable(context.Background(), second); err == nil || l.Durable() != 3 {
 		t.Errorf("durable up to %d, %v", l.Durable(), err)
 	}
 	if err := l.Close(); err == nil || l.Durable() != 3 {
 		t.Errorf("closed with %v, durable up to %d", err, l.Durable())
 	}
-	if f, err := Look(d); err != nil || f.Next != 3 {
+	if f, err := Inspect(d); err != nil || f.NextEntry != 3 {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/calllog/open.go
+++ b/internal/calllog/open.go
@@ -11,15 +11,15 @@
 	"dahliaspindle/internal/disk"
 )
 
-// Found is what a directory was found to hold.
-type Found struct {
-	State    State
-	Next     uint64 // number of the entry that comes next
-	Snapshot uint64 // the one that was read; 0: none
-	Entries  int    // read from logs
-	Torn     int    // bytes at the end that were no whole entry, cut off by Open
-	TornIn   string
-	Spoilt   []string // snapshots that can't be read; an older one was
+// Recovery is what a directory was found to hold.
+type Recovery struct {
+	State               State
+	NextEntry           uint64 // number of the entry that comes next
+	SnapshotNumber      uint64 // the one that was read; 0: none
+	ReplayedEntries     int    // read from logs
+	TornBytes           int    // bytes at the end that were no whole entry, cut off by Open
+	TornFile            string
+	UnreadableSnapshots []string // snapshots that can't be read; an older one was
 }
 
 // numbers lists files of a kind by their numbers, in order.
@@ -35,35 +35,35 @@
 	return all // names are sorted, and so are their numbers
 }
 
-// Look reads a directory and changes nothing, as Open would before it writes.
-func Look(dir disk.Dir) (*Found, error) {
+// Inspect reads a directory and changes nothing, as Open would before it writes.
+func Inspect(dir disk.Dir) (*Recovery, error) {
 	names, err := dir.List()
 	if err != nil {
 		return nil, fmt.Errorf("reading the call log: %w", err)
 	}
-	f := &Found{State: NewState()}
+	f := &Recovery{State: NewState()}
 	snaps, logs := numbers(names, "snap"), numbers(names, "log")
 	for i := len(snaps) - 1; i >= 0; i-- {
 		s, err := readSnapshot(dir, snaps[i])
-		if errors.Is(err, ErrVersion) {
+		if errors.Is(err, ErrUnsupportedVersion) {
 			return nil, err
 		}
 		if err == nil {
-			f.State, f.Snapshot, f.Next = s, snaps[i], snaps[i]
+			f.State, f.SnapshotNumber, f.NextEntry = s, snaps[i], snaps[i]
 			break
 		}
-		f.Spoilt = append(f.Spoilt, snapshotName(snaps[i]))
+		f.UnreadableSnapshots = append(f.UnreadableSnapshots, snapshotName(snaps[i]))
 	}
-	if len(f.Spoilt) > 0 && f.Snapshot == 0 && (len(logs) == 0 || logs[0] > 0) {
-		return nil, fmt.Errorf("%s and no older one, and the log does not begin at its beginning: %w", f.Spoilt[0], ErrDamaged)
+	if len(f.UnreadableSnapshots) > 0 && f.SnapshotNumber == 0 && (len(logs) == 0 || logs[0] > 0) {
+		return nil, fmt.Errorf("%s and no older one, and the log does not begin at its beginning: %w", f.UnreadableSnapshots[0], ErrCorrupt)
 	}
 	for i, first := range logs {
 		last := i == len(logs)-1
-		if !last && logs[i+1] <= f.Next {
+		if !last && logs[i+1] <= f.NextEntry {
 			continue // wholly in the snapshot
 		}
-		if first > f.Next {
-			return nil, fmt.Errorf("entries %d to %d are missing before %s: %w", f.Next, first-1, segmentName(first), ErrDamaged)
+		if first > f.NextEntry {
+			return nil, fmt.Errorf("entries %d to %d are missing before %s: %w", f.NextEntry, first-1, segmentName(first), ErrCorrupt)
 		}
 		if err := f.read(dir, first, last); err != nil {
 			return nil, err
@@ -72,54 +72,54 @@
 	return f, nil
 }
 
-func (f *Found) read(dir disk.Dir, first uint64, last bool) error {
+func (f *Recovery) read(dir disk.Dir, first uint64, last bool) error {
 	name := segmentName(first)
-	b, err := dir.Read(name)
+	b, err := dir.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("reading the call log: %w", err)
 	}
 	if last && len(b) < headSize { // killed while it was begun: nothing was in it
-		f.Torn, f.TornIn = len(b), name
+		f.TornBytes, f.TornFile = len(b), name
 		return nil
 	}
 	head, err := readHead(b)
 	if err == nil && head != first {
-		err = fmt.Errorf("begins at entry %d: %w", head, ErrDamaged)
+		err = fmt.Errorf("begins at entry %d: %w", head, ErrCorrupt)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	good, next, err := frames(b, first, func(number uint64, entry []byte) error {
-		if number < f.Next {
+		if number < f.NextEntry {
 			return nil // in the snapshot
 		}
 		var e Entry
 		if err := proto.Unmarshal(entry, &e); err != nil {
-			return fmt.Errorf("%w: %w", ErrDamaged, err)
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		s, err := f.State.Apply(&e)
 		if err != nil {
 			return err
 		}
-		f.State, f.Next = s, number+1
-		f.Entries++
+		f.State, f.NextEntry = s, number+1
+		f.ReplayedEntries++
 		return nil
 	})
 	if err == nil && good < len(b) && !last {
-		err = fmt.Errorf("entry %d, at byte %d: %w", next, good, ErrDamaged)
+		err = fmt.Errorf("entry %d, at byte %d: %w", next, good, ErrCorrupt)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	if good < len(b) {
-		f.Torn, f.TornIn = len(b)-good, name
+		f.TornBytes, f.TornFile = len(b)-good, name
 	}
 	return nil
 }
 
 func readSnapshot(dir disk.Dir, below uint64) (State, error) {
 	name := snapshotName(below)
-	b, err := dir.Read(name)
+	b, err := dir.ReadFile(name)
 	if err != nil {
 		return State{}, fmt.Errorf("%s: %w", name, err)
 	}
@@ -130,7 +130,7 @@
 	entry, ok := readFrame(b[headSize:], below)
 	var p Picture
 	if !ok || head != below || proto.Unmarshal(entry, &p) != nil {
-		return State{}, fmt.Errorf("%s: %w", name, ErrDamaged)
+		return State{}, fmt.Errorf("%s: %w", name, ErrCorrupt)
 	}
 	return p.restored(), nil
 }
@@ -138,30 +138,30 @@
 // Open reads what former lives left, cuts a torn end off and begins a file of
 // its own. A log that is damaged is not opened: what it holds is not to be
 // guessed (Look and the tool tell where).
-func Open(dir disk.Dir, opt Options) (*Log, *Found, error) {
-	if opt.Segment <= 0 {
-		opt.Segment = 8 << 20
+func Open(dir disk.Dir, opt Options) (*Log, *Recovery, error) {
+	if opt.SegmentBytes <= 0 {
+		opt.SegmentBytes = 8 << 20
 	}
-	if opt.Most <= 0 {
-		opt.Most = 4 << 20
+	if opt.MaxPendingBytes <= 0 {
+		opt.MaxPendingBytes = 4 << 20
 	}
 	unlock, err := dir.Lock()
 	if err != nil {
 		return nil, nil, fmt.Errorf("opening the call log: %w", err)
 	}
-	fail := func(err error) (*Log, *Found, error) {
+	fail := func(err error) (*Log, *Recovery, error) {
 		return nil, nil, fmt.Errorf("opening the call log: %w", errors.Join(err, unlock()))
 	}
-	f, err := Look(dir)
+	f, err := Inspect(dir)
 	if err != nil {
 		return fail(err)
 	}
 	if err := tidy(dir, f); err != nil {
 		return fail(err)
 	}
-	l := &Log{dir: dir, opt: opt, unlock: unlock, done: make(chan struct{}), next: f.Next, durable: f.Next,
+	l := &Log{dir: dir, opt: opt, unlock: unlock, done: make(chan struct{}), next: f.NextEntry, durable: f.NextEntry,
 		changed: make(chan struct{}), wake: make(chan struct{}, 1)}
-	if err := l.rotate(f.Next); err != nil {
+	if err := l.rotate(f.NextEntry); err != nil {
 		return fail(err)
 	}
 	go l.write()
@@ -170,7 +170,7 @@
 
 // tidy removes what a killed life left unfinished: a torn end, a file without an
 // entry, a snapshot that was not whole.
-func tidy(dir disk.Dir, f *Found) error {
+func tidy(dir disk.Dir, f *Recovery) error {
 	names, err := dir.List()
 	if err != nil {
 		return err
@@ -182,16 +182,16 @@
 			}
 		}
 	}
-	if f.Torn > 0 {
-		b, err := dir.Read(f.TornIn)
+	if f.TornBytes > 0 {
+		b, err := dir.ReadFile(f.TornFile)
 		if err != nil {
 			return err
 		}
-		if err := dir.Truncate(f.TornIn, int64(len(b)-f.Torn)); err != nil {
+		if err := dir.Truncate(f.TornFile, int64(len(b)-f.TornBytes)); err != nil {
 			return err
 		}
 	}
-	if last := segmentName(f.Next); len(numbers(names, "log")) > 0 {
+	if last := segmentName(f.NextEntry); len(numbers(names, "log")) > 0 {
 		for _, name := range names {
 			if name == last { // begun, and nothing in it: begun again
 				if err := dir.Remove(name); err != nil {
--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -110,18 +110,18 @@
 	})
 	var records audit.Records
 	for i, buffer := range sim.captures {
-		if err := capture.Read(bytes.NewReader(buffer.Bytes()), "file", audit.Collect(&records, i)); err != nil {
+		if err := capture.Read(bytes.NewReader(buffer.Bytes()), "file", audit.Collector(&records, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	report = audit.Judge(records)
+	report = audit.Check(records)
 	return report, result
 }
 
 // loadScenario parses a shipped scenario.
 func loadScenario(t *testing.T, name string) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text(name)
+	text, ok := scenarios.XML(name)
 	if !ok {
 		t.Fatalf("scenario %s does not exist", name)
 	}
@@ -142,8 +142,8 @@
 	for _, note := range report.Notes {
 		t.Error(note)
 	}
-	if report.Calls.Taken == 0 || report.Calls.Taken != report.Calls.Answered+report.Calls.Left {
-		t.Errorf("%d calls accepted, %d answered, %d abandoned by their callers", report.Calls.Taken, report.Calls.Answered, report.Calls.Left)
+	if report.Calls.Received == 0 || report.Calls.Received != report.Calls.Answered+report.Calls.Abandoned {
+		t.Errorf("%d calls accepted, %d answered, %d abandoned by their callers", report.Calls.Received, report.Calls.Answered, report.Calls.Abandoned)
 	}
 	if result.Held != 0 {
 		t.Errorf("%d circuits held after all controllers have stopped", result.Held)
@@ -167,11 +167,11 @@
 			}
 			requireRulesKept(t, report, result, sim)
 			for _, rule := range report.Rules {
-				if rule.Cases == 0 && (rule.Rule != 5 || policy == "brain") { // the simple rules never resend
-					t.Errorf("rule %d: no case examined", rule.Rule)
+				if rule.Cases == 0 && (rule.Number != 5 || policy == "brain") { // the simple rules never resend
+					t.Errorf("rule %d: no case examined", rule.Number)
 				}
 			}
-			t.Logf("%s: service %.3f, %d calls", policy, result.Service, report.Calls.Taken)
+			t.Logf("%s: service %.3f, %d calls", policy, result.Service, report.Calls.Received)
 		})
 	}
 }
@@ -205,7 +205,7 @@
 			sim := &simulation{scenario: loadScenario(t, name), policy: "brain"}
 			report, result := sim.run(t)
 			requireRulesKept(t, report, result, sim)
-			t.Logf("service %.3f, %d calls", result.Service, report.Calls.Taken)
+			t.Logf("service %.3f, %d calls", result.Service, report.Calls.Received)
 		})
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -44,28 +44,28 @@
 
 // Result is what came of it.
 type Result struct {
-	Scenario  string          `json:"scenario"`
-	Seed      uint64          `json:"seed"`
-	Policy    string          `json:"policy"`
-	Exchanges int             `json:"exchanges"`
-	Rules     []audit.Rule    `json:"rules"`
-	Calls     audit.Calls     `json:"calls"`
-	Capture   string          `json:"capture"`
-	Messages  int             `json:"messages"`
-	Classes   []Row           `json:"classes"`
-	Troubles  []Row           `json:"troubles"`
-	Held      int             `json:"circuits_held_at_end"`
-	Fleet     exchange.Counts `json:"fleet"`
-	Breaches  []audit.Breach  `json:"breaches,omitempty"`
-	Notes     []string        `json:"notes,omitempty"`
-	Flows     *collect.Report `json:"flows,omitempty"`
-	Service   float64         `json:"service"`
+	Scenario  string             `json:"scenario"`
+	Seed      uint64             `json:"seed"`
+	Policy    string             `json:"policy"`
+	Exchanges int                `json:"exchanges"`
+	Rules     []audit.RuleResult `json:"rules"`
+	Calls     audit.CallCounts   `json:"calls"`
+	Capture   string             `json:"capture"`
+	Messages  int                `json:"messages"`
+	Classes   []Row              `json:"classes"`
+	Troubles  []Row              `json:"troubles"`
+	Held      int                `json:"circuits_held_at_end"`
+	Fleet     exchange.Counts    `json:"fleet"`
+	Breaches  []audit.Breach     `json:"breaches,omitempty"`
+	Notes     []string           `json:"notes,omitempty"`
+	Flows     *collect.Report    `json:"flows,omitempty"`
+	Service   float64            `json:"service"`
 }
 
 // OK tells whether every rule held.
 func (r *Result) OK() bool {
 	for _, u := range r.Rules {
-		if u.Broken > 0 {
+		if u.Breaches > 0 {
 			return false
 		}
 	}
@@ -119,7 +119,7 @@
 	if err := errors.Join(played, left, w.Close()); err != nil {
 		return nil, fmt.Errorf("playing %s: %w (logs in %s)", o.Scenario.Name, err, o.Dir)
 	}
-	report, err := audit.Path(o.Dir)
+	report, err := audit.CheckPath(o.Dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -26,7 +26,7 @@
 	if err := errors.Join(failed, err); err != nil {
 		return nil, fmt.Errorf("playing %s: %w", o.Scenario.Name, err)
 	}
-	report, err := audit.Path(o.Dir)
+	report, err := audit.CheckPath(o.Dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -27,9 +27,9 @@
 // Dir is a directory without folders in it. Names that were made or renamed are
 // durable after Sync of the directory.
 type Dir interface {
-	Create(name string) (File, error) // new and empty; fails if it is there
-	Append(name string) (File, error) // at the end of what is there
-	Read(name string) ([]byte, error)
+	Create(name string) (File, error)     // new and empty; fails if it is there
+	OpenAppend(name string) (File, error) // at the end of what is there
+	ReadFile(name string) ([]byte, error)
 	Truncate(name string, size int64) error // and makes it durable
 	Rename(from, to string) error
 	Remove(name string) error
@@ -38,33 +38,33 @@
 	Lock() (unlock func() error, err error) // one holder at a time, over all processes
 }
 
-// ErrHeld says that another process holds a directory.
-var ErrHeld = errors.New("another process holds it")
+// ErrLocked says that another process holds a directory.
+var ErrLocked = errors.New("another process holds it")
 
-// System is a directory of the system.
-type System string
+// OSDir is a directory of the system.
+type OSDir string
 
-// Make opens a directory, and makes it if it is not there.
-func Make(path string) (System, error) {
+// MakeDir opens a directory, and makes it if it is not there.
+func MakeDir(path string) (OSDir, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return "", fmt.Errorf("state directory: %w", err)
 	}
-	return System(path), nil
+	return OSDir(path), nil
 }
 
-func (d System) at(name string) string { return filepath.Join(string(d), name) }
+func (d OSDir) at(name string) string { return filepath.Join(string(d), name) }
 
-func (d System) Create(name string) (File, error) {
+func (d OSDir) Create(name string) (File, error) {
 	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 }
 
-func (d System) Append(name string) (File, error) {
+func (d OSDir) OpenAppend(name string) (File, error) {
 	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-func (d System) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+func (d OSDir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
 
-func (d System) Truncate(name string, size int64) error {
+func (d OSDir) Truncate(name string, size int64) error {
 	f, err := os.OpenFile(d.at(name), os.O_WRONLY, 0)
 	if err != nil {
 		return err
@@ -72,10 +72,10 @@
 	return errors.Join(f.Truncate(size), f.Sync(), f.Close())
 }
 
-func (d System) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
-func (d System) Remove(name string) error     { return os.Remove(d.at(name)) }
+func (d OSDir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d OSDir) Remove(name string) error     { return os.Remove(d.at(name)) }
 
-func (d System) List() ([]string, error) {
+func (d OSDir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return names, nil
 }
 
-func (d System) Sync() error {
+func (d OSDir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 
 const lockName = "lock"
 
-func (d System) Lock() (func() error, error) {
+func (d OSDir) Lock() (func() error, error) {
 	f, err := os.OpenFile(d.at(lockName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
@@ -107,24 +107,24 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, ErrHeld
+			return nil, ErrLocked
 		}
 		return nil, err
 	}
 	return f.Close, nil // the system lets go of it, also when the process dies
 }
 
-// Memory is a directory in memory that loses what was not made durable when it
+// MemoryDir is a directory in memory that loses what was not made durable when it
 // crashes, and fails on demand.
-type Memory struct {
+type MemoryDir struct {
 	mu      sync.Mutex
 	now     map[string]*data
 	durable map[string]*data // by the names as last made durable
 	locked  bool
-	// Fail is asked before each operation; nil: nothing fails. It may hold a write or
+	// InjectFault is asked before each operation; nil: nothing fails. It may hold a write or
 	// a sync for as long as it likes.
-	Fail func(op, name string) error
-	Room int // bytes that may still be written; -1: no end
+	InjectFault func(op, name string) error
+	FreeBytes   int // bytes that may still be written; -1: no end
 }
 
 // data is a file's content and what of it is durable.
@@ -133,14 +133,14 @@
 	synced int
 }
 
-// NewMemory makes an empty one without an end.
-func NewMemory() *Memory {
-	return &Memory{now: map[string]*data{}, durable: map[string]*data{}, Room: -1}
+// NewMemoryDir makes an empty one without an end.
+func NewMemoryDir() *MemoryDir {
+	return &MemoryDir{now: map[string]*data{}, durable: map[string]*data{}, FreeBytes: -1}
 }
 
-func (m *Memory) fail(op, name string) error {
-	if m.Fail != nil {
-		return m.Fail(op, name)
+func (m *MemoryDir) fail(op, name string) error {
+	if m.InjectFault != nil {
+		return m.InjectFault(op, name)
 	}
 	return nil
 }
@@ -148,10 +148,10 @@
 // Crash returns the directory as it is found after a loss of power: names as
 // last made durable; of each file what was synced, and of what was written
 // after that as much as keep says.
-func (m *Memory) Crash(keep func(name string, unsynced int) int) *Memory {
+func (m *MemoryDir) Crash(keep func(name string, unsynced int) int) *MemoryDir {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := NewMemory()
+	c := NewMemoryDir()
 	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
 		d := m.durable[name]
 		n := d.synced + min(max(keep(name, len(d.bytes)-d.synced), 0), len(d.bytes)-d.synced)
@@ -161,8 +161,8 @@
 	return c
 }
 
-// Spoil changes a file's content in place, as a bad disk would.
-func (m *Memory) Spoil(name string, change func([]byte) []byte) {
+// Corrupt changes a file's content in place, as a bad disk would.
+func (m *MemoryDir) Corrupt(name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.now[name]
@@ -171,7 +171,7 @@
 }
 
 type handle struct {
-	m      *Memory
+	m      *MemoryDir
 	name   string
 	d      *data
 	closed bool
@@ -187,9 +187,9 @@
 		return 0, fs.ErrClosed
 	}
 	n := len(p)
-	if h.m.Room >= 0 {
-		n = min(n, h.m.Room)
-		h.m.Room -= n
+	if h.m.FreeBytes >= 0 {
+		n = min(n, h.m.FreeBytes)
+		h.m.FreeBytes -= n
 	}
 	h.d.bytes = append(h.d.bytes, p[:n]...)
 	if n < len(p) {
@@ -213,7 +213,7 @@
 	return nil
 }
 
-func (m *Memory) Create(name string) (File, error) {
+func (m *MemoryDir) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.fail("create", name); err != nil {
@@ -227,7 +227,7 @@
 	return &handle{m: m, name: name, d: d}, nil
 }
 
-func (m *Memory) Append(name string) (File, error) {
+func (m *MemoryDir) OpenAppend(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.now[name]
@@ -237,7 +237,7 @@
 	return &handle{m: m, name: name, d: d}, m.fail("open", name)
 }
 
-func (m *Memory) Read(name string) ([]byte, error) {
+func (m *MemoryDir) ReadFile(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.now[name]
@@ -247,7 +247,7 @@
 	return slices.Clone(d.bytes), m.fail("read", name)
 }
 
-func (m *Memory) Truncate(name string, size int64) error {
+func (m *MemoryDir) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.now[name]
@@ -259,7 +259,7 @@
 	return m.fail("truncate", name)
 }
 
-func (m *Memory) Rename(from, to string) error {
+func (m *MemoryDir) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.now[from] == nil {
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func (m *Memory) Remove(name string) error {
+func (m *MemoryDir) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.now[name] == nil {
@@ -283,7 +283,7 @@
 	return m.fail("remove", name)
 }
 
-func (m *Memory) List() ([]string, error) {
+func (m *MemoryDir) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var all []string
@@ -296,7 +296,7 @@
 	return all, nil
 }
 
-func (m *Memory) Sync() error {
+func (m *MemoryDir) Sync() error {
 	if err := m.fail("sync", ""); err != nil {
 		return err
 	}
@@ -309,11 +309,11 @@
 	return nil
 }
 
-func (m *Memory) Lock() (func() error, error) {
+func (m *MemoryDir) Lock() (func() error, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.locked {
-		return nil, ErrHeld
+		return nil, ErrLocked
 	}
 	m.locked = true
 	return func() error { m.locked = false; return nil }, nil
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -17,7 +17,7 @@
 
 func quiet(t testing.TB, level float64) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text("quiet-day")
+	text, ok := scenarios.XML("quiet-day")
 	if !ok {
 		t.Fatal("no quiet day")
 	}
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -61,7 +61,7 @@
 // loop. (Intervals that each began at a late timer lost a third of the calls
 // at 30 exchanges.)
 func TestCallsComeAtTheirRate(t *testing.T) {
-	text, _ := scenarios.Text("bad-day")
+	text, _ := scenarios.XML("bad-day")
 	scn, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -16,7 +16,7 @@
 
 func scenario(t testing.TB, name string) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text(name)
+	text, ok := scenarios.XML(name)
 	if !ok {
 		t.Fatalf("no scenario %s", name)
 	}
@@ -49,11 +49,11 @@
 	}
 	var recs audit.Records
 	for i, f := range files {
-		if err := capture.Read(bytes.NewReader(f.Bytes()), "file", audit.Collect(&recs, i)); err != nil {
+		if err := capture.Read(bytes.NewReader(f.Bytes()), "file", audit.Collector(&recs, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return d, audit.Judge(recs)
+	return d, audit.Check(recs)
 }
 
 // The bad day, with its killed controllers: every rule, no circuit left.
@@ -67,10 +67,10 @@
 		}
 		for _, u := range r.Rules {
 			if u.Cases == 0 {
-				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Rule)
+				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Number)
 			}
 		}
-		if !d.Left || d.Held != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
+		if !d.Left || d.Held != 0 || r.Calls.Received == 0 || r.Calls.Received != r.Calls.Answered+r.Calls.Abandoned+r.Calls.Killed {
 			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.Left, d.Held, r.Calls)
 		}
 		tally := d.Crowd.Tally(all)
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -19,8 +19,8 @@
 	return names
 }
 
-// Text returns the file of one, and whether it ships.
-func Text(name string) (string, bool) {
+// XML returns the file of one, and whether it ships.
+func XML(name string) (string, bool) {
 	b, err := files.ReadFile(name + ".xml")
 	return string(b), err == nil
 }
