--- a/cmd/dahliaspindle/curve.go
+++ b/cmd/dahliaspindle/curve.go
@@ -56,9 +56,9 @@
 		if err != nil {
 			return err
 		}
-		switch err := s.Add(sum, m.tries, measure.Options{Patience: c.Patience}, m.names); {
-		case errors.Is(err, curve.ErrSeen):
-			fmt.Fprintf(os.Stderr, "%s: %v\n", path, curve.ErrSeen)
+		switch err := s.Add(sum, m.tries, measure.Options{RetryWindow: c.Patience}, m.names); {
+		case errors.Is(err, curve.ErrDuplicate):
+			fmt.Fprintf(os.Stderr, "%s: %v\n", path, curve.ErrDuplicate)
 		case err != nil:
 			return exit{2, fmt.Errorf("%s: %w", path, err)}
 		}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return exit{2, err}
 	}
-	lines, err := s.Lines(step, 0, math.MaxInt64, func(k curve.Key) bool {
+	lines, err := s.ReadSeries(step, 0, math.MaxInt64, func(k curve.Key) bool {
 		return (c.From < 0 || int(k.Source) == c.From) && (c.To < 0 || int(k.Dest) == c.To)
 	})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	newest := time.Duration(0)
 	for _, l := range lines {
-		newest = max(newest, l.Slots[len(l.Slots)-1].At)
+		newest = max(newest, l.Slots[len(l.Slots)-1].Begin)
 	}
 	if c.JSON {
 		return c.json(lines, newest)
@@ -84,8 +84,8 @@
 	if c.Busiest {
 		t := newTable("Busiest " + c.Step + " of each day (UTC), all together")
 		t.AppendHeader(table.Row{"begin", "first tries", "lost tries"})
-		for _, x := range curve.Busiest(lines) {
-			t.AppendRow(table.Row{day(x.At), x.First, x.Lost})
+		for _, x := range curve.BusiestSlots(lines) {
+			t.AppendRow(table.Row{day(x.Begin), x.FirstAttempts, x.Lost})
 		}
 		t.Render()
 		return nil
@@ -94,17 +94,17 @@
 	t.AppendHeader(table.Row{"from", "to", "class", "begin", "watched", "tries", "first", "lost", "erlang"})
 	for _, l := range lines {
 		for i, x := range l.Slots {
-			if c.Last > 0 && x.At < newest-c.Last {
+			if c.Last > 0 && x.Begin < newest-c.Last {
 				continue
 			}
-			if i > 0 && x.At > l.Slots[i-1].At+step {
-				t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(l.Slots[i-1].At + step), "nobody watched"})
+			if i > 0 && x.Begin > l.Slots[i-1].Begin+step {
+				t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(l.Slots[i-1].Begin + step), "nobody watched"})
 			}
 			erlang := "unknown"
 			if e, ok := x.Erlang(); ok {
 				erlang = fmt.Sprintf("%.2f", e)
 			}
-			t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(x.At), time.Duration(x.Watched * 1e9).Round(time.Second), x.Tries, x.First, x.Lost, erlang})
+			t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(x.Begin), time.Duration(x.ObservedSeconds * 1e9).Round(time.Second), x.Attempts, x.FirstAttempts, x.Lost, erlang})
 		}
 	}
 	t.Render()
@@ -112,7 +112,7 @@
 }
 
 // json prints the slots; one that nobody watched is not there.
-func (c *dimensionCurveCmd) json(lines []curve.Line, newest time.Duration) error {
+func (c *dimensionCurveCmd) json(lines []curve.Series, newest time.Duration) error {
 	type slot struct {
 		Begin   time.Time `json:"begin"`
 		Watched float64   `json:"watched_s"`
@@ -131,10 +131,10 @@
 	for _, l := range lines {
 		x := line{From: l.Source, To: l.Dest, Class: l.Class}
 		for _, s := range l.Slots {
-			if c.Last > 0 && s.At < newest-c.Last {
+			if c.Last > 0 && s.Begin < newest-c.Last {
 				continue
 			}
-			o := slot{Begin: time.Unix(0, int64(s.At)).UTC(), Watched: s.Watched, Tries: s.Tries, First: s.First, Lost: s.Lost}
+			o := slot{Begin: time.Unix(0, int64(s.Begin)).UTC(), Watched: s.ObservedSeconds, Tries: s.Attempts, First: s.FirstAttempts, Lost: s.Lost}
 			if e, ok := s.Erlang(); ok {
 				o.Erlang = &e
 			}
--- a/cmd/dahliaspindle/dimension.go
+++ b/cmd/dahliaspindle/dimension.go
@@ -40,7 +40,7 @@
 func (c *dimensionTableCmd) Run() error {
 	rows := make([]tableRow, 0, len(c.Circuits))
 	for _, n := range c.Circuits {
-		a, err := loss.Traffic(n, c.Loss)
+		a, err := loss.MaxTraffic(n, c.Loss)
 		if err != nil {
 			return exit{2, fmt.Errorf("dimension table: %w", err)}
 		}
@@ -90,7 +90,7 @@
 
 // read is the calls of a file of flow records, each once.
 type read struct {
-	tries   []measure.Try
+	tries   []measure.CallAttempt
 	names   map[uint8]string
 	missing uint64
 	of      uint64
@@ -113,9 +113,9 @@
 		if key := [2]uint64{life<<16 ^ uint64(uint32(k.Source)), id}; !seen[key] {
 			seen[key] = true
 			_, m.names[k.Class], _ = flow.Far(r)
-			m.tries = append(m.tries, measure.Try{At: k.Start, Source: k.Source, Dest: k.Dest, Via: k.Via, Class: k.Class,
-				Circuits: int(k.Circuits), Number: k.Number, Repeat: k.Repeat, Lost: k.Outcome != flow.Ended && k.Outcome != flow.Cut,
-				Cut: k.Outcome == flow.Cut, Stood: k.Stood, Life: life})
+			m.tries = append(m.tries, measure.CallAttempt{Start: k.Start, Source: k.Source, Dest: k.Dest, Via: k.Via, Class: k.Class,
+				Circuits: int(k.Circuits), Number: k.Number, MarkedRetry: k.Repeat, Lost: k.Outcome != flow.Ended && k.Outcome != flow.Cut,
+				Cut: k.Outcome == flow.Cut, EstablishedFor: k.Stood, Incarnation: life})
 		}
 		return nil
 	}); err != nil {
@@ -136,13 +136,13 @@
 		return nil, err
 	}
 	if m.of > 0 {
-		o.Missing = min(float64(m.missing)/float64(m.of), 0.99)
+		o.MissingShare = min(float64(m.missing)/float64(m.of), 0.99)
 	}
-	return &measured{measure.Batch(m.tries, o), m.names, m.missing, m.of}, nil
+	return &measured{measure.EstimateBatch(m.tries, o), m.names, m.missing, m.of}, nil
 }
 
 func (c *dimensionMeasureCmd) Run() error {
-	m, err := measureFile(c.File, measure.Options{Patience: c.Patience, Window: c.Busy})
+	m, err := measureFile(c.File, measure.Options{RetryWindow: c.Patience, BusyWindow: c.Busy})
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	for _, x := range m.Pairs {
 		row := pairRow{Estimate: x, ClassName: m.names[x.Class]}
 		if x.Known {
-			n, err := loss.Circuits(x.Erlang, c.Loss)
+			n, err := loss.RequiredCircuits(x.Erlang, c.Loss)
 			if err != nil {
 				return exit{2, fmt.Errorf("dimension measure: %w", err)}
 			}
@@ -160,7 +160,7 @@
 	}
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": (m.To - m.From).String(), "pairs": rows, "groups": m.Groups,
-			"missing": m.missing, "of": m.of, "lives": m.Lives, "hot_tries": m.HotTries, "hot_numbers": len(m.Hot), "unended": m.Unended}); err != nil {
+			"missing": m.missing, "of": m.of, "lives": m.Incarnations, "hot_tries": m.HotAttempts, "hot_numbers": len(m.HotNumbers), "unended": m.TailAttempts}); err != nil {
 			return fmt.Errorf("dimension measure: %w", err)
 		}
 		return nil
@@ -170,7 +170,7 @@
 	for _, r := range rows {
 		erl, interval, naive := "unknown", "", ""
 		if r.Known {
-			erl, interval, naive = fmt.Sprintf("%.2f", r.Erlang), fmt.Sprintf("%.2f to %.2f", r.Low, r.High), fmt.Sprintf("%.2f", r.Naive)
+			erl, interval, naive = fmt.Sprintf("%.2f", r.Erlang), fmt.Sprintf("%.2f to %.2f", r.Low, r.High), fmt.Sprintf("%.2f", r.AllAttemptsErlang)
 		}
 		t.AppendRow(table.Row{r.Source, r.Dest, r.ClassName, r.Tries, r.First, r.Lost, erl, interval, naive, r.Circuits})
 	}
@@ -184,11 +184,11 @@
 	if m.missing > 0 {
 		fmt.Printf("%d of %d records are missing here: they went into sums or were dropped; the rest stands for them\n", m.missing, m.of)
 	}
-	if m.HotTries > 0 {
-		fmt.Printf("%d lost tries for %d numbers that very many call are left out: their lines are short, not circuits\n", m.HotTries, len(m.Hot))
+	if m.HotAttempts > 0 {
+		fmt.Printf("%d lost tries for %d numbers that very many call are left out: their lines are short, not circuits\n", m.HotAttempts, len(m.HotNumbers))
 	}
-	if m.Unended > 0 {
-		fmt.Printf("%d calls at the ends of %d lives of controllers are left out: of their like only the short have ended\n", m.Unended, m.Lives)
+	if m.TailAttempts > 0 {
+		fmt.Printf("%d calls at the ends of %d lives of controllers are left out: of their like only the short have ended\n", m.TailAttempts, m.Incarnations)
 	}
 	return nil
 }
--- a/cmd/dahliaspindle/dimension_test.go
+++ b/cmd/dahliaspindle/dimension_test.go
@@ -26,14 +26,14 @@
 		}
 	}
 	p, a, v := all[0], all[1], all[2]
-	if p.Advised == 0 || p.Advised%10 != 0 || p.Advised != a.Advised || p.Advised != v.Advised || p.Proportional < p.Advised || p.Bound > p.Cost {
-		t.Errorf("advised %d, %d, %d; in proportion %d; cost %v, bound %v", p.Advised, a.Advised, v.Advised, p.Proportional, p.Cost, p.Bound)
+	if p.CircuitsAdvised == 0 || p.CircuitsAdvised%10 != 0 || p.CircuitsAdvised != a.CircuitsAdvised || p.CircuitsAdvised != v.CircuitsAdvised || p.CircuitsProportional < p.CircuitsAdvised || p.CostBound > p.Cost {
+		t.Errorf("advised %d, %d, %d; in proportion %d; cost %v, bound %v", p.CircuitsAdvised, a.CircuitsAdvised, v.CircuitsAdvised, p.CircuitsProportional, p.Cost, p.CostBound)
 	}
 	if len(a.Pairs) != 6 || len(a.Moves) > 1 {
 		t.Errorf("%d pairs, moves %v", len(a.Pairs), a.Moves)
 	}
 	for _, c := range v.Classes {
-		if c.Seen == nil || c.Seen.Loss > c.Target || c.Promise > c.Target {
+		if c.Simulated == nil || c.Simulated.Loss > c.Target || c.PredictedLoss > c.Target {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/cmd/dahliaspindle/plan.go
+++ b/cmd/dahliaspindle/plan.go
@@ -74,8 +74,8 @@
 		scn.Seed = c.Seed
 	}
 	if c.Exchanges != 0 {
-		if c.Exchanges < 3 || c.Exchanges > network.MostExchanges {
-			return nil, exit{2, fmt.Errorf("--exchanges must be from 3 to %d", network.MostExchanges)}
+		if c.Exchanges < 3 || c.Exchanges > network.MaxExchanges {
+			return nil, exit{2, fmt.Errorf("--exchanges must be from 3 to %d", network.MaxExchanges)}
 		}
 		scn.Fleet.Exchanges = c.Exchanges
 	}
@@ -86,12 +86,12 @@
 		return nil, exit{2, errors.New("--load must be above 0, 10 at the most")}
 	}
 	scn.Load.Swing, scn.Fleet.DriftPeriod, scn.Troubles = 0, 0, nil // what is planned for is an even hour
-	mesh, err := prove.Mesh(scn)
+	mesh, err := prove.ScenarioMesh(scn)
 	if err != nil {
 		return nil, err
 	}
 	w := &work{planning: c, scn: scn}
-	w.task = &plan.Task{Mesh: mesh, Hurt: c.Hurt, Growth: c.Growth, Module: c.Module, LinkPart: c.Link, Most: c.Networks}
+	w.task = &plan.Task{Mesh: mesh, MaxFailureLoss: c.Hurt, Growth: c.Growth, ModuleSize: c.Module, LinkShare: c.Link, MaxSolves: c.Networks}
 	known := map[string]bool{}
 	for _, cl := range scn.Classes {
 		known[cl.Name] = true
@@ -99,7 +99,7 @@
 		if !ok {
 			target = min(c.Loss*float64(cl.Circuits), (1+c.Loss)/2)
 		}
-		w.task.Target = append(w.task.Target, target)
+		w.task.TargetLoss = append(w.task.TargetLoss, target)
 	}
 	for name := range c.Target {
 		if !known[name] {
@@ -112,7 +112,7 @@
 	if err := w.measured(); err != nil {
 		return nil, err
 	}
-	if err := w.task.Check(); err != nil {
+	if err := w.task.Validate(); err != nil {
 		return nil, exit{2, err}
 	}
 	return w, nil
@@ -128,7 +128,7 @@
 	for i := range n {
 		for j := range n {
 			for c, cl := range w.task.Mesh.Classes {
-				a := offered[i][j][c] * float64(cl.Width)
+				a := offered[i][j][c] * float64(cl.Circuits)
 				w.low[i][j] += a
 				w.high[i][j] += a
 			}
@@ -141,7 +141,7 @@
 	for _, cl := range w.scn.Classes {
 		patience = max(patience, cl.Patience)
 	}
-	m, err := measureFile(w.Flows, measure.Options{Patience: patience, Window: w.Busy})
+	m, err := measureFile(w.Flows, measure.Options{RetryWindow: patience, BusyWindow: w.Busy})
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 		if !e.Known {
 			continue
 		}
-		wide := float64(w.task.Mesh.Classes[c].Width)
+		wide := float64(w.task.Mesh.Classes[c].Circuits)
 		w.low[i][j] += (e.Low - offered[i][j][c]) * wide
 		w.high[i][j] += (e.High - offered[i][j][c]) * wide
 		offered[i][j][c] = e.Erlang
@@ -169,8 +169,8 @@
 // plan makes the plan and the report of it.
 func (w *work) plan(ctx context.Context) (*plan.Plan, error) {
 	t := w.task
-	p, err := plan.Make(ctx, t)
-	if errors.Is(err, plan.ErrTask) {
+	p, err := plan.Optimize(ctx, t)
+	if errors.Is(err, plan.ErrNoPlan) {
 		return nil, exit{1, err}
 	} else if err != nil {
 		return nil, err
@@ -194,29 +194,29 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &report.Report{Name: w.scn.Name, Exchanges: len(p.Circuits), Growth: t.Growth, Module: t.Module, Advised: p.Total,
-		Bound: p.Bound, Cost: p.Cost, Gap: p.Gap(), Worst: p.Worst, WorstWhat: p.WorstWhat, Stopped: p.Stopped, Two: now.Two,
-		Unsettled: !now.Converged || !now.Other.Converged}
+	r := &report.Report{Name: w.scn.Name, Exchanges: len(p.Circuits), Growth: t.Growth, ModuleSize: t.ModuleSize, CircuitsAdvised: p.TotalCircuits,
+		CostBound: p.CostBound, Cost: p.Cost, Gap: p.Gap(), WorstFailureLoss: p.WorstFailureLoss, WorstFailure: p.WorstFailure, Stopped: p.Stopped, Bistable: now.Bistable,
+		Unsettled: !now.Converged || !now.FromFull.Converged}
 	for c, cl := range t.Mesh.Classes {
-		r.Classes = append(r.Classes, report.Class{Name: cl.Name, Target: t.Target[c], Now: now.ByClass[c], Promise: p.Promise[c]})
+		r.Classes = append(r.Classes, report.Class{Name: cl.Name, Target: t.TargetLoss[c], LossNow: now.LossByClass[c], PredictedLoss: p.PredictedLoss[c]})
 	}
 	for i := range p.Circuits {
 		for j := i + 1; j < len(p.Circuits); j++ {
-			x := report.Pair{A: i, B: j, Now: t.Mesh.Circuits[i][j], Advised: p.Circuits[i][j],
+			x := report.Pair{A: i, B: j, CircuitsNow: t.Mesh.Circuits[i][j], CircuitsAdvised: p.Circuits[i][j],
 				Low: w.low[i][j] + w.low[j][i], High: w.high[i][j] + w.high[j][i]}
 			lostNow, lost := 0.0, 0.0
 			for c, cl := range t.Mesh.Classes {
 				for _, at := range [][2]int{{i, j}, {j, i}} {
-					a := t.Mesh.Offered[at[0]][at[1]][c] * float64(cl.Width)
+					a := t.Mesh.Offered[at[0]][at[1]][c] * float64(cl.Circuits)
 					x.Offered += a
 					lostNow += a * now.Loss[at[0]][at[1]][c]
 					lost += a * then.Loss[at[0]][at[1]][c]
 				}
 			}
 			if x.Offered > 0 {
-				x.LossNow, x.Promise = lostNow/x.Offered, lost/x.Offered
+				x.LossNow, x.PredictedLoss = lostNow/x.Offered, lost/x.Offered
 			}
-			r.Now += x.Now
+			r.CircuitsNow += x.CircuitsNow
 			r.Pairs = append(r.Pairs, x)
 		}
 	}
@@ -243,16 +243,16 @@
 	}
 	r := w.rep
 	pct := func(x float64) string { return fmt.Sprintf("%.2f %%", 100*x) }
-	t := newTable(fmt.Sprintf("%s: %d exchanges, modules of %d", r.Name, r.Exchanges, r.Module))
+	t := newTable(fmt.Sprintf("%s: %d exchanges, modules of %d", r.Name, r.Exchanges, r.ModuleSize))
 	head := table.Row{"class", "target", "loss now", "promised"}
 	if r.Seeds > 0 {
 		head = append(head, fmt.Sprintf("simulated, %d seeds", r.Seeds), "95 %")
 	}
 	t.AppendHeader(head)
 	for _, c := range r.Classes {
-		row := table.Row{c.Name, pct(c.Target), pct(c.Now), pct(c.Promise)}
-		if c.Seen != nil {
-			row = append(row, pct(c.Seen.Loss), pct(c.Seen.Low)+" to "+pct(c.Seen.High))
+		row := table.Row{c.Name, pct(c.Target), pct(c.LossNow), pct(c.PredictedLoss)}
+		if c.Simulated != nil {
+			row = append(row, pct(c.Simulated.Loss), pct(c.Simulated.Low)+" to "+pct(c.Simulated.High))
 		}
 		t.AppendRow(row)
 	}
@@ -262,22 +262,22 @@
 		t.AppendHeader(table.Row{"between", "offered", "95 %", "circuits now", "advised", "loss now", "promised"})
 		for _, x := range r.Pairs {
 			t.AppendRow(table.Row{fmt.Sprintf("%d and %d", x.A, x.B), fmt.Sprintf("%.2f", x.Offered), fmt.Sprintf("%.2f to %.2f", x.Low, x.High),
-				x.Now, x.Advised, pct(x.LossNow), pct(x.Promise)})
+				x.CircuitsNow, x.CircuitsAdvised, pct(x.LossNow), pct(x.PredictedLoss)})
 		}
 		t.Render()
 	}
-	fmt.Printf("circuits: %d stand, %d are advised", r.Now, r.Advised)
-	if r.Proportional > 0 {
-		fmt.Printf(", %d in proportion to the traffic", r.Proportional)
+	fmt.Printf("circuits: %d stand, %d are advised", r.CircuitsNow, r.CircuitsAdvised)
+	if r.CircuitsProportional > 0 {
+		fmt.Printf(", %d in proportion to the traffic", r.CircuitsProportional)
 	}
-	fmt.Printf("; cost %.0f, no plan below %.0f (%.0f %% above it)\n", r.Cost, r.Bound, 100*r.Gap)
-	if r.WorstWhat != "" {
-		fmt.Printf("with %s away the worst class loses %s\n", r.WorstWhat, pct(r.Worst))
+	fmt.Printf("; cost %.0f, no plan below %.0f (%.0f %% above it)\n", r.Cost, r.CostBound, 100*r.Gap)
+	if r.WorstFailure != "" {
+		fmt.Printf("with %s away the worst class loses %s\n", r.WorstFailure, pct(r.WorstFailureLoss))
 	}
 	for i, m := range r.Moves {
-		fmt.Printf("%d. %s: %.2f erlang are lost then\n", i+1, m.What, m.Lost)
+		fmt.Printf("%d. %s: %.2f erlang are lost then\n", i+1, m.Action, m.LostTraffic)
 	}
-	if r.Two {
+	if r.Bistable {
 		fmt.Println("the network as it stands may stay in either of two states; losses now are those of the better one")
 	}
 	if r.Unsettled {
@@ -308,8 +308,8 @@
 	}
 	prop, err := plan.Proportional(ctx, w.task)
 	if err == nil {
-		w.rep.Proportional = prop.Total
-	} else if !errors.Is(err, plan.ErrTask) {
+		w.rep.CircuitsProportional = prop.TotalCircuits
+	} else if !errors.Is(err, plan.ErrNoPlan) {
 		return err
 	}
 	return w.finish(true)
@@ -325,7 +325,7 @@
 	if _, err := w.plan(ctx); err != nil {
 		return err
 	}
-	moves, err := plan.First(ctx, w.task, c.Buy, c.Move)
+	moves, err := plan.FirstMoves(ctx, w.task, c.Buy, c.Move)
 	if err != nil {
 		return exit{2, err}
 	}
@@ -334,7 +334,7 @@
 		if m.From[0] >= 0 {
 			what = fmt.Sprintf("move %d circuits from between %d and %d to between %d and %d", c.Module, m.From[1], m.From[0], m.To[1], m.To[0])
 		}
-		w.rep.Moves = append(w.rep.Moves, report.Move{What: what, Lost: m.Lost})
+		w.rep.Moves = append(w.rep.Moves, report.Move{Action: what, LostTraffic: m.LostTraffic})
 	}
 	return w.finish(true)
 }
@@ -368,9 +368,9 @@
 	refuted := ""
 	w.rep.Seeds = c.Seeds
 	for k := range w.rep.Classes {
-		cl, x := &w.rep.Classes[k], o.ByClass[k]
-		cl.Seen = &report.Seen{Calls: o.Calls, Loss: x.Mean, Low: max(x.Low, 0), High: x.High}
-		if !x.Holds(cl.Target) {
+		cl, x := &w.rep.Classes[k], o.LossByClass[k]
+		cl.Simulated = &report.SimulatedLoss{Calls: o.Calls, Loss: x.Mean, Low: max(x.Low, 0), High: x.High}
+		if !x.ConsistentWith(cl.Target) {
 			refuted = cl.Name
 		}
 	}
@@ -380,7 +380,7 @@
 		lost := o.Pairs[x.A][x.B].Lost + o.Pairs[x.B][x.A].Lost
 		share := float64(lost) / float64(max(calls, 1))
 		half := 1.96 * math.Sqrt(share*(1-share)/float64(max(calls, 1)))
-		x.Seen = &report.Seen{Calls: calls, Loss: share, Low: max(share-half, 0), High: min(share+half, 1)}
+		x.Simulated = &report.SimulatedLoss{Calls: calls, Loss: share, Low: max(share-half, 0), High: min(share+half, 1)}
 	}
 	if err := w.finish(false); err != nil {
 		return err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -147,9 +147,9 @@
 	Liveness            guard.Liveness
 	ReleaseRetry        guard.ReleaseRetry
 	FaultLimit          guard.FaultLimiter
-	FlowSink            flow.Sink     // receives a record of each call and attempt; may be nil
-	InterimInterval     time.Duration // between interim records of an established call; 0 disables them
-	TrafficMeter        *measure.Live // measures the traffic offered by own callers; may be nil
+	FlowSink            flow.Sink      // receives a record of each call and attempt; may be nil
+	InterimInterval     time.Duration  // between interim records of an established call; 0 disables them
+	TrafficMeter        *measure.Meter // measures the traffic offered by own callers; may be nil
 }
 
 // Stats holds the counters of a controller. Pending, Established and
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -459,7 +459,7 @@
 	if reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), audit), callerPeer(1), signal.Reply, signal.AuditValue)); reply.Code != signal.BadValue {
 		t.Fatalf("audit without a measurement: %s", reply)
 	}
-	h.controller.config.TrafficMeter = measure.NewLive(h.now, 10*time.Minute, 9*time.Second)
+	h.controller.config.TrafficMeter = measure.NewMeter(h.now, 10*time.Minute, 9*time.Second)
 	h.announceList(0, 1)
 	for i := range 61 { // a call of 5 s every 10 s: 0.5 Erlang
 		msg := addRequest(fmt.Sprint("c", i))
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -13,17 +13,17 @@
 	c.fillCallRecord(call, flow.Call, outcome)
 	*c.counts.At(&c.record)++
 	if r := &c.record; c.config.TrafficMeter != nil && r.Route != flow.Transit {
-		c.config.TrafficMeter.Add(c.now, measure.Try{
-			At:       r.Start,
-			Source:   r.Source,
-			Dest:     r.Dest,
-			Class:    r.Class,
-			Circuits: call.circuits,
-			Number:   r.Number,
-			Repeat:   r.Repeat,
-			Lost:     outcome != flow.Ended && outcome != flow.Cut,
-			Cut:      outcome == flow.Cut,
-			Stood:    r.Stood,
+		c.config.TrafficMeter.Add(c.now, measure.CallAttempt{
+			Start:          r.Start,
+			Source:         r.Source,
+			Dest:           r.Dest,
+			Class:          r.Class,
+			Circuits:       call.circuits,
+			Number:         r.Number,
+			MarkedRetry:    r.Repeat,
+			Lost:           outcome != flow.Ended && outcome != flow.Cut,
+			Cut:            outcome == flow.Cut,
+			EstablishedFor: r.Stood,
 		})
 	}
 	c.emitRecord()
--- a/internal/curve/curve.go
+++ b/internal/curve/curve.go
@@ -19,11 +19,11 @@
 	"dahliaspindle/internal/measure"
 )
 
-// Steps are the lengths of slots, shortest first; each is rolled up into the next.
-var Steps = []time.Duration{15 * time.Minute, time.Hour, 24 * time.Hour}
+// Resolutions are the lengths of slots, shortest first; each is rolled up into the next.
+var Resolutions = []time.Duration{15 * time.Minute, time.Hour, 24 * time.Hour}
 
-// Kept is for how long slots of each step are kept, back from the newest of all; 0: for ever.
-var Kept = []time.Duration{14 * 24 * time.Hour, 100 * 24 * time.Hour, 0}
+// Retention is for how long slots of each step are kept, back from the newest of all; 0: for ever.
+var Retention = []time.Duration{14 * 24 * time.Hour, 100 * 24 * time.Hour, 0}
 
 // Key is one pair and class.
 type Key struct {
@@ -33,34 +33,34 @@
 
 // Slot is what was seen of a key in one step of time.
 type Slot struct {
-	At      time.Duration `cbor:"-"` // its begin, since 1970
-	Tries   int           `cbor:"1,keyasint"`
-	First   int           `cbor:"2,keyasint"`
-	Lost    int           `cbor:"3,keyasint"`
-	Ended   int           `cbor:"4,keyasint"`
-	Held    float64       `cbor:"5,keyasint"` // seconds, of all that stood
-	Watched float64       `cbor:"6,keyasint"` // seconds
+	Begin           time.Duration `cbor:"-"` // its begin, since 1970
+	Attempts        int           `cbor:"1,keyasint"`
+	FirstAttempts   int           `cbor:"2,keyasint"`
+	Lost            int           `cbor:"3,keyasint"`
+	Completed       int           `cbor:"4,keyasint"`
+	HeldSeconds     float64       `cbor:"5,keyasint"` // seconds, of all that stood
+	ObservedSeconds float64       `cbor:"6,keyasint"` // seconds
 }
 
 func (s *Slot) add(o Slot) {
-	s.Tries += o.Tries
-	s.First += o.First
+	s.Attempts += o.Attempts
+	s.FirstAttempts += o.FirstAttempts
 	s.Lost += o.Lost
-	s.Ended += o.Ended
-	s.Held += o.Held
-	s.Watched += o.Watched
+	s.Completed += o.Completed
+	s.HeldSeconds += o.HeldSeconds
+	s.ObservedSeconds += o.ObservedSeconds
 }
 
 // Erlang is the traffic of first tries; false where it is not known.
 func (s Slot) Erlang() (float64, bool) {
-	if s.Watched <= 0 || s.Ended == 0 {
-		return 0, s.Watched > 0 && s.Tries == 0
+	if s.ObservedSeconds <= 0 || s.Completed == 0 {
+		return 0, s.ObservedSeconds > 0 && s.Attempts == 0
 	}
-	return float64(s.First) * s.Held / float64(s.Ended) / s.Watched, true
+	return float64(s.FirstAttempts) * s.HeldSeconds / float64(s.Completed) / s.ObservedSeconds, true
 }
 
-// ErrSeen says that this very file of records has been added before.
-var ErrSeen = errors.New("its records are in the curve already")
+// ErrDuplicate says that this very file of records has been added before.
+var ErrDuplicate = errors.New("its records are in the curve already")
 
 // Store is the file. It is safe for concurrent use.
 type Store struct{ db *bolt.DB }
@@ -70,7 +70,7 @@
 	names = []byte("classes")
 )
 
-func bucket(step int) []byte { return []byte(Steps[step].String()) }
+func bucket(step int) []byte { return []byte(Resolutions[step].String()) }
 
 // Open opens or makes a file. It fails within a second if another process has it.
 func Open(path string) (*Store, error) {
@@ -79,7 +79,7 @@
 		return nil, fmt.Errorf("curve %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		for i := range Steps {
+		for i := range Resolutions {
 			if _, err := tx.CreateBucketIfNotExists(bucket(i)); err != nil {
 				return err
 			}
@@ -117,10 +117,10 @@
 
 // Add books the tries of one file of records, all or nothing: what source is the
 // content of the file, by its hash, is taken once only. class names the classes.
-func (s *Store) Add(content [sha256.Size]byte, tries []measure.Try, o measure.Options, class map[uint8]string) error {
+func (s *Store) Add(content [sha256.Size]byte, tries []measure.CallAttempt, o measure.Options, class map[uint8]string) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		if tx.Bucket(files).Get(content[:]) != nil {
-			return ErrSeen
+			return ErrDuplicate
 		}
 		if err := tx.Bucket(files).Put(content[:], []byte{1}); err != nil {
 			return err
@@ -134,15 +134,15 @@
 			}
 		}
 		newest := time.Duration(0)
-		for _, x := range measure.Slots(tries, o, Steps[0]) {
+		for _, x := range measure.Slots(tries, o, Resolutions[0]) {
 			k := Key(x.Key)
-			slot := Slot{Tries: x.Tries, First: x.First, Lost: x.Lost, Ended: x.Ended, Held: x.Held.Seconds(), Watched: x.Watched.Seconds()}
-			for i, step := range Steps {
-				if err := put(tx.Bucket(bucket(i)), place(k, x.At-x.At%step), slot); err != nil {
+			slot := Slot{Attempts: x.Attempts, FirstAttempts: x.FirstAttempts, Lost: x.Lost, Completed: x.Completed, HeldSeconds: x.HeldTime.Seconds(), ObservedSeconds: x.Observed.Seconds()}
+			for i, step := range Resolutions {
+				if err := put(tx.Bucket(bucket(i)), place(k, x.Begin-x.Begin%step), slot); err != nil {
 					return err
 				}
 			}
-			newest = max(newest, x.At)
+			newest = max(newest, x.Begin)
 		}
 		return prune(tx, newest)
 	})
@@ -169,7 +169,7 @@
 
 // prune forgets what is older than it is kept.
 func prune(tx *bolt.Tx, newest time.Duration) error {
-	for i, keep := range Kept {
+	for i, keep := range Retention {
 		if keep == 0 {
 			continue
 		}
@@ -200,20 +200,20 @@
 	return all
 }
 
-// Line is the curve of one key.
-type Line struct {
+// Series is the curve of one key.
+type Series struct {
 	Key
 	Class string
 	Slots []Slot // in order of time; where one is missing, nobody watched
 }
 
-// Lines tells curves by one of the Steps, from a time to before another; want picks keys.
-func (s *Store) Lines(step time.Duration, from, to time.Duration, want func(Key) bool) ([]Line, error) {
-	i := slices.Index(Steps, step)
+// ReadSeries tells curves by one of the Steps, from a time to before another; want picks keys.
+func (s *Store) ReadSeries(step time.Duration, from, to time.Duration, want func(Key) bool) ([]Series, error) {
+	i := slices.Index(Resolutions, step)
 	if i < 0 {
-		return nil, fmt.Errorf("curve: slots of %v are not kept, those of %v are", step, Steps)
+		return nil, fmt.Errorf("curve: slots of %v are not kept, those of %v are", step, Resolutions)
 	}
-	var all []Line
+	var all []Series
 	err := s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucket(i)).ForEach(func(at, v []byte) error {
 			k := Key{int32(binary.BigEndian.Uint32(at)), int32(binary.BigEndian.Uint32(at[4:])), at[8]}
@@ -225,9 +225,9 @@
 			if err := cbor.Unmarshal(v, &slot); err != nil {
 				return fmt.Errorf("a slot that can't be read: %w", err)
 			}
-			slot.At = t
+			slot.Begin = t
 			if len(all) == 0 || all[len(all)-1].Key != k {
-				all = append(all, Line{Key: k, Class: string(bytes.Clone(tx.Bucket(names).Get([]byte{k.Class})))})
+				all = append(all, Series{Key: k, Class: string(bytes.Clone(tx.Bucket(names).Get([]byte{k.Class})))})
 			}
 			l := &all[len(all)-1]
 			l.Slots = append(l.Slots, slot)
@@ -240,20 +240,20 @@
 	return all, nil
 }
 
-// Busiest is the slot of each day in which all lines together offered most, the
+// BusiestSlots is the slot of each day in which all lines together offered most, the
 // time-consistent busy hour where slots are hours; days are those of UTC.
-func Busiest(lines []Line) []Slot {
+func BusiestSlots(lines []Series) []Slot {
 	sums := map[time.Duration]float64{}
 	slots := map[time.Duration]Slot{}
 	for _, l := range lines {
 		for _, s := range l.Slots {
 			if e, ok := s.Erlang(); ok {
-				sums[s.At] += e
+				sums[s.Begin] += e
 			}
-			at := slots[s.At]
+			at := slots[s.Begin]
 			at.add(s)
-			at.At = s.At
-			slots[s.At] = at
+			at.Begin = s.Begin
+			slots[s.Begin] = at
 		}
 	}
 	best := map[time.Duration]time.Duration{}
@@ -267,6 +267,6 @@
 	for _, at := range best {
 		all = append(all, slots[at])
 	}
-	slices.SortFunc(all, func(a, b Slot) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(all, func(a, b Slot) int { return cmp.Compare(a.Begin, b.Begin) })
 	return all
 }
--- a/internal/curve/curve_test.go
+++ b/internal/curve/curve_test.go
@@ -17,14 +17,14 @@
 var start = time.Duration(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC).UnixNano())
 
 // tries are calls of 90 s at a traffic that follows the hour.
-func tries(from, to time.Duration, life uint64, seed uint64, erlang func(hour float64) float64) []measure.Try {
+func tries(from, to time.Duration, life uint64, seed uint64, erlang func(hour float64) float64) []measure.CallAttempt {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	var all []measure.Try
+	var all []measure.CallAttempt
 	for at := from; at < to; {
 		e := erlang(math.Mod((at - start).Hours(), 24))
 		at += time.Duration(rnd.ExpFloat64() * 90 / max(e, 0.01) * 1e9)
-		t := measure.Try{At: at, Source: 1, Dest: 2, Circuits: 1, Number: rnd.Uint64(), Life: life, Stood: time.Duration(rnd.ExpFloat64() * 90e9)}
-		if t.At+t.Stood <= to {
+		t := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: rnd.Uint64(), Incarnation: life, EstablishedFor: time.Duration(rnd.ExpFloat64() * 90e9)}
+		if t.Start+t.EstablishedFor <= to {
 			all = append(all, t)
 		}
 	}
@@ -42,7 +42,7 @@
 
 func lines(t *testing.T, s *Store, step time.Duration) []Slot {
 	t.Helper()
-	all, err := s.Lines(step, 0, math.MaxInt64, func(Key) bool { return true })
+	all, err := s.ReadSeries(step, 0, math.MaxInt64, func(Key) bool { return true })
 	if err != nil || len(all) != 1 || all[0].Class != "fetch" {
 		t.Fatalf("%+v, %v", all, err)
 	}
@@ -67,7 +67,7 @@
 	}
 	s = open(t, path)
 	defer s.Close()
-	if err := s.Add(sha256.Sum256([]byte("one")), first, measure.Options{}, class); !errors.Is(err, ErrSeen) {
+	if err := s.Add(sha256.Sum256([]byte("one")), first, measure.Options{}, class); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("the same file again: %v", err)
 	}
 	if err := s.Add(sha256.Sum256([]byte("two")), tries(start+20*time.Hour, start+2*day, 2, 2, wave), measure.Options{}, class); err != nil {
@@ -76,11 +76,11 @@
 	hours := lines(t, s, time.Hour)
 	seen := map[int]bool{}
 	for _, h := range hours {
-		n := int((h.At - start) / time.Hour)
+		n := int((h.Begin - start) / time.Hour)
 		seen[n] = true
 		e, ok := h.Erlang()
 		want := (wave(math.Mod(float64(n), 24)) + wave(math.Mod(float64(n)+1, 24))) / 2
-		if h.Watched > 3500 && (!ok || math.Abs(e-want) > 5*math.Sqrt(2*want*90/3600)) {
+		if h.ObservedSeconds > 3500 && (!ok || math.Abs(e-want) > 5*math.Sqrt(2*want*90/3600)) {
 			t.Errorf("hour %d: %.2f erlang, %.2f were offered", n, e, want)
 		}
 	}
@@ -91,18 +91,18 @@
 	}
 	quarters, watched := lines(t, s, 15*time.Minute), 0.0
 	for _, q := range quarters {
-		watched += q.Watched
+		watched += q.ObservedSeconds
 	}
 	days := lines(t, s, day)
-	if len(days) != 2 || math.Abs(days[0].Watched+days[1].Watched-watched) > 1e-6 || days[0].Watched > 18*3600 {
+	if len(days) != 2 || math.Abs(days[0].ObservedSeconds+days[1].ObservedSeconds-watched) > 1e-6 || days[0].ObservedSeconds > 18*3600 {
 		t.Errorf("days %+v, %v s watched in quarters", days, watched)
 	}
-	all, err := s.Lines(time.Hour, 0, math.MaxInt64, func(Key) bool { return true })
+	all, err := s.ReadSeries(time.Hour, 0, math.MaxInt64, func(Key) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	busy := Busiest(all)
-	if len(busy) != 2 || busy[1].At < start+day+11*time.Hour || busy[1].At > start+day+16*time.Hour {
+	busy := BusiestSlots(all)
+	if len(busy) != 2 || busy[1].Begin < start+day+11*time.Hour || busy[1].Begin > start+day+16*time.Hour {
 		t.Errorf("busiest %+v", busy)
 	}
 }
@@ -127,7 +127,7 @@
 	if d := len(lines(t, s, day)); d != 3 {
 		t.Errorf("%d days after a refused file", d)
 	}
-	if _, err := s.Lines(time.Minute, 0, 1, nil); err == nil {
+	if _, err := s.ReadSeries(time.Minute, 0, 1, nil); err == nil {
 		t.Error("slots of a minute")
 	}
 }
--- a/internal/loss/erlang.go
+++ b/internal/loss/erlang.go
@@ -17,14 +17,14 @@
 // ErrDomain is wrapped by errors for values that no formula is defined for.
 var ErrDomain = errors.New("outside of the formula's domain")
 
-// MostCircuits bounds a group.
-const MostCircuits = 100_000
+// MaxCircuits bounds a group.
+const MaxCircuits = 100_000
 
 func check(traffic float64, circuits int) error {
 	switch {
 	case math.IsNaN(traffic) || math.IsInf(traffic, 0) || traffic < 0:
 		return fmt.Errorf("traffic of %v erlang: %w", traffic, ErrDomain)
-	case circuits < 0 || circuits > MostCircuits:
+	case circuits < 0 || circuits > MaxCircuits:
 		return fmt.Errorf("%d circuits: %w", circuits, ErrDomain)
 	}
 	return nil
@@ -93,8 +93,8 @@
 	return e, nil
 }
 
-// Circuits is the least number of circuits that loses at most the share b.
-func Circuits(traffic, b float64) (int, error) {
+// RequiredCircuits is the least number of circuits that loses at most the share b.
+func RequiredCircuits(traffic, b float64) (int, error) {
 	if err := errors.Join(check(traffic, 0), checkLoss(b)); err != nil {
 		return 0, err
 	}
@@ -102,17 +102,17 @@
 		return 1, nil
 	}
 	inv := 1.0
-	for n := 1; n <= MostCircuits; n++ {
+	for n := 1; n <= MaxCircuits; n++ {
 		if inv = 1 + float64(n)/traffic*inv; 1/inv <= b {
 			return n, nil
 		}
 	}
-	return 0, fmt.Errorf("%v erlang at a loss of %v needs over %d circuits: %w", traffic, b, MostCircuits, ErrDomain)
+	return 0, fmt.Errorf("%v erlang at a loss of %v needs over %d circuits: %w", traffic, b, MaxCircuits, ErrDomain)
 }
 
-// Traffic is the most traffic that a group carries at a loss of b. The loss
+// MaxTraffic is the most traffic that a group carries at a loss of b. The loss
 // grows with the traffic, so it is found by halving.
-func Traffic(circuits int, b float64) (float64, error) {
+func MaxTraffic(circuits int, b float64) (float64, error) {
 	if err := errors.Join(check(0, circuits), checkLoss(b)); err != nil {
 		return 0, err
 	}
@@ -135,12 +135,12 @@
 	return low, nil
 }
 
-// ErlangBAt is Erlang's formula for a number of circuits that need not be
+// ErlangBContinuous is Erlang's formula for a number of circuits that need not be
 // whole: 1/B(x,A) = A * integral from 0 of exp(-A t) (1+t)^x dt (R. Fortet),
 // for the part between 0 and 1 by the trapezoid rule in the substitution
 // t = exp(u - exp(-u)), from there by the recursion.
-func ErlangBAt(traffic, circuits float64) (float64, error) {
-	if math.IsNaN(circuits) || circuits < 0 || circuits > MostCircuits {
+func ErlangBContinuous(traffic, circuits float64) (float64, error) {
+	if math.IsNaN(circuits) || circuits < 0 || circuits > MaxCircuits {
 		return 0, fmt.Errorf("%v circuits: %w", circuits, ErrDomain)
 	}
 	if err := check(traffic, 0); err != nil {
--- a/internal/loss/erlang_test.go
+++ b/internal/loss/erlang_test.go
@@ -19,12 +19,12 @@
 		{1, 0.01, 0.0101, 4}, {2, 0.01, 0.153, 3}, {5, 0.01, 1.36, 2}, {10, 0.01, 4.46, 2}, {20, 0.01, 12.03, 2}, {30, 0.01, 20.34, 2},
 		{50, 0.01, 37.90, 2}, {100, 0.01, 84.06, 2}, {10, 0.001, 3.09, 2}, {10, 0.05, 6.22, 2}, {20, 0.02, 13.18, 2}, {50, 0.1, 49.56, 2},
 	} {
-		got, err := Traffic(c.n, c.b)
+		got, err := MaxTraffic(c.n, c.b)
 		scale := math.Pow10(c.dec)
 		if err != nil || math.Round(got*scale)/scale != c.want {
 			t.Errorf("%d circuits at %v: %.5f, table %v (%v)", c.n, c.b, got, c.want, err)
 		}
-		if n, err := Circuits(got, c.b); err != nil || n != c.n {
+		if n, err := RequiredCircuits(got, c.b); err != nil || n != c.n {
 			t.Errorf("%v erlang at %v: %d circuits, want %d (%v)", got, c.b, n, c.n, err)
 		}
 	}
@@ -64,13 +64,13 @@
 		if c < b || c > 1 {
 			t.Fatalf("%v wait, %v would be lost", c, b)
 		}
-		at, err := ErlangBAt(a, float64(n))
+		at, err := ErlangBContinuous(a, float64(n))
 		if err != nil || at != b {
 			t.Fatalf("continuous %v, whole %v", at, b)
 		}
 		// between two whole numbers it lies between, and follows the recursion
 		x := float64(n) + rapid.Float64Range(0.01, 0.99).Draw(t, "part")
-		mid, _ := ErlangBAt(a, x)
+		mid, _ := ErlangBContinuous(a, x)
 		up, _ := ErlangB(a, n+1)
 		if mid > b || mid < up {
 			t.Fatalf("B(%v) = %v, B(%d) = %v, B(%d) = %v", x, mid, n, b, n+1, up)
@@ -83,8 +83,8 @@
 func TestContinuousFormFollowsItsRecursion(t *testing.T) {
 	for _, a := range []float64{0.1, 1, 7, 50} {
 		for _, x := range []float64{0.1, 0.5, 0.9} {
-			b, _ := ErlangBAt(a, x)
-			next, _ := ErlangBAt(a, x+1)
+			b, _ := ErlangBContinuous(a, x)
+			next, _ := ErlangBContinuous(a, x+1)
 			if want := a * b / (x + 1 + a*b); math.Abs(next-want) > 1e-12 {
 				t.Errorf("A=%v x=%v: %v, want %v", a, x, next, want)
 			}
@@ -123,7 +123,7 @@
 
 func TestLargeGroupsAndEdges(t *testing.T) {
 	for _, n := range []int{1000, 10000, 100000} {
-		a, err := Traffic(n, 0.01)
+		a, err := MaxTraffic(n, 0.01)
 		if err != nil || a < 0.95*float64(n) || a > 1.02*float64(n) {
 			t.Errorf("%d circuits: %v, %v", n, a, err)
 		}
@@ -135,14 +135,14 @@
 		t.Error(b, err)
 	}
 	for _, err := range []error{
-		second(ErlangB(-1, 1)), second(ErlangB(math.NaN(), 1)), second(ErlangB(1, -1)), second(ErlangB(1, MostCircuits+1)),
-		second(Traffic(1, 0)), second(Traffic(1, 1)), second(Traffic(1, math.NaN())), second(ErlangBAt(1, -0.5)), second(Engset(0, 1, 1)),
+		second(ErlangB(-1, 1)), second(ErlangB(math.NaN(), 1)), second(ErlangB(1, -1)), second(ErlangB(1, MaxCircuits+1)),
+		second(MaxTraffic(1, 0)), second(MaxTraffic(1, 1)), second(MaxTraffic(1, math.NaN())), second(ErlangBContinuous(1, -0.5)), second(Engset(0, 1, 1)),
 	} {
 		if !errors.Is(err, ErrDomain) {
 			t.Errorf("%v", err)
 		}
 	}
-	if _, err := Circuits(1e9, 0.01); !errors.Is(err, ErrDomain) {
+	if _, err := RequiredCircuits(1e9, 0.01); !errors.Is(err, ErrDomain) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/loss/several.go
+++ b/internal/loss/several.go
@@ -7,16 +7,16 @@
 
 // Stream is one class of calls on a group that several share.
 type Stream struct {
-	Traffic float64 // offered, in calls at the same time (erlang of calls, not of circuits)
-	Width   int     // circuits of one call
-	Reserve int     // circuits that it must leave free beyond its own
-	Peaky   float64 // variance over mean of the traffic on an unlimited group; 0 stands for 1, Poisson
+	Traffic     float64 // offered, in calls at the same time (erlang of calls, not of circuits)
+	Circuits    int     // circuits of one call
+	Reservation int     // circuits that it must leave free beyond its own
+	Peakedness  float64 // variance over mean of the traffic on an unlimited group; 0 stands for 1, Poisson
 }
 
-// Shares is what becomes of a stream.
-type Shares struct {
-	Time  float64 // of the time in which a call of it would find no room
-	Calls float64 // of its traffic that is lost; the same for Poisson traffic
+// Congestion is what becomes of a stream.
+type Congestion struct {
+	Time    float64 // of the time in which a call of it would find no room
+	Traffic float64 // of its traffic that is lost; the same for Poisson traffic
 }
 
 func checkStreams(circuits int, all []Stream) error {
@@ -27,21 +27,21 @@
 		switch {
 		case check(s.Traffic, 0) != nil:
 			return fmt.Errorf("stream %d: %w", i, check(s.Traffic, 0))
-		case s.Width < 1 || s.Reserve < 0:
-			return fmt.Errorf("stream %d: %d circuits wide, a reserve of %d: %w", i, s.Width, s.Reserve, ErrDomain)
-		case s.Peaky != 0 && !(s.Peaky >= 1 && !math.IsInf(s.Peaky, 0)):
-			return fmt.Errorf("stream %d: a peakedness of %v: %w", i, s.Peaky, ErrDomain)
+		case s.Circuits < 1 || s.Reservation < 0:
+			return fmt.Errorf("stream %d: %d circuits wide, a reserve of %d: %w", i, s.Circuits, s.Reservation, ErrDomain)
+		case s.Peakedness != 0 && !(s.Peakedness >= 1 && !math.IsInf(s.Peakedness, 0)):
+			return fmt.Errorf("stream %d: a peakedness of %v: %w", i, s.Peakedness, ErrDomain)
 		}
 	}
 	return nil
 }
 
-// Several is the losses of streams that share a group: the recursion of J. S.
+// KaufmanRoberts is the losses of streams that share a group: the recursion of J. S.
 // Kaufman ("Blocking in a shared resource environment", 1981) and J. W. Roberts
 // (1981), exact for Poisson streams without reserve; with reserve by Roberts'
 // approximation (1983), which takes a stream to be absent from the states that
 // it may not enter; peaky streams by L. E. N. Delbrouck's extension (1983).
-func Several(circuits int, all []Stream) ([]Shares, error) {
+func KaufmanRoberts(circuits int, all []Stream) ([]Congestion, error) {
 	if err := checkStreams(circuits, all); err != nil {
 		return nil, err
 	}
@@ -57,12 +57,12 @@
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
 		for k, s := range all {
-			from := n - s.Width
-			if from < 0 || from > circuits-s.Width-s.Reserve {
+			from := n - s.Circuits
+			if from < 0 || from > circuits-s.Circuits-s.Reservation {
 				continue
 			}
-			z := max(s.Peaky, 1)
-			x := s.Traffic / z * float64(s.Width) * q[from]
+			z := max(s.Peakedness, 1)
+			x := s.Traffic / z * float64(s.Circuits) * q[from]
 			r[k][n] = x
 			if z > 1 {
 				r[k][n] += (z - 1) / z * r[k][from]
@@ -88,15 +88,15 @@
 			sum = 1
 		}
 	}
-	out := make([]Shares, len(all))
+	out := make([]Congestion, len(all))
 	for k, s := range all {
-		for n := max(circuits-s.Width-s.Reserve+1, 0); n <= circuits; n++ {
+		for n := max(circuits-s.Circuits-s.Reservation+1, 0); n <= circuits; n++ {
 			out[k].Time += q[n] / sum
 		}
 		if s.Traffic > 0 {
 			// circuits held by the stream: the states' shares of it, n q(n) split by r
 			held := carried[k] / sum
-			out[k].Calls = min(max(1-held/(s.Traffic*float64(s.Width)), 0), 1)
+			out[k].Traffic = min(max(1-held/(s.Traffic*float64(s.Circuits)), 0), 1)
 		}
 	}
 	return out, nil
@@ -114,10 +114,10 @@
 	return m, m * (1 - m + traffic/(float64(circuits)+1-traffic+m)), nil
 }
 
-// Equivalent is the one group of Poisson traffic whose overflow has a mean and
+// EquivalentRandom is the one group of Poisson traffic whose overflow has a mean and
 // a variance (Wilkinson's equivalent random method), by Y. Rapp's approximation
 // (1964). The variance must not be under the mean.
-func Equivalent(mean, variance float64) (traffic, circuits float64, err error) {
+func EquivalentRandom(mean, variance float64) (traffic, circuits float64, err error) {
 	if !(mean > 0) || !(variance >= mean) || math.IsInf(variance, 0) {
 		return 0, 0, fmt.Errorf("a mean of %v with a variance of %v: %w", mean, variance, ErrDomain)
 	}
@@ -126,17 +126,17 @@
 	return traffic, max(traffic*(mean+z)/(mean+z-1)-mean-1, 0), nil
 }
 
-// PeakyLoss is the share of peaky traffic that a group loses, by the equivalent
+// Wilkinson is the share of peaky traffic that a group loses, by the equivalent
 // random method.
-func PeakyLoss(mean, variance float64, circuits int) (float64, error) {
+func Wilkinson(mean, variance float64, circuits int) (float64, error) {
 	if err := check(mean, circuits); err != nil {
 		return 0, err
 	}
-	a, n, err := Equivalent(mean, variance)
+	a, n, err := EquivalentRandom(mean, variance)
 	if err != nil {
 		return 0, err
 	}
-	b, err := ErlangBAt(a, n+float64(circuits))
+	b, err := ErlangBContinuous(a, n+float64(circuits))
 	if err != nil {
 		return 0, err
 	}
@@ -153,12 +153,12 @@
 		return 0, err
 	}
 	z := variance / mean
-	return ErlangBAt(mean/z, float64(circuits)/z)
+	return ErlangBContinuous(mean/z, float64(circuits)/z)
 }
 
-// Tries is how often a caller tries, on average, when each try is lost with b
+// MeanAttempts is how often a caller tries, on average, when each try is lost with b
 // and a lost one is followed by another with probability again, most times.
-func Tries(b, again float64, most int) float64 {
+func MeanAttempts(b, again float64, most int) float64 {
 	sum, x := 0.0, 1.0
 	for range most + 1 {
 		sum += x
@@ -167,11 +167,11 @@
 	return sum
 }
 
-// Repeated is the loss of a try and the traffic of all tries when lost callers
+// ExtendedErlangB is the loss of a try and the traffic of all tries when lost callers
 // dial again: the fixed point of B = ErlangB(first * Tries(B)), from below, so
 // that of two that there may be the lower one is found. ok is false if it did
 // not settle.
-func Repeated(first float64, circuits int, again float64, most int) (b, offered float64, ok bool, err error) {
+func ExtendedErlangB(first float64, circuits int, again float64, most int) (b, offered float64, ok bool, err error) {
 	if err := check(first, circuits); err != nil {
 		return 0, 0, false, err
 	}
@@ -179,7 +179,7 @@
 		return 0, 0, false, fmt.Errorf("%d further tries with a probability of %v: %w", most, again, ErrDomain)
 	}
 	for range 10000 {
-		offered = first * Tries(b, again, most)
+		offered = first * MeanAttempts(b, again, most)
 		next, err := ErlangB(offered, circuits)
 		if err != nil {
 			return 0, 0, false, err
@@ -192,15 +192,17 @@
 	return b, offered, false, nil
 }
 
-// First is the traffic of first tries behind the traffic of all tries, of which
+// FirstAttemptTraffic is the traffic of first tries behind the traffic of all tries, of which
 // a share b was lost.
-func First(offered, b, again float64, most int) float64 { return offered / Tries(b, again, most) }
+func FirstAttemptTraffic(offered, b, again float64, most int) float64 {
+	return offered / MeanAttempts(b, again, most)
+}
 
-// Impatient is the share of calls lost by a full group at which each call waits
+// ErlangA is the share of calls lost by a full group at which each call waits
 // for a circuit and leaves after a time that is exponential with a mean of so
 // many holding times (C. Palm's model, often called Erlang A). Patience 0 is
 // Erlang's first formula.
-func Impatient(traffic float64, circuits int, patience float64) (float64, error) {
+func ErlangA(traffic float64, circuits int, patience float64) (float64, error) {
 	b, err := ErlangB(traffic, circuits)
 	if err != nil {
 		return 0, err
--- a/internal/loss/several_test.go
+++ b/internal/loss/several_test.go
@@ -11,11 +11,11 @@
 // chain solves two Poisson streams on a group directly: all states, balanced
 // until they settle; with reserves too.
 func chain(n int, a, b Stream) (la, lb float64) {
-	fits := func(i, j int, s Stream) bool { return i*a.Width+j*b.Width+s.Width+s.Reserve <= n }
+	fits := func(i, j int, s Stream) bool { return i*a.Circuits+j*b.Circuits+s.Circuits+s.Reservation <= n }
 	type state struct{ i, j int }
 	var states []state
-	for i := 0; i*a.Width <= n; i++ {
-		for j := 0; i*a.Width+j*b.Width <= n; j++ {
+	for i := 0; i*a.Circuits <= n; i++ {
+		for j := 0; i*a.Circuits+j*b.Circuits <= n; j++ {
 			states = append(states, state{i, j})
 		}
 	}
@@ -80,14 +80,14 @@
 		a, b Stream
 		tol  float64 // relative
 	}{
-		{1, Stream{Traffic: 0.5, Width: 1}, Stream{Traffic: 0.2, Width: 2}, 1e-9},
-		{2, Stream{Traffic: 0.5, Width: 1}, Stream{Traffic: 0.2, Width: 2}, 1e-9},
-		{10, Stream{Traffic: 4, Width: 1}, Stream{Traffic: 1.5, Width: 2}, 1e-9},
-		{20, Stream{Traffic: 8, Width: 1}, Stream{Traffic: 2, Width: 3}, 1e-9},
+		{1, Stream{Traffic: 0.5, Circuits: 1}, Stream{Traffic: 0.2, Circuits: 2}, 1e-9},
+		{2, Stream{Traffic: 0.5, Circuits: 1}, Stream{Traffic: 0.2, Circuits: 2}, 1e-9},
+		{10, Stream{Traffic: 4, Circuits: 1}, Stream{Traffic: 1.5, Circuits: 2}, 1e-9},
+		{20, Stream{Traffic: 8, Circuits: 1}, Stream{Traffic: 2, Circuits: 3}, 1e-9},
 		// a reserve for the wide stream: an approximation
-		{20, Stream{Traffic: 9, Width: 1, Reserve: 1}, Stream{Traffic: 4, Width: 2}, 0.12},
+		{20, Stream{Traffic: 9, Circuits: 1, Reservation: 1}, Stream{Traffic: 4, Circuits: 2}, 0.12},
 	} {
-		got, err := Several(c.n, []Stream{c.a, c.b})
+		got, err := KaufmanRoberts(c.n, []Stream{c.a, c.b})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,10 +95,10 @@
 		if math.Abs(got[0].Time-la) > c.tol*la || math.Abs(got[1].Time-lb) > c.tol*lb {
 			t.Errorf("%d circuits: %.6f and %.6f, by the chain %.6f and %.6f", c.n, got[0].Time, got[1].Time, la, lb)
 		}
-		if c.a.Reserve == 0 && (math.Abs(got[0].Calls-la) > 1e-6 || math.Abs(got[1].Calls-lb) > 1e-6) {
-			t.Errorf("%d circuits: of traffic %.6f and %.6f", c.n, got[0].Calls, got[1].Calls)
+		if c.a.Reservation == 0 && (math.Abs(got[0].Traffic-la) > 1e-6 || math.Abs(got[1].Traffic-lb) > 1e-6) {
+			t.Errorf("%d circuits: of traffic %.6f and %.6f", c.n, got[0].Traffic, got[1].Traffic)
 		}
-		if c.a.Reserve == 0 && c.n >= 10 && got[1].Time < 1.5*got[0].Time {
+		if c.a.Reservation == 0 && c.n >= 10 && got[1].Time < 1.5*got[0].Time {
 			t.Errorf("%d circuits: wide calls lose %.4f, narrow ones %.4f", c.n, got[1].Time, got[0].Time)
 		}
 	}
@@ -108,18 +108,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.Float64Range(0.1, 400).Draw(t, "erlang")
 		n := rapid.IntRange(1, 400).Draw(t, "circuits")
-		got, err := Several(n, []Stream{{Traffic: a, Width: 1}})
+		got, err := KaufmanRoberts(n, []Stream{{Traffic: a, Circuits: 1}})
 		b, _ := ErlangB(a, n)
-		if err != nil || math.Abs(got[0].Time-b) > 1e-9 || math.Abs(got[0].Calls-b) > 1e-9 {
+		if err != nil || math.Abs(got[0].Time-b) > 1e-9 || math.Abs(got[0].Traffic-b) > 1e-9 {
 			t.Fatalf("%v, Erlang B %v (%v)", got, b, err)
 		}
 		// a reserve spares others and costs its own
-		with, _ := Several(n+5, []Stream{{Traffic: a, Width: 1, Reserve: 2}, {Traffic: a / 3, Width: 1}})
+		with, _ := KaufmanRoberts(n+5, []Stream{{Traffic: a, Circuits: 1, Reservation: 2}, {Traffic: a / 3, Circuits: 1}})
 		if with[0].Time < with[1].Time {
 			t.Fatalf("the reserve turned round: %v", with)
 		}
 	})
-	if got, err := Several(20000, []Stream{{Traffic: 19900, Width: 1}}); err != nil || math.IsNaN(got[0].Time) || got[0].Time <= 0 {
+	if got, err := KaufmanRoberts(20000, []Stream{{Traffic: 19900, Circuits: 1}}); err != nil || math.IsNaN(got[0].Time) || got[0].Time <= 0 {
 		t.Error(got, err)
 	}
 }
@@ -136,13 +136,13 @@
 	}
 	const n = 45
 	poisson, _ := ErlangB(mean, n)
-	wilkinson, err := PeakyLoss(mean, variance, n)
+	wilkinson, err := Wilkinson(mean, variance, n)
 	if err != nil {
 		t.Fatal(err)
 	}
 	hayward, _ := Hayward(mean, variance, n)
-	delbrouck, _ := Several(n, []Stream{{Traffic: mean, Width: 1, Peaky: variance / mean}})
-	t.Logf("%.2f erlang, peakedness %.2f on %d: Erlang B %.4f, Wilkinson %.4f, Hayward %.4f, Delbrouck %.4f", mean, variance/mean, n, poisson, wilkinson, hayward, delbrouck[0].Calls)
+	delbrouck, _ := KaufmanRoberts(n, []Stream{{Traffic: mean, Circuits: 1, Peakedness: variance / mean}})
+	t.Logf("%.2f erlang, peakedness %.2f on %d: Erlang B %.4f, Wilkinson %.4f, Hayward %.4f, Delbrouck %.4f", mean, variance/mean, n, poisson, wilkinson, hayward, delbrouck[0].Traffic)
 	if wilkinson < 1.5*poisson {
 		t.Error("peaky traffic loses as Poisson does")
 	}
@@ -150,29 +150,29 @@
 		t.Errorf("Hayward %v, Wilkinson %v", hayward, wilkinson)
 	}
 	// Pascal traffic has the same two moments and a heavier tail than overflow
-	if x := delbrouck[0].Calls; x < wilkinson || x > 1.4*wilkinson {
+	if x := delbrouck[0].Traffic; x < wilkinson || x > 1.4*wilkinson {
 		t.Errorf("Delbrouck %v, Wilkinson %v", x, wilkinson)
 	}
 	// the equivalent group gives the overflow that it was made for
-	a, s, _ := Equivalent(mean, variance)
-	if b, _ := ErlangBAt(a, s); math.Abs(a*b-mean) > 0.02*mean {
+	a, s, _ := EquivalentRandom(mean, variance)
+	if b, _ := ErlangBContinuous(a, s); math.Abs(a*b-mean) > 0.02*mean {
 		t.Errorf("the equivalent group turns %v away, want %v", a*b, mean)
 	}
 }
 
 func TestRepeatedTries(t *testing.T) {
-	b, offered, ok, err := Repeated(1, 1, 1, 2)
+	b, offered, ok, err := ExtendedErlangB(1, 1, 1, 2)
 	if err != nil || !ok {
 		t.Fatal(err, ok)
 	}
-	if first := First(offered, b, 1, 2); math.Abs(first-1) > 1e-9 {
+	if first := FirstAttemptTraffic(offered, b, 1, 2); math.Abs(first-1) > 1e-9 {
 		t.Errorf("first tries %v", first)
 	}
 	naive := offered
 	if naive < 1.3 {
 		t.Errorf("offered %v: redials inflate it by more", naive)
 	}
-	for _, err := range []error{third(Repeated(-1, 1, 1, 1)), third(Repeated(1, 1, 2, 1)), third(Repeated(1, 1, 1, -1))} {
+	for _, err := range []error{third(ExtendedErlangB(-1, 1, 1, 1)), third(ExtendedErlangB(1, 1, 2, 1)), third(ExtendedErlangB(1, 1, 1, -1))} {
 		if !errors.Is(err, ErrDomain) {
 			t.Error(err)
 		}
@@ -182,13 +182,13 @@
 func third(_, _ float64, _ bool, err error) error { return err }
 
 func TestStreamsOutsideTheDomain(t *testing.T) {
-	for _, s := range []Stream{{Traffic: -1, Width: 1}, {Traffic: 1}, {Traffic: 1, Width: 1, Reserve: -1}, {Traffic: 1, Width: 1, Peaky: 0.5},
-		{Traffic: math.NaN(), Width: 1}} {
-		if _, err := Several(10, []Stream{s}); !errors.Is(err, ErrDomain) {
+	for _, s := range []Stream{{Traffic: -1, Circuits: 1}, {Traffic: 1}, {Traffic: 1, Circuits: 1, Reservation: -1}, {Traffic: 1, Circuits: 1, Peakedness: 0.5},
+		{Traffic: math.NaN(), Circuits: 1}} {
+		if _, err := KaufmanRoberts(10, []Stream{s}); !errors.Is(err, ErrDomain) {
 			t.Errorf("%+v: %v", s, err)
 		}
 	}
-	if _, _, err := Equivalent(2, 1); !errors.Is(err, ErrDomain) {
+	if _, _, err := EquivalentRandom(2, 1); !errors.Is(err, ErrDomain) {
 		t.Error(err)
 	}
 }
--- a/internal/measure/batch.go
+++ b/internal/measure/batch.go
@@ -8,21 +8,21 @@
 
 // Options of Estimates.
 type Options struct {
-	Patience time.Duration // a try so soon after a lost one of the same caller's number is its repeat
-	Missing  float64       // share of the records that are known to be missing, whichever they are
-	Window   time.Duration // only the busiest so long counts, the same for all pairs; 0: all time
+	RetryWindow  time.Duration // a try so soon after a lost one of the same caller's number is its repeat
+	MissingShare float64       // share of the records that are known to be missing, whichever they are
+	BusyWindow   time.Duration // only the busiest so long counts, the same for all pairs; 0: all time
 }
 
 // Result is what records tell.
 type Result struct {
-	Pairs    []Estimate
-	Watched  map[int32]time.Duration // by source
-	Hot      []uint64                // numbers whose lost tries were left out
-	HotTries int                     // these tries
-	From, To time.Duration           // of the busiest window, or of all
-	Lives    int                     // of controllers
-	Groups   []Group                 // carried, in order
-	Unended  int                     // tries at the end of lives, left out because calls that began with them may have no record
+	Pairs        []Estimate
+	Observed     map[int32]time.Duration // by source
+	HotNumbers   []uint64                // numbers whose lost tries were left out
+	HotAttempts  int                     // these tries
+	From, To     time.Duration           // of the busiest window, or of all
+	Incarnations int                     // of controllers
+	Groups       []Group                 // carried, in order
+	TailAttempts int                     // tries at the end of lives, left out because calls that began with them may have no record
 }
 
 // A life is watched from its first try on. Records come when calls end, so that
@@ -50,7 +50,7 @@
 }
 
 // groupsOf adds up what groups carried; each call counts over the time that its source was watched.
-func groupsOf(tries []Try, watched map[int32]time.Duration) []Group {
+func groupsOf(tries []CallAttempt, watched map[int32]time.Duration) []Group {
 	sums := map[[2]int32]*Group{}
 	book := func(a, b int32, transit bool, circuits float64) {
 		k := [2]int32{min(a, b), max(a, b)}
@@ -70,7 +70,7 @@
 		if t.Lost || w <= 0 || t.Via < 0 {
 			continue
 		}
-		circuits := float64(max(t.Circuits, 1)) * t.Stood.Seconds() / w.Seconds()
+		circuits := float64(max(t.Circuits, 1)) * t.EstablishedFor.Seconds() / w.Seconds()
 		if t.Via == t.Dest {
 			book(t.Source, t.Dest, false, circuits)
 		} else {
@@ -86,60 +86,60 @@
 	return all
 }
 
-// Batch estimates offered traffic from the tries of one or more lives of each
+// EstimateBatch estimates offered traffic from the tries of one or more lives of each
 // controller. A controller that was away leaves a gap, which counts neither as
 // traffic nor as quiet. A number that very many call in vain is left out but for
 // the calls to it that stood. If Window is set, the result is that of the busiest
 // window: the time-consistent busy hour of ITU-T E.600 where it is an hour.
-func Batch(tries []Try, o Options) *Result {
+func EstimateBatch(tries []CallAttempt, o Options) *Result {
 	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Compare(a.At, b.At) })
-	r := &Result{Watched: map[int32]time.Duration{}}
+	slices.SortStableFunc(tries, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
+	r := &Result{Observed: map[int32]time.Duration{}}
 	if len(tries) == 0 {
 		return r
 	}
 	hot := hotNumbers(tries)
-	r.Hot = hot
+	r.HotNumbers = hot
 	lives := livesOf(tries)
-	r.Lives = len(lives)
-	r.From, r.To = tries[0].At, tries[len(tries)-1].At
-	if o.Window > 0 && r.To-r.From > o.Window {
-		r.From = busiest(tries, o.Window)
-		r.To = r.From + o.Window
+	r.Incarnations = len(lives)
+	r.From, r.To = tries[0].Start, tries[len(tries)-1].Start
+	if o.BusyWindow > 0 && r.To-r.From > o.BusyWindow {
+		r.From = busiest(tries, o.BusyWindow)
+		r.To = r.From + o.BusyWindow
 	}
 	for k := range lives {
-		r.Watched[k.source] += max(min(lives[k].until, r.To)-max(lives[k].from, r.From), 0)
+		r.Observed[k.source] += max(min(lives[k].until, r.To)-max(lives[k].from, r.From), 0)
 	}
-	e := New(r.From, o.Patience)
-	var counted []Try
+	e := NewEstimator(r.From, o.RetryWindow)
+	var counted []CallAttempt
 	for _, t := range tries {
 		_, isHot := slices.BinarySearch(hot, t.Number)
 		switch {
 		case isHot && t.Lost:
-			r.HotTries++
-		case t.At >= r.From && t.At > lives[lifeKey{t.Source, t.Life}].until:
-			r.Unended++
-		case t.At < r.From || t.At > r.To:
-			if t.Lost && t.At < r.From && t.At >= r.From-o.Patience {
-				e.remember(caller{t.Source, t.Number}, t.At) // its repeat may come within
+			r.HotAttempts++
+		case t.Start >= r.From && t.Start > lives[lifeKey{t.Source, t.Incarnation}].until:
+			r.TailAttempts++
+		case t.Start < r.From || t.Start > r.To:
+			if t.Lost && t.Start < r.From && t.Start >= r.From-o.RetryWindow {
+				e.remember(caller{t.Source, t.Number}, t.Start) // its repeat may come within
 			}
 		default:
 			e.Add(t)
 			counted = append(counted, t)
 		}
 	}
-	r.Groups = groupsOf(counted, r.Watched)
-	r.Pairs = e.over(func(source int32) time.Duration { return r.Watched[source] })
-	if o.Missing > 0 && o.Missing < 1 {
+	r.Groups = groupsOf(counted, r.Observed)
+	r.Pairs = e.over(func(source int32) time.Duration { return r.Observed[source] })
+	if o.MissingShare > 0 && o.MissingShare < 1 {
 		for i := range r.Pairs {
 			p := &r.Pairs[i]
-			for _, x := range []*float64{&p.Erlang, &p.Low, &p.High, &p.Naive, &p.Carried} {
-				*x /= 1 - o.Missing
+			for _, x := range []*float64{&p.Erlang, &p.Low, &p.High, &p.AllAttemptsErlang, &p.Carried} {
+				*x /= 1 - o.MissingShare
 			}
 		}
 		for i := range r.Groups {
-			r.Groups[i].Direct /= 1 - o.Missing
-			r.Groups[i].Transit /= 1 - o.Missing
+			r.Groups[i].Direct /= 1 - o.MissingShare
+			r.Groups[i].Transit /= 1 - o.MissingShare
 		}
 	}
 	return r
@@ -154,19 +154,19 @@
 type life struct{ from, last, cut, until time.Duration }
 
 // livesOf works out how long each life of each controller can be relied on.
-func livesOf(tries []Try) map[lifeKey]*life {
+func livesOf(tries []CallAttempt) map[lifeKey]*life {
 	tail := tailTimes * longest(tries)
 	lives := map[lifeKey]*life{}
 	for _, t := range tries {
-		k := lifeKey{t.Source, t.Life}
+		k := lifeKey{t.Source, t.Incarnation}
 		l := lives[k]
 		if l == nil {
-			l = &life{from: t.At}
+			l = &life{from: t.Start}
 			lives[k] = l
 		}
-		l.last = max(l.last, t.At+t.Stood)
+		l.last = max(l.last, t.Start+t.EstablishedFor)
 		if t.Cut {
-			l.cut = max(l.cut, t.At+t.Stood)
+			l.cut = max(l.cut, t.Start+t.EstablishedFor)
 		}
 	}
 	for _, l := range lives {
@@ -181,18 +181,18 @@
 // Slot is what one pair and class showed in one step of time.
 type Slot struct {
 	Key
-	At                        time.Duration // its begin
-	Tries, First, Lost, Ended int
-	Held                      time.Duration // of all that stood
-	Watched                   time.Duration
+	Begin                                    time.Duration // its begin
+	Attempts, FirstAttempts, Lost, Completed int
+	HeldTime                                 time.Duration // of all that stood
+	Observed                                 time.Duration
 }
 
 // Slots cuts tries into steps of time by when they were made, as Batch would
 // take them. A pair and class that showed itself in a life has a slot for each
 // step in which that life was watched, also where nothing was tried.
-func Slots(tries []Try, o Options, step time.Duration) []Slot {
+func Slots(tries []CallAttempt, o Options, step time.Duration) []Slot {
 	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b Try) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(tries, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
 	if len(tries) == 0 || step <= 0 {
 		return nil
 	}
@@ -206,42 +206,42 @@
 		at -= at % step
 		s := slots[slotKey{k, at}]
 		if s == nil {
-			s = &Slot{Key: k, At: at}
+			s = &Slot{Key: k, Begin: at}
 			slots[slotKey{k, at}] = s
 		}
 		return s
 	}
 	shown := map[lifeKey]map[Key]bool{}
-	e := New(tries[0].At, o.Patience) // knows redials
+	e := NewEstimator(tries[0].Start, o.RetryWindow) // knows redials
 	for _, t := range tries {
-		k, l := Key{t.Source, t.Dest, t.Class}, lifeKey{t.Source, t.Life}
-		if _, isHot := slices.BinarySearch(hot, t.Number); isHot && t.Lost || t.At > lives[l].until {
+		k, l := Key{t.Source, t.Dest, t.Class}, lifeKey{t.Source, t.Incarnation}
+		if _, isHot := slices.BinarySearch(hot, t.Number); isHot && t.Lost || t.Start > lives[l].until {
 			continue
 		}
 		if shown[l] == nil {
 			shown[l] = map[Key]bool{}
 		}
 		shown[l][k] = true
-		s := get(k, t.At)
-		s.Tries++
+		s := get(k, t.Start)
+		s.Attempts++
 		c := caller{t.Source, t.Number}
-		if !t.Repeat && !e.again(c, t.At) {
-			s.First++
+		if !t.MarkedRetry && !e.again(c, t.Start) {
+			s.FirstAttempts++
 		}
 		if t.Lost {
 			s.Lost++
-			e.remember(c, t.At)
+			e.remember(c, t.Start)
 			continue
 		}
-		s.Held += t.Stood
+		s.HeldTime += t.EstablishedFor
 		if !t.Cut {
-			s.Ended++
+			s.Completed++
 		}
 	}
 	for id, l := range lives {
 		for k := range shown[id] {
 			for at := l.from - l.from%step; at < l.until; at += step {
-				get(k, at).Watched += min(at+step, l.until) - max(at, l.from)
+				get(k, at).Observed += min(at+step, l.until) - max(at, l.from)
 			}
 		}
 	}
@@ -250,17 +250,17 @@
 		all = append(all, *s)
 	}
 	slices.SortFunc(all, func(a, b Slot) int {
-		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Class, b.Class), cmp.Compare(a.At, b.At))
+		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Begin, b.Begin))
 	})
 	return all
 }
 
 // longest is the longest mean holding time of a class.
-func longest(tries []Try) time.Duration {
+func longest(tries []CallAttempt) time.Duration {
 	held, ended := map[uint8]time.Duration{}, map[uint8]int{}
 	for _, t := range tries {
 		if !t.Lost {
-			held[t.Class] += t.Stood
+			held[t.Class] += t.EstablishedFor
 			if !t.Cut {
 				ended[t.Class]++
 			}
@@ -274,7 +274,7 @@
 }
 
 // hotNumbers lists numbers that very many call in vain, in order.
-func hotNumbers(tries []Try) []uint64 {
+func hotNumbers(tries []CallAttempt) []uint64 {
 	all, lost := map[uint64]int{}, map[uint64]int{}
 	for _, t := range tries {
 		all[t.Number]++
@@ -294,17 +294,17 @@
 
 // busiest is the begin of the window in which tries ask for most circuits, all
 // pairs together.
-func busiest(tries []Try, window time.Duration) time.Duration {
-	at, most, sum, from := tries[0].At, 0.0, 0.0, 0
-	weight := func(t Try) float64 { return float64(max(t.Circuits, 1)) }
+func busiest(tries []CallAttempt, window time.Duration) time.Duration {
+	at, most, sum, from := tries[0].Start, 0.0, 0.0, 0
+	weight := func(t CallAttempt) float64 { return float64(max(t.Circuits, 1)) }
 	for _, t := range tries {
 		sum += weight(t)
-		for tries[from].At <= t.At-window {
+		for tries[from].Start <= t.Start-window {
 			sum -= weight(tries[from])
 			from++
 		}
-		if t.At-tries[0].At >= window && sum > most {
-			most, at = sum, t.At-window
+		if t.Start-tries[0].Start >= window && sum > most {
+			most, at = sum, t.Start-window
 		}
 	}
 	return at
--- a/internal/measure/batch_test.go
+++ b/internal/measure/batch_test.go
@@ -10,9 +10,9 @@
 const second = time.Second
 
 // day is tries on ample circuits, 10 s long on average.
-func day(erlang, seconds float64, seed uint64) []Try {
-	var all []Try
-	play(erlang, 100000, 0, false, seconds, seed, func(t Try) { all = append(all, t) })
+func day(erlang, seconds float64, seed uint64) []CallAttempt {
+	var all []CallAttempt
+	play(erlang, 100000, 0, false, seconds, seed, func(t CallAttempt) { all = append(all, t) })
 	return all
 }
 
@@ -31,25 +31,25 @@
 // A controller that is killed in the middle and away for a while: its calls then
 // have no record, and the gap is no traffic. Taken for whole, it reads too low.
 func TestRestartInTheMiddle(t *testing.T) {
-	var all []Try
+	var all []CallAttempt
 	for _, x := range day(20, 2000, 1) {
-		switch end := x.At + x.Stood; {
-		case x.At < 900*second && end > 900*second, x.At >= 900*second && x.At < 1100*second, end > 2000*second:
+		switch end := x.Start + x.EstablishedFor; {
+		case x.Start < 900*second && end > 900*second, x.Start >= 900*second && x.Start < 1100*second, end > 2000*second:
 			continue // killed with it, tried while it was away, or not over when the records were read
-		case x.At >= 1100*second:
-			x.Life = 2
+		case x.Start >= 1100*second:
+			x.Incarnation = 2
 		}
 		all = append(all, x)
 	}
-	r := Batch(all, Options{Patience: 9 * second})
+	r := EstimateBatch(all, Options{RetryWindow: 9 * second})
 	one(t, r, 20, 0.05)
-	if r.Lives != 2 || r.Unended == 0 {
-		t.Errorf("%d lives, %d left out", r.Lives, r.Unended)
+	if r.Incarnations != 2 || r.TailAttempts == 0 {
+		t.Errorf("%d lives, %d left out", r.Incarnations, r.TailAttempts)
 	}
 	for i := range all {
-		all[i].Life = 0
+		all[i].Incarnation = 0
 	}
-	if p := Batch(all, Options{}).Pairs[0]; p.Erlang > 0.95*20 {
+	if p := EstimateBatch(all, Options{}).Pairs[0]; p.Erlang > 0.95*20 {
 		t.Errorf("as one life: %.2f erlang", p.Erlang)
 	}
 }
@@ -57,34 +57,34 @@
 // A controller that leaves in order cuts what stands and tells of it: the holding
 // time is that of calls that were not cut, and nothing is left out.
 func TestCutAtTheEnd(t *testing.T) {
-	var all []Try
+	var all []CallAttempt
 	sum, n := 0.0, 0
 	for _, x := range day(20, 60, 2) {
-		if x.At+x.Stood > 60*second {
-			x.Stood, x.Cut = 60*second-x.At, true
+		if x.Start+x.EstablishedFor > 60*second {
+			x.EstablishedFor, x.Cut = 60*second-x.Start, true
 		}
-		sum += x.Stood.Seconds()
+		sum += x.EstablishedFor.Seconds()
 		n++
 		all = append(all, x)
 	}
-	r := Batch(all, Options{})
+	r := EstimateBatch(all, Options{})
 	p := one(t, r, 20, 0.25)
-	if r.Unended != 0 || sum/float64(n) > 0.92*p.Holding.Seconds() {
-		t.Errorf("%d left out, holding time %v, %.2f s with the cut ones taken as ended", r.Unended, p.Holding, sum/float64(n))
+	if r.TailAttempts != 0 || sum/float64(n) > 0.92*p.HoldingTime.Seconds() {
+		t.Errorf("%d left out, holding time %v, %.2f s with the cut ones taken as ended", r.TailAttempts, p.HoldingTime, sum/float64(n))
 	}
 }
 
 // Half of the records missing, and it is known that they are.
 func TestHalfMissing(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	var all []Try
+	var all []CallAttempt
 	for _, x := range day(20, 2000, 3) {
 		if rnd.IntN(2) == 0 {
 			all = append(all, x)
 		}
 	}
-	p := one(t, Batch(all, Options{Missing: 0.5}), 20, 0.06)
-	if half := Batch(all, Options{}).Pairs[0]; half.High > 15 || p.High-p.Low < 1.9*(half.High-half.Low) {
+	p := one(t, EstimateBatch(all, Options{MissingShare: 0.5}), 20, 0.06)
+	if half := EstimateBatch(all, Options{}).Pairs[0]; half.High > 15 || p.High-p.Low < 1.9*(half.High-half.Low) {
 		t.Errorf("%.2f erlang without knowing it; intervals of %.2f and %.2f", half.Erlang, p.High-p.Low, half.High-half.Low)
 	}
 }
@@ -94,23 +94,23 @@
 	rnd := rand.New(rand.NewPCG(4, 4))
 	all := day(20, 2000, 4)
 	for range 3000 {
-		x := Try{At: time.Duration(rnd.Float64() * 2000e9), Dest: 1, Circuits: 1, Number: 4040, Lost: rnd.IntN(50) > 0}
+		x := CallAttempt{Start: time.Duration(rnd.Float64() * 2000e9), Dest: 1, Circuits: 1, Number: 4040, Lost: rnd.IntN(50) > 0}
 		if !x.Lost {
-			x.Stood = 10 * second
+			x.EstablishedFor = 10 * second
 		}
 		all = append(all, x)
 	}
-	r := Batch(all, Options{Patience: 9 * second})
+	r := EstimateBatch(all, Options{RetryWindow: 9 * second})
 	one(t, r, 20.3, 0.05)
-	if len(r.Hot) != 1 || r.Hot[0] != 4040 || r.HotTries < 2800 {
-		t.Errorf("hot numbers %v, %d tries", r.Hot, r.HotTries)
+	if len(r.HotNumbers) != 1 || r.HotNumbers[0] != 4040 || r.HotAttempts < 2800 {
+		t.Errorf("hot numbers %v, %d tries", r.HotNumbers, r.HotAttempts)
 	}
 	for i := range all { // as if each had called another one
 		if all[i].Number == 4040 {
 			all[i].Number = rnd.Uint64() | 1<<60
 		}
 	}
-	if p := Batch(all, Options{}).Pairs[0]; p.Erlang < 30 {
+	if p := EstimateBatch(all, Options{}).Pairs[0]; p.Erlang < 30 {
 		t.Errorf("read as demand: %.2f erlang", p.Erlang)
 	}
 }
@@ -120,40 +120,40 @@
 func TestDrift(t *testing.T) {
 	all := day(10, 3000, 5)
 	for _, x := range day(20, 1000, 6) {
-		x.At += 1000 * second
+		x.Start += 1000 * second
 		x.Number |= 1 << 50
 		all = append(all, x)
 	}
-	r := Batch(all, Options{Window: 900 * second})
+	r := EstimateBatch(all, Options{BusyWindow: 900 * second})
 	if p := r.Pairs[0]; math.Abs(p.Erlang-30) > 0.08*30 || r.From < 950*second || r.To > 2050*second {
 		t.Errorf("busy window %v to %v: %.2f erlang", r.From, r.To, p.Erlang)
 	}
-	if p := Batch(all, Options{}).Pairs[0]; p.Erlang > 20 {
+	if p := EstimateBatch(all, Options{}).Pairs[0]; p.Erlang > 20 {
 		t.Errorf("all time: %.2f erlang", p.Erlang)
 	}
 }
 
 func TestBatchOfNothing(t *testing.T) {
-	if r := Batch(nil, Options{Window: second}); len(r.Pairs) != 0 {
+	if r := EstimateBatch(nil, Options{BusyWindow: second}); len(r.Pairs) != 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := Batch([]Try{{At: second, Stood: second}}, Options{Missing: 2}); len(r.Pairs) > 1 {
+	if r := EstimateBatch([]CallAttempt{{Start: second, EstablishedFor: second}}, Options{MissingShare: 2}); len(r.Pairs) > 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // The price of measuring a running controller's calls, a tenth of them lost, beside a bare map of counts.
 func BenchmarkAdd(b *testing.B) {
-	try := func(i int) Try {
-		return Try{At: time.Duration(i) * time.Millisecond, Source: 1, Dest: int32(i % 30), Circuits: 1, Number: uint64(i), Lost: i%10 == 0, Stood: second}
+	try := func(i int) CallAttempt {
+		return CallAttempt{Start: time.Duration(i) * time.Millisecond, Source: 1, Dest: int32(i % 30), Circuits: 1, Number: uint64(i), Lost: i%10 == 0, EstablishedFor: second}
 	}
 	b.Run("live", func(b *testing.B) {
-		l := NewLive(0, 15*time.Minute, 9*second)
+		l := NewMeter(0, 15*time.Minute, 9*second)
 		b.ReportAllocs()
 		i := 0
 		for b.Loop() {
 			t := try(i)
-			l.Add(t.At, t)
+			l.Add(t.Start, t)
 			i++
 		}
 	})
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Try is one call as a controller saw it end.
-type Try struct {
-	At       time.Duration // when it was made
-	Source   int32         // exchange of the caller
-	Dest     int32
-	Via      int32 // exchange that it stood over: Dest, or a tandem; -1 if it did not stand
-	Class    uint8
-	Circuits int
-	Number   uint64 // called, or its hash
-	Repeat   bool   // marked by the caller as a further try
-	Lost     bool   // refused, failed or left: it may be followed by another
-	Cut      bool   // stood, and was ended before its time
-	Stood    time.Duration
-	Life     uint64 // of its controller
+// CallAttempt is one call as a controller saw it end.
+type CallAttempt struct {
+	Start          time.Duration // when it was made
+	Source         int32         // exchange of the caller
+	Dest           int32
+	Via            int32 // exchange that it stood over: Dest, or a tandem; -1 if it did not stand
+	Class          uint8
+	Circuits       int
+	Number         uint64 // called, or its hash
+	MarkedRetry    bool   // marked by the caller as a further try
+	Lost           bool   // refused, failed or left: it may be followed by another
+	Cut            bool   // stood, and was ended before its time
+	EstablishedFor time.Duration
+	Incarnation    uint64 // of its controller
 }
 
 // Key of an estimate.
@@ -35,15 +35,17 @@
 // Estimate is what one pair and class offers.
 type Estimate struct {
 	Key
+	// Tries counts all attempts, First the first attempts (those that repeat no
+	// lost one), Lost the lost attempts.
 	Tries, First, Lost int
-	Stood              int
-	Holding            time.Duration // mean, of those that stood, as if none had been cut
-	Erlang             float64       // offered by first tries: calls at the same time
-	Low, High          float64       // 95 % interval of Erlang
-	Naive              float64       // the same if each try were a call of its own
-	Carried            float64       // circuits taken, on average
-	Loss               float64       // share of tries lost
-	Known              bool          // Erlang is told: some call stood to its end, so that its holding time is known
+	Established        int           `json:"Stood"`   // calls
+	HoldingTime        time.Duration `json:"Holding"` // mean of established calls, corrected for calls that were cut
+	Erlang             float64       // traffic offered by first attempts
+	Low, High          float64       // 95 % confidence interval of Erlang
+	AllAttemptsErlang  float64       `json:"Naive"` // traffic if every attempt counted as a first attempt
+	Carried            float64       // mean number of circuits taken
+	Loss               float64       // share of attempts lost
+	Known              bool          // Erlang is valid: at least one call ended uncut, so that the holding time is known
 }
 
 // mostNumbers bounds what is remembered of callers who may dial again, in each
@@ -60,13 +62,13 @@
 
 // Estimator adds tries up, in about the order of their time.
 type Estimator struct {
-	patience time.Duration
-	from, to time.Duration
-	sums     map[Key]*sum
-	lost     [2]map[caller]time.Duration // when a caller was lost last
-	turned   time.Duration
-	Forgot   int // generations turned early, for want of room
-	Shed     int // tries of further keys than are kept
+	patience       time.Duration
+	from, to       time.Duration
+	sums           map[Key]*sum
+	lost           [2]map[caller]time.Duration // when a caller was lost last
+	turned         time.Duration
+	EarlyRotations int // generations turned early, for want of room
+	ShedAttempts   int // tries of further keys than are kept
 }
 
 type sum struct {
@@ -77,43 +79,43 @@
 	circuits                  float64 // circuit-seconds
 }
 
-// New starts an estimator for calls that began from a time on. A try within the
+// NewEstimator starts an estimator for calls that began from a time on. A try within the
 // patience of a lost one for the same number counts as its repeat.
-func New(from, patience time.Duration) *Estimator {
+func NewEstimator(from, patience time.Duration) *Estimator {
 	return &Estimator{patience: patience, from: from, to: from, sums: map[Key]*sum{},
 		lost: [2]map[caller]time.Duration{{}, {}}, turned: from}
 }
 
-// Live is what a running controller keeps: an estimator that begins anew when
+// Meter is what a running controller keeps: an estimator that begins anew when
 // its time is over, and the one of the time before.
-type Live struct {
+type Meter struct {
 	span, patience time.Duration
 	now, before    *Estimator
 }
 
-// NewLive starts one whose figures are those of the last span or two.
-func NewLive(from, span, patience time.Duration) *Live {
-	return &Live{span: span, patience: patience, now: New(from, patience)}
+// NewMeter starts one whose figures are those of the last span or two.
+func NewMeter(from, span, patience time.Duration) *Meter {
+	return &Meter{span: span, patience: patience, now: NewEstimator(from, patience)}
 }
 
 // Add books a try that ended just now. It counts where it ends.
-func (l *Live) Add(at time.Duration, t Try) {
+func (l *Meter) Add(at time.Duration, t CallAttempt) {
 	l.turn(at)
 	l.now.Add(t)
 }
 
-func (l *Live) turn(at time.Duration) {
+func (l *Meter) turn(at time.Duration) {
 	if at-l.now.from < l.span {
 		return
 	}
-	next := New(at, l.patience)
+	next := NewEstimator(at, l.patience)
 	next.lost, next.turned = l.now.lost, l.now.turned // redials are still to be known
 	l.before, l.now = l.now, next
 }
 
 // Estimates lists what was offered in the last whole span, or since the start
 // where none is over, and from when to when that was.
-func (l *Live) Estimates(at time.Duration) (all []Estimate, from, to time.Duration) {
+func (l *Meter) Estimates(at time.Duration) (all []Estimate, from, to time.Duration) {
 	l.turn(at)
 	if e := l.before; e != nil {
 		return e.Estimates(l.now.from), e.from, l.now.from
@@ -122,30 +124,30 @@
 }
 
 // Add books a try.
-func (e *Estimator) Add(t Try) {
+func (e *Estimator) Add(t CallAttempt) {
 	k := Key{t.Source, t.Dest, t.Class}
 	s := e.sums[k]
 	if s == nil {
 		if len(e.sums) >= mostKeys {
-			e.Shed++
+			e.ShedAttempts++
 			return
 		}
 		s = &sum{}
 		e.sums[k] = s
 	}
-	e.to = max(e.to, t.At)
+	e.to = max(e.to, t.Start)
 	s.tries++
 	c := caller{t.Source, t.Number}
-	if !t.Repeat && !e.again(c, t.At) {
+	if !t.MarkedRetry && !e.again(c, t.Start) {
 		s.first++
 	}
 	if t.Lost {
 		s.lost++
-		e.remember(c, t.At)
+		e.remember(c, t.Start)
 		return
 	}
 	s.stood++
-	h := t.Stood.Seconds()
+	h := t.EstablishedFor.Seconds()
 	s.held += h
 	if !t.Cut {
 		s.ended++
@@ -171,7 +173,7 @@
 	full := len(e.lost[0]) >= mostNumbers
 	if full || at-e.turned > e.patience {
 		if full && at-e.turned <= e.patience {
-			e.Forgot++
+			e.EarlyRotations++
 		}
 		e.lost[1], e.lost[0], e.turned = e.lost[0], map[caller]time.Duration{}, at
 	}
@@ -197,7 +199,7 @@
 		if span <= 0 {
 			continue
 		}
-		x := Estimate{Key: k, Tries: s.tries, First: s.first, Lost: s.lost, Stood: s.stood, Loss: float64(s.lost) / float64(s.tries),
+		x := Estimate{Key: k, Tries: s.tries, First: s.first, Lost: s.lost, Established: s.stood, Loss: float64(s.lost) / float64(s.tries),
 			Carried: s.circuits / span.Seconds()}
 		if s.ended > 0 {
 			// calls that were cut would have gone on: their time counts, their ends don't (the
@@ -205,9 +207,9 @@
 			mean := s.held / float64(s.ended)
 			whole := s.whole / float64(s.ended)
 			cv2 := max(s.squares/float64(s.ended)/(whole*whole)-1, 0)
-			x.Known, x.Holding = mean > 0, time.Duration(mean*float64(time.Second))
+			x.Known, x.HoldingTime = mean > 0, time.Duration(mean*float64(time.Second))
 			x.Erlang = float64(s.first) * mean / span.Seconds()
-			x.Naive = float64(s.tries) * mean / span.Seconds()
+			x.AllAttemptsErlang = float64(s.tries) * mean / span.Seconds()
 			if s.first > 0 {
 				half := z95 * math.Sqrt((1+cv2)/float64(s.first))
 				x.Low, x.High = x.Erlang*max(1-half, 0), x.Erlang*(1+half)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -31,7 +31,7 @@
 
 // play offers so much traffic of first tries to a group for a time; each lost
 // caller dials again up to most times, and marks it or not.
-func play(erlang float64, circuits, most int, marks bool, seconds float64, seed uint64, each func(Try)) {
+func play(erlang float64, circuits, most int, marks bool, seconds float64, seed uint64, each func(CallAttempt)) {
 	const holding = 10.0
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	q := &events{}
@@ -51,7 +51,7 @@
 			n++
 			heap.Push(q, event{at: e.at + rnd.ExpFloat64()*holding/erlang, number: n + 1})
 		}
-		t := Try{At: time.Duration(e.at * 1e9), Dest: 1, Number: e.number, Repeat: marks && e.tries > 0, Lost: free == 0, Circuits: 1}
+		t := CallAttempt{Start: time.Duration(e.at * 1e9), Dest: 1, Number: e.number, MarkedRetry: marks && e.tries > 0, Lost: free == 0, Circuits: 1}
 		if free == 0 {
 			if e.tries < most {
 				heap.Push(q, event{at: e.at + 1 + rnd.ExpFloat64(), number: e.number, tries: e.tries + 1})
@@ -59,7 +59,7 @@
 		} else {
 			h := rnd.ExpFloat64() * holding
 			free--
-			t.Stood = time.Duration(h * 1e9)
+			t.EstablishedFor = time.Duration(h * 1e9)
 			heap.Push(q, event{at: e.at + h, ends: true})
 		}
 		each(t)
@@ -70,19 +70,19 @@
 // counting every try is far off; marked or not.
 func TestRedialsDontInflateDemand(t *testing.T) {
 	for _, marks := range []bool{true, false} {
-		e := New(0, 30*time.Second)
+		e := NewEstimator(0, 30*time.Second)
 		play(1, 1, 2, marks, 400000, 3, e.Add)
 		got := e.Estimates(400000 * time.Second)
 		if len(got) != 1 || !got[0].Known {
 			t.Fatalf("%+v", got)
 		}
 		x := got[0]
-		t.Logf("marked %v: %.4f (%.3f to %.3f), each try by itself %.3f, loss %.3f", marks, x.Erlang, x.Low, x.High, x.Naive, x.Loss)
+		t.Logf("marked %v: %.4f (%.3f to %.3f), each try by itself %.3f, loss %.3f", marks, x.Erlang, x.Low, x.High, x.AllAttemptsErlang, x.Loss)
 		if math.Abs(x.Erlang-1) > 0.03 || x.Low > 1 || x.High < 1 {
 			t.Errorf("offered 1, measured %.4f (%.4f to %.4f)", x.Erlang, x.Low, x.High)
 		}
-		if x.Naive < 1.4 {
-			t.Errorf("each try by itself says %.3f", x.Naive)
+		if x.AllAttemptsErlang < 1.4 {
+			t.Errorf("each try by itself says %.3f", x.AllAttemptsErlang)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	const a, n, days = 4.46, 10, 200
 	in, lost, tries := 0, 0, 0
 	for seed := range uint64(days) {
-		e := New(0, 30*time.Second)
+		e := NewEstimator(0, 30*time.Second)
 		play(a, n, 0, false, 4000, 100+seed, e.Add)
 		x := e.Estimates(4000 * time.Second)[0]
 		lost, tries = lost+x.Lost, tries+x.Tries
@@ -111,17 +111,17 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	e := New(0, time.Hour)
+	e := NewEstimator(0, time.Hour)
 	for i := range uint64(5 * mostNumbers) {
-		e.Add(Try{At: time.Duration(i) * time.Millisecond, Number: i, Lost: true})
+		e.Add(CallAttempt{Start: time.Duration(i) * time.Millisecond, Number: i, Lost: true})
 	}
-	if n := len(e.lost[0]) + len(e.lost[1]); n > 2*mostNumbers || e.Forgot == 0 {
-		t.Errorf("%d numbers are kept, %d generations turned early", n, e.Forgot)
+	if n := len(e.lost[0]) + len(e.lost[1]); n > 2*mostNumbers || e.EarlyRotations == 0 {
+		t.Errorf("%d numbers are kept, %d generations turned early", n, e.EarlyRotations)
 	}
 	if x := e.Estimates(time.Hour)[0]; x.Known || x.Loss != 1 {
 		t.Errorf("traffic of calls that never stood: %+v", x)
 	}
-	if got := New(0, time.Second).Estimates(0); got != nil {
+	if got := NewEstimator(0, time.Second).Estimates(0); got != nil {
 		t.Errorf("%+v of nothing", got)
 	}
 }
--- a/internal/network/group.go
+++ b/internal/network/group.go
@@ -133,10 +133,10 @@
 			if sides[e].dear != nil {
 				dear = sides[e].dear[c]
 			}
-			reach := circuits - cl.Width - int(math.Ceil(max(most(dear), most(sides[e].reserve))))
+			reach := circuits - cl.Circuits - int(math.Ceil(max(most(dear), most(sides[e].reserve))))
 			d, t := make([]float64, circuits+1), make([]float64, circuits+1)
 			for n := range d {
-				spare := circuits - n - cl.Width
+				spare := circuits - n - cl.Circuits
 				if n <= reach {
 					d[n], t[n] = 1, 1
 					continue
@@ -153,12 +153,12 @@
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
 		for c, cl := range classes {
-			from := n - cl.Width
+			from := n - cl.Circuits
 			if from < 0 {
 				continue
 			}
 			for e := range sides {
-				w := float64(cl.Width) * q[from]
+				w := float64(cl.Circuits) * q[from]
 				total += w * (sides[e].direct[c]*direct[c][e][from] + sides[e].transit[c]*transit[c][e][from])
 			}
 		}
@@ -174,8 +174,8 @@
 	ends, all := 0.0, 0.0
 	for c, cl := range classes {
 		for e := range sides {
-			a := (sides[e].direct[c] + sides[e].transit[c]) * float64(cl.Width)
-			ends += a / cl.Holding
+			a := (sides[e].direct[c] + sides[e].transit[c]) * float64(cl.Circuits)
+			ends += a / cl.HoldingTime
 			all += a
 		}
 	}
@@ -255,7 +255,7 @@
 		for ; j < len(order) && classes[order[j]].Worth == classes[order[i]].Worth; j++ {
 			c := order[j]
 			for e := range sides {
-				more += sides[e].direct[c] * sides[e].waits[c] / classes[c].Holding
+				more += sides[e].direct[c] * sides[e].waits[c] / classes[c].HoldingTime
 			}
 		}
 		arrive += more
@@ -287,7 +287,7 @@
 	for e := range sides {
 		direct[e] = make([]float64, len(classes))
 		for c, cl := range classes {
-			w := float64(cl.Width)
+			w := float64(cl.Circuits)
 			d := sides[e].direct[c] * (1 - s.full[e][c] + s.full[e][c]*sides[e].waits[c]*(1-s.left[c]))
 			direct[e][c] = w * d
 			transit += w * sides[e].transit[c] * (1 - s.shut[e][c])
@@ -309,6 +309,6 @@
 
 // dearer tells whether class d is worth far more by the circuit and second than c.
 func dearer(classes []Class, d, c int) bool {
-	value := func(x Class) float64 { return x.Worth / (float64(x.Width) * x.Holding) }
+	value := func(x Class) float64 { return x.Worth / (float64(x.Circuits) * x.HoldingTime) }
 	return value(classes[d]) > dearFactor*value(classes[c])
 }
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -29,14 +29,14 @@
 	return m
 }
 
-func solve(t testing.TB, m *Mesh) *Answer {
+func solve(t testing.TB, m *Mesh) *Result {
 	t.Helper()
 	a, err := Solve(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !a.Converged || !a.Other.Converged {
-		t.Fatalf("not converged: %v after %d steps, %v after %d", a.Change, a.Steps, a.Other.Change, a.Other.Steps)
+	if !a.Converged || !a.FromFull.Converged {
+		t.Fatalf("not converged: %v after %d steps, %v after %d", a.LastChange, a.Iterations, a.FromFull.LastChange, a.FromFull.Iterations)
 	}
 	return a
 }
@@ -66,12 +66,12 @@
 	}
 	two := uniform(3, 20, 6, Class{"one", 1, 90, 1}, Class{"two", 2, 60, 1})
 	a = solve(t, two)
-	want, err := loss.Several(20, []loss.Stream{{Traffic: 6, Width: 1}, {Traffic: 6, Width: 2}})
+	want, err := loss.KaufmanRoberts(20, []loss.Stream{{Traffic: 6, Circuits: 1}, {Traffic: 6, Circuits: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for c := range want {
-		near(t, "loss of a width", a.ByClass[c], want[c].Time, 1e-6)
+		near(t, "loss of a width", a.LossByClass[c], want[c].Time, 1e-6)
 	}
 }
 
@@ -79,8 +79,8 @@
 func TestWaitingCalls(t *testing.T) {
 	const c, a, hold, wait = 10, 9.0, 90.0, 9.0
 	m := uniform(2, c, a/2)
-	m.Wait = wait
-	got := solve(t, m).ByClass[0]
+	m.MeanWait = wait
+	got := solve(t, m).LossByClass[0]
 	lambda, p, sum, left := a/hold, 1.0, 1.0, 0.0
 	for n := 1; n < 200; n++ {
 		out := float64(min(n, c)) / hold
@@ -189,30 +189,30 @@
 	found, stay := 0, 0 // loads with two states, without and with the reserve that follows
 	for _, erlang := range []float64{40, 46, 48, 50, 52, 54, 60} {
 		m := uniform(12, 120, erlang)
-		m.Tandems = 2
+		m.MaxTandems = 2
 		want := roots(12, 120, 2*erlang, 2)
 		a := solve(t, m)
-		low, high := a.Groups[0][1].Full, a.Other.Groups[0][1].Full
+		low, high := a.Groups[0][1].TimeCongestion, a.FromFull.Groups[0][1].TimeCongestion
 		near(t, "group loss from an empty network", low, want[0], 1e-4)
 		near(t, "group loss from a full one", high, want[len(want)-1], 1e-4)
-		if a.Two != (len(want) > 1) {
-			t.Errorf("%v erlang: two solutions %v, the equation has %v", erlang, a.Two, want)
+		if a.Bistable != (len(want) > 1) {
+			t.Errorf("%v erlang: two solutions %v, the equation has %v", erlang, a.Bistable, want)
 		}
-		if !a.Two {
+		if !a.Bistable {
 			continue
 		}
 		found++
 		// an owed reserve only keeps transit from the last circuits for as long as few
 		// direct calls run: ten of 120 leave both states, what follows demand does not
-		m.Reserve.Base = 10
+		m.Reservation.Base = 10
 		fixed := solve(t, m)
-		m.Reserve = Reserve{Base: 2, Span: 10}
+		m.Reservation = Reservation{Base: 2, Window: 10}
 		r := solve(t, m)
-		if r.Two {
+		if r.Bistable {
 			stay++
 		}
 		t.Logf("%v erlang a way: loss %.4f or %.4f; with 10 owed %.4f or %.4f; following demand %.4f or %.4f", erlang,
-			a.ByClass[0], a.Other.ByClass[0], fixed.ByClass[0], fixed.Other.ByClass[0], r.ByClass[0], r.Other.ByClass[0])
+			a.LossByClass[0], a.FromFull.LossByClass[0], fixed.LossByClass[0], fixed.FromFull.LossByClass[0], r.LossByClass[0], r.FromFull.LossByClass[0])
 	}
 	if found < 2 || stay >= found {
 		t.Errorf("%d loads with two states, %d with a reserve that follows demand", found, stay)
@@ -236,14 +236,14 @@
 	_, lost := processor(2000, 1000, 2)
 	near(t, "turned away in a flood", lost, 0.5, 1e-9)
 	m := uniform(5, 200, 20)
-	m.Proc = &Processors{PerSecond: []float64{1, 100, 100, 100, 100}, Look: 0.2, Follow: 0.3, Queue: 2}
+	m.Processors = &Processors{SetupsPerSecond: []float64{1, 100, 100, 100, 100}, ExamineWork: 0.2, FollowUpWork: 0.3, MaxQueueWait: 2}
 	a := solve(t, m) // 8 x 20 / 90 calls a second at an end, 1.8 or 1.6 set-ups' work each
-	if a.Use[0] < 2 || a.Loss[0][1][0] < 0.3 || a.Loss[1][2][0] > 1e-6 || a.Loss[1][0][0] < 0.3 {
-		t.Errorf("use %v, loss %v", a.Use, a.Loss)
+	if a.Utilization[0] < 2 || a.Loss[0][1][0] < 0.3 || a.Loss[1][2][0] > 1e-6 || a.Loss[1][0][0] < 0.3 {
+		t.Errorf("use %v, loss %v", a.Utilization, a.Loss)
 	}
 	// exchange 1 has three good neighbours and exchange 0, which turns calls away after a look
-	r, t0 := 20.0/90, a.Turned[0]
-	near(t, "use beside a flooded exchange", a.Use[1], (3*r*1.8+r*((1-t0)*1.8+t0*1.2)+3*r*1.6+r*(1-t0)*1.6)/100, 1e-4)
+	r, t0 := 20.0/90, a.Rejected[0]
+	near(t, "use beside a flooded exchange", a.Utilization[1], (3*r*1.8+r*((1-t0)*1.8+t0*1.2)+3*r*1.6+r*(1-t0)*1.6)/100, 1e-4)
 }
 
 // A tandem helps a pair whose group is too small, at nobody's great cost; with two
@@ -253,7 +253,7 @@
 	for tandems := range 3 {
 		m := uniform(6, 15, 4)
 		m.Circuits[0][1], m.Circuits[1][0] = 4, 4
-		m.Tandems, m.Reserve = tandems, Reserve{Base: 2, Span: 10}
+		m.MaxTandems, m.Reservation = tandems, Reservation{Base: 2, Window: 10}
 		a := solve(t, m)
 		if got := a.Loss[0][1][0]; got >= before {
 			t.Errorf("%d tandems: loss %v, with one less %v", tandems, got, before)
@@ -274,21 +274,21 @@
 		"negative": func(m *Mesh) { m.Circuits[0][1], m.Circuits[1][0] = -1, -1 },
 		"self":     func(m *Mesh) { m.Offered[1][1][0] = 2 },
 		"nan":      func(m *Mesh) { m.Offered[0][1][0] = math.NaN() },
-		"holding":  func(m *Mesh) { m.Classes[0].Holding = 0 },
-		"width":    func(m *Mesh) { m.Classes[0].Width = 0 },
+		"holding":  func(m *Mesh) { m.Classes[0].HoldingTime = 0 },
+		"width":    func(m *Mesh) { m.Classes[0].Circuits = 0 },
 		"short":    func(m *Mesh) { m.Offered = m.Offered[:2] },
-		"wait":     func(m *Mesh) { m.Wait = math.Inf(1) },
-		"proc":     func(m *Mesh) { m.Proc = &Processors{PerSecond: []float64{1, 0, 1}} },
+		"wait":     func(m *Mesh) { m.MeanWait = math.Inf(1) },
+		"proc":     func(m *Mesh) { m.Processors = &Processors{SetupsPerSecond: []float64{1, 0, 1}} },
 	} {
 		m := uniform(3, 5, 1)
 		spoil(m)
-		if _, err := Solve(m); !errors.Is(err, ErrDomain) {
+		if _, err := Solve(m); !errors.Is(err, ErrInvalidMesh) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	a := solve(t, uniform(3, 5, 0)) // no traffic: nothing is lost
-	if a.ByClass[0] != 0 || a.Two {
-		t.Errorf("without traffic: %+v", a.ByClass)
+	if a.LossByClass[0] != 0 || a.Bistable {
+		t.Errorf("without traffic: %+v", a.LossByClass)
 	}
 }
 
@@ -308,13 +308,13 @@
 		for j := range i {
 			a := 0.0
 			for c, cl := range m.Classes {
-				a += float64(cl.Width) * (m.Offered[i][j][c] + m.Offered[j][i][c])
+				a += float64(cl.Circuits) * (m.Offered[i][j][c] + m.Offered[j][i][c])
 			}
 			m.Circuits[i][j] = int(a + math.Sqrt(a)/2)
 			m.Circuits[j][i] = m.Circuits[i][j]
 		}
 	}
-	m.Tandems, m.Reserve, m.Wait = 2, Reserve{Base: 2, Span: 10}, 2
+	m.MaxTandems, m.Reservation, m.MeanWait = 2, Reservation{Base: 2, Window: 10}, 2
 	return m
 }
 
@@ -324,8 +324,8 @@
 			m := drawn(n, 1)
 			for b.Loop() {
 				a := solve(b, m)
-				b.ReportMetric(float64(a.Steps+a.Other.Steps), "steps")
-				b.ReportMetric(a.ByClass[0], "loss")
+				b.ReportMetric(float64(a.Iterations+a.FromFull.Iterations), "steps")
+				b.ReportMetric(a.LossByClass[0], "loss")
 			}
 		})
 	}
--- a/internal/network/solve.go
+++ b/internal/network/solve.go
@@ -25,23 +25,23 @@
 // Solve finds the fixed point from an empty and from a full network. A network
 // whose alternative calls crowd out direct ones can have two; which it is in
 // then depends on what happened to it.
-func Solve(m *Mesh) (*Answer, error) {
-	if err := m.Check(); err != nil {
+func Solve(m *Mesh) (*Result, error) {
+	if err := m.Validate(); err != nil {
 		return nil, fmt.Errorf("solving a network: %w", err)
 	}
 	low, high := newWork(m, empty).run(), newWork(m, full).run()
-	a := &Answer{Solution: low, Other: high}
+	a := &Result{Solution: low, FromFull: high}
 	for c := range m.Classes {
-		if math.Abs(low.ByClass[c]-high.ByClass[c]) > apart {
-			a.Two = true
+		if math.Abs(low.LossByClass[c]-high.LossByClass[c]) > apart {
+			a.Bistable = true
 		}
 	}
 	return a, nil
 }
 
-// Once finds the fixed point from an empty network only, or from a full one.
-func Once(m *Mesh, fromFull bool) (*Solution, error) {
-	if err := m.Check(); err != nil {
+// SolveFrom finds the fixed point from an empty network only, or from a full one.
+func SolveFrom(m *Mesh, fromFull bool) (*Solution, error) {
+	if err := m.Validate(); err != nil {
 		return nil, fmt.Errorf("solving a network: %w", err)
 	}
 	s := empty
@@ -234,7 +234,7 @@
 		}
 	}
 	clear(w.demand)
-	if m.Tandems > 0 {
+	if m.MaxTandems > 0 {
 		w.choose()
 	}
 	for i := range w.n {
@@ -254,7 +254,7 @@
 	}
 	for x := range w.links {
 		l := &w.links[x]
-		now := solveGroup(l.circuits, m.Classes, &l.sides, l.state.share, m.Wait)
+		now := solveGroup(l.circuits, m.Classes, &l.sides, l.state.share, m.MeanWait)
 		for c := range w.k {
 			now.left[c] = mix(l.state.left[c], now.left[c])
 			for e := range 2 {
@@ -268,12 +268,12 @@
 				now.free[e][f] = mix(l.state.free[e][f], now.free[e][f])
 			}
 		}
-		l.late = mix(l.late, 1-math.Exp(-m.Reserve.Span*now.entry))
+		l.late = mix(l.late, 1-math.Exp(-m.Reservation.Window*now.entry))
 		l.state = now
 	}
-	if p := m.Proc; p != nil {
+	if p := m.Processors; p != nil {
 		for i := range w.n {
-			use, lost := processor(w.demand[i], p.PerSecond[i], p.Queue)
+			use, lost := processor(w.demand[i], p.SetupsPerSecond[i], p.MaxQueueWait)
 			w.use[i], w.turned[i] = use, mix(w.turned[i], lost)
 		}
 	}
@@ -316,7 +316,7 @@
 		blocked, left = l.state.full[e][c], l.state.left[c]
 	}
 	over, back := 0.0, 0.0
-	if m.Tandems > 0 && blocked > 0 {
+	if m.MaxTandems > 0 && blocked > 0 {
 		over, back = w.tandems(i, j, c, in*blocked)
 	}
 	waits := 1 - over
@@ -326,12 +326,12 @@
 	}
 	w.over[i][j][c] = through * blocked * over
 	w.lost[i][j][c] = 1 - through*(1-blocked*waits*left)
-	if p := m.Proc; p != nil {
+	if p := m.Processors; p != nil {
 		// what a processor turns away itself is demand for it too; what the far one turns away is a look lost
-		rate := a / cl.Holding
+		rate := a / cl.HoldingTime
 		stood := 1 - blocked*waits*left
-		w.demand[i] += rate * ((1-w.turned[j])*(stood*(1+p.Look+2*p.Follow)+blocked*back*(1+p.Look)) + w.turned[j]*(1+p.Look))
-		w.demand[j] += rate * (1 - w.turned[i]) * stood * (1 + 2*p.Follow)
+		w.demand[i] += rate * ((1-w.turned[j])*(stood*(1+p.ExamineWork+2*p.FollowUpWork)+blocked*back*(1+p.ExamineWork)) + w.turned[j]*(1+p.ExamineWork))
+		w.demand[j] += rate * (1 - w.turned[i]) * stood * (1 + 2*p.FollowUpWork)
 	}
 }
 
@@ -358,7 +358,7 @@
 	some := -math.Expm1(none)
 	u := second / sum
 	rounds, r := 0.0, 1.0
-	for range m.Tandems {
+	for range m.MaxTandems {
 		rounds += r
 		r *= u
 	}
@@ -372,9 +372,9 @@
 			w.carry(i, t, c, offered*part*ok)
 			w.carry(t, j, c, offered*part*ok)
 		}
-		if p := m.Proc; p != nil {
-			rate := offered * part / cl.Holding
-			w.demand[t] += rate*ok*(2+p.Look+4*p.Follow) + rate*(1-ok)
+		if p := m.Processors; p != nil {
+			rate := offered * part / cl.HoldingTime
+			w.demand[t] += rate*ok*(2+p.ExamineWork+4*p.FollowUpWork) + rate*(1-ok)
 		}
 	}
 	return some * (1 - r), some * rounds * u
@@ -400,7 +400,7 @@
 // reserves works out what each side of each group is owed.
 func (w *work) reserves() {
 	m := w.m
-	base := float64(m.Reserve.Base)
+	base := float64(m.Reservation.Base)
 	lates, groups := make([]float64, w.n), make([]float64, w.n)
 	for x := range w.links {
 		l := &w.links[x]
@@ -414,7 +414,7 @@
 		for e, i := range []int{l.a, l.b} {
 			s := &l.sides[e]
 			s.reserve = append(s.reserve[:0], base)
-			if m.Reserve.Span > 0 && l.late > 0 {
+			if m.Reservation.Window > 0 && l.late > 0 {
 				s.reserve = s.reserve[:0]
 				if mean := s.mean(m.Classes); math.Abs(mean-l.mean[e]) > 1e-6*mean { // quantiles are dear
 					l.mean[e], l.asked[e] = mean, w.measured(s, func(int) bool { return true })
@@ -424,7 +424,7 @@
 					s.reserve = append(s.reserve, min(base+l.late*max(follow-base, 0), float64(l.circuits)))
 				}
 			}
-			if !m.Reserve.Dear || m.Reserve.Span <= 0 || s.dear != nil {
+			if !m.Reservation.ProtectHighValue || m.Reservation.Window <= 0 || s.dear != nil {
 				continue // what dear classes ask for is offered, not carried: worked out once
 			}
 			s.dear = make([][]float64, w.k)
@@ -443,7 +443,7 @@
 func (s *side) mean(classes []Class) float64 {
 	sum := 0.0
 	for c, cl := range classes {
-		sum += s.direct[c] * float64(cl.Width)
+		sum += s.direct[c] * float64(cl.Circuits)
 	}
 	return sum
 }
@@ -459,9 +459,9 @@
 	mean, variance := 0.0, 0.0
 	for c, cl := range w.m.Classes {
 		if which(c) {
-			a := s.direct[c] * float64(cl.Width)
+			a := s.direct[c] * float64(cl.Circuits)
 			mean += a
-			variance += a * float64(cl.Width) * cl.Holding / (2 * w.m.Reserve.Span)
+			variance += a * float64(cl.Circuits) * cl.HoldingTime / (2 * w.m.Reservation.Window)
 		}
 	}
 	if mean <= 0 {
@@ -479,31 +479,31 @@
 // made smaller.
 func (w *work) run() *Solution {
 	damp, best := 0.7, math.Inf(1)
-	s, most := &Solution{}, w.m.Steps
+	s, most := &Solution{}, w.m.MaxIterations
 	if most <= 0 {
 		most = mostSteps
 	}
-	for s.Steps = 1; s.Steps <= most; s.Steps++ {
-		s.Change = w.step(damp)
-		if s.Change < enough {
+	for s.Iterations = 1; s.Iterations <= most; s.Iterations++ {
+		s.LastChange = w.step(damp)
+		if s.LastChange < enough {
 			s.Converged = true
 			break
 		}
-		if s.Steps%40 == 0 {
-			if s.Change > best/2 {
+		if s.Iterations%40 == 0 {
+			if s.LastChange > best/2 {
 				damp = max(damp/1.5, 0.05)
 			}
-			best = min(best, s.Change)
+			best = min(best, s.LastChange)
 		}
 	}
-	s.Steps = min(s.Steps, most)
+	s.Iterations = min(s.Iterations, most)
 	return w.solution(s)
 }
 
 func (w *work) solution(s *Solution) *Solution {
 	m := w.m
-	s.Loss, s.Rerouted, s.Use, s.Turned = w.lost, w.over, w.use, w.turned
-	s.ByClass = make([]float64, w.k)
+	s.Loss, s.Rerouted, s.Utilization, s.Rejected = w.lost, w.over, w.use, w.turned
+	s.LossByClass = make([]float64, w.k)
 	s.Groups = make([][]Group, w.n)
 	for i := range s.Groups {
 		s.Groups[i] = make([]Group, w.n)
@@ -523,7 +523,7 @@
 			}
 		}
 		if all > 0 {
-			s.ByClass[c] = lost / all
+			s.LossByClass[c] = lost / all
 		}
 	}
 	return s
--- a/internal/plan/bound.go
+++ b/internal/plan/bound.go
@@ -27,15 +27,15 @@
 // bounds counts. Beyond the size at which that takes long, it is left out.
 func (s *search) bound() (float64, error) {
 	target := 0.0
-	for _, x := range s.t.Target {
+	for _, x := range s.t.TargetLoss {
 		target = max(target, x)
 	}
 	best, err := s.boundWithout(-1, target)
-	if err != nil || s.t.Hurt == 0 || s.n > manyExchanges {
+	if err != nil || s.t.MaxFailureLoss == 0 || s.n > manyExchanges {
 		return best, err
 	}
 	for k := range s.n {
-		b, err := s.boundWithout(k, s.t.Hurt)
+		b, err := s.boundWithout(k, s.t.MaxFailureLoss)
 		if err != nil {
 			return 0, err
 		}
@@ -101,14 +101,14 @@
 	}
 	shortest := math.Inf(1)
 	for _, c := range s.grown.Classes {
-		shortest = min(shortest, c.Holding)
+		shortest = min(shortest, c.HoldingTime)
 	}
 	line := func(c cut, circuits int) (secant, error) {
-		a, err := loss.Impatient(c.asked, circuits, s.grown.Wait/shortest)
+		a, err := loss.ErlangA(c.asked, circuits, s.grown.MeanWait/shortest)
 		if err != nil {
 			return secant{}, err
 		}
-		b, err := loss.Impatient(c.asked, circuits+1, s.grown.Wait/shortest)
+		b, err := loss.ErlangA(c.asked, circuits+1, s.grown.MeanWait/shortest)
 		if err != nil {
 			return secant{}, err
 		}
--- a/internal/plan/moves.go
+++ b/internal/plan/moves.go
@@ -9,24 +9,24 @@
 
 // Move is one step of what to do first.
 type Move struct {
-	From, To [2]int    // groups; From {-1, -1}: the module is new
-	Loss     []float64 // by class, after it
-	Lost     float64   // circuits' worth of traffic lost, after it
+	From, To    [2]int    // groups; From {-1, -1}: the module is new
+	LossByClass []float64 // by class, after it
+	LostTraffic float64   // circuits' worth of traffic lost, after it
 }
 
 // looked is how many groups are tried at each step, on either side.
 const looked = 4
 
-// First says what to do first with the circuits that stand: so many modules may
+// FirstMoves says what to do first with the circuits that stand: so many modules may
 // be bought, so many moved. Each step is the one after which least traffic is
 // lost, among the groups that would save most by a module and those that would
 // miss one least; it ends when nothing helps.
-func First(ctx context.Context, t *Task, buy, move int) ([]Move, error) {
-	if err := t.Check(); err != nil {
+func FirstMoves(ctx context.Context, t *Task, buy, move int) ([]Move, error) {
+	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("planning moves: %w", err)
 	}
 	if buy < 0 || move < 0 {
-		return nil, fmt.Errorf("planning moves: %d modules to buy, %d to move: %w", buy, move, ErrTask)
+		return nil, fmt.Errorf("planning moves: %d modules to buy, %d to move: %w", buy, move, ErrNoPlan)
 	}
 	s := newSearch(ctx, t)
 	circuits := make([][]int, s.n)
@@ -42,7 +42,7 @@
 		to := s.ranked(circuits, func(w float64, _ int) float64 { return -w }, 0)
 		from := [][2]int{{-1, -1}}
 		if buy == 0 {
-			from = s.ranked(circuits, func(w float64, _ int) float64 { return w }, -t.Module)
+			from = s.ranked(circuits, func(w float64, _ int) float64 { return w }, -t.ModuleSize)
 		}
 		var best *Move
 		for _, a := range from {
@@ -50,25 +50,25 @@
 				if a == b || s.done() {
 					continue
 				}
-				add(circuits, a, -t.Module)
-				add(circuits, b, t.Module)
+				add(circuits, a, -t.ModuleSize)
+				add(circuits, b, t.ModuleSize)
 				x, byClass, err := s.lost(circuits)
-				add(circuits, a, t.Module)
-				add(circuits, b, -t.Module)
+				add(circuits, a, t.ModuleSize)
+				add(circuits, b, -t.ModuleSize)
 				if err != nil {
 					return nil, err
 				}
-				if x < lost-1e-6 && (best == nil || x < best.Lost) {
-					best = &Move{From: a, To: b, Loss: byClass, Lost: x}
+				if x < lost-1e-6 && (best == nil || x < best.LostTraffic) {
+					best = &Move{From: a, To: b, LossByClass: byClass, LostTraffic: x}
 				}
 			}
 		}
 		if best == nil {
 			break
 		}
-		add(circuits, best.From, -t.Module)
-		add(circuits, best.To, t.Module)
-		lost = best.Lost
+		add(circuits, best.From, -t.ModuleSize)
+		add(circuits, best.To, t.ModuleSize)
+		lost = best.LostTraffic
 		all = append(all, *best)
 		if buy > 0 {
 			buy--
@@ -118,9 +118,9 @@
 	for i := range s.n {
 		for j := range s.n {
 			for c, cl := range s.grown.Classes {
-				sum += s.grown.Offered[i][j][c] * float64(cl.Width) * normal.Loss[i][j][c]
+				sum += s.grown.Offered[i][j][c] * float64(cl.Circuits) * normal.Loss[i][j][c]
 			}
 		}
 	}
-	return sum, normal.ByClass, nil
+	return sum, normal.LossByClass, nil
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -19,67 +19,67 @@
 
 // Task is what is to be planned.
 type Task struct {
-	Mesh     *network.Mesh // its circuits are those that stand now
-	Target   []float64     // by class: most loss over all traffic, in normal times
-	Hurt     float64       // most loss of any class while something is away; 0: not looked at
-	Growth   float64       // traffic is taken so many times
-	Module   int           // circuits come in so many
-	Cost     [][]float64   // of a circuit between two exchanges; nil: 1 each
-	Region   []int         // of each exchange
-	LinkPart float64       // share of the circuits between two regions that one link carries
-	Most     int           // networks that the search may solve
+	Mesh           *network.Mesh // its circuits are those that stand now
+	TargetLoss     []float64     // by class: most loss over all traffic, in normal times
+	MaxFailureLoss float64       // most loss of any class while something is away; 0: not looked at
+	Growth         float64       // traffic is taken so many times
+	ModuleSize     int           // circuits come in so many
+	CircuitCost    [][]float64   // of a circuit between two exchanges; nil: 1 each
+	Region         []int         // of each exchange
+	LinkShare      float64       // share of the circuits between two regions that one link carries
+	MaxSolves      int           // networks that the search may solve
 }
 
 // Plan is an answer.
 type Plan struct {
-	Circuits  [][]int
-	Total     int
-	Cost      float64
-	Promise   []float64 // loss by class in normal times
-	Worst     float64   // loss of the worst class with the worst thing away; 0 if not looked at
-	WorstWhat string
-	Bound     float64 // cost that no plan can go below
-	Solved    int     // networks
-	Stopped   bool    // the search ran out of networks or time: the plan is good, a better one was still sought
+	Circuits         [][]int
+	TotalCircuits    int
+	Cost             float64
+	PredictedLoss    []float64 // loss by class in normal times
+	WorstFailureLoss float64   // loss of the worst class with the worst thing away; 0 if not looked at
+	WorstFailure     string
+	CostBound        float64 // cost that no plan can go below
+	Solves           int     // networks
+	Stopped          bool    // the search ran out of networks or time: the plan is good, a better one was still sought
 }
 
 // Gap is how much dearer the plan is than the bound, as a share of the bound.
-func (p *Plan) Gap() float64 { return p.Cost/p.Bound - 1 }
+func (p *Plan) Gap() float64 { return p.Cost/p.CostBound - 1 }
 
-// ErrTask is wrapped by errors for a task that can't be.
-var ErrTask = errors.New("not to be planned")
+// ErrNoPlan is wrapped by errors for a task that can't be.
+var ErrNoPlan = errors.New("not to be planned")
 
-// Check tells what is wrong with a task.
-func (t *Task) Check() error {
-	if err := t.Mesh.Check(); err != nil {
+// Validate tells what is wrong with a task.
+func (t *Task) Validate() error {
+	if err := t.Mesh.Validate(); err != nil {
 		return err
 	}
 	n := len(t.Mesh.Circuits)
 	switch {
-	case len(t.Target) != len(t.Mesh.Classes):
-		return fmt.Errorf("%d targets for %d classes: %w", len(t.Target), len(t.Mesh.Classes), ErrTask)
+	case len(t.TargetLoss) != len(t.Mesh.Classes):
+		return fmt.Errorf("%d targets for %d classes: %w", len(t.TargetLoss), len(t.Mesh.Classes), ErrNoPlan)
 	case !(t.Growth > 0) || t.Growth > 100:
-		return fmt.Errorf("growth %v, above 0 to 100 can be: %w", t.Growth, ErrTask)
-	case t.Module < 1 || t.Module > 10000:
-		return fmt.Errorf("modules of %d circuits: %w", t.Module, ErrTask)
-	case t.Hurt < 0 || t.Hurt >= 1 || t.LinkPart < 0 || t.LinkPart > 1:
-		return fmt.Errorf("a loss of %v with a part away, links of %v of a region's circuits: %w", t.Hurt, t.LinkPart, ErrTask)
-	case t.Cost != nil && len(t.Cost) != n || t.Region != nil && len(t.Region) != n:
-		return fmt.Errorf("costs of %d, regions of %d exchanges, %d there are: %w", len(t.Cost), len(t.Region), n, ErrTask)
-	}
-	for c, x := range t.Target {
+		return fmt.Errorf("growth %v, above 0 to 100 can be: %w", t.Growth, ErrNoPlan)
+	case t.ModuleSize < 1 || t.ModuleSize > 10000:
+		return fmt.Errorf("modules of %d circuits: %w", t.ModuleSize, ErrNoPlan)
+	case t.MaxFailureLoss < 0 || t.MaxFailureLoss >= 1 || t.LinkShare < 0 || t.LinkShare > 1:
+		return fmt.Errorf("a loss of %v with a part away, links of %v of a region's circuits: %w", t.MaxFailureLoss, t.LinkShare, ErrNoPlan)
+	case t.CircuitCost != nil && len(t.CircuitCost) != n || t.Region != nil && len(t.Region) != n:
+		return fmt.Errorf("costs of %d, regions of %d exchanges, %d there are: %w", len(t.CircuitCost), len(t.Region), n, ErrNoPlan)
+	}
+	for c, x := range t.TargetLoss {
 		if !(x > 0 && x < 1) {
-			return fmt.Errorf("class %s: a loss of %v can't be aimed at, above 0 and below 1 can: %w", t.Mesh.Classes[c].Name, x, ErrTask)
+			return fmt.Errorf("class %s: a loss of %v can't be aimed at, above 0 and below 1 can: %w", t.Mesh.Classes[c].Name, x, ErrNoPlan)
 		}
 	}
 	all := 0.0
 	for i := range n {
-		if t.Cost != nil && len(t.Cost[i]) != n {
-			return fmt.Errorf("exchange %d: costs to %d exchanges: %w", i, len(t.Cost[i]), ErrTask)
+		if t.CircuitCost != nil && len(t.CircuitCost[i]) != n {
+			return fmt.Errorf("exchange %d: costs to %d exchanges: %w", i, len(t.CircuitCost[i]), ErrNoPlan)
 		}
 		for j := range n {
-			if t.Cost != nil && i != j && !(t.Cost[i][j] > 0) {
-				return fmt.Errorf("group %d-%d: a cost of %v: %w", i, j, t.Cost[i][j], ErrTask)
+			if t.CircuitCost != nil && i != j && !(t.CircuitCost[i][j] > 0) {
+				return fmt.Errorf("group %d-%d: a cost of %v: %w", i, j, t.CircuitCost[i][j], ErrNoPlan)
 			}
 			for _, a := range t.Mesh.Offered[i][j] {
 				all += a
@@ -87,16 +87,16 @@
 		}
 	}
 	if all == 0 {
-		return fmt.Errorf("no traffic is offered: %w", ErrTask)
+		return fmt.Errorf("no traffic is offered: %w", ErrNoPlan)
 	}
 	return nil
 }
 
 func (t *Task) cost(i, j int) float64 {
-	if t.Cost == nil {
+	if t.CircuitCost == nil {
 		return 1
 	}
-	return t.Cost[i][j]
+	return t.CircuitCost[i][j]
 }
 
 // search is a search under way.
@@ -128,9 +128,9 @@
 		for j := range s.n {
 			wide := 0.0
 			for c, cl := range m.Classes {
-				a := (m.Offered[i][j][c] + m.Offered[j][i][c]) * float64(cl.Width)
+				a := (m.Offered[i][j][c] + m.Offered[j][i][c]) * float64(cl.Circuits)
 				s.pair[i][j] += a
-				wide += a * float64(cl.Width)
+				wide += a * float64(cl.Circuits)
 			}
 			s.peaky[i][j] = 1
 			if s.pair[i][j] > 0 {
@@ -143,7 +143,7 @@
 }
 
 // done tells whether the search has used what it was given.
-func (s *search) done() bool { return s.solved >= s.t.Most || s.ctx.Err() != nil }
+func (s *search) done() bool { return s.solved >= s.t.MaxSolves || s.ctx.Err() != nil }
 
 // settles is the steps in which a network must come to rest to be planned on:
 // one that needs far more is at the edge between two states.
@@ -153,33 +153,33 @@
 // how is the worst of loss over target (1 and below: all hold in either).
 func (s *search) judge(circuits [][]int) (how float64, normal *network.Solution, worst float64, what string, err error) {
 	m := *s.grown
-	m.Circuits, m.Steps = circuits, settles
+	m.Circuits, m.MaxIterations = circuits, settles
 	for _, full := range []bool{true, false} { // the better known one last
 		s.solved++
-		if normal, err = network.Once(&m, full); err != nil {
+		if normal, err = network.SolveFrom(&m, full); err != nil {
 			return 0, nil, 0, "", err
 		}
 		if !normal.Converged {
 			return math.Inf(1), normal, 0, "", nil
 		}
-		for c, x := range normal.ByClass {
-			how = max(how, x/s.t.Target[c])
+		for c, x := range normal.LossByClass {
+			how = max(how, x/s.t.TargetLoss[c])
 		}
 		if how > 1 {
 			return how, normal, 0, "", nil
 		}
 	}
-	if s.t.Hurt == 0 {
+	if s.t.MaxFailureLoss == 0 {
 		return how, normal, 0, "", nil
 	}
 	for _, h := range s.hurts(circuits) {
-		h.mesh.Steps = settles
+		h.mesh.MaxIterations = settles
 		s.solved++
-		x, err := network.Once(h.mesh, true)
+		x, err := network.SolveFrom(h.mesh, true)
 		if err != nil {
 			return 0, nil, 0, "", err
 		}
-		for c, b := range x.ByClass {
+		for c, b := range x.LossByClass {
 			if !x.Converged {
 				b = 1
 			}
@@ -187,11 +187,11 @@
 				worst, what = b, h.what
 			}
 		}
-		if worst > s.t.Hurt {
+		if worst > s.t.MaxFailureLoss {
 			break
 		}
 	}
-	return max(how, worst/s.t.Hurt), normal, worst, what, nil
+	return max(how, worst/s.t.MaxFailureLoss), normal, worst, what, nil
 }
 
 // hurt is the network with something away.
@@ -233,7 +233,7 @@
 			return circuits[i][j]
 		}, func(i, j int) bool { return !away(i, j) })
 	}
-	if s.t.Region == nil || s.t.LinkPart == 0 {
+	if s.t.Region == nil || s.t.LinkShare == 0 {
 		return all
 	}
 	regions := 0
@@ -244,7 +244,7 @@
 		for b := range a {
 			add(fmt.Sprintf("a link between regions %d and %d", b, a), func(i, j int) int {
 				if x, y := s.t.Region[i], s.t.Region[j]; x == a && y == b || x == b && y == a {
-					return circuits[i][j] - int(math.Ceil(s.t.LinkPart*float64(circuits[i][j])))
+					return circuits[i][j] - int(math.Ceil(s.t.LinkShare*float64(circuits[i][j])))
 				}
 				return circuits[i][j]
 			}, func(i, j int) bool { return true })
@@ -262,8 +262,8 @@
 	for i := range s.n {
 		for j := range i {
 			if s.pair[i][j] > 0 {
-				m := float64(s.t.Module)
-				c := int(math.Ceil(rule(i, j)/m-1e-9)) * s.t.Module
+				m := float64(s.t.ModuleSize)
+				c := int(math.Ceil(rule(i, j)/m-1e-9)) * s.t.ModuleSize
 				all[i][j], all[j][i] = c, c
 			}
 		}
@@ -276,28 +276,28 @@
 // traffic's peakedness (Hayward).
 func (s *search) worthOf(i, j, circuits int) float64 {
 	a, z := s.pair[i][j], s.peaky[i][j]
-	b0, err0 := loss.ErlangBAt(a/z, float64(circuits)/z)
-	b1, err1 := loss.ErlangBAt(a/z, float64(circuits+s.t.Module)/z)
+	b0, err0 := loss.ErlangBContinuous(a/z, float64(circuits)/z)
+	b1, err1 := loss.ErlangBContinuous(a/z, float64(circuits+s.t.ModuleSize)/z)
 	if err0 != nil || err1 != nil || a == 0 {
 		return 0
 	}
-	return a * (b0 - b1) / (s.t.cost(i, j) * float64(s.t.Module))
+	return a * (b0 - b1) / (s.t.cost(i, j) * float64(s.t.ModuleSize))
 }
 
 // moe sizes each group so that its next module would save less than worth.
 func (s *search) moe(worth float64) [][]int {
 	return s.sized(func(i, j int) float64 {
-		most := int(4*s.pair[i][j])/s.t.Module + 20
+		most := int(4*s.pair[i][j])/s.t.ModuleSize + 20
 		lo, hi := 0, most // modules; what the next one saves falls from the first or second on
 		for lo < hi {
 			mid := (lo + hi) / 2
-			if s.worthOf(i, j, mid*s.t.Module) < worth {
+			if s.worthOf(i, j, mid*s.t.ModuleSize) < worth {
 				hi = mid
 			} else {
 				lo = mid + 1
 			}
 		}
-		return float64(lo * s.t.Module)
+		return float64(lo * s.t.ModuleSize)
 	})
 }
 
@@ -341,12 +341,12 @@
 	return best, nil
 }
 
-// Make plans. It starts from the cheapest of three: Moe's principle, by which
+// Optimize plans. It starts from the cheapest of three: Moe's principle, by which
 // every group's next module saves the same for its cost, the common worth found
 // by halving; groups in proportion to their traffic; what stands. From there
 // groups give up modules, the least worthy first, for as long as all targets hold.
-func Make(ctx context.Context, t *Task) (*Plan, error) {
-	if err := t.Check(); err != nil {
+func Optimize(ctx context.Context, t *Task) (*Plan, error) {
+	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	s := newSearch(ctx, t)
@@ -355,7 +355,7 @@
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	if best == nil {
-		return nil, fmt.Errorf("planning: no size of the groups reaches the targets: processors or pairs without traffic of their own stand in the way: %w", ErrTask)
+		return nil, fmt.Errorf("planning: no size of the groups reaches the targets: processors or pairs without traffic of their own stand in the way: %w", ErrNoPlan)
 	}
 	if err := s.shave(best); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
@@ -403,7 +403,7 @@
 
 // Proportional sizes every group in proportion to its traffic: what planning is held against.
 func Proportional(ctx context.Context, t *Task) (*Plan, error) {
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	s := newSearch(ctx, t)
@@ -412,7 +412,7 @@
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	if best == nil {
-		return nil, fmt.Errorf("planning: eight times the traffic is not enough: %w", ErrTask)
+		return nil, fmt.Errorf("planning: eight times the traffic is not enough: %w", ErrNoPlan)
 	}
 	return s.plan(best)
 }
@@ -435,7 +435,7 @@
 			}
 			tried[[2]int{i, j}] = true
 			taken = append(taken, [2]int{i, j})
-			add(circuits, [2]int{i, j}, -s.t.Module)
+			add(circuits, [2]int{i, j}, -s.t.ModuleSize)
 		}
 		how, _, _, _, err := s.judge(circuits)
 		if err != nil {
@@ -443,7 +443,7 @@
 		}
 		if how > 1 || len(taken) == 0 {
 			for _, g := range taken {
-				add(circuits, g, s.t.Module)
+				add(circuits, g, s.t.ModuleSize)
 			}
 			many /= 2
 		}
@@ -458,13 +458,13 @@
 			}
 			g := [2]int{i, j}
 			tried[g] = true
-			add(circuits, g, -s.t.Module)
+			add(circuits, g, -s.t.ModuleSize)
 			how, _, _, _, err := s.judge(circuits)
 			if err != nil {
 				return err
 			}
 			if how > 1 {
-				add(circuits, g, s.t.Module)
+				add(circuits, g, s.t.ModuleSize)
 				continue
 			}
 			again = true
@@ -482,10 +482,10 @@
 	least, a, b := math.Inf(1), -1, -1
 	for i := range s.n {
 		for j := range i {
-			if circuits[i][j] < s.t.Module || tried[[2]int{i, j}] {
+			if circuits[i][j] < s.t.ModuleSize || tried[[2]int{i, j}] {
 				continue
 			}
-			if w := s.worthOf(i, j, circuits[i][j]-s.t.Module); w < least {
+			if w := s.worthOf(i, j, circuits[i][j]-s.t.ModuleSize); w < least {
 				least, a, b = w, i, j
 			}
 		}
@@ -495,13 +495,13 @@
 
 func (s *search) plan(circuits [][]int) (*Plan, error) {
 	p := &Plan{Circuits: circuits, Stopped: s.done()}
-	p.Cost, p.Total = s.price(circuits)
+	p.Cost, p.TotalCircuits = s.price(circuits)
 	_, normal, worst, what, err := s.judge(circuits)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	p.Promise, p.Worst, p.WorstWhat, p.Solved = normal.ByClass, worst, what, s.solved
-	if p.Bound, err = s.bound(); err != nil {
+	p.PredictedLoss, p.WorstFailureLoss, p.WorstFailure, p.Solves = normal.LossByClass, worst, what, s.solved
+	if p.CostBound, err = s.bound(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	return p, nil
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -14,9 +14,9 @@
 // drawn is a task over unequal pairs: a mesh without groups, two classes.
 func drawn(n int, seed uint64) *Task {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	m := &network.Mesh{Classes: []network.Class{{Name: "one", Width: 1, Holding: 90, Worth: 1}, {Name: "two", Width: 2, Holding: 120, Worth: 2}},
-		Tandems: 2, Reserve: network.Reserve{Base: 2, Span: 10}, Wait: 3}
-	t := &Task{Mesh: m, Target: []float64{0.01, 0.03}, Growth: 1, Module: 1, Most: 200}
+	m := &network.Mesh{Classes: []network.Class{{Name: "one", Circuits: 1, HoldingTime: 90, Worth: 1}, {Name: "two", Circuits: 2, HoldingTime: 120, Worth: 2}},
+		MaxTandems: 2, Reservation: network.Reservation{Base: 2, Window: 10}, MeanWait: 3}
+	t := &Task{Mesh: m, TargetLoss: []float64{0.01, 0.03}, Growth: 1, ModuleSize: 1, MaxSolves: 200}
 	for i := range n {
 		m.Circuits = append(m.Circuits, make([]int, n))
 		m.Offered = append(m.Offered, make([][]float64, n))
@@ -34,7 +34,7 @@
 
 func plan(t testing.TB, task *Task) *Plan {
 	t.Helper()
-	p, err := Make(context.Background(), task)
+	p, err := Optimize(context.Background(), task)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,20 +46,20 @@
 func TestPlan(t *testing.T) {
 	for _, module := range []int{1, 30} {
 		task := drawn(6, 1)
-		task.Module, task.Most = module, 400
+		task.ModuleSize, task.MaxSolves = module, 400
 		p := plan(t, task)
 		prop, err := Proportional(context.Background(), task)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("modules of %d: %d circuits, proportional %d, bound %.0f (gap %.2f), promise %.4f, %d networks", module,
-			p.Total, prop.Total, p.Bound, p.Gap(), p.Promise, p.Solved)
-		if p.Cost > prop.Cost || p.Cost < p.Bound || p.Bound <= 0 {
-			t.Errorf("cost %v, proportional %v, bound %v", p.Cost, prop.Cost, p.Bound)
+			p.TotalCircuits, prop.TotalCircuits, p.CostBound, p.Gap(), p.PredictedLoss, p.Solves)
+		if p.Cost > prop.Cost || p.Cost < p.CostBound || p.CostBound <= 0 {
+			t.Errorf("cost %v, proportional %v, bound %v", p.Cost, prop.Cost, p.CostBound)
 		}
-		for c, x := range p.Promise {
-			if x > task.Target[c] {
-				t.Errorf("class %d loses %v, %v was aimed at", c, x, task.Target[c])
+		for c, x := range p.PredictedLoss {
+			if x > task.TargetLoss[c] {
+				t.Errorf("class %d loses %v, %v was aimed at", c, x, task.TargetLoss[c])
 			}
 		}
 		if p.Stopped {
@@ -89,12 +89,12 @@
 // of most room evens groups out, so that only their sum counts.)
 func TestPlanBeatsProportion(t *testing.T) {
 	direct := drawn(6, 2)
-	direct.Mesh.Tandems = 0
+	direct.Mesh.MaxTandems = 0
 	unlike := drawn(6, 2)
 	for i := range 6 {
-		unlike.Cost = append(unlike.Cost, make([]float64, 6))
+		unlike.CircuitCost = append(unlike.CircuitCost, make([]float64, 6))
 		for j := range 6 {
-			unlike.Cost[i][j] = 1 + 3*float64((i+j)%2) // between regions four times
+			unlike.CircuitCost[i][j] = 1 + 3*float64((i+j)%2) // between regions four times
 		}
 	}
 	for name, task := range map[string]*Task{"direct only": direct, "unlike costs": unlike} {
@@ -103,8 +103,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: cost %.0f, proportional %.0f, bound %.0f", name, p.Cost, prop.Cost, p.Bound)
-		if p.Cost >= prop.Cost || name == "unlike costs" && p.Cost > 0.985*prop.Cost || p.Bound < 0.7*p.Cost || p.Bound > p.Cost {
+		t.Logf("%s: cost %.0f, proportional %.0f, bound %.0f", name, p.Cost, prop.Cost, p.CostBound)
+		if p.Cost >= prop.Cost || name == "unlike costs" && p.Cost > 0.985*prop.Cost || p.CostBound < 0.7*p.Cost || p.CostBound > p.Cost {
 			t.Errorf("%s: cost %v, proportional %v", name, p.Cost, prop.Cost)
 		}
 	}
@@ -119,52 +119,52 @@
 			task.Mesh.Offered[i][j] = []float64{12 * float64((i+j)%2)}
 		}
 	}
-	task.Target, task.Region = task.Target[:1], nil
+	task.TargetLoss, task.Region = task.TargetLoss[:1], nil
 	p := plan(t, task)
 	want := 0
 	for ; ; want++ {
-		if b, err := loss.Impatient(24, want, 3.0/90); err != nil || b <= 0.01 {
+		if b, err := loss.ErlangA(24, want, 3.0/90); err != nil || b <= 0.01 {
 			break
 		}
 	}
-	if p.Total != want || p.Bound > float64(want) || p.Bound < float64(want)-1 {
-		t.Errorf("%d circuits, bound %.2f, want %d", p.Total, p.Bound, want)
+	if p.TotalCircuits != want || p.CostBound > float64(want) || p.CostBound < float64(want)-1 {
+		t.Errorf("%d circuits, bound %.2f, want %d", p.TotalCircuits, p.CostBound, want)
 	}
 }
 
 // Growth, a dearer group and an exchange or link that may be away ask for more.
 func TestPlanAskedMore(t *testing.T) {
 	base := drawn(5, 3)
-	base.Module = 5
+	base.ModuleSize = 5
 	p := plan(t, base)
 	grown := drawn(5, 3)
-	grown.Module, grown.Growth = 5, 1.3
-	if g := plan(t, grown); float64(g.Total) < 1.2*float64(p.Total) || g.Bound <= p.Bound {
-		t.Errorf("%d circuits for 1.3 times the traffic, %d for once", g.Total, p.Total)
+	grown.ModuleSize, grown.Growth = 5, 1.3
+	if g := plan(t, grown); float64(g.TotalCircuits) < 1.2*float64(p.TotalCircuits) || g.CostBound <= p.CostBound {
+		t.Errorf("%d circuits for 1.3 times the traffic, %d for once", g.TotalCircuits, p.TotalCircuits)
 	}
 	dear := drawn(5, 3)
-	dear.Module = 5
+	dear.ModuleSize = 5
 	for range 5 {
-		dear.Cost = append(dear.Cost, []float64{1, 1, 1, 1, 1})
+		dear.CircuitCost = append(dear.CircuitCost, []float64{1, 1, 1, 1, 1})
 	}
-	dear.Cost[0][1], dear.Cost[1][0] = 6, 6
+	dear.CircuitCost[0][1], dear.CircuitCost[1][0] = 6, 6
 	if d := plan(t, dear); d.Circuits[0][1] >= p.Circuits[0][1] {
 		t.Errorf("a dear group has %d circuits, %d at the price of all", d.Circuits[0][1], p.Circuits[0][1])
 	}
 	safe := drawn(5, 3)
-	safe.Module, safe.Hurt, safe.LinkPart, safe.Most = 10, 0.03, 0.5, 150
+	safe.ModuleSize, safe.MaxFailureLoss, safe.LinkShare, safe.MaxSolves = 10, 0.03, 0.5, 150
 	s := plan(t, safe)
-	if s.Total <= p.Total || s.Worst > 0.03 || s.Worst <= 0 || s.WorstWhat == "" {
-		t.Errorf("%d circuits, %d without; %v lost with %s away", s.Total, p.Total, s.Worst, s.WorstWhat)
+	if s.TotalCircuits <= p.TotalCircuits || s.WorstFailureLoss > 0.03 || s.WorstFailureLoss <= 0 || s.WorstFailure == "" {
+		t.Errorf("%d circuits, %d without; %v lost with %s away", s.TotalCircuits, p.TotalCircuits, s.WorstFailureLoss, s.WorstFailure)
 	}
-	t.Logf("%d circuits; to bear any exchange or half a region's groups away %d: %.4f with %s away", p.Total, s.Total, s.Worst, s.WorstWhat)
+	t.Logf("%d circuits; to bear any exchange or half a region's groups away %d: %.4f with %s away", p.TotalCircuits, s.TotalCircuits, s.WorstFailureLoss, s.WorstFailure)
 }
 
 // With an exchange away neither its groups nor its traffic are there, and nothing
 // else changes; with a link away half of the circuits between two regions are gone.
 func TestHurts(t *testing.T) {
 	task := drawn(4, 1)
-	task.Hurt, task.LinkPart = 0.05, 0.5
+	task.MaxFailureLoss, task.LinkShare = 0.05, 0.5
 	s := newSearch(context.Background(), task)
 	circuits := s.sized(func(i, j int) float64 { return 31 })
 	all := s.hurts(circuits)
@@ -198,12 +198,12 @@
 // them, what is bought goes to the small one, and every step loses less.
 func TestFirstMoves(t *testing.T) {
 	task := drawn(5, 4)
-	task.Module = 5
+	task.ModuleSize = 5
 	task.Mesh.Circuits = plan(t, task).Circuits
 	add(task.Mesh.Circuits, [2]int{3, 1}, 30)
 	add(task.Mesh.Circuits, [2]int{4, 0}, -task.Mesh.Circuits[4][0]/2)
-	task.Most = 400
-	moves, err := First(context.Background(), task, 1, 2)
+	task.MaxSolves = 400
+	moves, err := FirstMoves(context.Background(), task, 1, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +212,7 @@
 		t.Fatal("other moves come first")
 	}
 	for i := range moves[1:] {
-		if moves[i+1].Lost >= moves[i].Lost {
+		if moves[i+1].LostTraffic >= moves[i].LostTraffic {
 			t.Error("a step does not help")
 		}
 	}
@@ -220,25 +220,25 @@
 
 func TestBadTasks(t *testing.T) {
 	for name, spoil := range map[string]func(*Task){
-		"target 0":   func(t *Task) { t.Target[0] = 0 },
-		"target 1":   func(t *Task) { t.Target[1] = 1 },
-		"targets":    func(t *Task) { t.Target = t.Target[:1] },
+		"target 0":   func(t *Task) { t.TargetLoss[0] = 0 },
+		"target 1":   func(t *Task) { t.TargetLoss[1] = 1 },
+		"targets":    func(t *Task) { t.TargetLoss = t.TargetLoss[:1] },
 		"growth":     func(t *Task) { t.Growth = math.NaN() },
-		"module":     func(t *Task) { t.Module = 0 },
-		"hurt":       func(t *Task) { t.Hurt = 1 },
-		"cost":       func(t *Task) { t.Cost = make([][]float64, 3) },
+		"module":     func(t *Task) { t.ModuleSize = 0 },
+		"hurt":       func(t *Task) { t.MaxFailureLoss = 1 },
+		"cost":       func(t *Task) { t.CircuitCost = make([][]float64, 3) },
 		"no traffic": func(t *Task) { t.Mesh.Offered = drawnNothing(4) },
 	} {
 		task := drawn(4, 1)
 		spoil(task)
-		if _, err := Make(context.Background(), task); !errors.Is(err, ErrTask) {
+		if _, err := Optimize(context.Background(), task); !errors.Is(err, ErrNoPlan) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	// no circuits help where a processor is the limit
 	task := drawn(4, 1)
-	task.Mesh.Proc = &network.Processors{PerSecond: []float64{0.1, 100, 100, 100}, Look: 0.2, Follow: 0.3, Queue: 2}
-	if _, err := Make(context.Background(), task); !errors.Is(err, ErrTask) {
+	task.Mesh.Processors = &network.Processors{SetupsPerSecond: []float64{0.1, 100, 100, 100}, ExamineWork: 0.2, FollowUpWork: 0.3, MaxQueueWait: 2}
+	if _, err := Optimize(context.Background(), task); !errors.Is(err, ErrNoPlan) {
 		t.Errorf("processor: %v", err)
 	}
 }
@@ -273,12 +273,12 @@
 				left += p * float64(n-x.n) / x.patience
 			}
 		}
-		got, err := loss.Impatient(x.a, x.n, x.patience)
+		got, err := loss.ErlangA(x.a, x.n, x.patience)
 		if err != nil || math.Abs(got-left/sum/x.a) > 1e-9 {
 			t.Errorf("%+v: %v, %v, want %v", x, got, err, left/sum/x.a)
 		}
 	}
-	if _, err := loss.Impatient(1, 1, -1); !errors.Is(err, loss.ErrDomain) {
+	if _, err := loss.ErlangA(1, 1, -1); !errors.Is(err, loss.ErrDomain) {
 		t.Error(err)
 	}
 }
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -33,27 +33,27 @@
 	waitMean = 0.75
 )
 
-// Mesh is the network of a scenario as its fleet was drawn.
-func Mesh(scn *settings.Scenario) (*network.Mesh, error) {
+// ScenarioMesh is the network of a scenario as its fleet was drawn.
+func ScenarioMesh(scn *settings.Scenario) (*network.Mesh, error) {
 	s, err := scene.New(scn, &virtual.Clock{}, nobody{})
 	if err != nil {
 		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
 	}
 	n := scn.Fleet.Exchanges
 	share, seconds := 0.0, 0.0
-	m := &network.Mesh{Tandems: tandems * min(scn.Callers.MaxRedials+1, 2), Reserve: network.Reserve{Base: base, Span: span, Dear: true},
-		Wait: float64(scn.Callers.MaxRedials+1)*waitMean + float64(scn.Callers.MaxRedials)*scn.Callers.MeanRedialDelay.Seconds()}
+	m := &network.Mesh{MaxTandems: tandems * min(scn.Callers.MaxRedials+1, 2), Reservation: network.Reservation{Base: base, Window: span, ProtectHighValue: true},
+		MeanWait: float64(scn.Callers.MaxRedials+1)*waitMean + float64(scn.Callers.MaxRedials)*scn.Callers.MeanRedialDelay.Seconds()}
 	for _, c := range scn.Classes {
-		m.Classes = append(m.Classes, network.Class{Name: c.Name, Width: c.Circuits, Holding: c.HoldingTime.Seconds(), Worth: c.Worth})
+		m.Classes = append(m.Classes, network.Class{Name: c.Name, Circuits: c.Circuits, HoldingTime: c.HoldingTime.Seconds(), Worth: c.Worth})
 		share += c.Share
 		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 	}
-	m.Proc = &network.Processors{Look: scn.Processor.ExamineWork, Follow: scn.Processor.FollowUpWork, Queue: scn.Processor.MaxQueueWait.Seconds()}
+	m.Processors = &network.Processors{ExamineWork: scn.Processor.ExamineWork, FollowUpWork: scn.Processor.FollowUpWork, MaxQueueWait: scn.Processor.MaxQueueWait.Seconds()}
 	traffic := s.Traffic()
 	for i := range n {
 		m.Circuits = append(m.Circuits, make([]int, n))
 		m.Offered = append(m.Offered, make([][]float64, n))
-		m.Proc.PerSecond = append(m.Proc.PerSecond, s.Fleet.Current(i).PerSecond())
+		m.Processors.SetupsPerSecond = append(m.Processors.SetupsPerSecond, s.Fleet.Current(i).PerSecond())
 		for j := range n {
 			all := make([]float64, len(scn.Classes))
 			for c, cl := range scn.Classes {
@@ -75,8 +75,8 @@
 	High float64 `json:"high"`
 }
 
-// Holds tells whether a promise of at most x is not refuted.
-func (i Interval) Holds(x float64) bool { return i.Low <= x }
+// ConsistentWith tells whether a promise of at most x is not refuted.
+func (i Interval) ConsistentWith(x float64) bool { return i.Low <= x }
 
 func interval(all []float64) Interval {
 	mean, dev := stat.MeanStdDev(all, nil)
@@ -89,15 +89,15 @@
 
 // Observed is what callers met.
 type Observed struct {
-	Calls   int           `json:"calls"`
-	ByClass []Interval    `json:"by_class"`
-	Pairs   [][]PairSeen  `json:"-"` // from, to; all seeds together
-	Seeds   int           `json:"seeds"`
-	Took    time.Duration `json:"took"` // virtual time in all
+	Calls       int            `json:"calls"`
+	LossByClass []Interval     `json:"by_class"`
+	Pairs       [][]PairCounts `json:"-"` // from, to; all seeds together
+	Seeds       int            `json:"seeds"`
+	VirtualTime time.Duration  `json:"took"` // virtual time in all
 }
 
-// PairSeen is one pair's first tries.
-type PairSeen struct{ Calls, Lost int }
+// PairCounts is one pair's first tries.
+type PairCounts struct{ Calls, Lost int }
 
 // warmUp is how many mean holding times of the longest class pass before calls count.
 const warmUp = 3
@@ -115,7 +115,7 @@
 	}
 	type seen struct {
 		calls, lost []int
-		pairs       [][]PairSeen
+		pairs       [][]PairCounts
 		took        time.Duration
 	}
 	n := scn.Fleet.Exchanges
@@ -131,9 +131,9 @@
 		if err != nil {
 			return nil, err
 		}
-		r := &seen{calls: make([]int, len(scn.Classes)), lost: make([]int, len(scn.Classes)), pairs: make([][]PairSeen, n), took: d.Took}
+		r := &seen{calls: make([]int, len(scn.Classes)), lost: make([]int, len(scn.Classes)), pairs: make([][]PairCounts, n), took: d.Took}
 		for i := range r.pairs {
-			r.pairs[i] = make([]PairSeen, n)
+			r.pairs[i] = make([]PairCounts, n)
 		}
 		for _, k := range d.Crowd.Calls {
 			if d.Since(k) < from || k.Result == subscriber.None && k.Stood == 0 {
@@ -170,16 +170,16 @@
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("simulating %s: %w", scn.Name, err)
 	}
-	o := &Observed{Seeds: seeds, Pairs: make([][]PairSeen, n)}
+	o := &Observed{Seeds: seeds, Pairs: make([][]PairCounts, n)}
 	for i := range o.Pairs {
-		o.Pairs[i] = make([]PairSeen, n)
+		o.Pairs[i] = make([]PairCounts, n)
 	}
 	shares := make([][]float64, len(scn.Classes))
 	for i, r := range results {
 		if errs[i] != nil {
 			return nil, errs[i]
 		}
-		o.Took += r.took
+		o.VirtualTime += r.took
 		for c := range shares {
 			o.Calls += r.calls[c]
 			shares[c] = append(shares[c], float64(r.lost[c])/float64(max(r.calls[c], 1)))
@@ -192,7 +192,7 @@
 		}
 	}
 	for c := range shares {
-		o.ByClass = append(o.ByClass, interval(shares[c]))
+		o.LossByClass = append(o.LossByClass, interval(shares[c]))
 	}
 	return o, nil
 }
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -34,11 +34,11 @@
 func TestModelAgainstSimulation(t *testing.T) {
 	for _, x := range []struct{ level, by float64 }{{0.85, 0.002}, {1, 0.025}, {1.2, 0.03}} {
 		scn := quiet(t, x.level)
-		m, err := Mesh(scn)
+		m, err := ScenarioMesh(scn)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := network.Once(m, false)
+		s, err := network.SolveFrom(m, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,24 +46,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("load %.2f: model %.4f, simulated %.4f", x.level, s.ByClass, o.ByClass)
-		if d := math.Abs(s.ByClass[0] - o.ByClass[0].Mean); !s.Converged || d > x.by {
-			t.Errorf("load %.2f: model %.4f (converged %v), simulated %.4f", x.level, s.ByClass[0], s.Converged, o.ByClass[0])
+		t.Logf("load %.2f: model %.4f, simulated %.4f", x.level, s.LossByClass, o.LossByClass)
+		if d := math.Abs(s.LossByClass[0] - o.LossByClass[0].Mean); !s.Converged || d > x.by {
+			t.Errorf("load %.2f: model %.4f (converged %v), simulated %.4f", x.level, s.LossByClass[0], s.Converged, o.LossByClass[0])
 		}
 	}
 }
 
 // records is a sink that keeps the calls of one controller as tries.
 type records struct {
-	all  *[]measure.Try
+	all  *[]measure.CallAttempt
 	life uint64
 }
 
 func (s records) Put(r *flow.Record) {
 	if r.Kind == flow.Call && r.Route != flow.Transit {
-		*s.all = append(*s.all, measure.Try{At: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
-			Number: r.Number, Repeat: r.Repeat, Lost: r.Outcome != flow.Ended && r.Outcome != flow.Cut, Cut: r.Outcome == flow.Cut,
-			Stood: r.Stood, Life: s.life})
+		*s.all = append(*s.all, measure.CallAttempt{Start: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
+			Number: r.Number, MarkedRetry: r.Repeat, Lost: r.Outcome != flow.Ended && r.Outcome != flow.Cut, Cut: r.Outcome == flow.Cut,
+			EstablishedFor: r.Stood, Incarnation: s.life})
 	}
 }
 
@@ -75,11 +75,11 @@
 	scn.Rules.CallersMarkRetries = false // redials are to be told from first tries by their numbers
 	scn.Length = 50 * time.Minute
 	scn.Troubles = []settings.Trouble{{Kind: "controllers-restart", At: 25 * time.Minute, Size: 0.15}}
-	m, err := Mesh(scn)
+	m, err := ScenarioMesh(scn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var tries []measure.Try
+	var tries []measure.CallAttempt
 	lives := uint64(0)
 	if _, err := virtual.Run(scn, virtual.Options{Flows: func(int) flow.Sink {
 		lives++
@@ -87,12 +87,12 @@
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	r := measure.Batch(tries, measure.Options{Patience: 9 * time.Second})
+	r := measure.EstimateBatch(tries, measure.Options{RetryWindow: 9 * time.Second})
 	in, all, sum, naive, want := 0, 0, 0.0, 0.0, 0.0
 	for _, p := range r.Pairs {
 		offered := m.Offered[p.Source][p.Dest][p.Class]
-		width := float64(m.Classes[p.Class].Width)
-		want, sum, naive = want+offered*width, sum+p.Erlang*width, naive+p.Naive*width
+		width := float64(m.Classes[p.Class].Circuits)
+		want, sum, naive = want+offered*width, sum+p.Erlang*width, naive+p.AllAttemptsErlang*width
 		if p.Known {
 			all++
 			if p.Low <= offered && offered <= p.High {
@@ -112,15 +112,15 @@
 	}
 	t.Logf("%.1f circuits carry direct calls, %.1f those over tandems", direct, transit)
 	t.Logf("%.1f circuits asked for, %.1f read, %.1f with each try a call of its own; %d of %d intervals hold", want, sum, naive, in, all)
-	if math.Abs(sum-want) > 0.03*want || in < all*88/100 || naive < 1.05*want || r.Lives != 8 {
-		t.Errorf("%d lives", r.Lives)
+	if math.Abs(sum-want) > 0.03*want || in < all*88/100 || naive < 1.05*want || r.Incarnations != 8 {
+		t.Errorf("%d lives", r.Incarnations)
 	}
 }
 
 // The mesh offers what the scenario says, and other seeds meet the same fleet.
 func TestMeshOfAScenario(t *testing.T) {
 	scn := quiet(t, 1)
-	m, err := Mesh(scn)
+	m, err := ScenarioMesh(scn)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 	for i := range m.Offered {
 		for j := range m.Offered {
 			for c, cl := range m.Classes {
-				all += m.Offered[i][j][c] * float64(cl.Width)
+				all += m.Offered[i][j][c] * float64(cl.Circuits)
 			}
 		}
 	}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Seen is a share of calls lost in simulation with its 95 % interval.
-type Seen struct {
+// SimulatedLoss is a share of calls lost in simulation with its 95 % interval.
+type SimulatedLoss struct {
 	Calls int     `json:"calls"`
 	Loss  float64 `json:"loss"`
 	Low   float64 `json:"low"`
@@ -26,54 +26,54 @@
 
 // Pair is one group, both ways.
 type Pair struct {
-	A       int     `json:"a"`
-	B       int     `json:"b"`
-	Offered float64 `json:"offered"` // circuits that its calls would take if none were lost
-	Low     float64 `json:"low"`     // 95 % interval of it; the same as Offered where it is not measured
-	High    float64 `json:"high"`
-	Now     int     `json:"now"` // circuits
-	Advised int     `json:"advised"`
-	LossNow float64 `json:"loss_now"` // by the model
-	Promise float64 `json:"promise"`
-	Seen    *Seen   `json:"seen,omitempty"`
+	A               int            `json:"a"`
+	B               int            `json:"b"`
+	Offered         float64        `json:"offered"` // circuits that its calls would take if none were lost
+	Low             float64        `json:"low"`     // 95 % interval of it; the same as Offered where it is not measured
+	High            float64        `json:"high"`
+	CircuitsNow     int            `json:"now"` // circuits
+	CircuitsAdvised int            `json:"advised"`
+	LossNow         float64        `json:"loss_now"` // by the model
+	PredictedLoss   float64        `json:"promise"`
+	Simulated       *SimulatedLoss `json:"seen,omitempty"`
 }
 
 // Class is one class over the whole network.
 type Class struct {
-	Name    string  `json:"name"`
-	Target  float64 `json:"target"`
-	Now     float64 `json:"now"`
-	Promise float64 `json:"promise"`
-	Seen    *Seen   `json:"seen,omitempty"`
+	Name          string         `json:"name"`
+	Target        float64        `json:"target"`
+	LossNow       float64        `json:"now"`
+	PredictedLoss float64        `json:"promise"`
+	Simulated     *SimulatedLoss `json:"seen,omitempty"`
 }
 
 // Move is one thing to do first.
 type Move struct {
-	What string  `json:"what"`
-	Lost float64 `json:"lost"` // circuits' worth of traffic lost after it
+	Action      string  `json:"what"`
+	LostTraffic float64 `json:"lost"` // circuits' worth of traffic lost after it
 }
 
 // Report is what a dimensioning found.
 type Report struct {
-	Name         string  `json:"name"`
-	Exchanges    int     `json:"exchanges"`
-	Growth       float64 `json:"growth"`
-	Module       int     `json:"module"`
-	Now          int     `json:"now"` // circuits
-	Advised      int     `json:"advised"`
-	Proportional int     `json:"proportional,omitempty"`
-	Bound        float64 `json:"bound"` // cost
-	Cost         float64 `json:"cost"`
-	Gap          float64 `json:"gap"`
-	Worst        float64 `json:"worst,omitempty"`
-	WorstWhat    string  `json:"worst_what,omitempty"`
-	Stopped      bool    `json:"stopped,omitempty"` // the search was cut short
-	Two          bool    `json:"two_states_now"`    // the network as it stands may stay in either of two states
-	Unsettled    bool    `json:"unsettled_now"`     // no state was found for it
-	Seeds        int     `json:"seeds,omitempty"`
-	Classes      []Class `json:"classes"`
-	Pairs        []Pair  `json:"pairs"`
-	Moves        []Move  `json:"moves,omitempty"`
+	Name                 string  `json:"name"`
+	Exchanges            int     `json:"exchanges"`
+	Growth               float64 `json:"growth"`
+	ModuleSize           int     `json:"module"`
+	CircuitsNow          int     `json:"now"` // circuits
+	CircuitsAdvised      int     `json:"advised"`
+	CircuitsProportional int     `json:"proportional,omitempty"`
+	CostBound            float64 `json:"bound"` // cost
+	Cost                 float64 `json:"cost"`
+	Gap                  float64 `json:"gap"`
+	WorstFailureLoss     float64 `json:"worst,omitempty"`
+	WorstFailure         string  `json:"worst_what,omitempty"`
+	Stopped              bool    `json:"stopped,omitempty"` // the search was cut short
+	Bistable             bool    `json:"two_states_now"`    // the network as it stands may stay in either of two states
+	Unsettled            bool    `json:"unsettled_now"`     // no state was found for it
+	Seeds                int     `json:"seeds,omitempty"`
+	Classes              []Class `json:"classes"`
+	Pairs                []Pair  `json:"pairs"`
+	Moves                []Move  `json:"moves,omitempty"`
 }
 
 //go:embed page.html
@@ -124,8 +124,8 @@
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Groups", "offered (erlang)", "circuits"
 	var now, advised plotter.XYs
 	for _, x := range r.Pairs {
-		now = append(now, plotter.XY{X: x.Offered, Y: float64(x.Now)})
-		advised = append(advised, plotter.XY{X: x.Offered, Y: float64(x.Advised)})
+		now = append(now, plotter.XY{X: x.Offered, Y: float64(x.CircuitsNow)})
+		advised = append(advised, plotter.XY{X: x.Offered, Y: float64(x.CircuitsAdvised)})
 	}
 	if err := scatter(p, now, advised, "now", "advised"); err != nil {
 		return "", err
@@ -138,9 +138,9 @@
 	var all, line plotter.XYs
 	most := 0.0
 	for _, x := range r.Pairs {
-		if x.Seen != nil && x.Seen.Calls > 0 {
-			all = append(all, plotter.XY{X: x.Promise, Y: x.Seen.Loss})
-			most = math.Max(most, math.Max(x.Promise, x.Seen.Loss))
+		if x.Simulated != nil && x.Simulated.Calls > 0 {
+			all = append(all, plotter.XY{X: x.PredictedLoss, Y: x.Simulated.Loss})
+			most = math.Max(most, math.Max(x.PredictedLoss, x.Simulated.Loss))
 		}
 	}
 	if len(all) == 0 {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -11,11 +11,11 @@
 
 // The page holds each pair, is whole, and a name can't break out of it.
 func TestHTML(t *testing.T) {
-	r := &Report{Name: "<script>alert(1)</script>", Exchanges: 3, Growth: 1, Module: 30, Now: 90, Advised: 120, Seeds: 20, Two: true,
-		Classes: []Class{{Name: "urgent & dear", Target: 0.01, Seen: &Seen{Calls: 10, Loss: 0.004}}},
-		Pairs: []Pair{{A: 0, B: 1, Offered: 12.5, Now: 30, Advised: 30, Promise: 0.0031, Seen: &Seen{Calls: 900, Loss: 0.0025}},
-			{A: 0, B: 2, Offered: 40, Now: 60, Advised: 90, Promise: 0.0123, Seen: &Seen{Calls: 800, Loss: 0.02}}},
-		Moves: []Move{{What: "buy 30 circuits between 0 and 2", Lost: 1.5}}}
+	r := &Report{Name: "<script>alert(1)</script>", Exchanges: 3, Growth: 1, ModuleSize: 30, CircuitsNow: 90, CircuitsAdvised: 120, Seeds: 20, Bistable: true,
+		Classes: []Class{{Name: "urgent & dear", Target: 0.01, Simulated: &SimulatedLoss{Calls: 10, Loss: 0.004}}},
+		Pairs: []Pair{{A: 0, B: 1, Offered: 12.5, CircuitsNow: 30, CircuitsAdvised: 30, PredictedLoss: 0.0031, Simulated: &SimulatedLoss{Calls: 900, Loss: 0.0025}},
+			{A: 0, B: 2, Offered: 40, CircuitsNow: 60, CircuitsAdvised: 90, PredictedLoss: 0.0123, Simulated: &SimulatedLoss{Calls: 800, Loss: 0.02}}},
+		Moves: []Move{{Action: "buy 30 circuits between 0 and 2", LostTraffic: 1.5}}}
 	var b bytes.Buffer
 	if err := HTML(&b, r); err != nil {
 		t.Fatal(err)
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -37,7 +37,7 @@
 		FaultLimit:          guard.FaultLimiter{Burst: set.Limits.UnreadableMessages, ForgiveEvery: 100 * time.Millisecond},
 		FlowSink:            flows,
 		InterimInterval:     set.Flows.InterimInterval,
-		TrafficMeter:        measure.NewLive(now, set.Limits.MeasurementPeriod, patience),
+		TrafficMeter:        measure.NewMeter(now, set.Limits.MeasurementPeriod, patience),
 	}
 }
 
