--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -13,17 +13,17 @@
 	c.fillCallRecord(call, flow.KindCall, outcome)
 	*c.counts.At(&c.record)++
 	if r := &c.record; c.config.TrafficMeter != nil && r.Route != flow.RouteTransit {
-		c.config.TrafficMeter.Add(c.now, measure.Try{
-			At:       r.Start,
-			Source:   r.Source,
-			Dest:     r.Dest,
-			Class:    r.Class,
-			Circuits: call.circuits,
-			Number:   r.CalledNumber,
-			Repeat:   r.Repeat,
-			Lost:     outcome != flow.CallEnded && outcome != flow.CallCut,
-			Cut:      outcome == flow.CallCut,
-			Stood:    r.EstablishedFor,
+		c.config.TrafficMeter.Add(c.now, measure.CallAttempt{
+			Start:          r.Start,
+			Source:         r.Source,
+			Dest:           r.Dest,
+			Class:          r.Class,
+			Circuits:       call.circuits,
+			Number:         r.CalledNumber,
+			MarkedRetry:    r.Repeat,
+			Lost:           outcome != flow.CallEnded && outcome != flow.CallCut,
+			Cut:            outcome == flow.CallCut,
+			EstablishedFor: r.EstablishedFor,
 		})
 	}
 	c.emitRecord()
