--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -64,8 +64,8 @@
 
 // RulesKept tells whether every rule held.
 func (r *Result) RulesKept() bool {
-	for _, u := range r.Rules {
-		if u.Broken > 0 {
+	for _, rule := range r.Rules {
+		if rule.Broken > 0 {
 			return false
 		}
 	}
@@ -74,91 +74,91 @@
 
 // Run plays a scenario. Its error is for a play that could not be made; broken
 // rules stand in the result.
-func Run(ctx context.Context, o Options) (*Result, error) {
+func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := capture.Create(filepath.Join(o.Dir, "stand-ins"+capture.FileSuffix), "stand-ins")
+	captureWriter, err := capture.Create(filepath.Join(options.Dir, "stand-ins"+capture.FileSuffix), "stand-ins")
 	if err != nil {
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	wd, err := world.New(o.Scenario, world.Network{
+	runner, err := world.New(options.Scenario, world.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
-	}, w)
+	}, captureWriter)
 	if err != nil {
-		return nil, errors.Join(err, w.Close())
+		return nil, errors.Join(err, captureWriter.Close())
 	}
-	var flows *collect.Collector
-	collector := ""
-	if o.ExportFlows {
-		if flows, err = collect.New(filepath.Join(o.Dir, "flows.ipfix")); err != nil {
-			return nil, errors.Join(err, w.Close())
+	var collector *collect.Collector
+	collectorAddress := ""
+	if options.ExportFlows {
+		if collector, err = collect.New(filepath.Join(options.Dir, "flows.ipfix")); err != nil {
+			return nil, errors.Join(err, captureWriter.Close())
 		}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, errors.Join(err, w.Close())
+			return nil, errors.Join(err, captureWriter.Close())
 		}
-		defer ln.Close()
-		go flows.Serve(ln)
-		collector = ln.Addr().String()
+		defer listener.Close()
+		go collector.Serve(listener)
+		collectorAddress = listener.Addr().String()
 	}
-	f := &controllerProcesses{options: o, collectorAddress: collector, listAddress: wd.ListAddr(), captureWriter: w, processes: make([]process, o.Scenario.Fleet.Exchanges)}
-	for cell := range f.processes {
-		if err := f.startController(cell); err != nil {
-			f.killAll()
-			return nil, errors.Join(err, w.Close())
+	processes := &controllerProcesses{options: options, collectorAddress: collectorAddress, listAddress: runner.ListAddr(), captureWriter: captureWriter, processes: make([]process, options.Scenario.Fleet.Exchanges)}
+	for number := range processes.processes {
+		if err := processes.startController(number); err != nil {
+			processes.killAll()
+			return nil, errors.Join(err, captureWriter.Close())
 		}
 	}
-	played := wd.Run(ctx, f, o.Progress)
-	left := f.stopAll()
-	held := make(chan int, 1)
-	wd.Do(func() { held <- wd.Fleet.CircuitsInUse() })
-	n := <-held
-	wd.Close()
-	if err := errors.Join(played, left, w.Close()); err != nil {
-		return nil, fmt.Errorf("playing %s: %w (logs in %s)", o.Scenario.Name, err, o.Dir)
+	runErr := runner.Run(ctx, processes, options.Progress)
+	stopErr := processes.stopAll()
+	inUse := make(chan int, 1)
+	runner.Do(func() { inUse <- runner.Fleet.CircuitsInUse() })
+	circuitsInUse := <-inUse
+	runner.Close()
+	if err := errors.Join(runErr, stopErr, captureWriter.Close()); err != nil {
+		return nil, fmt.Errorf("playing %s: %w (logs in %s)", options.Scenario.Name, err, options.Dir)
 	}
-	report, err := audit.Path(o.Dir)
+	report, err := audit.Path(options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	r := newResult(o, report, wd.Simulation)
-	r.CircuitsInUse = n
-	if flows != nil {
-		r.Flows = flows.Report()
-		if err := flows.Close(); err != nil {
+	result := newResult(options, report, runner.Simulation)
+	result.CircuitsInUse = circuitsInUse
+	if collector != nil {
+		result.Flows = collector.Report()
+		if err := collector.Close(); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
 // newResult puts the judgement and the callers' tables together.
-func newResult(o Options, report *audit.Report, s *scene.Simulation) *Result {
-	r := &Result{Scenario: o.Scenario.Name, Seed: o.Scenario.Seed, Policy: o.Policy, Exchanges: o.Scenario.Fleet.Exchanges,
-		Rules: report.Rules, Calls: report.Calls, Capture: o.Dir, Messages: report.Messages,
-		Fleet: s.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
-	AddTables(r, o.Scenario, s)
-	return r
+func newResult(options Options, report *audit.Report, simulation *scene.Simulation) *Result {
+	result := &Result{Scenario: options.Scenario.Name, Seed: options.Scenario.Seed, Policy: options.Policy, Exchanges: options.Scenario.Fleet.Exchanges,
+		Rules: report.Rules, Calls: report.Calls, Capture: options.Dir, Messages: report.Messages,
+		Fleet: simulation.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
+	AddTables(result, options.Scenario, simulation)
+	return result
 }
 
 // AddTables counts a scene's calls by class and by trouble.
-func AddTables(r *Result, scn *settings.Scenario, wd *scene.Simulation) {
-	add := func(name string, rows *[]Row, which func(*subscriber.Call) bool) {
-		t := wd.Callers.Tally(which)
-		*rows = append(*rows, Row{name, t, t.ServiceRatio()})
+func AddTables(result *Result, scenario *settings.Scenario, simulation *scene.Simulation) {
+	add := func(name string, rows *[]Row, matches func(*subscriber.Call) bool) {
+		tally := simulation.Callers.Tally(matches)
+		*rows = append(*rows, Row{name, tally, tally.ServiceRatio()})
 	}
-	for i, c := range scn.Classes {
-		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.ToHotNumber })
+	for i, c := range scenario.Classes {
+		add(c.Name, &result.Classes, func(call *subscriber.Call) bool { return call.Class == i && !call.ToHotNumber })
 	}
-	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
-	add("all", &r.Classes, func(*subscriber.Call) bool { return true })
-	r.ServiceRatio = r.Classes[len(r.Classes)-1].ServiceRatio
-	for _, s := range wd.Troubles() {
-		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.Description), &r.Troubles, func(k *subscriber.Call) bool {
-			at := wd.FirstAttemptTime(k)
-			return at >= s.Start && at < s.End
+	add("hot number", &result.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
+	add("all", &result.Classes, func(*subscriber.Call) bool { return true })
+	result.ServiceRatio = result.Classes[len(result.Classes)-1].ServiceRatio
+	for _, trouble := range simulation.Troubles() {
+		add(fmt.Sprintf("%s at %v: %s", trouble.Kind, trouble.At, trouble.Description), &result.Troubles, func(k *subscriber.Call) bool {
+			at := simulation.FirstAttemptTime(k)
+			return at >= trouble.Start && at < trouble.End
 		})
 	}
 }
@@ -185,75 +185,75 @@
 }
 
 // Addr is where a controller listens.
-func (f *controllerProcesses) Addr(cell int) string {
+func (f *controllerProcesses) Addr(number int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.processes[cell].address
+	return f.processes[number].address
 }
 
 // startController runs a controller on a listener that this process opens and passes on.
-func (f *controllerProcesses) startController(cell int) error {
-	p := &f.processes[cell]
-	addr := p.address
+func (f *controllerProcesses) startController(number int) error {
+	started := &f.processes[number]
+	addr := started.address
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer ln.Close()
-	p.address = ln.Addr().String()
-	file, err := ln.(*net.TCPListener).File()
+	defer listener.Close()
+	started.address = listener.Addr().String()
+	listenerFile, err := listener.(*net.TCPListener).File()
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer file.Close()
-	p.starts++
-	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", cell, p.starts))
-	set := f.options.Scenario.Controller(cell, f.listAddress)
-	set.Seed += uint64(p.starts) << 32
-	set.Listen, set.Policy = "fd:3", f.options.Policy
-	set.Capture.File = base + capture.FileSuffix
+	defer listenerFile.Close()
+	started.starts++
+	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", number, started.starts))
+	controllerSettings := f.options.Scenario.Controller(number, f.listAddress)
+	controllerSettings.Seed += uint64(started.starts) << 32
+	controllerSettings.Listen, controllerSettings.Policy = "fd:3", f.options.Policy
+	controllerSettings.Capture.File = base + capture.FileSuffix
 	if f.collectorAddress != "" {
-		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
-			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", cell))}
+		controllerSettings.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
+			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", number))}
 	}
-	out, err := os.Create(base + ".xml")
+	settingsFile, err := os.Create(base + ".xml")
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	if err := errors.Join(settings.Write(out, "controller", set), out.Close()); err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+	if err := errors.Join(settings.Write(settingsFile, "controller", controllerSettings), settingsFile.Close()); err != nil {
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	log, err := os.Create(base + ".log")
+	logFile, err := os.Create(base + ".log")
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer log.Close()
-	p.command = exec.Command(f.options.Executable, "run", base+".xml")
-	p.command.Stdout, p.command.Stderr = log, log
-	p.command.ExtraFiles = []*os.File{file}
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.command.Start(); err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+	defer logFile.Close()
+	started.command = exec.Command(f.options.Executable, "run", base+".xml")
+	started.command.Stdout, started.command.Stderr = logFile, logFile
+	started.command.ExtraFiles = []*os.File{listenerFile}
+	started.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := started.command.Start(); err != nil {
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
 	return nil
 }
 
 // Restart kills a controller and starts it again, without holding its caller up.
-func (f *controllerProcesses) Restart(cell int) {
+func (f *controllerProcesses) Restart(number int) {
 	f.restarts.Go(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.stopping {
 			return
 		}
-		p := &f.processes[cell]
-		_ = p.command.Process.Kill() // fails only if it has ended
-		_ = p.command.Wait()         // killed: its status says so
-		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
-		if err := f.startController(cell); err != nil {
+		restarted := &f.processes[number]
+		_ = restarted.command.Process.Kill() // fails only if it has ended
+		_ = restarted.command.Wait()         // killed: its status says so
+		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(number)})
+		if err := f.startController(number); err != nil {
 			f.errs = append(f.errs, err)
 		}
 	})
@@ -288,9 +288,9 @@
 // killAll ends what was started of a fleet that could not be.
 func (f *controllerProcesses) killAll() {
 	for i := range f.processes {
-		if c := f.processes[i].command; c != nil && c.Process != nil {
-			_ = c.Process.Kill()
-			_ = c.Wait()
+		if command := f.processes[i].command; command != nil && command.Process != nil {
+			_ = command.Process.Kill()
+			_ = command.Wait()
 		}
 	}
 }
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -13,27 +13,27 @@
 
 // RunVirtual plays a scenario in virtual time, without processes and sockets, and
 // judges it as Run does. Flows, Exe and Progress are not used.
-func RunVirtual(o Options) (*Result, error) {
-	var failed error
-	lives := map[string]int{}
-	day, err := virtual.Run(o.Scenario, virtual.Options{Policy: o.Policy, NewCapture: func(who string, now func() int64) *capture.Writer {
-		lives[who]++
-		name := fmt.Sprintf("%s.%d%s", strings.ReplaceAll(who, " ", "-"), lives[who], capture.FileSuffix)
-		w, err := capture.CreateWithClock(filepath.Join(o.Dir, name), who, now)
-		failed = errors.Join(failed, err)
-		return w
+func RunVirtual(options Options) (*Result, error) {
+	var captureErr error
+	incarnations := map[string]int{}
+	run, err := virtual.Run(options.Scenario, virtual.Options{Policy: options.Policy, NewCapture: func(owner string, now func() int64) *capture.Writer {
+		incarnations[owner]++
+		name := fmt.Sprintf("%s.%d%s", strings.ReplaceAll(owner, " ", "-"), incarnations[owner], capture.FileSuffix)
+		captureWriter, err := capture.CreateWithClock(filepath.Join(options.Dir, name), owner, now)
+		captureErr = errors.Join(captureErr, err)
+		return captureWriter
 	}})
-	if err := errors.Join(failed, err); err != nil {
-		return nil, fmt.Errorf("playing %s: %w", o.Scenario.Name, err)
+	if err := errors.Join(captureErr, err); err != nil {
+		return nil, fmt.Errorf("playing %s: %w", options.Scenario.Name, err)
 	}
-	report, err := audit.Path(o.Dir)
+	report, err := audit.Path(options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	r := newResult(o, report, day.Simulation)
-	r.CircuitsInUse = day.CircuitsInUse
-	if !day.AllStopped {
-		r.Notes = append(r.Notes, "not every controller could leave")
+	result := newResult(options, report, run.Simulation)
+	result.CircuitsInUse = run.CircuitsInUse
+	if !run.AllStopped {
+		result.Notes = append(result.Notes, "not every controller could leave")
 	}
-	return r, nil
+	return result, nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -70,9 +70,9 @@
 }
 
 type pendingCall struct {
-	due     time.Time
-	name    string
-	holding time.Duration
+	dueAt       time.Time
+	termination string
+	holdingTime time.Duration
 }
 
 type run struct {
@@ -87,86 +87,86 @@
 // maxRecordedDelay is the largest delay told apart.
 const maxRecordedDelay = int64(5 * time.Minute)
 
-func (r *run) record(end int, d time.Duration) {
+func (r *run) record(outcome int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.histograms[end].RecordValue(min(max(int64(d), 1), maxRecordedDelay)) // within range by min and max
+	_ = r.histograms[outcome].RecordValue(min(max(int64(delay), 1), maxRecordedDelay)) // within range by min and max
 }
 
 // Run makes the calls and waits for the answers.
-func Run(ctx context.Context, o Options) (*Result, error) {
-	if o.Rate <= 0 || o.Duration <= 0 || o.ConnsPerAddress <= 0 || len(o.Addresses) == 0 || len(o.Classes) == 0 || len(o.Destinations) == 0 || o.Patience <= 0 {
+func Run(ctx context.Context, options Options) (*Result, error) {
+	if options.Rate <= 0 || options.Duration <= 0 || options.ConnsPerAddress <= 0 || len(options.Addresses) == 0 || len(options.Classes) == 0 || len(options.Destinations) == 0 || options.Patience <= 0 {
 		return nil, errors.New("load: rate, time, patience, connections, controllers, classes and numbers must all be given")
 	}
-	if o.Dial == nil {
-		var d net.Dialer
-		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
+	if options.Dial == nil {
+		var dialer net.Dialer
+		options.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
-	r := &run{options: o, random: rand.New(rand.NewPCG(o.Seed, 0x10ad))}
-	for i := range r.histograms {
-		r.histograms[i] = hdrhistogram.New(1, maxRecordedDelay, 3)
+	current := &run{options: options, random: rand.New(rand.NewPCG(options.Seed, 0x10ad))}
+	for i := range current.histograms {
+		current.histograms[i] = hdrhistogram.New(1, maxRecordedDelay, 3)
 	}
-	for _, addr := range o.Addresses {
-		for range o.ConnsPerAddress {
-			nc, err := o.Dial(ctx, addr)
+	for _, addr := range options.Addresses {
+		for range options.ConnsPerAddress {
+			conn, err := options.Dial(ctx, addr)
 			if err != nil {
-				r.close()
+				current.close()
 				return nil, fmt.Errorf("load: %w", err)
 			}
-			c := &client{run: r, pending: map[uint32]pendingCall{}}
-			c.conn = transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}, WriteTimeout: time.Minute}, c)
-			r.clients = append(r.clients, c)
+			added := &client{run: current, pending: map[uint32]pendingCall{}}
+			added.conn = transport.Start(conn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}, WriteTimeout: time.Minute}, added)
+			current.clients = append(current.clients, added)
 		}
 	}
-	defer r.close()
+	defer current.close()
 	start := time.Now()
-	n := r.placeCalls(ctx, start)
-	took := time.Since(start)
-	deadline := time.Now().Add(o.Patience + time.Second)
-	for r.countPending() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+	offered := current.placeCalls(ctx, start)
+	duration := time.Since(start)
+	deadline := time.Now().Add(options.Patience + time.Second)
+	for current.countPending() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, c := range r.clients {
+	for _, c := range current.clients {
 		c.mu.Lock()
 		for id, b := range c.pending {
-			r.record(unanswered, time.Since(b.due))
+			current.record(unanswered, time.Since(b.dueAt))
 			delete(c.pending, id)
 		}
 		c.mu.Unlock()
 	}
-	r.releaseTimers.Wait()
-	res := &Result{Offered: n, Duration: took}
-	for i, h := range r.histograms {
-		res.Rows = append(res.Rows, Row{outcomeNames[i], h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
-			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), time.Duration(h.Max())})
+	current.releaseTimers.Wait()
+	result := &Result{Offered: offered, Duration: duration}
+	for i, histogram := range current.histograms {
+		result.Rows = append(result.Rows, Row{outcomeNames[i], histogram.TotalCount(), time.Duration(histogram.ValueAtQuantile(50)),
+			time.Duration(histogram.ValueAtQuantile(99)), time.Duration(histogram.ValueAtQuantile(99.9)), time.Duration(histogram.Max())})
 	}
-	return res, nil
+	return result, nil
 }
 
 // placeCalls makes the calls at their times, several at once where the clock is behind.
 func (r *run) placeCalls(ctx context.Context, start time.Time) int {
 	due := start
-	for n := 0; ; n++ {
+	for placed := 0; ; placed++ {
 		due = due.Add(time.Duration(r.random.ExpFloat64() / r.options.Rate * float64(time.Second)))
 		if due.Sub(start) > r.options.Duration || ctx.Err() != nil {
-			return n
+			return placed
 		}
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
-		c := r.clients[n%len(r.clients)]
-		m := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.options.Seed, n)}
-		m.Put("Class", r.options.Classes[r.random.IntN(len(r.options.Classes))]).PutInt("Dest", r.options.Destinations[r.random.IntN(len(r.options.Destinations))])
-		m.Put("Number", fmt.Sprint(r.random.Uint64N(1<<40))).PutDuration("Left", r.options.Patience)
-		c.mu.Lock()
-		c.lastTransaction++
-		m.ID = c.lastTransaction
-		c.pending[m.ID] = pendingCall{due, m.Termination, time.Duration(r.random.ExpFloat64() * float64(r.options.MeanHoldingTime))}
-		sent := c.conn.Send(m, time.Hour)
+		caller := r.clients[placed%len(r.clients)]
+		request := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.options.Seed, placed)}
+		request.Put("Class", r.options.Classes[r.random.IntN(len(r.options.Classes))]).PutInt("Dest", r.options.Destinations[r.random.IntN(len(r.options.Destinations))])
+		request.Put("Number", fmt.Sprint(r.random.Uint64N(1<<40))).PutDuration("Left", r.options.Patience)
+		caller.mu.Lock()
+		caller.lastTransaction++
+		request.ID = caller.lastTransaction
+		caller.pending[request.ID] = pendingCall{due, request.Termination, time.Duration(r.random.ExpFloat64() * float64(r.options.MeanHoldingTime))}
+		sent := caller.conn.Send(request, time.Hour)
 		if !sent {
-			delete(c.pending, m.ID)
+			delete(caller.pending, request.ID)
 		}
-		c.mu.Unlock()
+		caller.mu.Unlock()
 		if !sent {
 			r.record(notTaken, time.Since(due))
 		}
@@ -174,13 +174,13 @@
 }
 
 func (r *run) countPending() int {
-	n := 0
+	pending := 0
 	for _, c := range r.clients {
 		c.mu.Lock()
-		n += len(c.pending)
+		pending += len(c.pending)
 		c.mu.Unlock()
 	}
-	return n
+	return pending
 }
 
 func (r *run) close() {
@@ -191,46 +191,46 @@
 }
 
 // Message takes a controller's word.
-func (c *client) Message(conn *transport.Conn[*signal.Message], m *signal.Message) {
-	if m.Kind == signal.Request {
-		conn.Send(m.NewReply(), 0)
+func (c *client) Message(conn *transport.Conn[*signal.Message], message *signal.Message) {
+	if message.Kind == signal.Request {
+		conn.Send(message.NewReply(), 0)
 		return
 	}
-	if m.Kind != signal.Reply || m.Command != signal.Add {
+	if message.Kind != signal.Reply || message.Command != signal.Add {
 		return
 	}
 	c.mu.Lock()
-	b, ok := c.pending[m.ID]
-	delete(c.pending, m.ID)
+	answered, ok := c.pending[message.ID]
+	delete(c.pending, message.ID)
 	c.mu.Unlock()
 	if !ok {
 		return
 	}
-	end := failed
+	outcome := failed
 	switch {
-	case m.Code == 0:
-		end = established
-	case m.Get("Taken") == "no":
-		end = notTaken
-	case m.Code == signal.InsufficientResources:
-		end = refused
-	}
-	c.run.record(end, time.Since(b.due))
-	if end != established {
+	case message.Code == 0:
+		outcome = established
+	case message.Get("Taken") == "no":
+		outcome = notTaken
+	case message.Code == signal.InsufficientResources:
+		outcome = refused
+	}
+	c.run.record(outcome, time.Since(answered.dueAt))
+	if outcome != established {
 		return
 	}
 	release := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.lastTransaction++
-		conn.Send(&signal.Message{ID: c.lastTransaction, Command: signal.Subtract, Termination: b.name}, 0)
+		conn.Send(&signal.Message{ID: c.lastTransaction, Command: signal.Subtract, Termination: answered.termination}, 0)
 	}
-	if b.holding <= 0 {
+	if answered.holdingTime <= 0 {
 		release()
 		return
 	}
 	c.run.releaseTimers.Add(1)
-	time.AfterFunc(b.holding, func() {
+	time.AfterFunc(answered.holdingTime, func() {
 		defer c.run.releaseTimers.Done()
 		release()
 	})
@@ -240,13 +240,13 @@
 func (c *client) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
 
 // Unsent is a call that could not be sent.
-func (c *client) Unsent(_ *transport.Conn[*signal.Message], m *signal.Message) {
+func (c *client) Unsent(_ *transport.Conn[*signal.Message], message *signal.Message) {
 	c.mu.Lock()
-	b, ok := c.pending[m.ID]
-	delete(c.pending, m.ID)
+	unsent, ok := c.pending[message.ID]
+	delete(c.pending, message.ID)
 	c.mu.Unlock()
 	if ok {
-		c.run.record(notTaken, time.Since(b.due))
+		c.run.record(notTaken, time.Since(unsent.dueAt))
 	}
 }
 
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -56,71 +56,71 @@
 }
 
 // Run measures the controller and the echo in turn, rate by rate.
-func Run(ctx context.Context, o Options, told func(Step)) (*Result, error) {
-	in, err := newInstantPeers()
+func Run(ctx context.Context, options Options, report func(Step)) (*Result, error) {
+	peers, err := newInstantPeers()
 	if err != nil {
 		return nil, err
 	}
-	defer in.close()
-	control, stopControl, err := o.startController(ctx, "controller", in.list.Addr().String(), "")
+	defer peers.close()
+	controller, stopControl, err := options.startController(ctx, "controller", peers.listListener.Addr().String(), "")
 	if err != nil {
 		return nil, err
 	}
 	defer stopControl()
-	echo, stopEcho, err := o.startChild(ctx, "echo", "echo", "--listen", "fd:3")
+	echo, stopEcho, err := options.startChild(ctx, "echo", "echo", "--listen", "fd:3")
 	if err != nil {
 		return nil, err
 	}
 	defer stopEcho()
-	r := &Result{}
-	servers := []server{{"controller", control, &r.Controller}, {"echo", echo, &r.Echo}}
-	if o.ExportFlows {
-		hung, err := net.Listen("tcp", "127.0.0.1:0")
+	result := &Result{}
+	servers := []server{{"controller", controller, &result.Controller}, {"echo", echo, &result.Echo}}
+	if options.ExportFlows {
+		stalledCollector, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("rate: %w", err)
 		}
-		defer hung.Close()
-		go acceptWithoutReading(hung)
-		addr, stop, err := o.startController(ctx, "exporting", in.list.Addr().String(), hung.Addr().String())
+		defer stalledCollector.Close()
+		go acceptWithoutReading(stalledCollector)
+		addr, stop, err := options.startController(ctx, "exporting", peers.listListener.Addr().String(), stalledCollector.Addr().String())
 		if err != nil {
 			return nil, err
 		}
 		defer stop()
-		servers = append(servers, server{"exporting", addr, &r.Exporting})
+		servers = append(servers, server{"exporting", addr, &result.Exporting})
 	}
 	time.Sleep(time.Second) // the controller finds its list and exchanges
 	over := map[string]bool{}
-	for _, rate := range o.Rates {
+	for _, rate := range options.Rates {
 		for _, s := range servers {
 			if over[s.name] || ctx.Err() != nil {
 				continue
 			}
-			step, err := o.measureStep(ctx, s.name, s.address, rate)
+			step, err := options.measureStep(ctx, s.name, s.address, rate)
 			if err != nil {
 				return nil, err
 			}
-			r.Steps = append(r.Steps, step)
-			told(step)
+			result.Steps = append(result.Steps, step)
+			report(step)
 			if over[s.name] = !step.Passed; step.Passed {
 				*s.highestRate = rate
 			}
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
-func (o Options) measureStep(ctx context.Context, name, addr string, rate float64) (Step, error) {
-	res, err := load.Run(ctx, load.Options{Addresses: []string{addr}, Rate: rate, Duration: o.StepDuration, Classes: []string{"call"}, Destinations: []int{1, 2, 3},
+func (options Options) measureStep(ctx context.Context, name, address string, rate float64) (Step, error) {
+	result, err := load.Run(ctx, load.Options{Addresses: []string{address}, Rate: rate, Duration: options.StepDuration, Classes: []string{"call"}, Destinations: []int{1, 2, 3},
 		Patience: 4 * time.Second, MeanHoldingTime: 200 * time.Millisecond, ConnsPerAddress: 4, Seed: uint64(rate)})
 	if err != nil {
 		return Step{}, fmt.Errorf("%s at %.0f: %w", name, rate, err)
 	}
-	s := Step{Server: name, Rate: rate, Established: res.Rows[0].Calls, P50: res.Rows[0].P50, P99: res.Rows[0].P99}
-	for _, row := range res.Rows[1:] {
-		s.NotEstablished += row.Calls
+	step := Step{Server: name, Rate: rate, Established: result.Rows[0].Calls, P50: result.Rows[0].P50, P99: result.Rows[0].P99}
+	for _, row := range result.Rows[1:] {
+		step.NotEstablished += row.Calls
 	}
-	s.Passed = s.P99 <= o.MaxP99 && s.NotEstablished*1000 <= s.Established
-	return s, nil
+	step.Passed = step.P99 <= options.MaxP99 && step.NotEstablished*1000 <= step.Established
+	return step, nil
 }
 
 type server struct {
@@ -129,98 +129,98 @@
 }
 
 // acceptWithoutReading accepts and never reads.
-func acceptWithoutReading(ln net.Listener) {
-	var held []net.Conn
+func acceptWithoutReading(listener net.Listener) {
+	var accepted []net.Conn
 	defer func() {
-		for _, nc := range held {
-			nc.Close()
+		for _, conn := range accepted {
+			conn.Close()
 		}
 	}()
 	for {
-		nc, err := ln.Accept()
+		nc, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		held = append(held, nc)
+		accepted = append(accepted, nc)
 	}
 }
 
 // startController starts one on settings of its own.
-func (o Options) startController(ctx context.Context, name, list, collector string) (string, func(), error) {
-	set := &settings.Controller{Controllers: 4, Seed: 1, Listen: "fd:3", ListAddress: list,
+func (options Options) startController(ctx context.Context, name, listAddress, collectorAddress string) (string, func(), error) {
+	controllerSettings := &settings.Controller{Controllers: 4, Seed: 1, Listen: "fd:3", ListAddress: listAddress,
 		Classes: []settings.Class{{Name: "call", Worth: 1, LateWorth: 0.1, SetUpTarget: time.Second, Patience: 9 * time.Second,
 			HoldingTime: 200 * time.Millisecond, Circuits: 1}},
 		Rules: settings.Rules{ReleaseTime: 300 * time.Millisecond, DrainGrace: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond,
 			ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadFactor: 2.5, OverloadDuration: 3 * time.Second, MaxAttempts: 6},
 		Log: settings.Log{Format: "json", Level: "warn"}}
-	if collector != "" {
-		set.Flows.Collectors = []settings.Collector{{Address: collector}}
+	if collectorAddress != "" {
+		controllerSettings.Flows.Collectors = []settings.Collector{{Address: collectorAddress}}
 	}
-	file := filepath.Join(o.Dir, name+".xml")
-	f, err := os.Create(file)
+	settingsPath := filepath.Join(options.Dir, name+".xml")
+	settingsFile, err := os.Create(settingsPath)
 	if err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	if err := errors.Join(settings.Write(f, "controller", set), f.Close()); err != nil {
+	if err := errors.Join(settings.Write(settingsFile, "controller", controllerSettings), settingsFile.Close()); err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	return o.startChild(ctx, name, "run", file)
+	return options.startChild(ctx, name, "run", settingsPath)
 }
 
 // startChild runs the program on a listener that is passed on.
-func (o Options) startChild(ctx context.Context, name string, args ...string) (string, func(), error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func (options Options) startChild(ctx context.Context, name string, args ...string) (string, func(), error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	defer ln.Close()
-	file, err := ln.(*net.TCPListener).File()
+	defer listener.Close()
+	listenerFile, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	defer file.Close()
-	log, err := os.Create(filepath.Join(o.Dir, name+".log"))
+	defer listenerFile.Close()
+	logFile, err := os.Create(filepath.Join(options.Dir, name+".log"))
 	if err != nil {
 		return "", nil, fmt.Errorf("rate: %w", err)
 	}
-	defer log.Close()
-	c := exec.CommandContext(ctx, o.Executable, args...)
-	c.Stderr, c.Stdout = log, log
-	c.ExtraFiles = []*os.File{file}
-	if err := c.Start(); err != nil {
+	defer logFile.Close()
+	command := exec.CommandContext(ctx, options.Executable, args...)
+	command.Stderr, command.Stdout = logFile, logFile
+	command.ExtraFiles = []*os.File{listenerFile}
+	if err := command.Start(); err != nil {
 		return "", nil, fmt.Errorf("rate: %s: %w", name, err)
 	}
-	return ln.Addr().String(), func() {
-		_ = c.Process.Signal(os.Interrupt) // one that has ended says so to Wait
-		_ = c.Wait()
+	return listener.Addr().String(), func() {
+		_ = command.Process.Signal(os.Interrupt) // one that has ended says so to Wait
+		_ = command.Wait()
 	}, nil
 }
 
 // instantPeers is a list and three exchanges that answer at once.
 type instantPeers struct {
-	list  net.Listener
-	exch  [4]net.Listener
-	mu    sync.Mutex
-	conns []*transport.Conn[*signal.Message]
+	listListener      net.Listener
+	exchangeListeners [4]net.Listener
+	mu                sync.Mutex
+	conns             []*transport.Conn[*signal.Message]
 }
 
 // circuitsPerGroup is the size of every group: circuits are not what is measured.
 const circuitsPerGroup = 1 << 20
 
 func newInstantPeers() (*instantPeers, error) {
-	in := &instantPeers{}
-	lines := []signal.Field{{Name: "Complete", Value: "yes"}}
-	for cell := range in.exch {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+	peers := &instantPeers{}
+	listEntries := []signal.Field{{Name: "Complete", Value: "yes"}}
+	for number := range peers.exchangeListeners {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("rate: %w", err)
 		}
-		in.exch[cell] = ln
-		lines = append(lines, signal.Field{Name: "Exchange", Value: fmt.Sprintf("%d cell=%d state=in since=0 at=%s", 100+cell, cell, ln.Addr())})
-		go in.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
-			c.Send(m.NewReply(), 0)
-			if m.Command == signal.Modify && cell == 0 {
-				c.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Group", fmt.Sprint("1 ", circuitsPerGroup, " ", circuitsPerGroup)).
+		peers.exchangeListeners[number] = listener
+		listEntries = append(listEntries, signal.Field{Name: "Exchange", Value: fmt.Sprintf("%d cell=%d state=in since=0 at=%s", 100+number, number, listener.Addr())})
+		go peers.accept(listener, func(conn *transport.Conn[*signal.Message], request *signal.Message) {
+			conn.Send(request.NewReply(), 0)
+			if request.Command == signal.Modify && number == 0 {
+				conn.Send((&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Group", fmt.Sprint("1 ", circuitsPerGroup, " ", circuitsPerGroup)).
 					Put("Group", fmt.Sprint("2 ", circuitsPerGroup, " ", circuitsPerGroup)).Put("Group", fmt.Sprint("3 ", circuitsPerGroup, " ", circuitsPerGroup)), 0)
 			}
 		})
@@ -229,85 +229,85 @@
 	if err != nil {
 		return nil, fmt.Errorf("rate: %w", err)
 	}
-	in.list = ln
-	go in.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
+	peers.listListener = ln
+	go peers.accept(ln, func(c *transport.Conn[*signal.Message], m *signal.Message) {
 		c.Send(m.NewReply(), 0)
 		if m.Command == signal.Modify {
-			c.Send(&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root, Descriptors: lines}, 0)
+			c.Send(&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root, Descriptors: listEntries}, 0)
 		}
 	})
-	return in, nil
+	return peers, nil
 }
 
 type requestHandler struct {
-	on func(*transport.Conn[*signal.Message], *signal.Message)
+	handle func(*transport.Conn[*signal.Message], *signal.Message)
 }
 
-func (p requestHandler) Message(c *transport.Conn[*signal.Message], m *signal.Message) {
-	if m.Kind == signal.Request {
-		p.on(c, m)
+func (handler requestHandler) Message(conn *transport.Conn[*signal.Message], message *signal.Message) {
+	if message.Kind == signal.Request {
+		handler.handle(conn, message)
 	}
 }
 func (requestHandler) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
 func (requestHandler) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
 func (requestHandler) Closed(*transport.Conn[*signal.Message], error)                          {}
 
-func (in *instantPeers) accept(ln net.Listener, on func(*transport.Conn[*signal.Message], *signal.Message)) {
+func (peers *instantPeers) accept(listener net.Listener, handle func(*transport.Conn[*signal.Message], *signal.Message)) {
 	for {
-		nc, err := ln.Accept()
+		netConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c := transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}}, requestHandler{on})
-		in.mu.Lock()
-		in.conns = append(in.conns, c)
-		in.mu.Unlock()
+		conn := transport.Start(netConn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}}, requestHandler{handle})
+		peers.mu.Lock()
+		peers.conns = append(peers.conns, conn)
+		peers.mu.Unlock()
 	}
 }
 
-func (in *instantPeers) close() {
-	for _, ln := range append(in.exch[:], in.list) {
-		ln.Close()
+func (peers *instantPeers) close() {
+	for _, listener := range append(peers.exchangeListeners[:], peers.listListener) {
+		listener.Close()
 	}
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	for _, c := range in.conns {
-		c.Close(transport.ErrClosed)
-		<-c.Done()
+	peers.mu.Lock()
+	defer peers.mu.Unlock()
+	for _, conn := range peers.conns {
+		conn.Close(transport.ErrClosed)
+		<-conn.Done()
 	}
 }
 
 // ServeEcho serves the reference: blocks of lines are read and written back with
 // net/textproto, a reply for each transaction and nothing else.
-func ServeEcho(ln net.Listener) error {
+func ServeEcho(listener net.Listener) error {
 	for {
-		nc, err := ln.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("echo: %w", err)
 		}
-		go echoConn(nc)
+		go echoConn(conn)
 	}
 }
 
-func echoConn(nc net.Conn) {
-	defer nc.Close()
-	c := textproto.NewConn(nc)
+func echoConn(conn net.Conn) {
+	defer conn.Close()
+	textConn := textproto.NewConn(conn)
 	for {
-		line, err := c.ReadLine()
+		line, err := textConn.ReadLine()
 		if err != nil {
 			return
 		}
 		if rest, ok := strings.CutPrefix(line, "Transaction="); ok {
 			line = "Reply=" + rest
 		}
-		if _, err := io.WriteString(c.W, line+"\r\n"); err != nil {
+		if _, err := io.WriteString(textConn.W, line+"\r\n"); err != nil {
 			return
 		}
-		if line == "" && c.R.Buffered() == 0 {
-			if err := c.W.Flush(); err != nil {
+		if line == "" && textConn.R.Buffered() == 0 {
+			if err := textConn.W.Flush(); err != nil {
 				return
 			}
 		}
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -99,46 +99,46 @@
 }
 
 // New makes an empty fleet.
-func New(s Scheduler, rnd *rand.Rand, fig Config) *Fleet {
-	return &Fleet{config: fig, scheduler: s, random: rnd, exchangesByNumber: map[int]*Exchange{}, groups: map[[2]int]*Group{},
+func New(scheduler Scheduler, random *rand.Rand, config Config) *Fleet {
+	return &Fleet{config: config, scheduler: scheduler, random: random, exchangesByNumber: map[int]*Exchange{}, groups: map[[2]int]*Group{},
 		changedGroups: map[int]map[int]bool{}, freeLines: map[string]int{}, OnStart: func(*Exchange) {}}
 }
 
 // AddExchange brings an exchange into service; work is the time of one set-up on its
 // processor. One of the same number takes over from the one before.
-func (f *Fleet) AddExchange(id uint32, cell, region int, work time.Duration, cold bool) *Exchange {
-	x := &Exchange{ID: id, Number: cell, Region: region, Up: true, setUpWork: work}
-	x.processor = processor{scheduler: f.scheduler, answersFirst: f.config.FinishFirst, slowdown: 1, initialShare: f.config.ColdCapacity, warmUpTime: f.config.ColdDuration}
+func (f *Fleet) AddExchange(id uint32, cell, region int, setUpWork time.Duration, cold bool) *Exchange {
+	added := &Exchange{ID: id, Number: cell, Region: region, Up: true, setUpWork: setUpWork}
+	added.processor = processor{scheduler: f.scheduler, answersFirst: f.config.FinishFirst, slowdown: 1, initialShare: f.config.ColdCapacity, warmUpTime: f.config.ColdDuration}
 	if cold {
-		x.StartedAt = f.scheduler.Now()
-		x.processor.startedAt = x.StartedAt
+		added.StartedAt = f.scheduler.Now()
+		added.processor.startedAt = added.StartedAt
 	}
-	f.Exchanges = append(f.Exchanges, x)
-	f.exchangesByNumber[cell] = x
-	f.OnStart(x)
-	return x
+	f.Exchanges = append(f.Exchanges, added)
+	f.exchangesByNumber[cell] = added
+	f.OnStart(added)
+	return added
 }
 
 // AddGroup makes a group between two numbers.
 func (f *Fleet) AddGroup(a, b, size int) {
-	g := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
-	f.groups[[2]int{g.LowNumber, g.HighNumber}] = g
-	f.orderedGroups = append(f.orderedGroups, g)
+	group := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
+	f.groups[[2]int{group.LowNumber, group.HighNumber}] = group
+	f.orderedGroups = append(f.orderedGroups, group)
 }
 
 // ResizeGroup gives a group another number of circuits, or makes or ends one, before
 // any call is up.
 func (f *Fleet) ResizeGroup(a, b, size int) {
 	key := [2]int{min(a, b), max(a, b)}
-	g := f.groups[key]
+	existing := f.groups[key]
 	switch {
-	case g == nil && size > 0:
+	case existing == nil && size > 0:
 		f.AddGroup(a, b, size)
-	case g != nil && size > 0:
-		g.Size, g.Free = size, size
-	case g != nil:
+	case existing != nil && size > 0:
+		existing.Size, existing.Free = size, size
+	case existing != nil:
 		delete(f.groups, key)
-		f.orderedGroups = slices.DeleteFunc(f.orderedGroups, func(o *Group) bool { return o == g })
+		f.orderedGroups = slices.DeleteFunc(f.orderedGroups, func(group *Group) bool { return group == existing })
 	}
 }
 
@@ -151,18 +151,18 @@
 func (f *Fleet) groupBetween(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
 
 // LimitLines gives a number so few lines.
-func (f *Fleet) LimitLines(number string, n int) { f.freeLines[number] = n }
+func (f *Fleet) LimitLines(number string, lines int) { f.freeLines[number] = lines }
 
 // SetUpsPerSecond is the set-ups that an exchange can do when warm.
-func (x *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(x.setUpWork) }
+func (e *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(e.setUpWork) }
 
 // CircuitsInUse counts circuits in use over all groups.
 func (f *Fleet) CircuitsInUse() int {
-	n := 0
-	for _, g := range f.orderedGroups {
-		n += g.Size - g.lostCircuits - g.Free
+	inUse := 0
+	for _, group := range f.orderedGroups {
+		inUse += group.Size - group.lostCircuits - group.Free
 	}
-	return n
+	return inUse
 }
 
 // leg is one set-up at an exchange, over one group.
@@ -185,365 +185,367 @@
 
 // OpenConn takes a new connection: of a controller, or the exchange's own for calls in transit.
 func (f *Fleet) OpenConn(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
-	c := &Conn{Exchange: x, Transit: transit, Send: send, controllerNumber: -1, legs: map[legKey]*leg{},
+	conn := &Conn{Exchange: x, Transit: transit, Send: send, controllerNumber: -1, legs: map[legKey]*leg{},
 		pendingTransit: map[uint32]*leg{}, transitLegs: map[string]*leg{}}
 	if transit {
-		x.transitConn = c
+		x.transitConn = conn
 	} else {
-		x.conns = append(x.conns, c)
+		x.conns = append(x.conns, conn)
 	}
-	return c
+	return conn
 }
 
 // ConnClosed ends a connection: what was set up over it is released.
-func (f *Fleet) ConnClosed(c *Conn) {
-	if c.closed {
+func (f *Fleet) ConnClosed(conn *Conn) {
+	if conn.closed {
 		return
 	}
-	c.closed = true
-	x := c.Exchange
-	if c.Transit {
-		if x.transitConn == c {
-			x.transitConn = nil
+	conn.closed = true
+	closedAt := conn.Exchange
+	if conn.Transit {
+		if closedAt.transitConn == conn {
+			closedAt.transitConn = nil
 		}
-		for _, name := range sortedKeys(c.transitLegs) {
-			l := c.transitLegs[name]
-			l.transitName = ""
-			f.failLeg(l, "turned-back", true)
+		for _, name := range sortedKeys(conn.transitLegs) {
+			leg := conn.transitLegs[name]
+			leg.transitName = ""
+			f.failLeg(leg, "turned-back", true)
 		}
 		return
 	}
-	x.conns = slices.DeleteFunc(x.conns, func(o *Conn) bool { return o == c })
-	if x.ownConn == c {
-		x.ownConn = nil
+	closedAt.conns = slices.DeleteFunc(closedAt.conns, func(other *Conn) bool { return other == conn })
+	if closedAt.ownConn == conn {
+		closedAt.ownConn = nil
 	}
-	for _, k := range sortedLegKeys(c.legs) {
-		l := c.legs[k]
+	for _, key := range sortedLegKeys(conn.legs) {
+		l := conn.legs[key]
 		l.pendingAdd, l.established = 0, false // nobody to tell
 		f.releaseLeg(l)
 	}
 }
 
 // HandleMessage takes a message from a controller.
-func (f *Fleet) HandleMessage(c *Conn, m *signal.Message) {
-	if c.closed {
+func (f *Fleet) HandleMessage(conn *Conn, request *signal.Message) {
+	if conn.closed {
 		return
 	}
-	if c.Transit {
-		f.handleTransitMessage(c, m)
+	if conn.Transit {
+		f.handleTransitMessage(conn, request)
 		return
 	}
-	if m.Kind != signal.Request {
+	if request.Kind != signal.Request {
 		return
 	}
-	x := c.Exchange
-	switch m.Command {
+	target := conn.Exchange
+	switch request.Command {
 	case signal.ServiceChange:
-		cell, err := m.Int("From", 0, 1<<20)
+		cell, err := request.Int("From", 0, 1<<20)
 		if err != nil {
-			c.Send(m.NewErrorReply(signal.BadValue, err.Error()))
+			conn.Send(request.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
-		if c.controllerNumber = cell; cell == x.Number {
-			x.ownConn = c
+		if conn.controllerNumber = cell; cell == target.Number {
+			target.ownConn = conn
 		}
-		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.StartedAt.Milliseconds())))
+		conn.Send(request.NewReply().Put("Since", fmt.Sprint(target.StartedAt.Milliseconds())))
 	case signal.Modify:
-		c.Send(m.NewReply())
-		if c.reportsCircuits = m.Get("Events") == "circuits" && c.controllerNumber == x.Number; c.reportsCircuits {
-			f.reportCircuits(x, nil)
+		conn.Send(request.NewReply())
+		if conn.reportsCircuits = request.Get("Events") == "circuits" && conn.controllerNumber == target.Number; conn.reportsCircuits {
+			f.reportCircuits(target, nil)
 		}
 	case signal.AuditValue:
-		c.Send(m.NewReply().PutDuration("Wait", x.processor.expectedWait()))
+		conn.Send(request.NewReply().PutDuration("Wait", target.processor.expectedWait()))
 	case signal.Add:
-		f.setUp(c, m)
+		f.setUp(conn, request)
 	case signal.Subtract:
-		l := c.legs[legKey{m.Context, m.Get("Attempt")}]
-		if l == nil {
-			c.Send(m.NewReply()) // it is released, as was asked
+		released := conn.legs[legKey{request.Context, request.Get("Attempt")}]
+		if released == nil {
+			conn.Send(request.NewReply()) // it is released, as was asked
 			return
 		}
-		l.pendingAdd = 0 // the release answers it
-		f.processRelease(l, func() { c.Send(m.NewReply()) })
+		released.pendingAdd = 0 // the release answers it
+		f.processRelease(released, func() { conn.Send(request.NewReply()) })
 	default:
-		c.Send(m.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
+		conn.Send(request.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
 	}
 }
 
 func (f *Fleet) propagationDelay(a, b *Exchange) time.Duration {
-	d := f.config.InterRegionDelay
+	delay := f.config.InterRegionDelay
 	if a.Region == b.Region {
-		d = f.config.IntraRegionDelay
+		delay = f.config.IntraRegionDelay
 	}
-	return time.Duration(float64(d) * (0.9 + 0.2*f.random.Float64()))
+	return time.Duration(float64(delay) * (0.9 + 0.2*f.random.Float64()))
 }
 
-func scaleWork(work time.Duration, k float64) time.Duration { return time.Duration(float64(work) * k) }
+func scaleWork(work time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(work) * factor)
+}
 
 // setUp begins a set-up: circuits at once, then the near and the far processor.
-func (f *Fleet) setUp(c *Conn, m *signal.Message) {
+func (f *Fleet) setUp(conn *Conn, request *signal.Message) {
 	f.Counts.Setups++
-	x := c.Exchange
-	key := legKey{m.Context, m.Get("Attempt")}
-	dest, err := m.Int("Dest", 0, 1<<20)
-	width, err2 := m.Int("Width", 1, 1024)
-	left, err3 := m.Duration("Left")
+	peer := conn.Exchange
+	key := legKey{request.Context, request.Get("Attempt")}
+	destination, err := request.Int("Dest", 0, 1<<20)
+	circuits, circuitsErr := request.Int("Width", 1, 1024)
+	left, leftErr := request.Duration("Left")
 	switch {
-	case err != nil || err2 != nil || err3 != nil || c.controllerNumber < 0:
-		c.Send(m.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, err2, err3)))
+	case err != nil || circuitsErr != nil || leftErr != nil || conn.controllerNumber < 0:
+		conn.Send(request.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, circuitsErr, leftErr)))
 		return
-	case c.legs[key] != nil:
-		c.Send(m.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
+	case conn.legs[key] != nil:
+		conn.Send(request.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
-	near, g := f.exchangesByNumber[c.controllerNumber], f.groupBetween(c.controllerNumber, x.Number)
-	l := &leg{conn: c, key: key, termination: m.Termination, pendingAdd: m.ID, origin: near, peer: x, group: g, circuits: width, request: m, destination: dest,
+	near, group := f.exchangesByNumber[conn.controllerNumber], f.groupBetween(conn.controllerNumber, peer.Number)
+	newLeg := &leg{conn: conn, key: key, termination: request.Termination, pendingAdd: request.ID, origin: near, peer: peer, group: group, circuits: circuits, request: request, destination: destination,
 		deadline: f.scheduler.Now() + left}
 	switch {
 	case near == nil || !near.Up:
-		f.sendReply(l, "own-processor", signal.TemporaryFailure)
+		f.sendReply(newLeg, "own-processor", signal.TemporaryFailure)
 		return
-	case g == nil || g.Free < width:
+	case group == nil || group.Free < circuits:
 		f.Counts.NoCircuit++
-		f.sendReply(l, "no-circuit", signal.InsufficientResources)
+		f.sendReply(newLeg, "no-circuit", signal.InsufficientResources)
 		return
 	}
-	f.changeFreeCircuits(g, -width)
-	c.legs[key] = l
+	f.changeFreeCircuits(group, -circuits)
+	conn.legs[key] = newLeg
 	near.processor.enqueue(scaleWork(near.setUpWork, 1+f.config.ExamineWork), false, func() {
-		f.scheduler.After(f.propagationDelay(near, x), func() { f.handleArrival(l) })
+		f.scheduler.After(f.propagationDelay(near, peer), func() { f.handleArrival(newLeg) })
 	})
 }
 
 // handleArrival is the set-up at the far exchange.
-func (f *Fleet) handleArrival(l *leg) {
-	x := l.peer
+func (f *Fleet) handleArrival(arriving *leg) {
+	peer := arriving.peer
 	switch {
-	case l.ended || !x.Up:
+	case arriving.ended || !peer.Up:
 		return
-	case x.Unresponsive || f.random.Float64() < x.UnansweredShare:
+	case peer.Unresponsive || f.random.Float64() < peer.UnansweredShare:
 		f.Counts.Swallowed++
 		return // held until it is called off
-	case f.random.Float64() < x.CutShare:
-		f.failLeg(l, "cut", false)
+	case f.random.Float64() < peer.CutShare:
+		f.failLeg(arriving, "cut", false)
 		return
-	case x.processor.expectedWait() > f.config.MaxQueueWait:
+	case peer.processor.expectedWait() > f.config.MaxQueueWait:
 		f.Counts.TurnedAway++
-		x.processor.enqueue(scaleWork(x.setUpWork, f.config.RejectWork), false, func() { f.failLeg(l, "processor-full", false) })
+		peer.processor.enqueue(scaleWork(peer.setUpWork, f.config.RejectWork), false, func() { f.failLeg(arriving, "processor-full", false) })
 		return
 	}
 	if f.config.ResendAfter > 0 {
-		f.scheduleResend(l, f.config.ResendAfter)
+		f.scheduleResend(arriving, f.config.ResendAfter)
 	}
-	x.processor.enqueue(x.setUpWork, false, func() {
-		if l.ended {
+	peer.processor.enqueue(peer.setUpWork, false, func() {
+		if arriving.ended {
 			return
 		}
-		if l.destination != x.Number {
-			f.forwardTransit(l)
+		if arriving.destination != peer.Number {
+			f.forwardTransit(arriving)
 			return
 		}
-		number := l.request.Get("Number")
+		number := arriving.request.Get("Number")
 		if free, few := f.freeLines[number]; few {
 			if free <= 0 {
 				f.Counts.LinesBusy++
-				f.failLeg(l, "lines-busy", false)
+				f.failLeg(arriving, "lines-busy", false)
 				return
 			}
 			f.freeLines[number]--
-			l.lineNumber = number
+			arriving.lineNumber = number
 		}
-		f.returnAnswer(l)
+		f.returnAnswer(arriving)
 	})
 }
 
 // scheduleResend is a set-up that waits and is sent again: work, and nothing else.
-func (f *Fleet) scheduleResend(l *leg, gap time.Duration) {
+func (f *Fleet) scheduleResend(waiting *leg, gap time.Duration) {
 	f.scheduler.After(gap, func() {
-		if l.ended || l.established || l.pendingAdd == 0 || !l.peer.Up {
+		if waiting.ended || waiting.established || waiting.pendingAdd == 0 || !waiting.peer.Up {
 			return
 		}
-		l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.ResendWork), false, func() {})
-		f.scheduleResend(l, 2*gap)
+		waiting.peer.processor.enqueue(scaleWork(waiting.peer.setUpWork, f.config.ResendWork), false, func() {})
+		f.scheduleResend(waiting, 2*gap)
 	})
 }
 
 // returnAnswer brings the word that the call stands back through both processors.
-func (f *Fleet) returnAnswer(l *leg) {
-	l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.FollowUpWork), true, func() {
-		f.scheduler.After(f.propagationDelay(l.peer, l.origin), func() {
-			if l.ended || !l.origin.Up {
+func (f *Fleet) returnAnswer(answered *leg) {
+	answered.peer.processor.enqueue(scaleWork(answered.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		f.scheduler.After(f.propagationDelay(answered.peer, answered.origin), func() {
+			if answered.ended || !answered.origin.Up {
 				return
 			}
-			l.origin.processor.enqueue(scaleWork(l.origin.setUpWork, f.config.FollowUpWork), true, func() {
-				if l.ended {
+			answered.origin.processor.enqueue(scaleWork(answered.origin.setUpWork, f.config.FollowUpWork), true, func() {
+				if answered.ended {
 					return
 				}
-				l.established = true
+				answered.established = true
 				f.Counts.Stood++
-				f.sendReply(l, "", 0)
+				f.sendReply(answered, "", 0)
 			})
 		})
 	})
 }
 
 // forwardTransit gives a call in transit to the own controller.
-func (f *Fleet) forwardTransit(l *leg) {
-	c := l.peer.transitConn
-	left := l.deadline - f.scheduler.Now()
-	if c == nil || left <= 0 {
-		f.failLeg(l, "turned-back", false)
+func (f *Fleet) forwardTransit(incoming *leg) {
+	transit := incoming.peer.transitConn
+	left := incoming.deadline - f.scheduler.Now()
+	if transit == nil || left <= 0 {
+		f.failLeg(incoming, "turned-back", false)
 		return
 	}
-	c.lastTransaction++
-	l.transitName = fmt.Sprintf("%s/%d.%s", l.termination, l.origin.Number, l.key.attempt)
-	if c.transitLegs[l.transitName] != nil { // its last try through here is not released yet
-		l.transitName = ""
-		f.failLeg(l, "turned-back", false)
+	transit.lastTransaction++
+	incoming.transitName = fmt.Sprintf("%s/%d.%s", incoming.termination, incoming.origin.Number, incoming.key.attempt)
+	if transit.transitLegs[incoming.transitName] != nil { // its last try through here is not released yet
+		incoming.transitName = ""
+		f.failLeg(incoming, "turned-back", false)
 		return
 	}
-	c.pendingTransit[c.lastTransaction], c.transitLegs[l.transitName] = l, l
-	m := &signal.Message{ID: c.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: l.transitName}
-	m.Put("Class", l.request.Get("Class")).PutInt("Dest", l.destination).PutInt("Width", l.circuits).PutDuration("Left", left)
-	m.PutInt("Source", l.origin.Number).PutFlag("Again", l.request.Flag("Again"))
-	if n := l.request.Get("Number"); n != "" {
-		m.Put("Number", n)
+	transit.pendingTransit[transit.lastTransaction], transit.transitLegs[incoming.transitName] = incoming, incoming
+	request := &signal.Message{ID: transit.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: incoming.transitName}
+	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).PutInt("Width", incoming.circuits).PutDuration("Left", left)
+	request.PutInt("Source", incoming.origin.Number).PutFlag("Again", incoming.request.Flag("Again"))
+	if number := incoming.request.Get("Number"); number != "" {
+		request.Put("Number", number)
 	}
-	c.Send(m)
+	transit.Send(request)
 }
 
 // handleTransitMessage is the word of the own controller on calls in transit.
-func (f *Fleet) handleTransitMessage(c *Conn, m *signal.Message) {
+func (f *Fleet) handleTransitMessage(conn *Conn, message *signal.Message) {
 	switch {
-	case m.Kind == signal.Reply && m.Command == signal.Add:
-		l := c.pendingTransit[m.ID]
-		delete(c.pendingTransit, m.ID)
-		if l == nil || l.ended {
+	case message.Kind == signal.Reply && message.Command == signal.Add:
+		handled := conn.pendingTransit[message.ID]
+		delete(conn.pendingTransit, message.ID)
+		if handled == nil || handled.ended {
 			return
 		}
-		if m.Code == 0 {
-			f.returnAnswer(l)
+		if message.Code == 0 {
+			f.returnAnswer(handled)
 			return
 		}
-		delete(c.transitLegs, l.transitName)
-		l.transitName = ""
+		delete(conn.transitLegs, handled.transitName)
+		handled.transitName = ""
 		note := "turned-back"
-		if m.Get("Cause") == "processor-full" {
+		if message.Get("Cause") == "processor-full" {
 			note = "turned-back-processor"
 		}
-		f.failLeg(l, note, false)
-	case m.Kind == signal.Request && m.Command == signal.Notify:
-		c.Send(m.NewReply())
-		if l := c.transitLegs[m.Termination]; l != nil {
-			delete(c.transitLegs, l.transitName)
+		f.failLeg(handled, note, false)
+	case message.Kind == signal.Request && message.Command == signal.Notify:
+		conn.Send(message.NewReply())
+		if l := conn.transitLegs[message.Termination]; l != nil {
+			delete(conn.transitLegs, l.transitName)
 			l.transitName = ""
 			f.cutLeg(l)
 		}
-	case m.Kind == signal.Request:
-		c.Send(m.NewReply())
+	case message.Kind == signal.Request:
+		conn.Send(message.NewReply())
 	}
 }
 
 // sendReply answers the set-up, if somebody waits for it.
-func (f *Fleet) sendReply(l *leg, note string, code signal.Code) {
-	if l.pendingAdd == 0 || l.conn.closed {
+func (f *Fleet) sendReply(answered *leg, note string, code signal.Code) {
+	if answered.pendingAdd == 0 || answered.conn.closed {
 		return
 	}
-	l.pendingAdd = 0
-	r := l.request.NewReply()
+	answered.pendingAdd = 0
+	reply := answered.request.NewReply()
 	if note != "" {
-		r.Code, r.Text = code, note
-		r.Put("Note", note)
+		reply.Code, reply.Text = code, note
+		reply.Put("Note", note)
 		if note == "processor-full" && f.config.ReportsWait {
-			r.PutDuration("Wait", max(l.peer.processor.expectedWait()-f.config.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
+			reply.PutDuration("Wait", max(answered.peer.processor.expectedWait()-f.config.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
 		}
 	}
-	if g := l.group; g != nil {
-		r.Put("Group", fmt.Sprintf("%d %d %d", l.peer.Number, g.Free, g.Size-g.lostCircuits))
+	if group := answered.group; group != nil {
+		reply.Put("Group", fmt.Sprintf("%d %d %d", answered.peer.Number, group.Free, group.Size-group.lostCircuits))
 	}
 	if f.config.ReportsReduction {
-		over := float64(l.peer.processor.expectedWait())/float64(f.config.MaxQueueWait) - 0.3
-		r.Put("Reduce", fmt.Sprintf("%.2f", min(max(over, 0), 0.9)))
+		overload := float64(answered.peer.processor.expectedWait())/float64(f.config.MaxQueueWait) - 0.3
+		reply.Put("Reduce", fmt.Sprintf("%.2f", min(max(overload, 0), 0.9)))
 	}
-	l.conn.Send(r)
+	answered.conn.Send(reply)
 }
 
 // failLeg ends a set-up that will not stand, or a call that was turned back later.
-func (f *Fleet) failLeg(l *leg, note string, late bool) {
-	if l.ended {
+func (f *Fleet) failLeg(failed *leg, note string, late bool) {
+	if failed.ended {
 		return
 	}
-	if l.established && late {
-		f.cutLeg(l)
+	if failed.established && late {
+		f.cutLeg(failed)
 		return
 	}
 	if note == "turned-back" || note == "turned-back-processor" {
 		f.Counts.TurnedBack++
 	}
-	f.releaseLeg(l)
+	f.releaseLeg(failed)
 	code := signal.InsufficientResources
 	if note == "cut" {
 		code = signal.TemporaryFailure
 	}
-	f.sendReply(l, note, code)
+	f.sendReply(failed, note, code)
 }
 
 // cutLeg ends a leg at once and tells its controller.
-func (f *Fleet) cutLeg(l *leg) {
-	if l.ended {
+func (f *Fleet) cutLeg(target *leg) {
+	if target.ended {
 		return
 	}
 	f.Counts.Cut++
-	told := l.established && !l.conn.closed
-	f.releaseLeg(l)
-	if !told {
-		f.sendReply(l, "cut", signal.TemporaryFailure)
+	notify := target.established && !target.conn.closed
+	f.releaseLeg(target)
+	if !notify {
+		f.sendReply(target, "cut", signal.TemporaryFailure)
 		return
 	}
-	l.conn.lastTransaction++
-	l.conn.Send((&signal.Message{ID: l.conn.lastTransaction, Context: l.key.context, Command: signal.Notify, Termination: l.termination}).
-		Put("Event", "cut").Put("Attempt", l.key.attempt))
+	target.conn.lastTransaction++
+	target.conn.Send((&signal.Message{ID: target.conn.lastTransaction, Context: target.key.context, Command: signal.Notify, Termination: target.termination}).
+		Put("Event", "cut").Put("Attempt", target.key.attempt))
 }
 
 // releaseLeg frees what a leg holds, at once.
-func (f *Fleet) releaseLeg(l *leg) {
-	if l.ended {
+func (f *Fleet) releaseLeg(released *leg) {
+	if released.ended {
 		return
 	}
-	l.ended = true
-	delete(l.conn.legs, l.key)
-	f.changeFreeCircuits(l.group, l.circuits)
-	if l.lineNumber != "" {
-		f.freeLines[l.lineNumber]++
+	released.ended = true
+	delete(released.conn.legs, released.key)
+	f.changeFreeCircuits(released.group, released.circuits)
+	if released.lineNumber != "" {
+		f.freeLines[released.lineNumber]++
 	}
-	if c := l.peer.transitConn; c != nil && l.transitName != "" {
-		delete(c.transitLegs, l.transitName)
-		c.lastTransaction++
-		c.Send(&signal.Message{ID: c.lastTransaction, Context: signal.ContextNull, Command: signal.Subtract, Termination: l.transitName})
-		l.transitName = ""
+	if transit := released.peer.transitConn; transit != nil && released.transitName != "" {
+		delete(transit.transitLegs, released.transitName)
+		transit.lastTransaction++
+		transit.Send(&signal.Message{ID: transit.lastTransaction, Context: signal.ContextNull, Command: signal.Subtract, Termination: released.transitName})
+		released.transitName = ""
 	}
 }
 
 // processRelease frees a leg behind the work that a release is.
-func (f *Fleet) processRelease(l *leg, done func()) {
-	if !l.peer.Up {
-		f.releaseLeg(l)
+func (f *Fleet) processRelease(released *leg, done func()) {
+	if !released.peer.Up {
+		f.releaseLeg(released)
 		done()
 		return
 	}
-	l.peer.processor.enqueue(scaleWork(l.peer.setUpWork, f.config.FollowUpWork), true, func() {
-		if l.origin.Up {
-			l.origin.processor.enqueue(scaleWork(l.origin.setUpWork, f.config.FollowUpWork), true, func() {})
+	released.peer.processor.enqueue(scaleWork(released.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		if released.origin.Up {
+			released.origin.processor.enqueue(scaleWork(released.origin.setUpWork, f.config.FollowUpWork), true, func() {})
 		}
-		f.releaseLeg(l)
+		f.releaseLeg(released)
 		done()
 	})
 }
 
 // changeFreeCircuits books circuits of a group and tells both ends soon.
-func (f *Fleet) changeFreeCircuits(g *Group, by int) {
-	g.Free += by
-	for _, end := range [2][2]int{{g.LowNumber, g.HighNumber}, {g.HighNumber, g.LowNumber}} {
+func (f *Fleet) changeFreeCircuits(group *Group, change int) {
+	group.Free += change
+	for _, end := range [2][2]int{{group.LowNumber, group.HighNumber}, {group.HighNumber, group.LowNumber}} {
 		if f.changedGroups[end[0]] == nil {
 			f.changedGroups[end[0]] = map[int]bool{}
 		}
@@ -555,9 +557,9 @@
 	f.reportScheduled = true
 	f.scheduler.After(2*time.Millisecond, func() {
 		f.reportScheduled = false
-		for _, cell := range sortedKeys(f.changedGroups) {
-			if x := f.exchangesByNumber[cell]; x != nil {
-				f.reportCircuits(x, f.changedGroups[cell])
+		for _, number := range sortedKeys(f.changedGroups) {
+			if exchange := f.exchangesByNumber[number]; exchange != nil {
+				f.reportCircuits(exchange, f.changedGroups[number])
 			}
 		}
 		clear(f.changedGroups)
@@ -568,102 +570,102 @@
 const maxGroupsPerReport = 100
 
 // reportCircuits tells the controller of an exchange its groups: some, or all.
-func (f *Fleet) reportCircuits(x *Exchange, some map[int]bool) {
-	c := x.ownConn
-	if c == nil || !c.reportsCircuits || !x.Up {
+func (f *Fleet) reportCircuits(exchange *Exchange, changed map[int]bool) {
+	conn := exchange.ownConn
+	if conn == nil || !conn.reportsCircuits || !exchange.Up {
 		return
 	}
-	var m *signal.Message
-	for _, cell := range sortedKeys(f.exchangesByNumber) {
-		if cell == x.Number || some != nil && !some[cell] {
+	var notification *signal.Message
+	for _, number := range sortedKeys(f.exchangesByNumber) {
+		if number == exchange.Number || changed != nil && !changed[number] {
 			continue
 		}
-		if m == nil || len(m.Descriptors) >= maxGroupsPerReport {
-			if m != nil {
-				c.Send(m)
+		if notification == nil || len(notification.Descriptors) >= maxGroupsPerReport {
+			if notification != nil {
+				conn.Send(notification)
 			}
-			c.lastTransaction++
-			m = &signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}
+			conn.lastTransaction++
+			notification = &signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}
 		}
 		free, size := 0, 0
-		if g := f.groupBetween(x.Number, cell); g != nil {
-			free, size = max(g.Free, 0), g.Size-g.lostCircuits
+		if group := f.groupBetween(exchange.Number, number); group != nil {
+			free, size = max(group.Free, 0), group.Size-group.lostCircuits
 		}
-		m.Put("Group", fmt.Sprintf("%d %d %d", cell, free, size))
+		notification.Put("Group", fmt.Sprintf("%d %d %d", number, free, size))
 	}
-	if m != nil {
-		c.Send(m)
+	if notification != nil {
+		conn.Send(notification)
 	}
 }
 
 // Crash kills a processor: all calls that touch it are cut. Its connections are
 // to be closed by who owns them.
-func (f *Fleet) Crash(x *Exchange) {
-	x.Up = false
-	x.processor.reset(f.scheduler.Now())
-	f.cutMatching(func(l *leg) bool { return l.origin == x || l.peer == x })
+func (f *Fleet) Crash(crashed *Exchange) {
+	crashed.Up = false
+	crashed.processor.reset(f.scheduler.Now())
+	f.cutMatching(func(affected *leg) bool { return affected.origin == crashed || affected.peer == crashed })
 }
 
 // Restart brings a crashed processor back, cold.
-func (f *Fleet) Restart(x *Exchange) {
-	x.Up, x.Unresponsive = true, false
-	x.StartedAt = f.scheduler.Now()
-	x.processor.reset(x.StartedAt)
-	f.OnStart(x)
+func (f *Fleet) Restart(restarted *Exchange) {
+	restarted.Up, restarted.Unresponsive = true, false
+	restarted.StartedAt = f.scheduler.Now()
+	restarted.processor.reset(restarted.StartedAt)
+	f.OnStart(restarted)
 }
 
 // Retire ends an exchange that was replaced.
-func (f *Fleet) Retire(x *Exchange) {
-	x.Up = false
-	f.cutMatching(func(l *leg) bool { return l.peer == x })
+func (f *Fleet) Retire(retired *Exchange) {
+	retired.Up = false
+	f.cutMatching(func(affected *leg) bool { return affected.peer == retired })
 }
 
 func (f *Fleet) allLegs() []*leg {
 	var all []*leg
-	for _, x := range f.Exchanges {
-		for _, c := range x.conns {
-			for _, k := range sortedLegKeys(c.legs) {
-				all = append(all, c.legs[k])
+	for _, exchange := range f.Exchanges {
+		for _, conn := range exchange.conns {
+			for _, key := range sortedLegKeys(conn.legs) {
+				all = append(all, conn.legs[key])
 			}
 		}
 	}
 	return all
 }
 
-func (f *Fleet) cutMatching(which func(*leg) bool) int {
-	n := 0
-	for _, l := range f.allLegs() {
-		if which(l) {
-			n++
-			f.cutLeg(l)
+func (f *Fleet) cutMatching(matches func(*leg) bool) int {
+	cuts := 0
+	for _, candidate := range f.allLegs() {
+		if matches(candidate) {
+			cuts++
+			f.cutLeg(candidate)
 		}
 	}
-	return n
+	return cuts
 }
 
 // CutCalls cuts a share of the calls that stand and end here.
 func (f *Fleet) CutCalls(share float64) int {
-	return f.cutMatching(func(l *leg) bool {
-		return l.established && l.destination == l.peer.Number && f.random.Float64() < share
+	return f.cutMatching(func(candidate *leg) bool {
+		return candidate.established && candidate.destination == candidate.peer.Number && f.random.Float64() < share
 	})
 }
 
 // LoseCircuits takes a share of the circuits between regions away, and the calls on
 // them; Regain brings them back.
 func (f *Fleet) LoseCircuits(share float64) {
-	for _, g := range f.orderedGroups {
-		a, b := f.exchangesByNumber[g.LowNumber], f.exchangesByNumber[g.HighNumber]
-		if a == nil || b == nil || a.Region == b.Region || g.lostCircuits > 0 {
+	for _, group := range f.orderedGroups {
+		a, b := f.exchangesByNumber[group.LowNumber], f.exchangesByNumber[group.HighNumber]
+		if a == nil || b == nil || a.Region == b.Region || group.lostCircuits > 0 {
 			continue
 		}
-		g.lostCircuits = int(math.Round(share * float64(g.Size)))
-		f.changeFreeCircuits(g, -g.lostCircuits)
-		for _, l := range f.allLegs() {
-			if g.Free >= 0 {
+		group.lostCircuits = int(math.Round(share * float64(group.Size)))
+		f.changeFreeCircuits(group, -group.lostCircuits)
+		for _, candidate := range f.allLegs() {
+			if group.Free >= 0 {
 				break
 			}
-			if l.group == g {
-				f.cutLeg(l)
+			if candidate.group == group {
+				f.cutLeg(candidate)
 			}
 		}
 	}
@@ -671,19 +673,19 @@
 
 // RestoreCircuits ends Lose.
 func (f *Fleet) RestoreCircuits() {
-	for _, g := range f.orderedGroups {
-		if g.lostCircuits > 0 {
-			f.changeFreeCircuits(g, g.lostCircuits)
-			g.lostCircuits = 0
+	for _, group := range f.orderedGroups {
+		if group.lostCircuits > 0 {
+			f.changeFreeCircuits(group, group.lostCircuits)
+			group.lostCircuits = 0
 		}
 	}
 }
 
 // SetSlowdown makes a processor so many times slower; Pause lets it stand still.
-func (x *Exchange) SetSlowdown(times float64) { x.processor.slowdown = max(times, 0.01) }
+func (e *Exchange) SetSlowdown(factor float64) { e.processor.slowdown = max(factor, 0.01) }
 
 // PauseUntil lets a processor stand still for a while.
-func (x *Exchange) PauseUntil(until time.Duration) { x.processor.pausedUntil = until }
+func (e *Exchange) PauseUntil(end time.Duration) { e.processor.pausedUntil = end }
 
 func sortedKeys[K int | string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
@@ -694,9 +696,9 @@
 	return keys
 }
 
-func sortedLegKeys(m map[legKey]*leg) []legKey {
-	keys := make([]legKey, 0, len(m))
-	for k := range m {
+func sortedLegKeys(legs map[legKey]*leg) []legKey {
+	keys := make([]legKey, 0, len(legs))
+	for k := range legs {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b legKey) int {
--- a/internal/standin/exchange/processor.go
+++ b/internal/standin/exchange/processor.go
@@ -43,20 +43,20 @@
 // expectedWait is how long a set-up that comes now will expectedWait.
 func (p *processor) expectedWait() time.Duration {
 	now := p.scheduler.Now()
-	w := time.Duration(float64(p.backlog) / p.capacityShare(now))
+	wait := time.Duration(float64(p.backlog) / p.capacityShare(now))
 	if p.busy {
-		w += max(p.jobEnd-now, 0)
+		wait += max(p.jobEnd-now, 0)
 	}
-	return w + max(p.pausedUntil-now, 0)
+	return wait + max(p.pausedUntil-now, 0)
 }
 
 // enqueue queues work; done is called when it is through.
-func (p *processor) enqueue(work time.Duration, ends bool, done func()) {
-	q := 1
-	if ends && p.answersFirst {
-		q = 0
+func (p *processor) enqueue(work time.Duration, followUp bool, done func()) {
+	queue := 1
+	if followUp && p.answersFirst {
+		queue = 0
 	}
-	p.queues[q] = append(p.queues[q], job{work, done})
+	p.queues[queue] = append(p.queues[queue], job{work, done})
 	p.backlog += work
 	if !p.busy {
 		p.startNext()
@@ -64,24 +64,24 @@
 }
 
 func (p *processor) startNext() {
-	for q := range p.queues {
-		if len(p.queues[q]) == 0 {
+	for queue := range p.queues {
+		if len(p.queues[queue]) == 0 {
 			continue
 		}
-		j := p.queues[q][0]
-		p.queues[q] = p.queues[q][1:]
-		p.backlog -= j.work
+		next := p.queues[queue][0]
+		p.queues[queue] = p.queues[queue][1:]
+		p.backlog -= next.work
 		p.busy = true
 		now := p.scheduler.Now()
-		took := time.Duration(float64(j.work)/p.capacityShare(now)) + max(p.pausedUntil-now, 0)
-		p.jobEnd = now + took
-		gen := p.generation
-		p.scheduler.After(took, func() {
-			if p.generation != gen {
+		duration := time.Duration(float64(next.work)/p.capacityShare(now)) + max(p.pausedUntil-now, 0)
+		p.jobEnd = now + duration
+		generation := p.generation
+		p.scheduler.After(duration, func() {
+			if p.generation != generation {
 				return
 			}
 			p.busy = false
-			j.done()
+			next.done()
 			if !p.busy {
 				p.startNext()
 			}
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -47,50 +47,50 @@
 }
 
 // New makes a list that tells of changes late by notice, on average.
-func New(s Scheduler, rnd *rand.Rand, notice time.Duration) *List {
-	return &List{scheduler: s, random: rnd, meanDelay: notice}
+func New(scheduler Scheduler, random *rand.Rand, meanDelay time.Duration) *List {
+	return &List{scheduler: scheduler, random: random, meanDelay: meanDelay}
 }
 
 // Update changes a line, or adds one.
-func (l *List) Update(e Entry) {
+func (l *List) Update(entry Entry) {
 	found := false
 	for i := range l.entries {
-		if l.entries[i].ID == e.ID {
-			l.entries[i], found = e, true
+		if l.entries[i].ID == entry.ID {
+			l.entries[i], found = entry, true
 		}
 	}
 	if !found {
-		l.entries = append(l.entries, e)
+		l.entries = append(l.entries, entry)
 	}
-	for _, c := range l.conns {
-		if !c.subscribed {
+	for _, conn := range l.conns {
+		if !conn.subscribed {
 			continue
 		}
-		late := time.Duration(float64(l.meanDelay) * (0.5 + l.random.Float64()))
-		at := max(l.scheduler.Now()+late, c.lastDelivery)
-		c.lastDelivery = at
-		l.scheduler.After(at-l.scheduler.Now(), func() {
-			if !c.subscribed {
+		delay := time.Duration(float64(l.meanDelay) * (0.5 + l.random.Float64()))
+		deliverAt := max(l.scheduler.Now()+delay, conn.lastDelivery)
+		conn.lastDelivery = deliverAt
+		l.scheduler.After(deliverAt-l.scheduler.Now(), func() {
+			if !conn.subscribed {
 				return
 			}
-			c.lastTransaction++
-			c.Send((&signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", e.text()))
+			conn.lastTransaction++
+			conn.Send((&signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", entry.text()))
 		})
 	}
 }
 
 // OpenConn takes a connection.
 func (l *List) OpenConn(send func(*signal.Message)) *Conn {
-	c := &Conn{Send: send}
-	l.conns = append(l.conns, c)
-	return c
+	conn := &Conn{Send: send}
+	l.conns = append(l.conns, conn)
+	return conn
 }
 
 // ConnClosed ends one.
-func (l *List) ConnClosed(c *Conn) {
-	c.subscribed = false
+func (l *List) ConnClosed(conn *Conn) {
+	conn.subscribed = false
 	for i := range l.conns {
-		if l.conns[i] == c {
+		if l.conns[i] == conn {
 			l.conns = append(l.conns[:i], l.conns[i+1:]...)
 			return
 		}
@@ -101,22 +101,22 @@
 const maxEntriesPerMessage = 100
 
 // HandleMessage takes a message from a controller.
-func (l *List) HandleMessage(c *Conn, m *signal.Message) {
-	if m.Kind != signal.Request {
+func (l *List) HandleMessage(conn *Conn, request *signal.Message) {
+	if request.Kind != signal.Request {
 		return
 	}
-	c.Send(m.NewReply())
-	if m.Command != signal.Modify || m.Get("Events") != "list" || c.subscribed {
+	conn.Send(request.NewReply())
+	if request.Command != signal.Modify || request.Get("Events") != "list" || conn.subscribed {
 		return
 	}
-	c.subscribed = true
-	for i := 0; i == 0 || i < len(l.entries); i += maxEntriesPerMessage {
-		c.lastTransaction++
-		n := &signal.Message{ID: c.lastTransaction, Command: signal.Notify, Termination: signal.Root}
-		n.PutFlag("Complete", i == 0)
-		for _, e := range l.entries[i:min(i+maxEntriesPerMessage, len(l.entries))] {
-			n.Put("Exchange", e.text())
+	conn.subscribed = true
+	for first := 0; first == 0 || first < len(l.entries); first += maxEntriesPerMessage {
+		conn.lastTransaction++
+		notification := &signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}
+		notification.PutFlag("Complete", first == 0)
+		for _, entry := range l.entries[first:min(first+maxEntriesPerMessage, len(l.entries))] {
+			notification.Put("Exchange", entry.text())
 		}
-		c.Send(n)
+		conn.Send(notification)
 	}
 }
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -12,97 +12,97 @@
 const settleTime = 1500 * time.Millisecond
 
 // Start starts the calls when the controllers know the list and their circuits.
-func (w *Simulation) Start(progress func(time.Duration, int), end func()) {
-	w.scheduler.After(settleTime, func() {
-		w.startedAt = w.scheduler.Now()
-		w.nextCall = w.startedAt
-		w.dialling = true
-		w.scheduleNextCall()
-		for i := range w.scenario.Troubles {
-			t := w.scenario.Troubles[i]
-			w.scheduler.After(t.At, func() { w.startTrouble(t) })
+func (sim *Simulation) Start(progress func(time.Duration, int), finished func()) {
+	sim.scheduler.After(settleTime, func() {
+		sim.startedAt = sim.scheduler.Now()
+		sim.nextCall = sim.startedAt
+		sim.dialling = true
+		sim.scheduleNextCall()
+		for i := range sim.scenario.Troubles {
+			trouble := sim.scenario.Troubles[i]
+			sim.scheduler.After(trouble.At, func() { sim.startTrouble(trouble) })
 		}
-		var tick func()
-		tick = func() {
-			passed := w.scheduler.Now() - w.startedAt
+		var reportProgress func()
+		reportProgress = func() {
+			elapsed := sim.scheduler.Now() - sim.startedAt
 			if progress != nil {
-				progress(min(passed, w.scenario.Length), len(w.Callers.Calls))
+				progress(min(elapsed, sim.scenario.Length), len(sim.Callers.Calls))
 			}
-			if passed < w.scenario.Length {
-				w.scheduler.After(200*time.Millisecond, tick)
+			if elapsed < sim.scenario.Length {
+				sim.scheduler.After(200*time.Millisecond, reportProgress)
 			}
 		}
-		tick()
-		w.scheduler.After(w.scenario.Length, func() {
-			w.dialling = false
-			var wait func()
-			left := 15
-			wait = func() { // until nobody waits for an answer any more
-				if left--; left > 0 && w.countPending() > 0 {
-					w.scheduler.After(200*time.Millisecond, wait)
+		reportProgress()
+		sim.scheduler.After(sim.scenario.Length, func() {
+			sim.dialling = false
+			var waitForAnswers func()
+			remainingChecks := 15
+			waitForAnswers = func() { // until nobody waits for an answer any more
+				if remainingChecks--; remainingChecks > 0 && sim.countPending() > 0 {
+					sim.scheduler.After(200*time.Millisecond, waitForAnswers)
 					return
 				}
-				w.scheduler.After(300*time.Millisecond, func() {
-					w.Callers.Finished = true
-					end()
+				sim.scheduler.After(300*time.Millisecond, func() {
+					sim.Callers.Finished = true
+					finished()
 				})
 			}
-			wait()
+			waitForAnswers()
 		})
 	})
 }
 
-func (w *Simulation) countPending() int {
-	n := 0
-	for _, k := range w.Callers.Calls {
-		if k.Outcome == subscriber.Pending && k.SetUpTime == 0 {
-			n++
+func (sim *Simulation) countPending() int {
+	pending := 0
+	for _, call := range sim.Callers.Calls {
+		if call.Outcome == subscriber.Pending && call.SetUpTime == 0 {
+			pending++
 		}
 	}
-	return n
+	return pending
 }
 
 // scheduleNextCall lets calls come as a Poisson stream that waits for nobody: a timer
 // that fires late makes one call late, not all that follow.
-func (w *Simulation) scheduleNextCall() {
-	if !w.dialling {
+func (sim *Simulation) scheduleNextCall() {
+	if !sim.dialling {
 		return
 	}
-	passed := (w.scheduler.Now() - w.startedAt).Seconds()
-	rate := w.callRate * w.scenario.Load.Level * w.burstFactor * (1 + w.scenario.Load.Swing*math.Sin(passed/4))
-	w.nextCall += subscriber.ArrivalInterval(w.random, rate)
-	w.scheduler.After(w.nextCall-w.scheduler.Now(), func() {
-		if w.dialling {
-			w.placeCall()
-			w.scheduleNextCall()
+	elapsed := (sim.scheduler.Now() - sim.startedAt).Seconds()
+	callRate := sim.callRate * sim.scenario.Load.Level * sim.burstFactor * (1 + sim.scenario.Load.Swing*math.Sin(elapsed/4))
+	sim.nextCall += subscriber.ArrivalInterval(sim.random, callRate)
+	sim.scheduler.After(sim.nextCall-sim.scheduler.Now(), func() {
+		if sim.dialling {
+			sim.placeCall()
+			sim.scheduleNextCall()
 		}
 	})
 }
 
-func (w *Simulation) placeCall() {
-	n := w.scenario.Fleet.Exchanges
-	from := w.random.IntN(n)
-	if w.floodShare > 0 && w.random.Float64() < w.floodShare {
-		from = w.floodSource
+func (sim *Simulation) placeCall() {
+	exchanges := sim.scenario.Fleet.Exchanges
+	source := sim.random.IntN(exchanges)
+	if sim.floodShare > 0 && sim.random.Float64() < sim.floodShare {
+		source = sim.floodSource
 	}
-	if w.hotShare > 0 && w.random.Float64() < w.hotShare && from != w.hotDestination {
-		w.Callers.Dial(from, w.hotDestination, HotNumber)
+	if sim.hotShare > 0 && sim.random.Float64() < sim.hotShare && source != sim.hotDestination {
+		sim.Callers.Dial(source, sim.hotDestination, HotNumber)
 		return
 	}
-	x := w.random.Float64() * w.scenario.Fleet.ErlangPerExchange
-	for j, v := range w.trafficMatrix[from] {
-		if x -= v; x < 0 && j != from {
-			w.Callers.Dial(from, j, "")
+	remaining := sim.random.Float64() * sim.scenario.Fleet.ErlangPerExchange
+	for destination, load := range sim.trafficMatrix[source] {
+		if remaining -= load; remaining < 0 && destination != source {
+			sim.Callers.Dial(source, destination, "")
 			return
 		}
 	}
-	w.Callers.Dial(from, (from+1)%n, "")
+	sim.Callers.Dial(source, (source+1)%exchanges, "")
 }
 
 // Troubles lists the troubles that came.
-func (w *Simulation) Troubles() []TroubleRecord { return w.troubles }
+func (sim *Simulation) Troubles() []TroubleRecord { return sim.troubles }
 
 // FirstAttemptTime is when a call was first tried, counted from the day's begin.
-func (w *Simulation) FirstAttemptTime(k *subscriber.Call) time.Duration {
-	return k.FirstAttemptAt - w.startedAt
+func (sim *Simulation) FirstAttemptTime(call *subscriber.Call) time.Duration {
+	return call.FirstAttemptAt - sim.startedAt
 }
--- a/internal/standin/scene/scene.go
+++ b/internal/standin/scene/scene.go
@@ -88,98 +88,98 @@
 }
 
 // New draws a fleet and brings it into service.
-func New(scn *settings.Scenario, s exchange.Scheduler, edge Environment) (*Simulation, error) {
-	w := &Simulation{scenario: scn, scheduler: s, environment: edge, randomSource: rand.NewPCG(scn.Seed, randomStream), burstFactor: 1}
-	w.random = rand.New(w.randomSource)
-	if err := w.build(); err != nil {
+func New(scenario *settings.Scenario, scheduler exchange.Scheduler, environment Environment) (*Simulation, error) {
+	sim := &Simulation{scenario: scenario, scheduler: scheduler, environment: environment, randomSource: rand.NewPCG(scenario.Seed, randomStream), burstFactor: 1}
+	sim.random = rand.New(sim.randomSource)
+	if err := sim.build(); err != nil {
 		return nil, err
 	}
-	return w, nil
+	return sim, nil
 }
 
 const randomStream = 0xda411a
 
 // Reseed draws all that is still to come from another seed: other calls in the
 // fleet that was drawn.
-func (w *Simulation) Reseed(seed uint64) { w.randomSource.Seed(seed, randomStream+1) }
+func (sim *Simulation) Reseed(seed uint64) { sim.randomSource.Seed(seed, randomStream+1) }
 
 // Traffic is what each exchange's callers offer to each other one now, in
 // circuits taken at the same time if none were lost, at the load's level.
-func (w *Simulation) Traffic() [][]float64 {
-	all := make([][]float64, len(w.trafficMatrix))
-	for i := range all {
-		all[i] = make([]float64, len(w.trafficMatrix[i]))
-		for j, v := range w.trafficMatrix[i] {
-			all[i][j] = v * w.scenario.Load.Level
+func (sim *Simulation) Traffic() [][]float64 {
+	traffic := make([][]float64, len(sim.trafficMatrix))
+	for i := range traffic {
+		traffic[i] = make([]float64, len(sim.trafficMatrix[i]))
+		for j, load := range sim.trafficMatrix[i] {
+			traffic[i][j] = load * sim.scenario.Load.Level
 		}
 	}
-	return all
+	return traffic
 }
 
 // lognormal draws a factor of mean 1 with a coefficient of variation.
-func lognormal(rnd *rand.Rand, cv float64) float64 {
-	s := math.Sqrt(math.Log(1 + cv*cv))
-	return math.Exp(s*rnd.NormFloat64() - s*s/2)
+func lognormal(random *rand.Rand, variation float64) float64 {
+	sigma := math.Sqrt(math.Log(1 + variation*variation))
+	return math.Exp(sigma*random.NormFloat64() - sigma*sigma/2)
 }
 
-func (w *Simulation) build() error {
-	s := w.scenario
-	f, p := s.Fleet, s.Processor
-	w.environment.Record("rules", capture.Rules{AnswerSlack: s.Rules.AnswerSlack, DrainGrace: s.Rules.DrainGrace,
-		ReleaseTime: s.Rules.ReleaseTime, OverloadFactor: s.Rules.OverloadFactor, OverloadDuration: s.Rules.OverloadDuration})
-	w.Fleet = exchange.New(w.scheduler, w.random, exchange.Config{IntraRegionDelay: f.IntraRegionDelay, InterRegionDelay: f.InterRegionDelay, MaxQueueWait: p.MaxQueueWait, ExamineWork: p.ExamineWork, RejectWork: p.RejectWork,
-		FollowUpWork: p.FollowUpWork, ResendWork: p.ResendWork, ResendAfter: p.ResendAfter, FinishFirst: p.FinishFirst, ReportsWait: p.ReportsWait,
-		ReportsReduction: p.ReportsReduction, ColdCapacity: s.Rules.ColdCapacity, ColdDuration: s.Rules.ColdDuration})
-	w.Fleet.OnStart = func(x *exchange.Exchange) {
-		c := capture.Capacity{ExchangeID: x.ID, ExchangeNumber: x.Number, SetUpsPerSecond: x.SetUpsPerSecond(), InitialShare: 1, Since: x.StartedAt.Milliseconds()}
-		if x.StartedAt > 0 {
-			c.InitialShare, c.WarmUpTime = s.Rules.ColdCapacity, s.Rules.ColdDuration
+func (sim *Simulation) build() error {
+	scenario := sim.scenario
+	fleet, processor := scenario.Fleet, scenario.Processor
+	sim.environment.Record("rules", capture.Rules{AnswerSlack: scenario.Rules.AnswerSlack, DrainGrace: scenario.Rules.DrainGrace,
+		ReleaseTime: scenario.Rules.ReleaseTime, OverloadFactor: scenario.Rules.OverloadFactor, OverloadDuration: scenario.Rules.OverloadDuration})
+	sim.Fleet = exchange.New(sim.scheduler, sim.random, exchange.Config{IntraRegionDelay: fleet.IntraRegionDelay, InterRegionDelay: fleet.InterRegionDelay, MaxQueueWait: processor.MaxQueueWait, ExamineWork: processor.ExamineWork, RejectWork: processor.RejectWork,
+		FollowUpWork: processor.FollowUpWork, ResendWork: processor.ResendWork, ResendAfter: processor.ResendAfter, FinishFirst: processor.FinishFirst, ReportsWait: processor.ReportsWait,
+		ReportsReduction: processor.ReportsReduction, ColdCapacity: scenario.Rules.ColdCapacity, ColdDuration: scenario.Rules.ColdDuration})
+	sim.Fleet.OnStart = func(started *exchange.Exchange) {
+		capacity := capture.Capacity{ExchangeID: started.ID, ExchangeNumber: started.Number, SetUpsPerSecond: started.SetUpsPerSecond(), InitialShare: 1, Since: started.StartedAt.Milliseconds()}
+		if started.StartedAt > 0 {
+			capacity.InitialShare, capacity.WarmUpTime = scenario.Rules.ColdCapacity, scenario.Rules.ColdDuration
 		}
-		w.environment.Record("capacity", c)
+		sim.environment.Record("capacity", capacity)
 	}
-	share, seconds := 0.0, 0.0
+	totalShare, circuitSeconds := 0.0, 0.0
 	var classes []subscriber.Class
-	for _, c := range s.Classes {
-		share += c.Share
-		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
+	for _, c := range scenario.Classes {
+		totalShare += c.Share
+		circuitSeconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 		classes = append(classes, subscriber.Class{Name: c.Name, Share: c.Share, Worth: c.Worth, LateWorth: c.LateWorth,
 			SetUpTarget: c.SetUpTarget, Patience: c.Patience, HoldingTime: c.HoldingTime})
 	}
-	each := f.ErlangPerExchange / (seconds / share) // calls a second that one exchange's callers make
-	w.callRate = each * float64(f.Exchanges)
-	work := time.Duration(p.Utilization / (each * (2 + p.ExamineWork + 4*p.FollowUpWork)) * float64(time.Second))
-	w.drawTraffic(f)
-	h := s.Callers
-	w.Callers = subscriber.New(w.scheduler, w.random, classes, subscriber.Behavior{MaxRedials: h.MaxRedials, MeanRedialDelay: h.MeanRedialDelay,
-		AttemptShare: h.AttemptShare, ImpatientShare: h.ImpatientShare, HonourShare: h.HonourShare, MarksRetries: s.Rules.CallersMarkRetries})
-	w.List = exlist.New(w.scheduler, w.random, s.List.MeanDelay)
-	w.lastID = w.random.Uint32N(1<<20) + 1<<20
-	for cell := range f.Exchanges {
-		if _, err := w.addExchange(cell, cell%f.Regions, work, false); err != nil {
+	callsPerExchange := fleet.ErlangPerExchange / (circuitSeconds / totalShare) // calls a second that one exchange's callers make
+	sim.callRate = callsPerExchange * float64(fleet.Exchanges)
+	setUpWork := time.Duration(processor.Utilization / (callsPerExchange * (2 + processor.ExamineWork + 4*processor.FollowUpWork)) * float64(time.Second))
+	sim.drawTraffic(fleet)
+	behavior := scenario.Callers
+	sim.Callers = subscriber.New(sim.scheduler, sim.random, classes, subscriber.Behavior{MaxRedials: behavior.MaxRedials, MeanRedialDelay: behavior.MeanRedialDelay,
+		AttemptShare: behavior.AttemptShare, ImpatientShare: behavior.ImpatientShare, HonourShare: behavior.HonourShare, MarksRetries: scenario.Rules.CallersMarkRetries})
+	sim.List = exlist.New(sim.scheduler, sim.random, scenario.List.MeanDelay)
+	sim.lastID = sim.random.Uint32N(1<<20) + 1<<20
+	for number := range fleet.Exchanges {
+		if _, err := sim.addExchange(number, number%fleet.Regions, setUpWork, false); err != nil {
 			return err
 		}
 	}
-	if s.Rules.RouteAdvice && s.List.AdviceAge > 0 {
-		w.Callers.RouteAdvice = w.newRouteAdvice()
+	if scenario.Rules.RouteAdvice && scenario.List.AdviceAge > 0 {
+		sim.Callers.RouteAdvice = sim.newRouteAdvice()
 	}
 	return nil
 }
 
 // drawTraffic makes the plan, the groups that it asks for, and the traffic that misses it.
-func (w *Simulation) drawTraffic(f settings.Fleet) {
-	n := f.Exchanges
-	plan := make([][]float64, n)
+func (sim *Simulation) drawTraffic(fleet settings.Fleet) {
+	exchanges := fleet.Exchanges
+	plan := make([][]float64, exchanges)
 	for i := range plan {
-		plan[i] = make([]float64, n)
+		plan[i] = make([]float64, exchanges)
 		sum := 0.0
 		for j := range plan[i] {
 			if i != j {
-				plan[i][j] = lognormal(w.random, f.PairVariation)
+				plan[i][j] = lognormal(sim.random, fleet.PairVariation)
 				sum += plan[i][j]
 			}
 		}
 		for j := range plan[i] {
-			plan[i][j] *= f.ErlangPerExchange / sum
+			plan[i][j] *= fleet.ErlangPerExchange / sum
 		}
 	}
 	type pair struct {
@@ -187,105 +187,105 @@
 		load float64
 	}
 	var pairs []pair
-	for a := range n {
-		for b := a + 1; b < n; b++ {
+	for a := range exchanges {
+		for b := a + 1; b < exchanges; b++ {
 			pairs = append(pairs, pair{a, b, plan[a][b] + plan[b][a]})
 		}
 	}
-	thin := slices.Clone(pairs)
-	slices.SortStableFunc(thin, func(x, y pair) int { return int(math.Copysign(1, x.load-y.load)) })
-	without := map[[2]int]bool{}
-	for _, p := range thin[:int(f.UnlinkedShare*float64(len(thin)))] {
-		without[[2]int{p.a, p.b}] = true
+	byLoad := slices.Clone(pairs)
+	slices.SortStableFunc(byLoad, func(x, y pair) int { return int(math.Copysign(1, x.load-y.load)) })
+	unlinked := map[[2]int]bool{}
+	for _, p := range byLoad[:int(fleet.UnlinkedShare*float64(len(byLoad)))] {
+		unlinked[[2]int{p.a, p.b}] = true
 	}
 	for _, p := range pairs {
-		if !without[[2]int{p.a, p.b}] {
-			load := p.load / (1 - f.UnlinkedShare) // room for those without a group
-			w.Fleet.AddGroup(p.a, p.b, max(int(math.Ceil(load+f.SpareFactor*math.Sqrt(load))), 2))
+		if !unlinked[[2]int{p.a, p.b}] {
+			load := p.load / (1 - fleet.UnlinkedShare) // room for those without a group
+			sim.Fleet.AddGroup(p.a, p.b, max(int(math.Ceil(load+fleet.SpareFactor*math.Sqrt(load))), 2))
 		}
 	}
-	w.trafficMatrix = plan
-	w.driftTraffic(f.ForecastError)
-	if f.DriftPeriod > 0 {
-		var again func()
-		again = func() {
-			w.driftTraffic(f.ForecastError / 2)
-			w.scheduler.After(f.DriftPeriod, again)
+	sim.trafficMatrix = plan
+	sim.driftTraffic(fleet.ForecastError)
+	if fleet.DriftPeriod > 0 {
+		var repeat func()
+		repeat = func() {
+			sim.driftTraffic(fleet.ForecastError / 2)
+			sim.scheduler.After(fleet.DriftPeriod, repeat)
 		}
-		w.scheduler.After(f.DriftPeriod, again)
+		sim.scheduler.After(fleet.DriftPeriod, repeat)
 	}
 }
 
-func (w *Simulation) driftTraffic(cv float64) {
-	for i := range w.trafficMatrix {
-		sum, was := 0.0, 0.0
-		for j, v := range w.trafficMatrix[i] {
-			was += v
-			w.trafficMatrix[i][j] = v * lognormal(w.random, cv)
-			sum += w.trafficMatrix[i][j]
+func (sim *Simulation) driftTraffic(variation float64) {
+	for i := range sim.trafficMatrix {
+		sum, before := 0.0, 0.0
+		for j, load := range sim.trafficMatrix[i] {
+			before += load
+			sim.trafficMatrix[i][j] = load * lognormal(sim.random, variation)
+			sum += sim.trafficMatrix[i][j]
 		}
-		for j := range w.trafficMatrix[i] {
-			w.trafficMatrix[i][j] *= was / sum
+		for j := range sim.trafficMatrix[i] {
+			sim.trafficMatrix[i][j] *= before / sum
 		}
 	}
 }
 
 // newRouteAdvice is a centre that looks at all groups now and then.
-func (w *Simulation) newRouteAdvice() func(from, dest int) int {
-	best := map[[2]int]int{}
-	var look func()
-	look = func() {
-		clear(best)
+func (sim *Simulation) newRouteAdvice() func(from, dest int) int {
+	bestTandem := map[[2]int]int{}
+	var update func()
+	update = func() {
+		clear(bestTandem)
 		free := map[[2]int]int{}
-		for _, g := range w.Fleet.Groups() {
-			free[[2]int{g.LowNumber, g.HighNumber}], free[[2]int{g.HighNumber, g.LowNumber}] = g.Free, g.Free
+		for _, group := range sim.Fleet.Groups() {
+			free[[2]int{group.LowNumber, group.HighNumber}], free[[2]int{group.HighNumber, group.LowNumber}] = group.Free, group.Free
 		}
-		n := w.scenario.Fleet.Exchanges
-		for a := range n {
-			for b := range n {
-				room, at := 0, -1
-				for t := range n {
-					if r := min(free[[2]int{a, t}], free[[2]int{t, b}]); t != a && t != b && r > room {
-						room, at = r, t
+		exchanges := sim.scenario.Fleet.Exchanges
+		for a := range exchanges {
+			for b := range exchanges {
+				mostFree, tandem := 0, -1
+				for candidate := range exchanges {
+					if freeCircuits := min(free[[2]int{a, candidate}], free[[2]int{candidate, b}]); candidate != a && candidate != b && freeCircuits > mostFree {
+						mostFree, tandem = freeCircuits, candidate
 					}
 				}
-				best[[2]int{a, b}] = at
+				bestTandem[[2]int{a, b}] = tandem
 			}
 		}
-		w.scheduler.After(w.scenario.List.AdviceAge, look)
+		sim.scheduler.After(sim.scenario.List.AdviceAge, update)
 	}
-	look()
-	return func(from, dest int) int {
-		if t := best[[2]int{from, dest}]; t >= 0 {
-			return t
+	update()
+	return func(source, destination int) int {
+		if tandem := bestTandem[[2]int{source, destination}]; tandem >= 0 {
+			return tandem
 		}
-		return dest
+		return destination
 	}
 }
 
 // addExchange brings an exchange into service and the list.
-func (w *Simulation) addExchange(cell, region int, work time.Duration, cold bool) (*ListedExchange, error) {
-	w.lastID += 1 + w.random.Uint32N(1000)
-	addr, err := w.environment.Listen(w.lastID)
+func (sim *Simulation) addExchange(number, region int, setUpWork time.Duration, cold bool) (*ListedExchange, error) {
+	sim.lastID += 1 + sim.random.Uint32N(1000)
+	addr, err := sim.environment.Listen(sim.lastID)
 	if err != nil {
-		return nil, fmt.Errorf("exchange %d: %w", cell, err)
+		return nil, fmt.Errorf("exchange %d: %w", number, err)
 	}
-	h := &ListedExchange{w.Fleet.AddExchange(w.lastID, cell, region, work, cold), addr}
-	w.exchanges = append(w.exchanges, h)
-	w.List.Update(h.listEntry("in"))
-	return h, nil
+	added := &ListedExchange{sim.Fleet.AddExchange(sim.lastID, number, region, setUpWork, cold), addr}
+	sim.exchanges = append(sim.exchanges, added)
+	sim.List.Update(added.listEntry("in"))
+	return added, nil
 }
 
 // ExchangeByID finds one by its id, nil if there is none.
-func (w *Simulation) ExchangeByID(id uint32) *exchange.Exchange {
-	for _, h := range w.exchanges {
-		if h.ID == id {
-			return h.Exchange
+func (sim *Simulation) ExchangeByID(id uint32) *exchange.Exchange {
+	for _, candidate := range sim.exchanges {
+		if candidate.ID == id {
+			return candidate.Exchange
 		}
 	}
 	return nil
 }
 
-func (h *ListedExchange) listEntry(state string) exlist.Entry {
-	return exlist.Entry{ID: h.ID, Number: h.Number, State: state, StartedAt: h.StartedAt, Addr: h.address}
+func (listed *ListedExchange) listEntry(state string) exlist.Entry {
+	return exlist.Entry{ID: listed.ID, Number: listed.Number, State: state, StartedAt: listed.StartedAt, Addr: listed.address}
 }
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -31,18 +31,18 @@
 func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e eventQueue) Swap(i, j int)   { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(added any) { *e = append(*e, added.(event)) }
 func (e *eventQueue) Pop() any {
-	x := (*e)[len(*e)-1]
+	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
-	return x
+	return last
 }
 
-func (c *coarseClock) Now() time.Duration { return c.now }
-func (c *coarseClock) After(d time.Duration, f func()) {
-	c.lastSequence++
-	heap.Push(&c.pending, event{(c.now + max(d, 0) + c.tick).Truncate(c.tick), c.lastSequence, f})
+func (clock *coarseClock) Now() time.Duration { return clock.now }
+func (clock *coarseClock) After(d time.Duration, callback func()) {
+	clock.lastSequence++
+	heap.Push(&clock.pending, event{(clock.now + max(d, 0) + clock.tick).Truncate(clock.tick), clock.lastSequence, callback})
 }
 
 // unreachableEnvironment is an edge that nobody reaches.
@@ -62,26 +62,26 @@
 // at 30 exchanges.)
 func TestCallsArriveAtConfiguredRate(t *testing.T) {
 	text, _ := scenarios.Text("bad-day")
-	scn, err := settings.ParseScenario("bad-day", strings.NewReader(text))
+	scenario, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	scn.Troubles, scn.Fleet.Exchanges, scn.Load.Level, scn.Load.Swing = nil, 30, 1, 0
-	c := &coarseClock{tick: time.Millisecond}
-	s, err := scene.New(scn, c, unreachableEnvironment{})
+	scenario.Troubles, scenario.Fleet.Exchanges, scenario.Load.Level, scenario.Load.Swing = nil, 30, 1, 0
+	clock := &coarseClock{tick: time.Millisecond}
+	simulation, err := scene.New(scenario, clock, unreachableEnvironment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := false
-	s.Start(nil, func() { ended = true })
+	simulation.Start(nil, func() { ended = true })
 	for !ended {
-		e := heap.Pop(&c.pending).(event)
-		c.now = e.at
-		e.callback()
+		next := heap.Pop(&clock.pending).(event)
+		clock.now = next.at
+		next.callback()
 	}
 	// 30 exchanges of 100 erlang of circuits; a call keeps 6.7 circuit-seconds on average
-	want := 30 * 100 / 6.7 * scn.Length.Seconds()
-	if got := float64(len(s.Callers.Calls)); got < 0.97*want || got > 1.03*want {
+	want := 30 * 100 / 6.7 * scenario.Length.Seconds()
+	if got := float64(len(simulation.Callers.Calls)); got < 0.97*want || got > 1.03*want {
 		t.Errorf("%.0f calls, %.0f were to come", got, want)
 	}
 }
--- a/internal/standin/scene/trouble.go
+++ b/internal/standin/scene/trouble.go
@@ -12,153 +12,153 @@
 )
 
 // drawExchanges draws a share of the exchanges in service, one at the least.
-func (w *Simulation) drawExchanges(share float64) []*ListedExchange {
-	var up []*ListedExchange
-	for _, h := range w.exchanges {
-		if h.Up && w.Fleet.Current(h.Number) == h.Exchange {
-			up = append(up, h)
+func (sim *Simulation) drawExchanges(share float64) []*ListedExchange {
+	var inService []*ListedExchange
+	for _, listed := range sim.exchanges {
+		if listed.Up && sim.Fleet.Current(listed.Number) == listed.Exchange {
+			inService = append(inService, listed)
 		}
 	}
-	w.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	return up[:min(max(int(math.Round(share*float64(len(up)))), 1), len(up))]
+	sim.random.Shuffle(len(inService), func(i, j int) { inService[i], inService[j] = inService[j], inService[i] })
+	return inService[:min(max(int(math.Round(share*float64(len(inService)))), 1), len(inService))]
 }
 
 // closeAllConns closes every connection of an exchange.
-func (w *Simulation) closeAllConns(h *ListedExchange, why string) {
-	w.environment.CloseConns(h.ID, why, func(*exchange.Conn) bool { return true })
+func (sim *Simulation) closeAllConns(listed *ListedExchange, reason string) {
+	sim.environment.CloseConns(listed.ID, reason, func(*exchange.Conn) bool { return true })
 }
 
-func exchangeNames(hs []*ListedExchange) string {
-	var all []string
-	for _, h := range hs {
-		all = append(all, fmt.Sprint(h.Number))
+func exchangeNames(exchanges []*ListedExchange) string {
+	var numbers []string
+	for _, listed := range exchanges {
+		numbers = append(numbers, fmt.Sprint(listed.Number))
 	}
-	return "exchanges " + strings.Join(all, ", ")
+	return "exchanges " + strings.Join(numbers, ", ")
 }
 
 // startTrouble lets one come, and go again.
-func (w *Simulation) startTrouble(t settings.Trouble) {
-	what, end := w.applyTrouble(t)
-	now := w.scheduler.Now() - w.startedAt
-	w.troubles = append(w.troubles, TroubleRecord{Trouble: t, Description: what, Start: now, End: now + max(t.Duration, time.Second)})
-	w.environment.Record("trouble", capture.Trouble{Kind: t.Kind, Description: what, Duration: t.Duration})
-	if end == nil {
+func (sim *Simulation) startTrouble(trouble settings.Trouble) {
+	description, stop := sim.applyTrouble(trouble)
+	now := sim.scheduler.Now() - sim.startedAt
+	sim.troubles = append(sim.troubles, TroubleRecord{Trouble: trouble, Description: description, Start: now, End: now + max(trouble.Duration, time.Second)})
+	sim.environment.Record("trouble", capture.Trouble{Kind: trouble.Kind, Description: description, Duration: trouble.Duration})
+	if stop == nil {
 		return
 	}
-	w.scheduler.After(t.Duration, func() {
-		end()
-		w.environment.Record("trouble", capture.Trouble{Kind: t.Kind, Description: what, Ended: true})
+	sim.scheduler.After(trouble.Duration, func() {
+		stop()
+		sim.environment.Record("trouble", capture.Trouble{Kind: trouble.Kind, Description: description, Ended: true})
 	})
 }
 
 // applyTrouble starts a trouble; it returns whom it hits and what ends it.
-func (w *Simulation) applyTrouble(t settings.Trouble) (string, func()) {
-	each := func(hs []*ListedExchange, do func(*ListedExchange)) {
-		for _, h := range hs {
+func (sim *Simulation) applyTrouble(trouble settings.Trouble) (string, func()) {
+	forEach := func(affected []*ListedExchange, do func(*ListedExchange)) {
+		for _, h := range affected {
 			do(h)
 		}
 	}
-	switch t.Kind {
+	switch trouble.Kind {
 	case "burst":
-		w.burstFactor = t.Size
-		return "all callers", func() { w.burstFactor = 1 }
+		sim.burstFactor = trouble.Size
+		return "all callers", func() { sim.burstFactor = 1 }
 	case "flood":
-		w.floodShare, w.floodSource = t.Size, w.random.IntN(w.scenario.Fleet.Exchanges)
-		return fmt.Sprintf("controller %d", w.floodSource), func() { w.floodShare = 0 }
+		sim.floodShare, sim.floodSource = trouble.Size, sim.random.IntN(sim.scenario.Fleet.Exchanges)
+		return fmt.Sprintf("controller %d", sim.floodSource), func() { sim.floodShare = 0 }
 	case "hot-number":
-		w.hotShare, w.hotDestination = t.Size, w.random.IntN(w.scenario.Fleet.Exchanges)
-		w.Fleet.LimitLines(HotNumber, hotNumberLines)
-		return fmt.Sprintf("a number at exchange %d", w.hotDestination), func() { w.hotShare = 0 }
+		sim.hotShare, sim.hotDestination = trouble.Size, sim.random.IntN(sim.scenario.Fleet.Exchanges)
+		sim.Fleet.LimitLines(HotNumber, hotNumberLines)
+		return fmt.Sprintf("a number at exchange %d", sim.hotDestination), func() { sim.hotShare = 0 }
 	case "crash":
-		hs := w.drawExchanges(t.Size)
-		each(hs, func(h *ListedExchange) {
-			w.Fleet.Crash(h.Exchange)
-			w.closeAllConns(h, fmt.Sprintf("exchange %d has crashed", h.ID))
-			w.List.Update(h.listEntry("out"))
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) {
+			sim.Fleet.Crash(h.Exchange)
+			sim.closeAllConns(h, fmt.Sprintf("exchange %d has crashed", h.ID))
+			sim.List.Update(h.listEntry("out"))
 		})
-		return exchangeNames(hs), func() {
-			each(hs, func(h *ListedExchange) {
-				w.Fleet.Restart(h.Exchange)
-				w.List.Update(h.listEntry("in"))
+		return exchangeNames(affected), func() {
+			forEach(affected, func(h *ListedExchange) {
+				sim.Fleet.Restart(h.Exchange)
+				sim.List.Update(h.listEntry("in"))
 			})
 		}
 	case "hang":
-		hs := w.drawExchanges(t.Size)
-		each(hs, func(h *ListedExchange) { h.Unresponsive = true })
-		return exchangeNames(hs), func() { each(hs, func(h *ListedExchange) { h.Unresponsive = false }) }
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) { h.Unresponsive = true })
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.Unresponsive = false }) }
 	case "pauses":
-		hs := w.drawExchanges(t.Size)
-		until := w.scheduler.Now() + t.Duration
+		affected := sim.drawExchanges(trouble.Size)
+		until := sim.scheduler.Now() + trouble.Duration
 		var again func()
 		again = func() {
-			each(hs, func(h *ListedExchange) { h.PauseUntil(w.scheduler.Now() + 300*time.Millisecond) })
-			if w.scheduler.Now() < until {
-				w.scheduler.After(1500*time.Millisecond, again)
+			forEach(affected, func(h *ListedExchange) { h.PauseUntil(sim.scheduler.Now() + 300*time.Millisecond) })
+			if sim.scheduler.Now() < until {
+				sim.scheduler.After(1500*time.Millisecond, again)
 			}
 		}
 		again()
-		return exchangeNames(hs), func() {}
+		return exchangeNames(affected), func() {}
 	case "slow":
-		hs := w.drawExchanges(0.5)
-		each(hs, func(h *ListedExchange) { h.SetSlowdown(t.Size) })
-		return exchangeNames(hs), func() { each(hs, func(h *ListedExchange) { h.SetSlowdown(1) }) }
+		affected := sim.drawExchanges(0.5)
+		forEach(affected, func(h *ListedExchange) { h.SetSlowdown(trouble.Size) })
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(1) }) }
 	case "ageing":
-		hs := w.drawExchanges(0.5)
+		affected := sim.drawExchanges(0.5)
 		for i := range 10 {
-			factor := 1 + (t.Size-1)*float64(i+1)/10
-			w.scheduler.After(t.Duration*time.Duration(i)/10, func() { each(hs, func(h *ListedExchange) { h.SetSlowdown(factor) }) })
+			factor := 1 + (trouble.Size-1)*float64(i+1)/10
+			sim.scheduler.After(trouble.Duration*time.Duration(i)/10, func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(factor) }) })
 		}
-		return exchangeNames(hs), func() { each(hs, func(h *ListedExchange) { h.SetSlowdown(1) }) }
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(1) }) }
 	case "answers-lost":
-		each(w.exchanges, func(h *ListedExchange) { h.UnansweredShare = t.Size })
-		return "all exchanges", func() { each(w.exchanges, func(h *ListedExchange) { h.UnansweredShare = 0 }) }
+		forEach(sim.exchanges, func(h *ListedExchange) { h.UnansweredShare = trouble.Size })
+		return "all exchanges", func() { forEach(sim.exchanges, func(h *ListedExchange) { h.UnansweredShare = 0 }) }
 	case "answers-reset":
-		each(w.exchanges, func(h *ListedExchange) { h.CutShare = t.Size })
-		return "all exchanges", func() { each(w.exchanges, func(h *ListedExchange) { h.CutShare = 0 }) }
+		forEach(sim.exchanges, func(h *ListedExchange) { h.CutShare = trouble.Size })
+		return "all exchanges", func() { forEach(sim.exchanges, func(h *ListedExchange) { h.CutShare = 0 }) }
 	case "circuits-lost":
-		w.Fleet.LoseCircuits(t.Size)
-		return "groups between regions", w.Fleet.RestoreCircuits
+		sim.Fleet.LoseCircuits(trouble.Size)
+		return "groups between regions", sim.Fleet.RestoreCircuits
 	case "cut-again":
-		w.Callers.RetryCutCallsUntil = w.scheduler.Now() + time.Second
-		n := w.Fleet.CutCalls(t.Size)
+		sim.Callers.RetryCutCallsUntil = sim.scheduler.Now() + time.Second
+		n := sim.Fleet.CutCalls(trouble.Size)
 		return fmt.Sprintf("%d calls", n), nil
 	case "deploy":
-		hs := w.drawExchanges(t.Size)
-		gap := t.Duration / time.Duration(len(hs))
-		for i, h := range hs {
-			w.scheduler.After(gap*time.Duration(i), func() { w.replaceExchange(h) })
+		affected := sim.drawExchanges(trouble.Size)
+		gap := trouble.Duration / time.Duration(len(affected))
+		for i, h := range affected {
+			sim.scheduler.After(gap*time.Duration(i), func() { sim.replaceExchange(h) })
 		}
-		return exchangeNames(hs), func() {}
+		return exchangeNames(affected), func() {}
 	case "controllers-restart":
-		hs := w.drawExchanges(t.Size)
-		each(hs, func(h *ListedExchange) { w.environment.RestartController(h.Number) })
-		return "controllers of " + exchangeNames(hs), nil
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) { sim.environment.RestartController(h.Number) })
+		return "controllers of " + exchangeNames(affected), nil
 	case "links-reset":
 		n := 0
-		for _, h := range w.exchanges {
-			n += w.environment.CloseConns(h.ID, "reset by the scenario", func(*exchange.Conn) bool { return w.random.Float64() < t.Size })
+		for _, h := range sim.exchanges {
+			n += sim.environment.CloseConns(h.ID, "reset by the scenario", func(*exchange.Conn) bool { return sim.random.Float64() < trouble.Size })
 		}
 		return fmt.Sprintf("%d connections", n), nil
 	case "half-open":
-		hs := w.drawExchanges(t.Size)
-		w.setFaults(hs, HalfOpen, true)
-		return exchangeNames(hs), func() {
-			w.setFaults(hs, HalfOpen, false)
-			each(hs, func(h *ListedExchange) { w.closeAllConns(h, "was half open") })
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, HalfOpen, true)
+		return exchangeNames(affected), func() {
+			sim.setFaults(affected, HalfOpen, false)
+			forEach(affected, func(h *ListedExchange) { sim.closeAllConns(h, "was half open") })
 		}
 	case "stalled-reader":
-		hs := w.drawExchanges(t.Size)
-		w.setFaults(hs, StalledReader, true)
-		return exchangeNames(hs), func() { w.setFaults(hs, StalledReader, false) }
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, StalledReader, true)
+		return exchangeNames(affected), func() { sim.setFaults(affected, StalledReader, false) }
 	case "fragments":
-		hs := w.drawExchanges(t.Size)
-		w.setFaults(hs, FragmentedWrites, true)
-		return exchangeNames(hs), func() { w.setFaults(hs, FragmentedWrites, false) }
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, FragmentedWrites, true)
+		return exchangeNames(affected), func() { sim.setFaults(affected, FragmentedWrites, false) }
 	case "garbage":
-		return "all controllers", w.environment.SendMalformed(t.Size)
+		return "all controllers", sim.environment.SendMalformed(trouble.Size)
 	case "list-away":
-		w.environment.SetListUnavailable(true)
-		return "the exchange list", func() { w.environment.SetListUnavailable(false) }
+		sim.environment.SetListUnavailable(true)
+		return "the exchange list", func() { sim.environment.SetListUnavailable(false) }
 	}
 	return "nothing", nil
 }
@@ -167,30 +167,30 @@
 const drainTime = 3 * time.Second
 
 // replaceExchange lets an exchange drain and another take its number.
-func (w *Simulation) replaceExchange(h *ListedExchange) {
-	if !h.Up {
+func (sim *Simulation) replaceExchange(replaced *ListedExchange) {
+	if !replaced.Up {
 		return
 	}
-	w.List.Update(h.listEntry("draining"))
-	w.scheduler.After(drainTime/2, func() {
-		n, err := w.addExchange(h.Number, h.Region, time.Duration(float64(time.Second)/h.SetUpsPerSecond()), true)
+	sim.List.Update(replaced.listEntry("draining"))
+	sim.scheduler.After(drainTime/2, func() {
+		replacement, err := sim.addExchange(replaced.Number, replaced.Region, time.Duration(float64(time.Second)/replaced.SetUpsPerSecond()), true)
 		if err != nil {
 			return // out of sockets: the old one goes on
 		}
-		w.environment.CloseConns(h.ID, fmt.Sprintf("exchange %d is replaced by %d", h.ID, n.ID),
-			func(c *exchange.Conn) bool { return c.Transit }) // calls in transit come to the new one
-		w.scheduler.After(drainTime/2, func() {
-			w.Fleet.Retire(h.Exchange)
-			w.List.Update(h.listEntry("out"))
-			w.environment.StopListening(h.ID)
+		sim.environment.CloseConns(replaced.ID, fmt.Sprintf("exchange %d is replaced by %d", replaced.ID, replacement.ID),
+			func(conn *exchange.Conn) bool { return conn.Transit }) // calls in transit come to the new one
+		sim.scheduler.After(drainTime/2, func() {
+			sim.Fleet.Retire(replaced.Exchange)
+			sim.List.Update(replaced.listEntry("out"))
+			sim.environment.StopListening(replaced.ID)
 		})
 	})
 }
 
 // setFaults starts or ends one kind of fault at some exchanges.
-func (w *Simulation) setFaults(hs []*ListedExchange, f Fault, on bool) {
-	for _, h := range hs {
-		w.environment.SetFault(h.ID, f, on)
+func (sim *Simulation) setFaults(exchanges []*ListedExchange, fault Fault, on bool) {
+	for _, affected := range exchanges {
+		sim.environment.SetFault(affected.ID, fault, on)
 	}
 }
 
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -112,41 +112,41 @@
 }
 
 // New makes a crowd without a line.
-func New(s Scheduler, rnd *rand.Rand, classes []Class, habits Behavior) *Callers {
-	c := &Callers{scheduler: s, random: rnd, classes: classes, behavior: habits, pools: map[int]*ConnPool{}}
-	for _, cl := range classes {
-		c.totalShare += cl.Share
+func New(scheduler Scheduler, random *rand.Rand, classes []Class, behavior Behavior) *Callers {
+	c := &Callers{scheduler: scheduler, random: random, classes: classes, behavior: behavior, pools: map[int]*ConnPool{}}
+	for _, class := range classes {
+		c.totalShare += class.Share
 	}
 	return c
 }
 
 // OpenConn brings a connection to a controller into use.
-func (c *Callers) OpenConn(cell int, send func(*signal.Message) bool) *Conn {
-	l := c.pools[cell]
-	if l == nil {
-		l = &ConnPool{Number: cell}
-		c.pools[cell] = l
+func (c *Callers) OpenConn(number int, send func(*signal.Message) bool) *Conn {
+	pool := c.pools[number]
+	if pool == nil {
+		pool = &ConnPool{Number: number}
+		c.pools[number] = pool
 	}
 	conn := &Conn{Send: send, pendingAttempts: map[uint32]*attempt{}, attemptsByName: map[string]*attempt{}}
-	l.conns = append(l.conns, conn)
+	pool.conns = append(pool.conns, conn)
 	return conn
 }
 
 // ConnClosed ends one: its calls are lost to their callers.
-func (c *Callers) ConnClosed(cell int, conn *Conn) {
-	l := c.pools[cell]
-	for i := range l.conns {
-		if l.conns[i] == conn {
-			l.conns = append(l.conns[:i], l.conns[i+1:]...)
+func (c *Callers) ConnClosed(number int, conn *Conn) {
+	pool := c.pools[number]
+	for i := range pool.conns {
+		if pool.conns[i] == conn {
+			pool.conns = append(pool.conns[:i], pool.conns[i+1:]...)
 			break
 		}
 	}
-	var all []*attempt
-	for _, t := range conn.attemptsByName {
-		all = append(all, t)
+	var affected []*attempt
+	for _, pending := range conn.attemptsByName {
+		affected = append(affected, pending)
 	}
-	sortAttempts(all)
-	for _, t := range all {
+	sortAttempts(affected)
+	for _, t := range affected {
 		if t.established {
 			c.callCut(t)
 		} else {
@@ -160,9 +160,9 @@
 
 // drawClass takes a class by its share.
 func (c *Callers) drawClass() int {
-	x := c.random.Float64() * c.totalShare
-	for i, cl := range c.classes {
-		if x -= cl.Share; x < 0 {
+	remaining := c.random.Float64() * c.totalShare
+	for i, class := range c.classes {
+		if remaining -= class.Share; remaining < 0 {
 			return i
 		}
 	}
@@ -170,8 +170,8 @@
 }
 
 // Dial makes a first try; number "" draws one that nobody else calls.
-func (c *Callers) Dial(from, dest int, number string) *Call {
-	call := &Call{Class: c.drawClass(), FirstAttemptAt: c.scheduler.Now(), Source: from, Dest: dest, ToHotNumber: number != ""}
+func (c *Callers) Dial(source, destination int, number string) *Call {
+	call := &Call{Class: c.drawClass(), FirstAttemptAt: c.scheduler.Now(), Source: source, Dest: destination, ToHotNumber: number != ""}
 	c.Calls = append(c.Calls, call)
 	if number == "" {
 		number = fmt.Sprint(1e9 + c.random.Int64N(1e14))
@@ -180,106 +180,106 @@
 	return call
 }
 
-func (c *Callers) dialAttempt(call *Call, number string, first time.Duration, again bool) {
-	cl := c.classes[call.Class]
+func (c *Callers) dialAttempt(call *Call, number string, firstAttemptAt time.Duration, afterCut bool) {
+	class := c.classes[call.Class]
 	now := c.scheduler.Now()
-	left := min(time.Duration(float64(cl.Patience)*c.behavior.AttemptShare), first+cl.Patience-now)
-	l := c.pools[call.Source]
-	if left <= 0 || l == nil || len(l.conns) == 0 {
+	left := min(time.Duration(float64(class.Patience)*c.behavior.AttemptShare), firstAttemptAt+class.Patience-now)
+	pool := c.pools[call.Source]
+	if left <= 0 || pool == nil || len(pool.conns) == 0 {
 		c.setOutcome(call, Lost)
 		return
 	}
-	l.next++
-	conn := l.conns[l.next%len(l.conns)]
+	pool.next++
+	conn := pool.conns[pool.next%len(pool.conns)]
 	c.nameCount++
 	conn.lastTransaction++
-	t := &attempt{call: call, conn: conn, pool: l, transaction: conn.lastTransaction, name: fmt.Sprintf("c%d-%d", call.Source, c.nameCount), number: number,
-		startedAt: now, firstAttemptAt: first}
+	placed := &attempt{call: call, conn: conn, pool: pool, transaction: conn.lastTransaction, name: fmt.Sprintf("c%d-%d", call.Source, c.nameCount), number: number,
+		startedAt: now, firstAttemptAt: firstAttemptAt}
 	call.Attempts++
-	m := &signal.Message{ID: t.transaction, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
-	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
-	m.PutFlag("Repeat", c.behavior.MarksRetries && call.Attempts > 1 && !again).PutFlag("Again", again)
+	request := &signal.Message{ID: placed.transaction, Context: signal.ContextChoose, Command: signal.Add, Termination: placed.name}
+	request.Put("Class", class.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
+	request.PutFlag("Repeat", c.behavior.MarksRetries && call.Attempts > 1 && !afterCut).PutFlag("Again", afterCut)
 	if c.RouteAdvice != nil {
-		m.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
+		request.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
 	}
 	c.openCalls++
-	conn.pendingAttempts[t.transaction], conn.attemptsByName[t.name] = t, t
-	if !conn.Send(m) {
-		c.attemptFailed(t, Lost, 0)
+	conn.pendingAttempts[placed.transaction], conn.attemptsByName[placed.name] = placed, placed
+	if !conn.Send(request) {
+		c.attemptFailed(placed, Lost, 0)
 		return
 	}
-	leaves := left
+	patience := left
 	if c.random.Float64() < c.behavior.ImpatientShare {
-		leaves = time.Duration(c.random.Float64() * float64(left))
+		patience = time.Duration(c.random.Float64() * float64(left))
 	}
-	c.scheduler.After(leaves, func() {
-		if !t.ended && !t.established {
-			c.sendRelease(t)
-			c.attemptFailed(t, GaveUp, 0)
+	c.scheduler.After(patience, func() {
+		if !placed.ended && !placed.established {
+			c.sendRelease(placed)
+			c.attemptFailed(placed, GaveUp, 0)
 		}
 	})
 }
 
-func (c *Callers) sendRelease(t *attempt) {
-	t.conn.lastTransaction++
-	t.conn.Send(&signal.Message{ID: t.conn.lastTransaction, Command: signal.Subtract, Termination: t.name})
+func (c *Callers) sendRelease(released *attempt) {
+	released.conn.lastTransaction++
+	released.conn.Send(&signal.Message{ID: released.conn.lastTransaction, Command: signal.Subtract, Termination: released.name})
 }
 
 // HandleMessage takes a message from a controller.
-func (c *Callers) HandleMessage(conn *Conn, m *signal.Message) {
+func (c *Callers) HandleMessage(conn *Conn, message *signal.Message) {
 	switch {
-	case m.Kind == signal.Reply && m.Command == signal.Add:
-		t := conn.pendingAttempts[m.ID]
-		delete(conn.pendingAttempts, m.ID)
-		if t == nil || t.ended {
+	case message.Kind == signal.Reply && message.Command == signal.Add:
+		known := conn.pendingAttempts[message.ID]
+		delete(conn.pendingAttempts, message.ID)
+		if known == nil || known.ended {
 			return // it was given up in the same moment: the Subtract is under way
 		}
-		if m.Code == 0 {
-			c.callEstablished(t)
+		if message.Code == 0 {
+			c.callEstablished(known)
 			return
 		}
-		back, _ := m.Duration("Backoff")
-		end := Refused
-		if m.Code == signal.Unavailable {
-			end = Failed
+		backoff, _ := message.Duration("Backoff")
+		outcome := Refused
+		if message.Code == signal.Unavailable {
+			outcome = Failed
 		}
-		c.attemptFailed(t, end, back)
-	case m.Kind == signal.Request && m.Command == signal.Notify:
-		conn.Send(m.NewReply())
-		if t := conn.attemptsByName[m.Termination]; t != nil && t.established {
-			if m.Get("Event") == "cut" {
+		c.attemptFailed(known, outcome, backoff)
+	case message.Kind == signal.Request && message.Command == signal.Notify:
+		conn.Send(message.NewReply())
+		if t := conn.attemptsByName[message.Termination]; t != nil && t.established {
+			if message.Get("Event") == "cut" {
 				c.callCut(t)
 			} else {
 				c.callCompleted(t)
 			}
 		}
-	case m.Kind == signal.Request:
-		conn.Send(m.NewReply())
+	case message.Kind == signal.Request:
+		conn.Send(message.NewReply())
 	}
 }
 
-func (c *Callers) callEstablished(t *attempt) {
-	t.established = true
+func (c *Callers) callEstablished(answered *attempt) {
+	answered.established = true
 	now := c.scheduler.Now()
-	if t.call.SetUpTime == 0 {
-		t.call.SetUpTime = max(now-t.call.FirstAttemptAt, 1)
+	if answered.call.SetUpTime == 0 {
+		answered.call.SetUpTime = max(now-answered.call.FirstAttemptAt, 1)
 	}
-	holding := time.Duration(float64(c.classes[t.call.Class].HoldingTime) * c.random.ExpFloat64())
-	if t.call.RetriedAfterCut && now-t.firstAttemptAt > c.classes[t.call.Class].SetUpTarget {
-		t.call.Outcome = Cut // it came again, and stood too late
+	holdingTime := time.Duration(float64(c.classes[answered.call.Class].HoldingTime) * c.random.ExpFloat64())
+	if answered.call.RetriedAfterCut && now-answered.firstAttemptAt > c.classes[answered.call.Class].SetUpTarget {
+		answered.call.Outcome = Cut // it came again, and stood too late
 	}
-	c.scheduler.After(holding, func() {
-		if !t.ended {
-			c.sendRelease(t)
-			c.callCompleted(t)
+	c.scheduler.After(holdingTime, func() {
+		if !answered.ended {
+			c.sendRelease(answered)
+			c.callCompleted(answered)
 		}
 	})
 }
 
 // callCompleted ends a call that stood to its end.
-func (c *Callers) callCompleted(t *attempt) {
-	c.removeAttempt(t)
-	call := t.call
+func (c *Callers) callCompleted(completed *attempt) {
+	c.removeAttempt(completed)
+	call := completed.call
 	if call.Outcome == Cut {
 		return
 	}
@@ -289,58 +289,58 @@
 	}
 }
 
-func (c *Callers) removeAttempt(t *attempt) {
-	t.ended = true
+func (c *Callers) removeAttempt(removed *attempt) {
+	removed.ended = true
 	c.openCalls--
-	delete(t.conn.attemptsByName, t.name)
+	delete(removed.conn.attemptsByName, removed.name)
 }
 
-func (c *Callers) callCut(t *attempt) {
-	c.removeAttempt(t)
+func (c *Callers) callCut(affected *attempt) {
+	c.removeAttempt(affected)
 	if c.Finished {
 		return
 	}
 	now := c.scheduler.Now()
-	if now < c.RetryCutCallsUntil && t.call.Outcome != Cut {
-		t.call.RetriedAfterCut = true
+	if now < c.RetryCutCallsUntil && affected.call.Outcome != Cut {
+		affected.call.RetriedAfterCut = true
 		c.scheduler.After(500*time.Millisecond+time.Duration(c.random.Float64()*float64(time.Second)), func() {
-			c.dialAttempt(t.call, t.number, c.scheduler.Now(), true)
+			c.dialAttempt(affected.call, affected.number, c.scheduler.Now(), true)
 		})
 		return
 	}
-	t.call.Outcome = Cut
+	affected.call.Outcome = Cut
 }
 
 // attemptFailed is a try that did not stand: the caller may dial again.
-func (c *Callers) attemptFailed(t *attempt, e Outcome, back time.Duration) {
-	c.removeAttempt(t)
-	call := t.call
-	cl := c.classes[call.Class]
-	gap := time.Duration(float64(c.behavior.MeanRedialDelay) * (0.3 + c.random.ExpFloat64()*0.7))
-	if back > 0 && c.random.Float64() < c.behavior.HonourShare {
-		gap = max(gap, back)
+func (c *Callers) attemptFailed(failed *attempt, outcome Outcome, backoff time.Duration) {
+	c.removeAttempt(failed)
+	call := failed.call
+	class := c.classes[call.Class]
+	redialDelay := time.Duration(float64(c.behavior.MeanRedialDelay) * (0.3 + c.random.ExpFloat64()*0.7))
+	if backoff > 0 && c.random.Float64() < c.behavior.HonourShare {
+		redialDelay = max(redialDelay, backoff)
 	}
 	if call.ToHotNumber {
-		gap /= 2
+		redialDelay /= 2
 	}
-	if call.RetriedAfterCut || call.Attempts > c.behavior.MaxRedials || c.scheduler.Now()+gap >= t.firstAttemptAt+cl.Patience {
-		c.setOutcome(call, e)
+	if call.RetriedAfterCut || call.Attempts > c.behavior.MaxRedials || c.scheduler.Now()+redialDelay >= failed.firstAttemptAt+class.Patience {
+		c.setOutcome(call, outcome)
 		return
 	}
-	c.scheduler.After(gap, func() { c.dialAttempt(call, t.number, t.firstAttemptAt, false) })
+	c.scheduler.After(redialDelay, func() { c.dialAttempt(call, failed.number, failed.firstAttemptAt, false) })
 }
 
-func (c *Callers) setOutcome(call *Call, e Outcome) {
+func (c *Callers) setOutcome(call *Call, outcome Outcome) {
 	if call.RetriedAfterCut {
-		e = Cut
+		outcome = Cut
 	}
-	call.Outcome = e
+	call.Outcome = outcome
 }
 
-func sortAttempts(all []*attempt) {
-	for i := 1; i < len(all); i++ {
-		for j := i; j > 0 && all[j].name < all[j-1].name; j-- {
-			all[j], all[j-1] = all[j-1], all[j]
+func sortAttempts(attempts []*attempt) {
+	for i := 1; i < len(attempts); i++ {
+		for j := i; j > 0 && attempts[j].name < attempts[j-1].name; j-- {
+			attempts[j], attempts[j-1] = attempts[j-1], attempts[j]
 		}
 	}
 }
@@ -352,65 +352,65 @@
 }
 
 // ServiceRatio is the worth earned over the worth offered; 1 where nothing was offered.
-func (t Tally) ServiceRatio() float64 {
-	if t.Worth == 0 {
+func (tally Tally) ServiceRatio() float64 {
+	if tally.Worth == 0 {
 		return 1
 	}
-	return t.Earned / t.Worth
+	return tally.Earned / tally.Worth
 }
 
 // Tally counts the calls that which picks. A call still up counts by how it stood.
-func (c *Callers) Tally(which func(*Call) bool) Tally {
-	var t Tally
-	for _, k := range c.Calls {
-		if !which(k) {
+func (c *Callers) Tally(matches func(*Call) bool) Tally {
+	var tally Tally
+	for _, call := range c.Calls {
+		if !matches(call) {
 			continue
 		}
-		cl := c.classes[k.Class]
-		worth := cl.Worth
-		if k.ToHotNumber {
+		class := c.classes[call.Class]
+		worth := class.Worth
+		if call.ToHotNumber {
 			worth *= 0.1 // its callers want one number that has few lines
 		}
-		t.Offered++
-		t.Worth += worth
-		switch e := k.finalOutcome(cl); e {
+		tally.Offered++
+		tally.Worth += worth
+		switch outcome := call.finalOutcome(class); outcome {
 		case InTime:
-			t.InTime++
-			t.Earned += worth
+			tally.InTime++
+			tally.Earned += worth
 		case Late:
-			t.Late++
-			t.Earned += worth * cl.LateWorth
+			tally.Late++
+			tally.Earned += worth * class.LateWorth
 		case Refused:
-			t.Refused++
+			tally.Refused++
 		case Failed:
-			t.Failed++
+			tally.Failed++
 		case Cut:
-			t.Cut++
+			tally.Cut++
 		case GaveUp:
-			t.GaveUp++
+			tally.GaveUp++
 		case Lost:
-			t.Lost++
+			tally.Lost++
 		default:
-			t.Open++
+			tally.Open++
 		}
 	}
-	return t
+	return tally
 }
 
-func (k *Call) finalOutcome(cl Class) Outcome {
-	if k.Outcome != Pending || k.SetUpTime == 0 {
-		return k.Outcome
+func (call *Call) finalOutcome(class Class) Outcome {
+	if call.Outcome != Pending || call.SetUpTime == 0 {
+		return call.Outcome
 	}
-	if k.SetUpTime <= cl.SetUpTarget {
+	if call.SetUpTime <= class.SetUpTarget {
 		return InTime
 	}
 	return Late
 }
 
 // ArrivalInterval draws the time to the next arrival at a rate a second.
-func ArrivalInterval(rnd *rand.Rand, rate float64) time.Duration {
-	if rate <= 0 {
+func ArrivalInterval(random *rand.Rand, perSecond float64) time.Duration {
+	if perSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(math.Min(rnd.ExpFloat64()/rate, 10) * float64(time.Second))
+	return time.Duration(math.Min(random.ExpFloat64()/perSecond, 10) * float64(time.Second))
 }
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -20,34 +20,34 @@
 }
 
 // removeAll lets everything through, for good.
-func (f *connFaults) removeAll() {
-	f.disabled.Store(true)
-	f.releaseReaders()
+func (faults *connFaults) removeAll() {
+	faults.disabled.Store(true)
+	faults.releaseReaders()
 }
 
 // releaseReaders wakes readers that were held.
-func (f *connFaults) releaseReaders() {
-	f.stalled.Store(false)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, g := range f.blockedReaders {
-		close(g)
+func (faults *connFaults) releaseReaders() {
+	faults.stalled.Store(false)
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	for _, reader := range faults.blockedReaders {
+		close(reader)
 	}
-	f.blockedReaders = nil
+	faults.blockedReaders = nil
 }
 
-func (f *connFaults) blockReader(over <-chan struct{}) {
-	f.mu.Lock()
-	if !f.stalled.Load() || f.disabled.Load() {
-		f.mu.Unlock()
+func (faults *connFaults) blockReader(closed <-chan struct{}) {
+	faults.mu.Lock()
+	if !faults.stalled.Load() || faults.disabled.Load() {
+		faults.mu.Unlock()
 		return
 	}
-	g := make(chan struct{})
-	f.blockedReaders = append(f.blockedReaders, g)
-	f.mu.Unlock()
+	released := make(chan struct{})
+	faults.blockedReaders = append(faults.blockedReaders, released)
+	faults.mu.Unlock()
 	select {
-	case <-g:
-	case <-over:
+	case <-released:
+	case <-closed:
 	}
 }
 
@@ -58,8 +58,8 @@
 	closeOnce sync.Once
 }
 
-func (f *connFaults) wrap(nc net.Conn) net.Conn {
-	return &faultyConn{Conn: nc, faults: f, closed: make(chan struct{})}
+func (faults *connFaults) wrap(conn net.Conn) net.Conn {
+	return &faultyConn{Conn: conn, faults: faults, closed: make(chan struct{})}
 }
 
 func (c *faultyConn) Close() error {
@@ -83,8 +83,8 @@
 	}
 	for n := 0; n < len(p); {
 		end := min(n+1+len(p)%7, len(p))
-		m, err := c.Conn.Write(p[n:end])
-		n += m
+		written, err := c.Conn.Write(p[n:end])
+		n += written
 		if err != nil {
 			return n, err
 		}
@@ -93,19 +93,19 @@
 }
 
 // sendMalformed sends what can't be read to each controller.
-func (w *Runner) sendMalformed(perSecond float64) func() {
+func (runner *Runner) sendMalformed(perSecond float64) func() {
 	stop := make(chan struct{})
-	for cell := range w.scenario.Fleet.Exchanges {
-		w.wg.Go(func() {
-			nc, err := w.network.Dial(w.ctx, w.controllers.Addr(cell))
+	for number := range runner.scenario.Fleet.Exchanges {
+		runner.wg.Go(func() {
+			conn, err := runner.network.Dial(runner.ctx, runner.controllers.Addr(number))
 			if err != nil {
 				return
 			}
-			defer nc.Close()
-			w.wg.Go(func() { // answers are read and thrown away
+			defer conn.Close()
+			runner.wg.Go(func() { // answers are read and thrown away
 				buf := make([]byte, 4096)
 				for {
-					if _, err := nc.Read(buf); err != nil {
+					if _, err := conn.Read(buf); err != nil {
 						return
 					}
 				}
@@ -114,12 +114,12 @@
 				select {
 				case <-stop:
 					return
-				case <-w.ctx.Done():
+				case <-runner.ctx.Done():
 					return
 				case <-time.After(time.Duration(float64(time.Second) / perSecond)):
 				}
-				_ = nc.SetWriteDeadline(time.Now().Add(time.Second))
-				if _, err := nc.Write([]byte(scene.MalformedMessages[i%len(scene.MalformedMessages)])); err != nil {
+				_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
+				if _, err := conn.Write([]byte(scene.MalformedMessages[i%len(scene.MalformedMessages)])); err != nil {
 					return
 				}
 			}
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -24,25 +24,27 @@
 }
 
 func newEventLoop() *eventLoop {
-	l := &eventLoop{startedAt: time.Now(), events: make(chan func(), 8192)}
-	l.baseTime = time.Duration(l.startedAt.UnixNano())
-	l.now = l.baseTime
-	l.timers = wheel.New[func()](l.now)
-	return l
+	loop := &eventLoop{startedAt: time.Now(), events: make(chan func(), 8192)}
+	loop.baseTime = time.Duration(loop.startedAt.UnixNano())
+	loop.now = loop.baseTime
+	loop.timers = wheel.New[func()](loop.now)
+	return loop
 }
 
 // Now is the time of the event at hand.
 func (l *eventLoop) Now() time.Duration { return l.now }
 
 // After calls f in the loop when d has passed.
-func (l *eventLoop) After(d time.Duration, f func()) { l.timers.Set(l.now+max(d, 0), f) }
+func (l *eventLoop) After(delay time.Duration, callback func()) {
+	l.timers.Set(l.now+max(delay, 0), callback)
+}
 
 func (l *eventLoop) wallTime() time.Duration { return l.baseTime + time.Since(l.startedAt) }
 
 // post brings an event in from another goroutine.
-func (l *eventLoop) post(ctx context.Context, f func()) {
+func (l *eventLoop) post(ctx context.Context, event func()) {
 	select {
-	case l.events <- f:
+	case l.events <- event:
 	case <-ctx.Done():
 	}
 }
@@ -53,21 +55,21 @@
 	defer timer.Stop()
 	for {
 		l.now = max(l.wallTime(), l.now)
-		l.timers.Advance(l.now, func(f func()) { f() })
+		l.timers.Advance(l.now, func(callback func()) { callback() })
 		wait := time.Hour
-		if at, ok := l.timers.Next(); ok {
-			wait = max(at-l.wallTime(), 0)
+		if deadline, ok := l.timers.Next(); ok {
+			wait = max(deadline-l.wallTime(), 0)
 		}
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case f := <-l.events:
+		case event := <-l.events:
 			l.now = max(l.wallTime(), l.now)
 			l.timers.Advance(l.now, func(f func()) { f() })
-			f()
-			for n := len(l.events); n > 0; n-- { // what is there already, before the next look at the clock
+			event()
+			for remaining := len(l.events); remaining > 0; remaining-- { // what is there already, before the next look at the clock
 				(<-l.events)()
 			}
 		}
@@ -85,9 +87,9 @@
 	h.runner.loop.post(h.runner.ctx, func() { h.onMessage(m) })
 }
 
-func (h *handler) Unreadable(c *transport.Conn[*signal.Message], s transport.RecoverableError) {
-	e := s.(*signal.SyntaxError)
-	c.Send(&signal.Message{Kind: signal.ErrorMessage, Code: e.Code, Text: e.Reason}, 0)
+func (h *handler) Unreadable(conn *transport.Conn[*signal.Message], recoverable transport.RecoverableError) {
+	syntaxError := recoverable.(*signal.SyntaxError)
+	conn.Send(&signal.Message{Kind: signal.ErrorMessage, Code: syntaxError.Code, Text: syntaxError.Reason}, 0)
 }
 
 func (h *handler) Unsent(*transport.Conn[*signal.Message], *signal.Message) {}
@@ -97,51 +99,51 @@
 }
 
 // serve starts a stand-in's end of a connection.
-func (w *Runner) serve(nc net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
-	tap := w.capture.Open(transport.ConnectionKey(nc, dialed), capture.Endpoint{Owner: owner, Role: role, Dialed: dialed})
-	return transport.Start(nc, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 16}, WriteTimeout: time.Minute, Capture: tap, Now: w.loop.wallTime},
-		&handler{w, message, closed})
+func (runner *Runner) serve(conn net.Conn, dialed bool, owner, role string, message func(*signal.Message), closed func()) *transport.Conn[*signal.Message] {
+	recorder := runner.capture.Open(transport.ConnectionKey(conn, dialed), capture.Endpoint{Owner: owner, Role: role, Dialed: dialed})
+	return transport.Start(conn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 16}, WriteTimeout: time.Minute, Capture: recorder, Now: runner.loop.wallTime},
+		&handler{runner, message, closed})
 }
 
 // sendFunc sends without a time-out.
-func sendFunc(c *transport.Conn[*signal.Message]) func(*signal.Message) bool {
-	return func(m *signal.Message) bool { return c.Send(m, 1<<62) }
+func sendFunc(conn *transport.Conn[*signal.Message]) func(*signal.Message) bool {
+	return func(message *signal.Message) bool { return conn.Send(message, 1<<62) }
 }
 
 // acceptConns takes connections until the listener is closed.
-func (w *Runner) acceptConns(ln net.Listener, each func(net.Conn)) {
-	w.wg.Go(func() {
+func (runner *Runner) acceptConns(listener net.Listener, accepted func(net.Conn)) {
+	runner.wg.Go(func() {
 		for {
-			nc, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			w.loop.post(w.ctx, func() { each(nc) })
+			runner.loop.post(runner.ctx, func() { accepted(conn) })
 		}
 	})
 }
 
 // maintainConn keeps a connection to a controller: made in the loop, made again when it is lost.
-func (w *Runner) maintainConn(addr string, made func(net.Conn) *transport.Conn[*signal.Message]) {
-	w.wg.Go(func() {
-		for w.ctx.Err() == nil {
-			if nc, err := w.network.Dial(w.ctx, addr); err == nil {
+func (runner *Runner) maintainConn(address string, start func(net.Conn) *transport.Conn[*signal.Message]) {
+	runner.wg.Go(func() {
+		for runner.ctx.Err() == nil {
+			if conn, err := runner.network.Dial(runner.ctx, address); err == nil {
 				started := make(chan *transport.Conn[*signal.Message], 1)
-				w.loop.post(w.ctx, func() { started <- made(nc) })
+				runner.loop.post(runner.ctx, func() { started <- start(conn) })
 				select {
-				case c := <-started:
+				case conn := <-started:
 					select {
-					case <-c.Done():
-					case <-w.ctx.Done():
-						c.Close(errRunEnded)
-						<-c.Done()
+					case <-conn.Done():
+					case <-runner.ctx.Done():
+						conn.Close(errRunEnded)
+						<-conn.Done()
 					}
-				case <-w.ctx.Done():
-					nc.Close()
+				case <-runner.ctx.Done():
+					conn.Close()
 				}
 			}
 			select {
-			case <-w.ctx.Done():
+			case <-runner.ctx.Done():
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -67,155 +67,155 @@
 }
 
 // New draws a fleet and opens its listeners.
-func New(scn *settings.Scenario, n Network, w *capture.Writer) (*Runner, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	wd := &Runner{scenario: scn, loop: newEventLoop(), network: n, capture: w, ctx: ctx, cancel: stop, loopDone: make(chan struct{}),
+func New(scenario *settings.Scenario, network Network, captureWriter *capture.Writer) (*Runner, error) {
+	loopContext, cancel := context.WithCancel(context.Background())
+	runner := &Runner{scenario: scenario, loop: newEventLoop(), network: network, capture: captureWriter, ctx: loopContext, cancel: cancel, loopDone: make(chan struct{}),
 		listeners: map[uint32]*exchangeListener{}}
-	s, err := scene.New(scn, wd.loop, environment{wd})
+	simulation, err := scene.New(scenario, runner.loop, environment{runner})
 	if err == nil {
-		wd.Simulation = s
-		wd.listListener, err = n.Listen()
+		runner.Simulation = simulation
+		runner.listListener, err = network.Listen()
 	}
 	if err != nil {
-		stop()
+		cancel()
 		return nil, fmt.Errorf("opening the stand-ins' doors: %w", err)
 	}
-	wd.listAddress = wd.listListener.Addr().String()
-	return wd, nil
+	runner.listAddress = runner.listListener.Addr().String()
+	return runner, nil
 }
 
 // environment is what the scene asks of its sockets. All but Open come in the loop.
 type environment struct{ runner *Runner }
 
-func (e environment) Listen(id uint32) (string, error) {
-	ln, err := e.runner.network.Listen()
+func (env environment) Listen(id uint32) (string, error) {
+	listener, err := env.runner.network.Listen()
 	if err != nil {
 		return "", err
 	}
-	d := &exchangeListener{listener: ln, faults: &connFaults{}}
-	e.runner.listeners[id], e.runner.orderedListeners = d, append(e.runner.orderedListeners, d)
-	e.runner.acceptConns(ln, func(nc net.Conn) { e.runner.acceptExchange(d, id, nc) })
-	return ln.Addr().String(), nil
+	port := &exchangeListener{listener: listener, faults: &connFaults{}}
+	env.runner.listeners[id], env.runner.orderedListeners = port, append(env.runner.orderedListeners, port)
+	env.runner.acceptConns(listener, func(conn net.Conn) { env.runner.acceptExchange(port, id, conn) })
+	return listener.Addr().String(), nil
 }
 
-func (e environment) StopListening(id uint32) {
-	e.CloseConns(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
-	e.runner.listeners[id].listener.Close()
+func (env environment) StopListening(id uint32) {
+	env.CloseConns(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
+	env.runner.listeners[id].listener.Close()
 }
 
-func (e environment) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
-	n := 0
-	for _, l := range e.runner.listeners[id].conns {
-		if which(l.simulated) {
-			n++
-			l.conn.Close(fmt.Errorf("%s", why))
+func (env environment) CloseConns(id uint32, reason string, matches func(*exchange.Conn) bool) int {
+	closed := 0
+	for _, candidate := range env.runner.listeners[id].conns {
+		if matches(candidate.simulated) {
+			closed++
+			candidate.conn.Close(fmt.Errorf("%s", reason))
 		}
 	}
-	return n
+	return closed
 }
 
-func (e environment) SetFault(id uint32, f scene.Fault, on bool) {
-	wire := e.runner.listeners[id].faults
+func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+	faults := env.runner.listeners[id].faults
 	switch {
-	case f == scene.HalfOpen:
-		wire.halfOpen.Store(on)
-	case f == scene.FragmentedWrites:
-		wire.fragments.Store(on)
+	case fault == scene.HalfOpen:
+		faults.halfOpen.Store(on)
+	case fault == scene.FragmentedWrites:
+		faults.fragments.Store(on)
 	case on:
-		wire.stalled.Store(true)
+		faults.stalled.Store(true)
 	default:
-		wire.releaseReaders()
+		faults.releaseReaders()
 	}
 }
 
-func (e environment) SetListUnavailable(away bool) {
-	e.runner.listUnavailable.Store(away)
-	if away {
-		for _, c := range e.runner.listConns {
-			c.Close(fmt.Errorf("the list is away"))
+func (env environment) SetListUnavailable(unavailable bool) {
+	env.runner.listUnavailable.Store(unavailable)
+	if unavailable {
+		for _, conn := range env.runner.listConns {
+			conn.Close(fmt.Errorf("the list is away"))
 		}
 	}
 }
 
-func (e environment) SendMalformed(perSecond float64) func() {
-	return e.runner.sendMalformed(perSecond)
+func (env environment) SendMalformed(perSecond float64) func() {
+	return env.runner.sendMalformed(perSecond)
 }
-func (e environment) RestartController(cell int) { e.runner.controllers.Restart(cell) }
-func (e environment) Record(name string, v any)  { e.runner.capture.Fact(name, v) }
+func (env environment) RestartController(number int)  { env.runner.controllers.Restart(number) }
+func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
-func (w *Runner) acceptExchange(d *exchangeListener, id uint32, nc net.Conn) {
-	if x := w.ExchangeByID(id); x != nil && x.Up {
-		w.serveExchange(d, x, d.faults.wrap(nc), false)
+func (runner *Runner) acceptExchange(port *exchangeListener, id uint32, conn net.Conn) {
+	if target := runner.ExchangeByID(id); target != nil && target.Up {
+		runner.serveExchange(port, target, port.faults.wrap(conn), false)
 	} else {
-		nc.Close()
+		conn.Close()
 	}
 }
 
 // serveExchange serves a connection of an exchange: a controller's, or its own to its controller.
-func (w *Runner) serveExchange(d *exchangeListener, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
-	var ec *exchange.Conn
-	var c *transport.Conn[*signal.Message]
-	c = w.serve(nc, transit, exchangeOwner(x.ID), "controller",
-		func(m *signal.Message) {
-			if transit || !d.faults.halfOpen.Load() {
-				w.Fleet.HandleMessage(ec, m)
+func (runner *Runner) serveExchange(port *exchangeListener, served *exchange.Exchange, netConn net.Conn, transit bool) *transport.Conn[*signal.Message] {
+	var simulated *exchange.Conn
+	var conn *transport.Conn[*signal.Message]
+	conn = runner.serve(netConn, transit, exchangeOwner(served.ID), "controller",
+		func(message *signal.Message) {
+			if transit || !port.faults.halfOpen.Load() {
+				runner.Fleet.HandleMessage(simulated, message)
 			}
 		},
 		func() {
-			d.conns = slices.DeleteFunc(d.conns, func(l exchangeConn) bool { return l.conn == c })
-			w.Fleet.ConnClosed(ec)
+			port.conns = slices.DeleteFunc(port.conns, func(candidate exchangeConn) bool { return candidate.conn == conn })
+			runner.Fleet.ConnClosed(simulated)
 		})
-	send := sendFunc(c)
-	ec = w.Fleet.OpenConn(x, transit, func(m *signal.Message) { send(m) })
-	d.conns = append(d.conns, exchangeConn{c, ec})
-	return c
+	send := sendFunc(conn)
+	simulated = runner.Fleet.OpenConn(served, transit, func(m *signal.Message) { send(m) })
+	port.conns = append(port.conns, exchangeConn{conn, simulated})
+	return conn
 }
 
 // ListAddr is where controllers find the exchange list.
-func (w *Runner) ListAddr() string { return w.listAddress }
+func (runner *Runner) ListAddr() string { return runner.listAddress }
 
 // Run starts the callers and lets the day pass; progress is told now and then.
-func (w *Runner) Run(ctx context.Context, hosts Controllers, progress func(passed time.Duration, calls int)) error {
-	w.controllers = hosts
-	w.acceptConns(w.listListener, func(nc net.Conn) {
-		if w.listUnavailable.Load() {
-			nc.Close()
+func (runner *Runner) Run(ctx context.Context, controllers Controllers, progress func(passed time.Duration, calls int)) error {
+	runner.controllers = controllers
+	runner.acceptConns(runner.listListener, func(netConn net.Conn) {
+		if runner.listUnavailable.Load() {
+			netConn.Close()
 			return
 		}
-		var lc *exlist.Conn
-		var c *transport.Conn[*signal.Message]
-		c = w.serve(nc, false, "list", "controller", func(m *signal.Message) { w.List.HandleMessage(lc, m) }, func() {
-			w.listConns = slices.DeleteFunc(w.listConns, func(o *transport.Conn[*signal.Message]) bool { return o == c })
-			w.List.ConnClosed(lc)
+		var listConn *exlist.Conn
+		var conn *transport.Conn[*signal.Message]
+		conn = runner.serve(netConn, false, "list", "controller", func(m *signal.Message) { runner.List.HandleMessage(listConn, m) }, func() {
+			runner.listConns = slices.DeleteFunc(runner.listConns, func(other *transport.Conn[*signal.Message]) bool { return other == conn })
+			runner.List.ConnClosed(listConn)
 		})
-		send := sendFunc(c)
-		lc = w.List.OpenConn(func(m *signal.Message) { send(m) })
-		w.listConns = append(w.listConns, c)
+		send := sendFunc(conn)
+		listConn = runner.List.OpenConn(func(m *signal.Message) { send(m) })
+		runner.listConns = append(runner.listConns, conn)
 	})
-	for cell := range w.scenario.Fleet.Exchanges {
-		addr := hosts.Addr(cell)
-		for range w.scenario.Callers.Connections {
-			w.maintainConn(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
+	for number := range runner.scenario.Fleet.Exchanges {
+		address := controllers.Addr(number)
+		for range runner.scenario.Callers.Connections {
+			runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
 				var sc *subscriber.Conn
-				c := w.serve(nc, true, fmt.Sprintf("callers of %d", cell), "controller",
-					func(m *signal.Message) { w.Callers.HandleMessage(sc, m) }, func() { w.Callers.ConnClosed(cell, sc) })
-				sc = w.Callers.OpenConn(cell, sendFunc(c))
+				c := runner.serve(nc, true, fmt.Sprintf("callers of %d", number), "controller",
+					func(m *signal.Message) { runner.Callers.HandleMessage(sc, m) }, func() { runner.Callers.ConnClosed(number, sc) })
+				sc = runner.Callers.OpenConn(number, sendFunc(c))
 				return c
 			})
 		}
-		w.maintainConn(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
-			x := w.Fleet.Current(cell)
-			return w.serveExchange(w.listeners[x.ID], x, nc, true)
+		runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
+			x := runner.Fleet.Current(number)
+			return runner.serveExchange(runner.listeners[x.ID], x, nc, true)
 		})
 	}
 	go func() {
-		defer close(w.loopDone)
-		w.loop.run(w.ctx)
+		defer close(runner.loopDone)
+		runner.loop.run(runner.ctx)
 	}()
-	end := make(chan struct{})
-	w.loop.post(w.ctx, func() { w.Start(progress, func() { close(end) }) })
+	ended := make(chan struct{})
+	runner.loop.post(runner.ctx, func() { runner.Start(progress, func() { close(ended) }) })
 	select {
-	case <-end:
+	case <-ended:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("the day was broken off: %w", ctx.Err())
@@ -223,24 +223,24 @@
 }
 
 // Close ends all connections and goroutines.
-func (w *Runner) Close() {
-	w.cancel()
-	<-w.loopDone
-	w.listListener.Close()
-	for _, d := range w.orderedListeners {
-		d.listener.Close()
-		d.faults.removeAll()
-		for _, l := range d.conns {
-			l.conn.Close(errRunEnded)
-			<-l.conn.Done()
+func (runner *Runner) Close() {
+	runner.cancel()
+	<-runner.loopDone
+	runner.listListener.Close()
+	for _, port := range runner.orderedListeners {
+		port.listener.Close()
+		port.faults.removeAll()
+		for _, established := range port.conns {
+			established.conn.Close(errRunEnded)
+			<-established.conn.Done()
 		}
 	}
-	for _, c := range w.listConns {
-		c.Close(errRunEnded)
-		<-c.Done()
+	for _, listConn := range runner.listConns {
+		listConn.Close(errRunEnded)
+		<-listConn.Done()
 	}
-	w.wg.Wait()
+	runner.wg.Wait()
 }
 
 // Do runs f among the stand-ins, which nobody else may touch while they live.
-func (w *Runner) Do(f func()) { w.loop.post(w.ctx, f) }
+func (w *Runner) Do(callback func()) { w.loop.post(w.ctx, callback) }
--- a/internal/virtual/bench_test.go
+++ b/internal/virtual/bench_test.go
@@ -8,25 +8,25 @@
 
 // Simulated seconds a second, by the size of the fleet, on a quiet day at load 1.
 func BenchmarkDay(b *testing.B) {
-	for _, n := range []int{7, 30, 80, 300} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			scn := loadScenario(b, "bad-day")
-			scn.Length, scn.Troubles, scn.Load.Level = 4*time.Second, nil, 1
-			scn.Fleet.Exchanges = n
-			passed, events, calls := 0.0, uint64(0), 0
+	for _, exchanges := range []int{7, 30, 80, 300} {
+		b.Run(fmt.Sprint(exchanges), func(b *testing.B) {
+			scenario := loadScenario(b, "bad-day")
+			scenario.Length, scenario.Troubles, scenario.Load.Level = 4*time.Second, nil, 1
+			scenario.Fleet.Exchanges = exchanges
+			simulated, events, calls := 0.0, uint64(0), 0
 			for b.Loop() {
-				d, err := Run(scn, Options{})
+				result, err := Run(scenario, Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				passed += d.Duration.Seconds()
-				events += d.Events
-				calls += len(d.Callers.Calls)
+				simulated += result.Duration.Seconds()
+				events += result.Events
+				calls += len(result.Callers.Calls)
 			}
-			s := b.Elapsed().Seconds()
-			b.ReportMetric(passed/s, "simulated-s/s")
-			b.ReportMetric(float64(events)/s, "events/s")
-			b.ReportMetric(float64(calls)/s, "calls/s")
+			elapsed := b.Elapsed().Seconds()
+			b.ReportMetric(simulated/elapsed, "simulated-s/s")
+			b.ReportMetric(float64(events)/elapsed, "events/s")
+			b.ReportMetric(float64(calls)/elapsed, "calls/s")
 		})
 	}
 }
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -14,20 +14,22 @@
 func (c *Clock) Now() time.Duration { return c.now }
 
 // After calls f when d has passed.
-func (c *Clock) After(d time.Duration, f func()) { c.queue.push(c.now+max(d, 0), f) }
+func (c *Clock) After(delay time.Duration, callback func()) {
+	c.queue.push(c.now+max(delay, 0), callback)
+}
 
 // Events counts what has happened.
 func (c *Clock) Events() uint64 { return c.events }
 
 // Run lets time pass until over says so after an event, or nothing is to come,
 // or the end is reached; it tells whether over did.
-func (c *Clock) Run(end time.Duration, over func() bool) bool {
+func (c *Clock) Run(end time.Duration, finished func() bool) bool {
 	for c.queue.len() > 0 && c.queue.next() <= end {
-		at, do := c.queue.pop()
-		c.now = at
+		eventTime, callback := c.queue.pop()
+		c.now = eventTime
 		c.events++
-		do()
-		if over() {
+		callback()
+		if finished() {
 			return true
 		}
 	}
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -41,22 +41,22 @@
 	closed   bool
 }
 
-func (r *Runner) newNode(cell int, sink flow.Sink, w *capture.Writer) *node {
-	set := r.scenario.Controller(cell, "list")
-	set.Policy = r.options.Policy
-	r.startCounts[cell]++
-	set.Seed += r.startCounts[cell] << 32
-	set.SetDefaults()
-	n := &node{runner: r, cell: cell, settings: set, connections: map[controller.Peer]*connection{}, links: map[controller.Peer]*peerLink{}, capture: w}
-	n.core = controller.New(r.clock.now, setup.ControllerConfig(r.clock.now, set, sink))
-	n.maintainLink(controller.Peer{Role: controller.RoleExchangeList}, "list")
-	return n
+func (runner *Runner) newNode(number int, flowSink flow.Sink, captureWriter *capture.Writer) *node {
+	controllerSettings := runner.scenario.Controller(number, "list")
+	controllerSettings.Policy = runner.options.Policy
+	runner.startCounts[number]++
+	controllerSettings.Seed += runner.startCounts[number] << 32
+	controllerSettings.SetDefaults()
+	created := &node{runner: runner, cell: number, settings: controllerSettings, connections: map[controller.Peer]*connection{}, links: map[controller.Peer]*peerLink{}, capture: captureWriter}
+	created.core = controller.New(runner.clock.now, setup.ControllerConfig(runner.clock.now, controllerSettings, flowSink))
+	created.maintainLink(controller.Peer{Role: controller.RoleExchangeList}, "list")
+	return created
 }
 
 // handleInput hands an input to the core and carries its effects out; what they bring
 // about at once waits its turn.
-func (n *node) handleInput(in controller.Input) {
-	n.inputs = append(n.inputs, in)
+func (n *node) handleInput(input controller.Input) {
+	n.inputs = append(n.inputs, input)
 	if n.stepping {
 		return
 	}
@@ -74,11 +74,11 @@
 
 // setTimer sets the clock input that the core wants next.
 func (n *node) setTimer() {
-	at, ok := n.core.NextDeadline()
-	if !ok || n.killed || n.timerAt != 0 && n.timerAt <= at {
+	deadline, ok := n.core.NextDeadline()
+	if !ok || n.killed || n.timerAt != 0 && n.timerAt <= deadline {
 		return
 	}
-	n.timerAt = max(at, n.runner.clock.now)
+	n.timerAt = max(deadline, n.runner.clock.now)
 	due := n.timerAt
 	n.runner.clock.After(due-n.runner.clock.now, func() {
 		if n.timerAt == due && !n.killed {
@@ -88,24 +88,24 @@
 	})
 }
 
-func (n *node) applyEffect(e controller.Effect) {
-	switch e.Kind {
+func (n *node) applyEffect(effect controller.Effect) {
+	switch effect.Kind {
 	case controller.EffectSend:
-		w := n.connections[e.Peer]
-		if (w == nil || !w.sendToRemote(e.Message)) && e.Deadline > 0 {
-			n.handleInput(controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
+		conn := n.connections[effect.Peer]
+		if (conn == nil || !conn.sendToRemote(effect.Message)) && effect.Deadline > 0 {
+			n.handleInput(controller.Input{Kind: controller.InputUnsent, Peer: effect.Peer, Message: effect.Message})
 		}
 	case controller.EffectConnect:
-		n.maintainLink(e.Peer, e.Address)
+		n.maintainLink(effect.Peer, effect.Address)
 	case controller.EffectDisconnect:
-		n.closeLink(e.Peer)
+		n.closeLink(effect.Peer)
 	case controller.EffectClose:
-		if w := n.connections[e.Peer]; w != nil {
-			w.close(e.Text, true)
+		if w := n.connections[effect.Peer]; w != nil {
+			w.close(effect.Text, true)
 		}
 	case controller.EffectVerdict:
 		if n.capture != nil {
-			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.ExchangeNumber))
+			n.capture.Verdict(effect.Call, fmt.Sprintf("%s; %s %d", effect.Verdict.Reason, effect.Verdict.Scope, effect.Verdict.ExchangeNumber))
 		}
 	case controller.EffectStopped:
 		n.stopped = true
@@ -116,93 +116,93 @@
 }
 
 // maintainLink starts to maintainLink a link, in place of one at another address.
-func (n *node) maintainLink(p controller.Peer, addr string) {
-	n.closeLink(p)
-	k := &peerLink{address: addr, backoff: guard.Backoff{Min: n.settings.Peers.MinRetryDelay, Max: n.settings.Peers.MaxRetryDelay,
-		Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^p.ID))}}
-	n.links[p] = k
-	n.dialPeer(p, k)
+func (n *node) maintainLink(peer controller.Peer, address string) {
+	n.closeLink(peer)
+	link := &peerLink{address: address, backoff: guard.Backoff{Min: n.settings.Peers.MinRetryDelay, Max: n.settings.Peers.MaxRetryDelay,
+		Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^peer.ID))}}
+	n.links[peer] = link
+	n.dialPeer(peer, link)
 }
 
-func (n *node) closeLink(p controller.Peer) {
-	if k := n.links[p]; k != nil {
-		k.closed = true
-		delete(n.links, p)
+func (n *node) closeLink(peer controller.Peer) {
+	if link := n.links[peer]; link != nil {
+		link.closed = true
+		delete(n.links, peer)
 	}
-	if w := n.connections[p]; w != nil && p.Role != controller.RoleCaller {
-		w.close("closed by this end", true)
+	if conn := n.connections[peer]; conn != nil && peer.Role != controller.RoleCaller {
+		conn.close("closed by this end", true)
 	}
 }
 
 // dialPeer tries once; a link that does not come to stand, or is lost, is tried again.
-func (n *node) dialPeer(p controller.Peer, k *peerLink) {
+func (n *node) dialPeer(peer controller.Peer, link *peerLink) {
 	n.runner.clock.After(n.runner.hopDelay, func() {
-		if k.closed || n.killed {
+		if link.closed || n.killed {
 			return
 		}
-		k.attempts++
-		if w := n.runner.acceptDial(n, p, k.address); w != nil {
-			n.connections[p] = w
-			n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: p})
+		link.attempts++
+		if conn := n.runner.acceptDial(n, peer, link.address); conn != nil {
+			n.connections[peer] = conn
+			n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: peer})
 			return
 		}
-		n.scheduleRedial(p, k)
+		n.scheduleRedial(peer, link)
 	})
 }
 
-func (n *node) scheduleRedial(p controller.Peer, k *peerLink) {
-	n.runner.clock.After(k.backoff.Delay(k.attempts), func() { n.dialPeer(p, k) })
+func (n *node) scheduleRedial(peer controller.Peer, link *peerLink) {
+	n.runner.clock.After(link.backoff.Delay(link.attempts), func() { n.dialPeer(peer, link) })
 }
 
 // connectionLost is the end of a connection.
-func (n *node) connectionLost(w *connection) {
-	if n.connections[w.peer] == w {
-		delete(n.connections, w.peer)
+func (n *node) connectionLost(conn *connection) {
+	if n.connections[conn.peer] == conn {
+		delete(n.connections, conn.peer)
 	}
 	if n.killed {
 		return
 	}
-	n.handleInput(controller.Input{Kind: controller.InputDisconnected, Peer: w.peer})
-	if k := n.links[w.peer]; k != nil {
-		k.attempts = 1
-		n.scheduleRedial(w.peer, k)
+	n.handleInput(controller.Input{Kind: controller.InputDisconnected, Peer: conn.peer})
+	if link := n.links[conn.peer]; link != nil {
+		link.attempts = 1
+		n.scheduleRedial(conn.peer, link)
 	}
 }
 
 // acceptCaller takes a caller's connection.
 func (n *node) acceptCaller() controller.Peer {
 	n.callerCount++
-	p := controller.Peer{Role: controller.RoleCaller, ID: n.callerCount}
-	n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: p})
-	return p
+	peer := controller.Peer{Role: controller.RoleCaller, ID: n.callerCount}
+	n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: peer})
+	return peer
 }
 
 // kill ends a controller at once: its connections break.
 func (n *node) kill() {
 	n.killed = true
-	for _, p := range sortedPeers(n.connections) {
-		n.connections[p].close("killed", true)
+	for _, peer := range sortedPeers(n.connections) {
+		n.connections[peer].close("killed", true)
 	}
 }
 
 // receiveMalformed hands over what can't be read.
-func (n *node) receiveMalformed(p controller.Peer, text string) {
-	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.settings.Limits.LineBytes, MaxMessageBytes: n.settings.Limits.MessageBytes}).Read()
+func (n *node) receiveMalformed(peer controller.Peer, text string) {
+	message, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.settings.Limits.LineBytes, MaxMessageBytes: n.settings.Limits.MessageBytes}).Read()
 	if err == nil {
-		n.handleInput(controller.Input{Kind: controller.InputMessage, Peer: p, Message: m})
+		n.handleInput(controller.Input{Kind: controller.InputMessage, Peer: peer, Message: message})
 		return
 	}
-	if bad, ok := err.(*signal.SyntaxError); ok {
-		n.handleInput(controller.Input{Kind: controller.InputMalformed, Peer: p, SyntaxError: *bad})
+	if syntaxError, ok := err.(*signal.SyntaxError); ok {
+		n.handleInput(controller.Input{Kind: controller.InputMalformed, Peer: peer, SyntaxError: *syntaxError})
 	}
 }
 
 // parseExchangeAddress reads the address of an exchange's door.
-func parseExchangeAddress(addr string) (uint32, bool) {
-	s, ok := strings.CutPrefix(addr, "exchange:")
+func parseExchangeAddress(address string) (uint32, bool) {
+	digits, ok := strings.CutPrefix(address, "exchange:")
 	if !ok {
 		return 0, false
 	}
-	id, err := strconv.ParseUint(s, 10, 32)
+	id, err := strconv.ParseUint(digits, 10, 32)
 	return uint32(id), err == nil
 }
--- a/internal/virtual/queue.go
+++ b/internal/virtual/queue.go
@@ -18,7 +18,9 @@
 	callback func()
 }
 
-func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
+func (e *entry) before(other *entry) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
 
 const branchingFactor = 4
 
@@ -27,48 +29,48 @@
 // next is the time of the first event; there must be one.
 func (q *queue) next() time.Duration { return q.entries[0].at }
 
-func (q *queue) push(at time.Duration, do func()) {
+func (q *queue) push(at time.Duration, callback func()) {
 	q.lastSequence++
-	e := entry{at, q.lastSequence, do}
-	q.entries = append(q.entries, e)
-	i := len(q.entries) - 1
-	for i > 0 {
-		up := (i - 1) / branchingFactor
-		if !e.before(&q.entries[up]) {
+	added := entry{at, q.lastSequence, callback}
+	q.entries = append(q.entries, added)
+	position := len(q.entries) - 1
+	for position > 0 {
+		parent := (position - 1) / branchingFactor
+		if !added.before(&q.entries[parent]) {
 			break
 		}
-		q.entries[i] = q.entries[up]
-		i = up
+		q.entries[position] = q.entries[parent]
+		position = parent
 	}
-	q.entries[i] = e
+	q.entries[position] = added
 }
 
 // pop takes the first event out.
 func (q *queue) pop() (time.Duration, func()) {
 	first := q.entries[0]
 	last := len(q.entries) - 1
-	e := q.entries[last]
+	moved := q.entries[last]
 	q.entries[last] = entry{} // its closure is free to go
 	q.entries = q.entries[:last]
-	i := 0
+	position := 0
 	for last > 0 {
-		least := i*branchingFactor + 1
-		if least >= last {
+		earliest := position*branchingFactor + 1
+		if earliest >= last {
 			break
 		}
-		for k := least + 1; k < min(least+branchingFactor, last); k++ {
-			if q.entries[k].before(&q.entries[least]) {
-				least = k
+		for child := earliest + 1; child < min(earliest+branchingFactor, last); child++ {
+			if q.entries[child].before(&q.entries[earliest]) {
+				earliest = child
 			}
 		}
-		if !q.entries[least].before(&e) {
+		if !q.entries[earliest].before(&moved) {
 			break
 		}
-		q.entries[i] = q.entries[least]
-		i = least
+		q.entries[position] = q.entries[earliest]
+		position = earliest
 	}
 	if last > 0 {
-		q.entries[i] = e
+		q.entries[position] = moved
 	}
 	return first.at, first.callback
 }
--- a/internal/virtual/queue_test.go
+++ b/internal/virtual/queue_test.go
@@ -17,34 +17,34 @@
 func (p referenceHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
 func (p *referenceHeap) Push(x any)        { *p = append(*p, x.(entry)) }
 func (p *referenceHeap) Pop() any {
-	e := (*p)[len(*p)-1]
+	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
-	return e
+	return last
 }
 
 // Whatever is put in and taken out: the order is that of the plain heap, ties by their making.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
-		var p referenceHeap
+		var reference referenceHeap
 		got := -1
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			if len(p) > 0 && rapid.Bool().Draw(t, "pop") {
-				want := heap.Pop(&p).(entry)
+			if len(reference) > 0 && rapid.Bool().Draw(t, "pop") {
+				want := heap.Pop(&reference).(entry)
 				if q.next() != want.at {
 					t.Fatalf("next %v, want %v", q.next(), want.at)
 				}
-				at, do := q.pop()
+				eventTime, do := q.pop()
 				do()
-				if at != want.at || got != int(want.sequence)-1 || q.len() != len(p) {
-					t.Fatalf("popped %v number %d, want %v number %d", at, got, want.at, want.sequence-1)
+				if eventTime != want.at || got != int(want.sequence)-1 || q.len() != len(reference) {
+					t.Fatalf("popped %v number %d, want %v number %d", eventTime, got, want.at, want.sequence-1)
 				}
 				continue
 			}
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at"))
-			n := int(q.lastSequence)
-			q.push(at, func() { got = n })
-			heap.Push(&p, entry{at: at, sequence: q.lastSequence})
+			number := int(q.lastSequence)
+			q.push(at, func() { got = number })
+			heap.Push(&reference, entry{at: at, sequence: q.lastSequence})
 		}
 	})
 }
@@ -67,17 +67,17 @@
 	})
 	b.Run("container heap", func(b *testing.B) {
 		rnd := rand.New(rand.NewPCG(1, 1))
-		var p referenceHeap
+		var reference referenceHeap
 		seq := uint64(0)
 		for range size {
 			seq++
-			heap.Push(&p, entry{time.Duration(rnd.Int64N(1e10)), seq, nothing})
+			heap.Push(&reference, entry{time.Duration(rnd.Int64N(1e10)), seq, nothing})
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			e := heap.Pop(&p).(entry)
+			e := heap.Pop(&reference).(entry)
 			seq++
-			heap.Push(&p, entry{e.at + time.Duration(rnd.ExpFloat64()*1e9), seq, e.callback})
+			heap.Push(&reference, entry{e.at + time.Duration(rnd.ExpFloat64()*1e9), seq, e.callback})
 		}
 	})
 }
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -85,257 +85,257 @@
 }
 
 // Run plays a scenario to its end.
-func Run(scn *settings.Scenario, opt Options) (*Result, error) {
-	if opt.Policy == "" {
-		opt.Policy = "brain"
+func Run(scenario *settings.Scenario, options Options) (*Result, error) {
+	if options.Policy == "" {
+		options.Policy = "brain"
 	}
-	if opt.HopDelay <= 0 {
-		opt.HopDelay = 50 * time.Microsecond
+	if options.HopDelay <= 0 {
+		options.HopDelay = 50 * time.Microsecond
 	}
-	r := &Runner{scenario: scn, options: opt, hopDelay: opt.HopDelay, clock: &Clock{now: startTime}, ports: map[uint32]*exchangePort{},
-		startCounts: make([]uint64, scn.Fleet.Exchanges)}
-	r.capture = r.newCaptureWriter("stand-ins")
-	s, err := scene.New(scn, r.clock, environment{r})
+	runner := &Runner{scenario: scenario, options: options, hopDelay: options.HopDelay, clock: &Clock{now: startTime}, ports: map[uint32]*exchangePort{},
+		startCounts: make([]uint64, scenario.Fleet.Exchanges)}
+	runner.capture = runner.newCaptureWriter("stand-ins")
+	simulation, err := scene.New(scenario, runner.clock, environment{runner})
 	if err != nil {
-		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
+		return nil, fmt.Errorf("drawing the fleet of %s: %w", scenario.Name, err)
 	}
-	if r.simulation = s; opt.Prepare != nil {
-		opt.Prepare(s)
+	if runner.simulation = simulation; options.Prepare != nil {
+		options.Prepare(simulation)
 	}
-	for cell := range scn.Fleet.Exchanges {
-		r.nodes = append(r.nodes, nil)
-		r.startController(cell)
-		for range scn.Callers.Connections {
-			r.dialCallers(cell)
+	for number := range scenario.Fleet.Exchanges {
+		runner.nodes = append(runner.nodes, nil)
+		runner.startController(number)
+		for range scenario.Callers.Connections {
+			runner.dialCallers(number)
 		}
-		r.dialTransit(cell)
+		runner.dialTransit(number)
 	}
 	ended := false
-	s.Start(nil, func() { ended = true })
-	if !r.clock.Run(startTime+scn.Length+time.Hour, func() bool { return ended }) {
-		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
+	simulation.Start(nil, func() { ended = true })
+	if !runner.clock.Run(startTime+scenario.Length+time.Hour, func() bool { return ended }) {
+		return nil, fmt.Errorf("the day of %s does not end", scenario.Name)
 	}
-	for _, n := range r.nodes {
-		n.handleInput(controller.Input{Kind: controller.InputShutdown})
+	for _, node := range runner.nodes {
+		node.handleInput(controller.Input{Kind: controller.InputShutdown})
 	}
-	left := r.clock.Run(r.clock.now+shutdownTimeout, func() bool {
-		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.stopped })
+	allStopped := runner.clock.Run(runner.clock.now+shutdownTimeout, func() bool {
+		return !slices.ContainsFunc(runner.nodes, func(n *node) bool { return !n.stopped })
 	})
-	d := &Result{Simulation: s, AllStopped: left, Events: r.clock.Events(), Duration: r.clock.now - startTime}
-	for _, n := range r.nodes {
+	result := &Result{Simulation: simulation, AllStopped: allStopped, Events: runner.clock.Events(), Duration: runner.clock.now - startTime}
+	for _, n := range runner.nodes {
 		n.kill()
-		r.endedStats = append(r.endedStats, n.core.Stats())
+		runner.endedStats = append(runner.endedStats, n.core.Stats())
 	}
-	r.clock.Run(r.clock.now+r.hopDelay, func() bool { return false }) // the connections close
-	d.CircuitsInUse, d.ControllerStats = s.Fleet.CircuitsInUse(), r.endedStats
-	for _, n := range r.nodes {
-		r.captureErr = cmp.Or(r.captureErr, n.capture.Close())
+	runner.clock.Run(runner.clock.now+runner.hopDelay, func() bool { return false }) // the connections close
+	result.CircuitsInUse, result.ControllerStats = simulation.Fleet.CircuitsInUse(), runner.endedStats
+	for _, n := range runner.nodes {
+		runner.captureErr = cmp.Or(runner.captureErr, n.capture.Close())
 	}
-	if err := cmp.Or(r.captureErr, r.capture.Close()); err != nil {
-		return nil, fmt.Errorf("the capture of %s: %w", scn.Name, err)
+	if err := cmp.Or(runner.captureErr, runner.capture.Close()); err != nil {
+		return nil, fmt.Errorf("the capture of %s: %w", scenario.Name, err)
 	}
-	return d, nil
+	return result, nil
 }
 
-func (r *Runner) newCaptureWriter(who string) *capture.Writer {
-	if r.options.NewCapture == nil {
+func (runner *Runner) newCaptureWriter(owner string) *capture.Writer {
+	if runner.options.NewCapture == nil {
 		return nil
 	}
-	return r.options.NewCapture(who, func() int64 { return int64(r.clock.now) })
+	return runner.options.NewCapture(owner, func() int64 { return int64(runner.clock.now) })
 }
 
-func controllerOwner(cell int) string { return fmt.Sprint("controller ", cell) }
+func controllerOwner(number int) string { return fmt.Sprint("controller ", number) }
 
-func (r *Runner) startController(cell int) {
-	var sink flow.Sink
-	if r.options.NewFlowSink != nil {
-		sink = r.options.NewFlowSink(cell)
+func (runner *Runner) startController(number int) {
+	var flowSink flow.Sink
+	if runner.options.NewFlowSink != nil {
+		flowSink = runner.options.NewFlowSink(number)
 	}
-	r.nodes[cell] = r.newNode(cell, sink, r.newCaptureWriter(controllerOwner(cell)))
+	runner.nodes[number] = runner.newNode(number, flowSink, runner.newCaptureWriter(controllerOwner(number)))
 }
 
 // newConnection makes a connection that both ends know of.
-func (r *Runner) newConnection(n *node, p controller.Peer, far string, dialed bool, d *exchangePort) *connection {
-	r.connectionCount++
-	w := &connection{runner: r, node: n, peer: p, controllerOpen: true, remoteOpen: true, port: d}
-	if r.capture != nil {
-		key := fmt.Sprint("wire ", r.connectionCount)
-		w.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
-		w.remoteRecorder = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
+func (runner *Runner) newConnection(n *node, peer controller.Peer, remoteOwner string, dialed bool, port *exchangePort) *connection {
+	runner.connectionCount++
+	conn := &connection{runner: runner, node: n, peer: peer, controllerOpen: true, remoteOpen: true, port: port}
+	if runner.capture != nil {
+		key := fmt.Sprint("wire ", runner.connectionCount)
+		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.cell), Role: peer.Role.String(), Peer: peer.ID, Dialed: dialed})
+		conn.remoteRecorder = runner.capture.Open(key, capture.Endpoint{Owner: remoteOwner, Role: "controller", Dialed: !dialed})
 	}
-	return w
+	return conn
 }
 
 // acceptDial is a controller's call at a door; nil if nobody opens.
-func (r *Runner) acceptDial(n *node, p controller.Peer, addr string) *connection {
-	if p.Role == controller.RoleExchangeList {
-		if r.listUnavailable {
+func (runner *Runner) acceptDial(n *node, peer controller.Peer, address string) *connection {
+	if peer.Role == controller.RoleExchangeList {
+		if runner.listUnavailable {
 			return nil
 		}
-		w := r.newConnection(n, p, "list", true, nil)
-		var lc *exlist.Conn
-		w.onMessage = func(m *signal.Message) { r.simulation.List.HandleMessage(lc, m) }
-		w.onClosed = func() {
-			r.listConnections = slices.DeleteFunc(r.listConnections, func(o *connection) bool { return o == w })
-			r.simulation.List.ConnClosed(lc)
+		conn := runner.newConnection(n, peer, "list", true, nil)
+		var listConn *exlist.Conn
+		conn.onMessage = func(m *signal.Message) { runner.simulation.List.HandleMessage(listConn, m) }
+		conn.onClosed = func() {
+			runner.listConnections = slices.DeleteFunc(runner.listConnections, func(other *connection) bool { return other == conn })
+			runner.simulation.List.ConnClosed(listConn)
 		}
-		lc = r.simulation.List.OpenConn(func(m *signal.Message) { w.sendToController(m) })
-		r.listConnections = append(r.listConnections, w)
-		return w
+		listConn = runner.simulation.List.OpenConn(func(m *signal.Message) { conn.sendToController(m) })
+		runner.listConnections = append(runner.listConnections, conn)
+		return conn
 	}
-	id, ok := parseExchangeAddress(addr)
-	d := r.ports[id]
-	if !ok || d == nil || d.closed {
+	id, ok := parseExchangeAddress(address)
+	port := runner.ports[id]
+	if !ok || port == nil || port.closed {
 		return nil
 	}
-	x := r.simulation.ExchangeByID(id)
-	if x == nil || !x.Up {
+	exchange := runner.simulation.ExchangeByID(id)
+	if exchange == nil || !exchange.Up {
 		return nil
 	}
-	w := r.newConnection(n, p, fmt.Sprint("exchange ", id), true, d)
+	w := runner.newConnection(n, peer, fmt.Sprint("exchange ", id), true, port)
 	w.subjectToFaults = true
-	r.serveExchange(d, x, w, false)
+	runner.serveExchange(port, exchange, w, false)
 	return w
 }
 
 // serveExchange serves a connection of an exchange.
-func (r *Runner) serveExchange(d *exchangePort, x *exchange.Exchange, w *connection, transit bool) {
-	var ec *exchange.Conn
-	w.onMessage = func(m *signal.Message) { r.simulation.Fleet.HandleMessage(ec, m) }
-	w.onClosed = func() {
-		d.connections = slices.DeleteFunc(d.connections, func(o *connection) bool { return o == w })
-		delete(d.exchangeConns, w)
-		r.simulation.Fleet.ConnClosed(ec)
+func (runner *Runner) serveExchange(port *exchangePort, served *exchange.Exchange, conn *connection, transit bool) {
+	var exchangeConn *exchange.Conn
+	conn.onMessage = func(m *signal.Message) { runner.simulation.Fleet.HandleMessage(exchangeConn, m) }
+	conn.onClosed = func() {
+		port.connections = slices.DeleteFunc(port.connections, func(other *connection) bool { return other == conn })
+		delete(port.exchangeConns, conn)
+		runner.simulation.Fleet.ConnClosed(exchangeConn)
 		if transit {
-			r.clock.After(redialDelay, func() { r.dialTransit(x.Number) })
+			runner.clock.After(redialDelay, func() { runner.dialTransit(served.Number) })
 		}
 	}
-	ec = r.simulation.Fleet.OpenConn(x, transit, func(m *signal.Message) { w.sendToController(m) })
-	d.connections = append(d.connections, w)
-	d.exchangeConns[w] = ec
+	exchangeConn = runner.simulation.Fleet.OpenConn(served, transit, func(m *signal.Message) { conn.sendToController(m) })
+	port.connections = append(port.connections, conn)
+	port.exchangeConns[conn] = exchangeConn
 }
 
 // dialTransit connects the exchange of a cell with its controller.
-func (r *Runner) dialTransit(cell int) {
-	r.clock.After(r.hopDelay, func() {
-		n, x := r.nodes[cell], r.simulation.Fleet.Current(cell)
+func (runner *Runner) dialTransit(number int) {
+	runner.clock.After(runner.hopDelay, func() {
+		n, current := runner.nodes[number], runner.simulation.Fleet.Current(number)
 		if n.killed {
-			r.clock.After(redialDelay, func() { r.dialTransit(cell) })
+			runner.clock.After(redialDelay, func() { runner.dialTransit(number) })
 			return
 		}
-		d := r.ports[x.ID]
-		w := r.newConnection(n, n.acceptCaller(), fmt.Sprint("exchange ", x.ID), false, d)
-		n.connections[w.peer] = w
-		r.serveExchange(d, x, w, true)
+		port := runner.ports[current.ID]
+		conn := runner.newConnection(n, n.acceptCaller(), fmt.Sprint("exchange ", current.ID), false, port)
+		n.connections[conn.peer] = conn
+		runner.serveExchange(port, current, conn, true)
 	})
 }
 
 // dialCallers connects subscribers with their controller.
-func (r *Runner) dialCallers(cell int) {
-	r.clock.After(r.hopDelay, func() {
-		again := func() { r.clock.After(redialDelay, func() { r.dialCallers(cell) }) }
-		n := r.nodes[cell]
+func (runner *Runner) dialCallers(number int) {
+	runner.clock.After(runner.hopDelay, func() {
+		redial := func() { runner.clock.After(redialDelay, func() { runner.dialCallers(number) }) }
+		n := runner.nodes[number]
 		if n.killed {
-			again()
+			redial()
 			return
 		}
-		w := r.newConnection(n, n.acceptCaller(), fmt.Sprint("callers of ", cell), false, nil)
-		n.connections[w.peer] = w
-		var sc *subscriber.Conn
-		w.onMessage = func(m *signal.Message) { r.simulation.Callers.HandleMessage(sc, m) }
-		w.onClosed = func() {
-			r.simulation.Callers.ConnClosed(cell, sc)
-			again()
+		conn := runner.newConnection(n, n.acceptCaller(), fmt.Sprint("callers of ", number), false, nil)
+		n.connections[conn.peer] = conn
+		var callersConn *subscriber.Conn
+		conn.onMessage = func(m *signal.Message) { runner.simulation.Callers.HandleMessage(callersConn, m) }
+		conn.onClosed = func() {
+			runner.simulation.Callers.ConnClosed(number, callersConn)
+			redial()
 		}
-		sc = r.simulation.Callers.OpenConn(cell, w.sendToController)
+		callersConn = runner.simulation.Callers.OpenConn(number, conn.sendToController)
 	})
 }
 
 // environment is what the scene asks of its connections.
 type environment struct{ runner *Runner }
 
-func (e environment) Listen(id uint32) (string, error) {
-	e.runner.ports[id] = &exchangePort{exchangeConns: map[*connection]*exchange.Conn{}}
+func (env environment) Listen(id uint32) (string, error) {
+	env.runner.ports[id] = &exchangePort{exchangeConns: map[*connection]*exchange.Conn{}}
 	return fmt.Sprint("exchange:", id), nil
 }
 
-func (e environment) StopListening(id uint32) {
-	e.runner.ports[id].closed = true
-	e.CloseConns(id, "out of service", func(*exchange.Conn) bool { return true })
+func (env environment) StopListening(id uint32) {
+	env.runner.ports[id].closed = true
+	env.CloseConns(id, "out of service", func(*exchange.Conn) bool { return true })
 }
 
-func (e environment) CloseConns(id uint32, why string, which func(*exchange.Conn) bool) int {
-	d, n := e.runner.ports[id], 0
-	for _, w := range slices.Clone(d.connections) {
-		if which(d.exchangeConns[w]) {
-			n++
-			w.close(why, false)
+func (env environment) CloseConns(id uint32, reason string, matches func(*exchange.Conn) bool) int {
+	port, closed := env.runner.ports[id], 0
+	for _, candidate := range slices.Clone(port.connections) {
+		if matches(port.exchangeConns[candidate]) {
+			closed++
+			candidate.close(reason, false)
 		}
 	}
-	return n
+	return closed
 }
 
 // SetFault of an exchange's connections; pieces make no difference where messages arrive whole.
-func (e environment) SetFault(id uint32, f scene.Fault, on bool) {
-	d := e.runner.ports[id]
-	switch f {
+func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+	port := env.runner.ports[id]
+	switch fault {
 	case scene.HalfOpen:
-		d.halfOpen = on
+		port.halfOpen = on
 	case scene.StalledReader:
-		if d.stalled = on; !on {
-			for _, w := range slices.Clone(d.connections) {
-				w.resumeReading()
+		if port.stalled = on; !on {
+			for _, conn := range slices.Clone(port.connections) {
+				conn.resumeReading()
 			}
 		}
 	}
 }
 
-func (e environment) SetListUnavailable(away bool) {
-	if e.runner.listUnavailable = away; away {
-		for _, w := range slices.Clone(e.runner.listConnections) {
-			w.close("the list is away", false)
+func (env environment) SetListUnavailable(unavailable bool) {
+	if env.runner.listUnavailable = unavailable; unavailable {
+		for _, conn := range slices.Clone(env.runner.listConnections) {
+			conn.close("the list is away", false)
 		}
 	}
 }
 
-func (e environment) SendMalformed(perSecond float64) func() {
-	over := false
-	for cell := range e.runner.nodes {
-		n := e.runner.nodes[cell]
+func (env environment) SendMalformed(perSecond float64) func() {
+	stopped := false
+	for number := range env.runner.nodes {
+		n := env.runner.nodes[number]
 		if n.killed {
 			continue
 		}
-		w := e.runner.newConnection(n, n.acceptCaller(), "junk", false, nil)
-		n.connections[w.peer] = w
-		w.onMessage, w.onClosed = func(*signal.Message) {}, func() {}
-		var next func(i int)
-		next = func(i int) {
-			if over || !w.controllerOpen {
+		conn := env.runner.newConnection(n, n.acceptCaller(), "junk", false, nil)
+		n.connections[conn.peer] = conn
+		conn.onMessage, conn.onClosed = func(*signal.Message) {}, func() {}
+		var sendNext func(i int)
+		sendNext = func(i int) {
+			if stopped || !conn.controllerOpen {
 				return
 			}
-			n.receiveMalformed(w.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
-			e.runner.clock.After(time.Duration(float64(time.Second)/perSecond), func() { next(i + 1) })
+			n.receiveMalformed(conn.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
+			env.runner.clock.After(time.Duration(float64(time.Second)/perSecond), func() { sendNext(i + 1) })
 		}
-		next(0)
+		sendNext(0)
 	}
-	return func() { over = true }
+	return func() { stopped = true }
 }
 
-func (e environment) RestartController(cell int) {
-	n := e.runner.nodes[cell]
+func (env environment) RestartController(number int) {
+	n := env.runner.nodes[number]
 	n.kill()
-	e.runner.endedStats = append(e.runner.endedStats, n.core.Stats())
-	e.runner.capture.Fact("killed", capture.Killed{Owner: controllerOwner(cell)})
-	if err := n.capture.Close(); err != nil && e.runner.captureErr == nil {
-		e.runner.captureErr = err
+	env.runner.endedStats = append(env.runner.endedStats, n.core.Stats())
+	env.runner.capture.Fact("killed", capture.Killed{Owner: controllerOwner(number)})
+	if err := n.capture.Close(); err != nil && env.runner.captureErr == nil {
+		env.runner.captureErr = err
 	}
-	e.runner.clock.After(restartTime, func() { e.runner.startController(cell) })
+	env.runner.clock.After(restartTime, func() { env.runner.startController(number) })
 }
 
-func (e environment) Record(name string, v any) { e.runner.capture.Fact(name, v) }
+func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
-func sortedPeers(m map[controller.Peer]*connection) []controller.Peer {
-	return slices.SortedFunc(maps.Keys(m), func(a, b controller.Peer) int {
+func sortedPeers(connections map[controller.Peer]*connection) []controller.Peer {
+	return slices.SortedFunc(maps.Keys(connections), func(a, b controller.Peer) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.ID, b.ID))
 	})
 }
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -20,11 +20,11 @@
 	if !ok {
 		t.Fatalf("no scenario %s", name)
 	}
-	s, err := settings.ParseScenario(name, strings.NewReader(text))
+	scenario, err := settings.ParseScenario(name, strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return scenario
 }
 
 func anyCall(*subscriber.Call) bool { return true }
@@ -35,87 +35,87 @@
 func (*memoryFile) Close() error { return nil }
 
 // runAudited plays a day with a capture and lets the auditor judge it.
-func runAudited(t testing.TB, scn *settings.Scenario, opt Options) (*Result, *audit.Report) {
+func runAudited(t testing.TB, scenario *settings.Scenario, options Options) (*Result, *audit.Report) {
 	t.Helper()
 	var files []*memoryFile
-	opt.NewCapture = func(who string, now func() int64) *capture.Writer {
-		f := &memoryFile{}
-		files = append(files, f)
-		return capture.NewWriter(f, who, now)
+	options.NewCapture = func(owner string, now func() int64) *capture.Writer {
+		memory := &memoryFile{}
+		files = append(files, memory)
+		return capture.NewWriter(memory, owner, now)
 	}
-	d, err := Run(scn, opt)
+	result, err := Run(scenario, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var recs audit.Records
-	for i, f := range files {
-		if err := capture.Read(bytes.NewReader(f.Bytes()), "file", audit.Collect(&recs, i)); err != nil {
+	var records audit.Records
+	for i, memory := range files {
+		if err := capture.Read(bytes.NewReader(memory.Bytes()), "file", audit.Collect(&records, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return d, audit.Judge(recs)
+	return result, audit.Judge(records)
 }
 
 // The bad day, with its killed controllers: every rule, no circuit left.
 func TestBadDayKeepsRules(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		scn := loadScenario(t, "bad-day")
-		scn.Seed = seed
-		d, r := runAudited(t, scn, Options{})
-		for _, b := range r.Breaches {
-			t.Errorf("seed %d: %v", seed, b)
+		scenario := loadScenario(t, "bad-day")
+		scenario.Seed = seed
+		result, report := runAudited(t, scenario, Options{})
+		for _, breach := range report.Breaches {
+			t.Errorf("seed %d: %v", seed, breach)
 		}
-		for _, u := range r.Rules {
-			if u.Cases == 0 {
-				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Rule)
+		for _, rule := range report.Rules {
+			if rule.Cases == 0 {
+				t.Errorf("seed %d, rule %d: nothing to examine", seed, rule.Rule)
 			}
 		}
-		if !d.AllStopped || d.CircuitsInUse != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
-			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.AllStopped, d.CircuitsInUse, r.Calls)
+		if !result.AllStopped || result.CircuitsInUse != 0 || report.Calls.Taken == 0 || report.Calls.Taken != report.Calls.Answered+report.Calls.Left+report.Calls.Killed {
+			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, result.AllStopped, result.CircuitsInUse, report.Calls)
 		}
-		tally := d.Callers.Tally(anyCall)
-		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, d.Events, d.Duration)
+		tally := result.Callers.Tally(anyCall)
+		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, result.Events, result.Duration)
 	}
 }
 
 // The same scenario gives the same day to the call; another seed another one.
 func TestRunIsDeterministic(t *testing.T) {
-	play := func(seed uint64) *Result {
-		scn := loadScenario(t, "bad-day")
-		scn.Seed = seed
-		d, err := Run(scn, Options{})
+	run := func(seed uint64) *Result {
+		scenario := loadScenario(t, "bad-day")
+		scenario.Seed = seed
+		result, err := Run(scenario, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d
+		return result
 	}
-	a, b, c := play(4), play(4), play(5)
-	if a.Events != b.Events || len(a.Callers.Calls) != len(b.Callers.Calls) || !reflect.DeepEqual(a.ControllerStats, b.ControllerStats) || a.Fleet.Counts != b.Fleet.Counts {
-		t.Fatalf("%d and %d events, %d and %d calls", a.Events, b.Events, len(a.Callers.Calls), len(b.Callers.Calls))
+	first, repeated, otherSeed := run(4), run(4), run(5)
+	if first.Events != repeated.Events || len(first.Callers.Calls) != len(repeated.Callers.Calls) || !reflect.DeepEqual(first.ControllerStats, repeated.ControllerStats) || first.Fleet.Counts != repeated.Fleet.Counts {
+		t.Fatalf("%d and %d events, %d and %d calls", first.Events, repeated.Events, len(first.Callers.Calls), len(repeated.Callers.Calls))
 	}
-	for i := range a.Callers.Calls {
-		if *a.Callers.Calls[i] != *b.Callers.Calls[i] {
-			t.Fatalf("call %d: %+v and %+v", i, *a.Callers.Calls[i], *b.Callers.Calls[i])
+	for i := range first.Callers.Calls {
+		if *first.Callers.Calls[i] != *repeated.Callers.Calls[i] {
+			t.Fatalf("call %d: %+v and %+v", i, *first.Callers.Calls[i], *repeated.Callers.Calls[i])
 		}
 	}
-	if a.Events == c.Events {
+	if first.Events == otherSeed.Events {
 		t.Error("another seed gives the same day")
 	}
 }
 
 // Virtual time stands still within an event and never goes back.
 func TestClockOrder(t *testing.T) {
-	c := &Clock{}
-	var got []string
-	c.After(time.Second, func() {
-		got = append(got, "b")
-		c.After(0, func() { got = append(got, "d") })
-		c.After(-time.Hour, func() { got = append(got, "e") })
+	clock := &Clock{}
+	var order []string
+	clock.After(time.Second, func() {
+		order = append(order, "b")
+		clock.After(0, func() { order = append(order, "d") })
+		clock.After(-time.Hour, func() { order = append(order, "e") })
 	})
-	c.After(0, func() { got = append(got, "a") })
-	c.After(time.Second, func() { got = append(got, "c") })
-	c.After(2*time.Second, func() { t.Error("past the end") })
-	if c.Run(1500*time.Millisecond, func() bool { return false }) || strings.Join(got, "") != "abcde" || c.Now() != time.Second {
-		t.Fatal(got, c.Now())
+	clock.After(0, func() { order = append(order, "a") })
+	clock.After(time.Second, func() { order = append(order, "c") })
+	clock.After(2*time.Second, func() { t.Error("past the end") })
+	if clock.Run(1500*time.Millisecond, func() bool { return false }) || strings.Join(order, "") != "abcde" || clock.Now() != time.Second {
+		t.Fatal(order, clock.Now())
 	}
 }
--- a/internal/virtual/stall_test.go
+++ b/internal/virtual/stall_test.go
@@ -9,28 +9,28 @@
 )
 
 // setUpTimes is how long the set-ups setUpTimes, on one day, that no hit exchange is an end of.
-func setUpTimes(t testing.TB, seed uint64, load float64, spared int, troubles ...settings.Trouble) (all []time.Duration, hit int) {
+func setUpTimes(t testing.TB, seed uint64, load float64, stalled int, troubles ...settings.Trouble) (times []time.Duration, stalledExchange int) {
 	t.Helper()
-	scn := loadScenario(t, "bad-day")
-	scn.Seed, scn.Length, scn.Troubles, scn.Load.Level = seed, 32*time.Second, troubles, load
-	d, err := Run(scn, Options{})
+	scenario := loadScenario(t, "bad-day")
+	scenario.Seed, scenario.Length, scenario.Troubles, scenario.Load.Level = seed, 32*time.Second, troubles, load
+	result, err := Run(scenario, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, seen := range d.Troubles() {
-		spared = int(seen.Description[len(seen.Description)-1] - '0')
+	for _, trouble := range result.Troubles() {
+		stalled = int(trouble.Description[len(trouble.Description)-1] - '0')
 	}
-	for _, k := range d.Callers.Calls {
-		if at := d.FirstAttemptTime(k); k.SetUpTime > 0 && k.Source != spared && k.Dest != spared && at > 2*time.Second && at < 31*time.Second {
-			all = append(all, k.SetUpTime)
+	for _, call := range result.Callers.Calls {
+		if firstAttempt := result.FirstAttemptTime(call); call.SetUpTime > 0 && call.Source != stalled && call.Dest != stalled && firstAttempt > 2*time.Second && firstAttempt < 31*time.Second {
+			times = append(times, call.SetUpTime)
 		}
 	}
-	return all, spared
+	return times, stalled
 }
 
-func percentile99(all []time.Duration) time.Duration {
-	slices.Sort(all)
-	return all[len(all)*99/100]
+func percentile99(times []time.Duration) time.Duration {
+	slices.Sort(times)
+	return times[len(times)*99/100]
 }
 
 // An exchange that reads nothing for 30 s on a loaded fleet: p99 of the calls
@@ -40,13 +40,13 @@
 func TestStalledReaderOnLoadedFleet(t *testing.T) {
 	var with, without []time.Duration
 	for seed := uint64(1); seed <= 16; seed++ {
-		w, hit := setUpTimes(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
-		o, _ := setUpTimes(t, seed, 0.8, hit)
-		with, without = append(with, w...), append(without, o...)
+		stalledTimes, stalled := setUpTimes(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
+		otherTimes, _ := setUpTimes(t, seed, 0.8, stalled)
+		with, without = append(with, stalledTimes...), append(without, otherTimes...)
 	}
-	a, b := percentile99(with), percentile99(without)
-	t.Logf("p99 %v of %d calls, without the stalled one %v of %d", a, len(with), b, len(without))
-	if len(with) < 20000 || float64(a) > 1.5*float64(b) {
-		t.Errorf("p99 %v of %d calls, without the stalled one %v", a, len(with), b)
+	p99With, p99Without := percentile99(with), percentile99(without)
+	t.Logf("p99 %v of %d calls, without the stalled one %v of %d", p99With, len(with), p99Without, len(without))
+	if len(with) < 20000 || float64(p99With) > 1.5*float64(p99Without) {
+		t.Errorf("p99 %v of %d calls, without the stalled one %v", p99With, len(with), p99Without)
 	}
 }
--- a/internal/virtual/wire.go
+++ b/internal/virtual/wire.go
@@ -31,98 +31,98 @@
 const maxUnreadMessages = 8192
 
 // sendToRemote takes a message of the controller; false if it does not leave.
-func (w *connection) sendToRemote(m *signal.Message) bool {
-	if !w.controllerOpen {
+func (c *connection) sendToRemote(message *signal.Message) bool {
+	if !c.controllerOpen {
 		return false
 	}
-	if len(w.unread) >= maxUnreadMessages {
-		if m.Kind != signal.Request || m.Command != signal.Add {
-			w.close("the peer reads too slowly", true)
+	if len(c.unread) >= maxUnreadMessages {
+		if message.Kind != signal.Request || message.Command != signal.Add {
+			c.close("the peer reads too slowly", true)
 		}
 		return false
 	}
-	if w.controllerRecorder != nil {
-		w.controllerRecorder.Sent(w.controllerRecorder.Now(), m.Append(nil))
+	if c.controllerRecorder != nil {
+		c.controllerRecorder.Sent(c.controllerRecorder.Now(), message.Append(nil))
 	}
-	w.runner.clock.After(w.runner.hopDelay, func() { w.arriveAtRemote(m) })
+	c.runner.clock.After(c.runner.hopDelay, func() { c.arriveAtRemote(message) })
 	return true
 }
 
 // arriveAtRemote is a message at the stand-in's end.
-func (w *connection) arriveAtRemote(m *signal.Message) {
+func (c *connection) arriveAtRemote(message *signal.Message) {
 	switch {
-	case !w.remoteOpen:
-	case w.subjectToFaults && (w.port.stalled || len(w.unread) > 0):
-		w.unread = append(w.unread, m)
+	case !c.remoteOpen:
+	case c.subjectToFaults && (c.port.stalled || len(c.unread) > 0):
+		c.unread = append(c.unread, message)
 	default:
-		w.deliverToRemote(m)
+		c.deliverToRemote(message)
 	}
 }
 
-func (w *connection) deliverToRemote(m *signal.Message) {
-	if w.remoteRecorder != nil {
-		w.remoteRecorder.Received(m.Append(nil))
+func (c *connection) deliverToRemote(message *signal.Message) {
+	if c.remoteRecorder != nil {
+		c.remoteRecorder.Received(message.Append(nil))
 	}
-	if !(w.subjectToFaults && w.port.halfOpen) {
-		w.onMessage(m)
+	if !(c.subjectToFaults && c.port.halfOpen) {
+		c.onMessage(message)
 	}
 }
 
 // resumeReading lets a reader that had stalled go on.
-func (w *connection) resumeReading() {
-	held := w.unread
-	w.unread = nil
-	for _, m := range held {
-		if w.remoteOpen {
-			w.deliverToRemote(m)
+func (c *connection) resumeReading() {
+	unread := c.unread
+	c.unread = nil
+	for _, message := range unread {
+		if c.remoteOpen {
+			c.deliverToRemote(message)
 		}
 	}
 }
 
 // sendToController takes a message of the stand-in.
-func (w *connection) sendToController(m *signal.Message) bool {
-	if !w.remoteOpen || w.subjectToFaults && w.port.halfOpen {
-		return w.remoteOpen
+func (c *connection) sendToController(message *signal.Message) bool {
+	if !c.remoteOpen || c.subjectToFaults && c.port.halfOpen {
+		return c.remoteOpen
 	}
-	if w.remoteRecorder != nil {
-		w.remoteRecorder.Sent(w.remoteRecorder.Now(), m.Append(nil))
+	if c.remoteRecorder != nil {
+		c.remoteRecorder.Sent(c.remoteRecorder.Now(), message.Append(nil))
 	}
-	w.runner.clock.After(w.runner.hopDelay, func() {
-		if w.controllerOpen {
-			if w.controllerRecorder != nil {
-				w.controllerRecorder.Received(m.Append(nil))
+	c.runner.clock.After(c.runner.hopDelay, func() {
+		if c.controllerOpen {
+			if c.controllerRecorder != nil {
+				c.controllerRecorder.Received(message.Append(nil))
 			}
-			w.node.handleInput(controller.Input{Kind: controller.InputMessage, Peer: w.peer, Message: m})
+			c.node.handleInput(controller.Input{Kind: controller.InputMessage, Peer: c.peer, Message: message})
 		}
 	})
 	return true
 }
 
 // close ends the connection from one side; the other hears of it a hop later.
-func (w *connection) close(why string, byController bool) {
+func (c *connection) close(reason string, byController bool) {
 	if byController {
-		w.closeControllerEnd(why)
-		w.runner.clock.After(w.runner.hopDelay, func() { w.closeRemoteEnd("closed by the peer") })
+		c.closeControllerEnd(reason)
+		c.runner.clock.After(c.runner.hopDelay, func() { c.closeRemoteEnd("closed by the peer") })
 	} else {
-		w.closeRemoteEnd(why)
-		w.runner.clock.After(w.runner.hopDelay, func() { w.closeControllerEnd("closed by the peer") })
+		c.closeRemoteEnd(reason)
+		c.runner.clock.After(c.runner.hopDelay, func() { c.closeControllerEnd("closed by the peer") })
 	}
 }
 
-func (w *connection) closeRemoteEnd(why string) {
-	if !w.remoteOpen {
+func (c *connection) closeRemoteEnd(reason string) {
+	if !c.remoteOpen {
 		return
 	}
-	w.remoteOpen, w.unread = false, nil
-	w.remoteRecorder.Closed(why)
-	w.onClosed()
+	c.remoteOpen, c.unread = false, nil
+	c.remoteRecorder.Closed(reason)
+	c.onClosed()
 }
 
-func (w *connection) closeControllerEnd(why string) {
-	if !w.controllerOpen {
+func (c *connection) closeControllerEnd(reason string) {
+	if !c.controllerOpen {
 		return
 	}
-	w.controllerOpen = false
-	w.controllerRecorder.Closed(why)
-	w.node.connectionLost(w)
+	c.controllerOpen = false
+	c.controllerRecorder.Closed(reason)
+	c.node.connectionLost(c)
 }
