--- a/internal/collect/collector.go
+++ b/internal/collect/collector.go
@@ -26,91 +26,91 @@
 
 // Collector takes messages over TCP (or TLS, by its listener) and UDP.
 type Collector struct {
-	Faults Faults
-	mu     sync.Mutex
-	tally  *Tally
-	file   *bufio.Writer
-	out    *os.File
-	err    error
-	conns  map[net.Conn]bool
-	wg     sync.WaitGroup
-	number int
-	held   int // messages read
+	Faults          Faults
+	mu              sync.Mutex
+	tally           *Tally
+	writer          *bufio.Writer
+	output          *os.File
+	writeErr        error
+	connections     map[net.Conn]bool
+	wg              sync.WaitGroup
+	connectionCount int
+	messageCount    int // messages read
 }
 
 // New makes a collector that keeps what it reads in an IPFIX file, if one is named.
 func New(path string) (*Collector, error) {
-	c := &Collector{tally: NewTally(), conns: map[net.Conn]bool{}}
+	c := &Collector{tally: NewTally(), connections: map[net.Conn]bool{}}
 	if path != "" {
-		f, err := os.Create(path)
+		file, err := os.Create(path)
 		if err != nil {
 			return nil, fmt.Errorf("collector: %w", err)
 		}
-		c.out, c.file = f, bufio.NewWriter(f)
+		c.output, c.writer = file, bufio.NewWriter(file)
 	}
 	return c, nil
 }
 
 // Serve takes connections until the listener is closed.
-func (c *Collector) Serve(ln net.Listener) {
+func (c *Collector) Serve(listener net.Listener) {
 	for {
-		nc, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		if c.Faults.RefuseConnections.Load() {
-			nc.Close()
+			conn.Close()
 			continue
 		}
 		c.mu.Lock()
-		c.conns[nc] = true
-		c.number++
-		source := fmt.Sprintf("connection %d", c.number)
+		c.connections[conn] = true
+		c.connectionCount++
+		source := fmt.Sprintf("connection %d", c.connectionCount)
 		c.mu.Unlock()
-		c.wg.Go(func() { c.serve(nc, source) })
+		c.wg.Go(func() { c.serveConnection(conn, source) })
 	}
 }
 
 // ServePacket takes messages from a socket until it is closed.
-func (c *Collector) ServePacket(pc net.PacketConn) {
+func (c *Collector) ServePacket(conn net.PacketConn) {
 	buf := make([]byte, ipfix.MaxMessageLength)
 	for {
-		n, from, err := pc.ReadFrom(buf)
+		length, from, err := conn.ReadFrom(buf)
 		if err != nil {
 			return
 		}
-		c.take(from.String(), buf[:n])
+		c.handleMessage(from.String(), buf[:length])
 	}
 }
 
-func (c *Collector) take(source string, b []byte) {
+func (c *Collector) handleMessage(source string, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held++
-	if c.file != nil && c.err == nil {
-		_, c.err = c.file.Write(b)
+	c.messageCount++
+	if c.writer != nil && c.writeErr == nil {
+		_, c.writeErr = c.writer.Write(message)
 	}
-	_, _ = c.tally.AddMessage(source, b) // one that can't be read is in the report
+	_, _ = c.tally.AddMessage(source, message) // one that can't be read is in the report
 }
 
-func (c *Collector) serve(nc net.Conn, source string) {
+func (c *Collector) serveConnection(conn net.Conn, source string) {
 	defer func() {
-		nc.Close()
+		conn.Close()
 		c.mu.Lock()
-		delete(c.conns, nc)
+		delete(c.connections, conn)
 		c.tally.Forget(source)
 		c.mu.Unlock()
 	}()
-	r := bufio.NewReader(nc)
+	reader := bufio.NewReader(conn)
 	var buf []byte
 	for {
 		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Duration(c.Faults.ReadDelay.Load()); d > 0 {
-			time.Sleep(d)
+		if delay := time.Duration(c.Faults.ReadDelay.Load()); delay > 0 {
+			time.Sleep(delay)
 		}
-		b, err := ipfix.ReadMessage(r, buf)
+		message, err := ipfix.ReadMessage(reader, buf)
 		if errors.Is(err, io.EOF) && c.Faults.KeepOpen.Load() {
 			for c.Faults.KeepOpen.Load() {
 				time.Sleep(10 * time.Millisecond)
@@ -123,29 +123,29 @@
 		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		buf = b
-		c.take(source, b)
+		buf = message
+		c.handleMessage(source, message)
 		if c.Faults.ResetEach.Load() {
-			ResetConnection(nc)
+			ResetConnection(conn)
 			return
 		}
 	}
 }
 
 // ResetConnection ends a connection so that what was not read is known to be lost.
-func ResetConnection(nc net.Conn) {
-	if t, ok := nc.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // the close below says the rest
+func ResetConnection(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // the close below says the rest
 	}
-	nc.Close()
+	conn.Close()
 }
 
 // ResetAll resets all connections.
 func (c *Collector) ResetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for nc := range c.conns { // each for itself
-		ResetConnection(nc)
+	for conn := range c.connections { // each for itself
+		ResetConnection(conn)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (c *Collector) MessageCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held
+	return c.messageCount
 }
 
 // Report adds up what was read so far.
@@ -171,9 +171,9 @@
 	c.wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err := c.err
-	if c.file != nil {
-		err = errors.Join(err, c.file.Flush(), c.out.Close())
+	err := c.writeErr
+	if c.writer != nil {
+		err = errors.Join(err, c.writer.Flush(), c.output.Close())
 	}
 	if err != nil {
 		return fmt.Errorf("collector: %w", err)
@@ -182,11 +182,11 @@
 }
 
 // Run collects on an address until ctx ends: TCP connections and datagrams.
-func (c *Collector) Run(ctx context.Context, ln net.Listener, pc net.PacketConn) {
+func (c *Collector) Run(ctx context.Context, listener net.Listener, packetConn net.PacketConn) {
 	context.AfterFunc(ctx, func() {
-		ln.Close()
-		pc.Close()
+		listener.Close()
+		packetConn.Close()
 	})
-	c.wg.Go(func() { c.ServePacket(pc) })
-	c.Serve(ln)
+	c.wg.Go(func() { c.ServePacket(packetConn) })
+	c.Serve(listener)
 }
--- a/internal/collect/tally.go
+++ b/internal/collect/tally.go
@@ -19,118 +19,118 @@
 // concurrent use.
 type Tally struct {
 	domains     map[uint32]*domain
-	dec         map[string]*ipfix.Decoder                           // by source: templates are a stream's own
+	decoders    map[string]*ipfix.Decoder                           // by source: templates are a stream's own
 	UnknownSets int                                                 // sets without a template
 	Unreadable  int                                                 // messages that can't be read
 	OnRecord    func(r *ipfix.Record, it *flow.Item, domain uint32) // told of each record that counts; nil for none
 }
 
 type domain struct {
-	lives  map[uint64]*life
-	next   map[string]uint32 // by source: the sequence number that is due
-	gaps   uint64            // records that sequence numbers miss (UDP)
-	resent uint64            // came twice, as they were marked
-	double uint64            // came twice and were not marked
-	summed uint64            // calls by the summaries of intervals
+	incarnations map[uint64]*incarnation
+	nextSequence map[string]uint32 // by source: the sequence number that is due
+	gaps         uint64            // records that sequence numbers miss (UDP)
+	resent       uint64            // came twice, as they were marked
+	duplicates   uint64            // came twice and were not marked
+	summaryCalls uint64            // calls by the summaries of intervals
 }
 
-type life struct {
-	seen    map[uint64]bool // records by flowId
-	sums    map[uint64]bool // sums by theirs
-	got     flow.Counts     // whole
-	folded  flow.Counts     // in sums
-	counted flow.Counts     // as the controller says
-	dropped flow.Counts
-	word    uint64 // the latest of its words on counts
-	final   bool   // it was the last one
+type incarnation struct {
+	seenRecords map[uint64]bool // records by flowId
+	seenSums    map[uint64]bool // sums by theirs
+	received    flow.Counts     // whole
+	folded      flow.Counts     // in sums
+	counted     flow.Counts     // as the controller says
+	dropped     flow.Counts
+	countsSeq   uint64 // the latest of its words on counts
+	final       bool   // it was the last one
 }
 
 // NewTally starts with nothing.
 func NewTally() *Tally {
-	return &Tally{domains: map[uint32]*domain{}, dec: map[string]*ipfix.Decoder{}}
+	return &Tally{domains: map[uint32]*domain{}, decoders: map[string]*ipfix.Decoder{}}
 }
 
 // Forget drops what is remembered of a source: its connection is over.
-func (t *Tally) Forget(source string) { delete(t.dec, source) }
+func (t *Tally) Forget(source string) { delete(t.decoders, source) }
 
 // AddMessage adds a message of a source in; it returns how many records it held.
-func (t *Tally) AddMessage(source string, b []byte) (int, error) {
-	d := t.dec[source]
-	if d == nil {
-		d = ipfix.NewDecoder(flow.Elements()...)
-		t.dec[source] = d
+func (t *Tally) AddMessage(source string, data []byte) (int, error) {
+	decoder := t.decoders[source]
+	if decoder == nil {
+		decoder = ipfix.NewDecoder(flow.Elements()...)
+		t.decoders[source] = decoder
 	}
-	m, err := d.Decode(b)
+	message, err := decoder.Decode(data)
 	if err != nil {
 		t.Unreadable++
 		return 0, err
 	}
-	t.UnknownSets += m.UnknownSets
-	dom := t.domains[m.Domain]
-	if dom == nil {
-		dom = &domain{lives: map[uint64]*life{}, next: map[string]uint32{}}
-		t.domains[m.Domain] = dom
+	t.UnknownSets += message.UnknownSets
+	d := t.domains[message.Domain]
+	if d == nil {
+		d = &domain{incarnations: map[uint64]*incarnation{}, nextSequence: map[string]uint32{}}
+		t.domains[message.Domain] = d
 	}
-	if due, ok := dom.next[source]; ok && m.Sequence != due && m.Sequence-due < 1<<31 {
-		dom.gaps += uint64(m.Sequence - due)
+	if expected, ok := d.nextSequence[source]; ok && message.Sequence != expected && message.Sequence-expected < 1<<31 {
+		d.gaps += uint64(message.Sequence - expected)
 	}
-	dom.next[source] = m.Sequence + uint32(len(m.Records))
-	if m.Protocol == ipfix.NetFlow9 {
-		dom.next[source] = m.Sequence + 1
+	d.nextSequence[source] = message.Sequence + uint32(len(message.Records))
+	if message.Protocol == ipfix.NetFlow9 {
+		d.nextSequence[source] = message.Sequence + 1
 	}
-	for i := range m.Records {
-		t.record(dom, m.Domain, &m.Records[i])
+	for i := range message.Records {
+		t.addRecord(d, message.Domain, &message.Records[i])
 	}
-	return len(m.Records), nil
+	return len(message.Records), nil
 }
 
-func (t *Tally) record(dom *domain, id uint32, r *ipfix.Record) {
-	it, ok := flow.ItemOf(r)
+func (t *Tally) addRecord(d *domain, domainNumber uint32, record *ipfix.Record) {
+	item, ok := flow.ItemOf(record)
 	if !ok {
 		return
 	}
-	lifeID, seq, flags := flow.Identity(r)
-	l := dom.lives[lifeID]
-	if l == nil {
-		l = &life{seen: map[uint64]bool{}, sums: map[uint64]bool{}}
-		dom.lives[lifeID] = l
+	incarnationID, seq, flags := flow.Identity(record)
+	inc := d.incarnations[incarnationID]
+	if inc == nil {
+		inc = &incarnation{seenRecords: map[uint64]bool{}, seenSums: map[uint64]bool{}}
+		d.incarnations[incarnationID] = inc
 	}
-	seen := l.seen
-	switch it.Kind {
+	seen := inc.seenRecords
+	switch item.Kind {
 	case flow.ItemCounts:
-		counted, dropped := flow.CountsOf(r)
-		if seq < l.word {
+		counted, dropped := flow.CountsOf(record)
+		if seq < inc.countsSeq {
 			return
 		}
-		l.word, l.final = seq, l.final || flags&flow.FlagFinal != 0
-		l.counted[it.RecordKind][min(it.Class, flow.MaxClasses-1)][it.Outcome] = counted
-		l.dropped[it.RecordKind][min(it.Class, flow.MaxClasses-1)][it.Outcome] = dropped
+		inc.countsSeq, inc.final = seq, inc.final || flags&flow.FlagFinal != 0
+		inc.counted[item.RecordKind][min(item.Class, flow.MaxClasses-1)][item.Outcome] = counted
+		inc.dropped[item.RecordKind][min(item.Class, flow.MaxClasses-1)][item.Outcome] = dropped
 		return
 	case flow.ItemFolded:
-		seen = l.sums
+		seen = inc.seenSums
 	case flow.ItemSummary:
-		if !l.sums[seq] {
-			l.sums[seq] = true
-			dom.summed += flow.SummaryCallsOf(r)
+		if !inc.seenSums[seq] {
+			inc.seenSums[seq] = true
+			d.summaryCalls += flow.SummaryCallsOf(record)
 		}
 		return
 	}
 	if seen[seq] {
 		if flags&flow.FlagResent != 0 {
-			dom.resent++
+			d.resent++
 		} else {
-			dom.double++
+			d.duplicates++
 		}
 		return
 	}
 	seen[seq] = true
-	if it.Kind == flow.ItemFolded {
-		it.AddTo(&l.folded)
+	if item.Kind == flow.ItemFolded {
+		item.AddTo(&inc.folded)
 	} else {
-		it.AddTo(&l.got)
+		item.AddTo(&inc.received)
 	}
 	if t.OnRecord != nil {
-		t.OnRecord(r, it, id)
+		t.OnRecord(record, item, domainNumber)
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // Report adds up.
 func (t *Tally) Report() *Report {
-	rep := &Report{UnknownSets: t.UnknownSets, Unreadable: t.Unreadable}
+	report := &Report{UnknownSets: t.UnknownSets, Unreadable: t.Unreadable}
 	var ids []uint32
 	for id := range t.domains {
 		ids = append(ids, id)
@@ -178,50 +178,50 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		d := t.domains[id]
-		rep.SequenceGaps += d.gaps
-		rep.Resent += d.resent
-		rep.Duplicates += d.double
-		rep.SummaryCalls += d.summed
-		var counted, got, folded, dropped flow.Counts
-		for _, l := range d.lives { // sums: the order does not matter
-			if !l.final {
-				rep.Unfinished++
+		report.SequenceGaps += d.gaps
+		report.Resent += d.resent
+		report.Duplicates += d.duplicates
+		report.SummaryCalls += d.summaryCalls
+		var counted, received, folded, dropped flow.Counts
+		for _, inc := range d.incarnations { // sums: the order does not matter
+			if !inc.final {
+				report.Unfinished++
 				for k := range flow.KindCount {
-					rep.OrphanRecords += l.got.Sum(k) + l.folded.Sum(k)
+					report.OrphanRecords += inc.received.Sum(k) + inc.folded.Sum(k)
 				}
 				continue
 			}
-			add(&counted, &l.counted)
-			add(&got, &l.got)
-			add(&folded, &l.folded)
-			add(&dropped, &l.dropped)
+			addCounts(&counted, &inc.counted)
+			addCounts(&received, &inc.received)
+			addCounts(&folded, &inc.folded)
+			addCounts(&dropped, &inc.dropped)
 		}
-		for k := range counted {
-			for c := range counted[k] {
-				for o := range counted[k][c] {
-					n := ReportLine{id, flow.Kind(k).String(), uint8(c), flow.Outcome(o).String(), counted[k][c][o], got[k][c][o], folded[k][c][o], dropped[k][c][o], 0}
-					if n.Counted+n.Received+n.Folded+n.Dropped == 0 {
+		for kind := range counted {
+			for class := range counted[kind] {
+				for outcome := range counted[kind][class] {
+					line := ReportLine{id, flow.Kind(kind).String(), uint8(class), flow.Outcome(outcome).String(), counted[kind][class][outcome], received[kind][class][outcome], folded[kind][class][outcome], dropped[kind][class][outcome], 0}
+					if line.Counted+line.Received+line.Folded+line.Dropped == 0 {
 						continue
 					}
-					n.Difference = int64(n.Counted) - int64(n.Received+n.Folded+n.Dropped)
-					rep.Lines = append(rep.Lines, n)
-					rep.Counted += n.Counted
-					rep.Received += n.Received
-					rep.Folded += n.Folded
-					rep.Dropped += n.Dropped
-					rep.Difference += uint64(max(n.Difference, -n.Difference))
+					line.Difference = int64(line.Counted) - int64(line.Received+line.Folded+line.Dropped)
+					report.Lines = append(report.Lines, line)
+					report.Counted += line.Counted
+					report.Received += line.Received
+					report.Folded += line.Folded
+					report.Dropped += line.Dropped
+					report.Difference += uint64(max(line.Difference, -line.Difference))
 				}
 			}
 		}
 	}
-	return rep
+	return report
 }
 
-func add(to, from *flow.Counts) {
-	for k := range from {
-		for c := range from[k] {
-			for o, n := range from[k][c] {
-				to[k][c][o] += n
+func addCounts(to, from *flow.Counts) {
+	for kind := range from {
+		for class := range from[kind] {
+			for outcome, n := range from[kind][class] {
+				to[kind][class][outcome] += n
 			}
 		}
 	}
@@ -230,14 +230,14 @@
 // AddFile adds an IPFIX file (RFC 5655) in. A torn end is an error that says so;
 // what came before it is added.
 func (t *Tally) AddFile(path string) error {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("flows: %w", err)
 	}
-	defer f.Close()
+	defer file.Close()
 	defer t.Forget(path)
-	if err := ForEachMessage(f, func(b []byte) error {
-		_, err := t.AddMessage(path, b)
+	if err := ForEachMessage(file, func(message []byte) error {
+		_, err := t.AddMessage(path, message)
 		return err
 	}); err != nil {
 		return fmt.Errorf("flows: %s: %w", path, err)
@@ -246,20 +246,20 @@
 }
 
 // ForEachMessage hands out the messages of an IPFIX file, each valid until the next.
-func ForEachMessage(f io.Reader, each func([]byte) error) error {
-	r := bufio.NewReaderSize(f, 1<<16)
+func ForEachMessage(file io.Reader, handle func([]byte) error) error {
+	reader := bufio.NewReaderSize(file, 1<<16)
 	var buf []byte
-	for n := 1; ; n++ {
-		b, err := ipfix.ReadMessage(r, buf)
+	for number := 1; ; number++ {
+		message, err := ipfix.ReadMessage(reader, buf)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			buf = b
-			err = each(b)
+			buf = message
+			err = handle(message)
 		}
 		if err != nil {
-			return fmt.Errorf("message %d: %w", n, err)
+			return fmt.Errorf("message %d: %w", number, err)
 		}
 	}
 }
@@ -276,61 +276,61 @@
 // top-k elements in data streams", 2005). Of n added, every key with more than
 // n/size is in it, and no count is too high by more than n/size.
 type Sketch struct {
-	size int
-	heap []*entry // the least count on top
-	at   map[string]*entry
-	n    uint64
+	size    int
+	minHeap []*entry // the least count on top
+	byKey   map[string]*entry
+	total   uint64
 }
 
 type entry struct {
 	TopEntry
-	i int
+	index int
 }
 
 // NewSketch keeps so many keys.
 func NewSketch(size int) *Sketch {
-	return &Sketch{size: max(size, 1), at: map[string]*entry{}}
+	return &Sketch{size: max(size, 1), byKey: map[string]*entry{}}
 }
 
 // Add counts a key.
-func (s *Sketch) Add(key string, n uint64) {
-	s.n += n
-	if e := s.at[key]; e != nil {
-		e.Count += n
-		s.down(e.i)
+func (s *Sketch) Add(key string, count uint64) {
+	s.total += count
+	if e := s.byKey[key]; e != nil {
+		e.Count += count
+		s.siftDown(e.index)
 		return
 	}
-	if len(s.heap) < s.size {
-		e := &entry{TopEntry{key, n, 0}, len(s.heap)}
-		s.heap = append(s.heap, e)
-		s.at[key] = e
-		s.up(e.i)
+	if len(s.minHeap) < s.size {
+		e := &entry{TopEntry{key, count, 0}, len(s.minHeap)}
+		s.minHeap = append(s.minHeap, e)
+		s.byKey[key] = e
+		s.siftUp(e.index)
 		return
 	}
-	e := s.heap[0] // the least makes room, and leaves its count as the error
-	delete(s.at, e.Key)
-	e.Key, e.MaxError, e.Count = key, e.Count, e.Count+n
-	s.at[key] = e
-	s.down(0)
+	e := s.minHeap[0] // the least makes room, and leaves its count as the error
+	delete(s.byKey, e.Key)
+	e.Key, e.MaxError, e.Count = key, e.Count, e.Count+count
+	s.byKey[key] = e
+	s.siftDown(0)
 }
 
 func (s *Sketch) swap(i, j int) {
-	s.heap[i], s.heap[j] = s.heap[j], s.heap[i]
-	s.heap[i].i, s.heap[j].i = i, j
+	s.minHeap[i], s.minHeap[j] = s.minHeap[j], s.minHeap[i]
+	s.minHeap[i].index, s.minHeap[j].index = i, j
 }
 
-func (s *Sketch) up(i int) {
-	for p := (i - 1) / 2; i > 0 && s.heap[i].Count < s.heap[p].Count; i, p = p, (p-1)/2 {
-		s.swap(i, p)
+func (s *Sketch) siftUp(i int) {
+	for parent := (i - 1) / 2; i > 0 && s.minHeap[i].Count < s.minHeap[parent].Count; i, parent = parent, (parent-1)/2 {
+		s.swap(i, parent)
 	}
 }
 
-func (s *Sketch) down(i int) {
+func (s *Sketch) siftDown(i int) {
 	for {
 		least := i
-		for _, c := range []int{2*i + 1, 2*i + 2} {
-			if c < len(s.heap) && s.heap[c].Count < s.heap[least].Count {
-				least = c
+		for _, child := range []int{2*i + 1, 2*i + 2} {
+			if child < len(s.minHeap) && s.minHeap[child].Count < s.minHeap[least].Count {
+				least = child
 			}
 		}
 		if least == i {
@@ -342,10 +342,10 @@
 }
 
 // Top lists the heaviest, and by how much any count may be too high.
-func (s *Sketch) Top(k int) (top []TopEntry, errorBound uint64) {
-	for _, e := range s.heap {
+func (s *Sketch) Top(count int) (top []TopEntry, errorBound uint64) {
+	for _, e := range s.minHeap {
 		top = append(top, e.TopEntry)
 	}
 	slices.SortFunc(top, func(a, b TopEntry) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
-	return top[:min(k, len(top))], s.n / uint64(s.size)
+	return top[:min(count, len(top))], s.total / uint64(s.size)
 }
--- a/internal/export/exporter.go
+++ b/internal/export/exporter.go
@@ -56,58 +56,58 @@
 
 // SetDefaults fills in what is left open.
 func (c *Config) SetDefaults() {
-	def(&c.RingCapacity, 1<<14)
-	def(&c.QueueCapacity, 50000)
-	def(&c.ReplayRate, 2000)
-	def(&c.SummaryInterval, 10*time.Second)
-	def(&c.TemplateInterval, 30*time.Second)
-	def(&c.ConfirmAfter, 20*time.Second)
-	def(&c.MaxUnconfirmedBytes, 8<<20)
-	def(&c.WriteTimeout, 5*time.Second)
-	def(&c.ShutdownTimeout, 3*time.Second)
-	def(&c.MinRetryDelay, 200*time.Millisecond)
-	def(&c.MaxRetryDelay, 10*time.Second)
-	def(&c.Shed.MaxRecordRate, 1000)
-	def(&c.Shed.MaxAge, 20*time.Second)
-	def(&c.Shed.MinLevelDuration, 5*time.Second)
-	def(&c.Shed.MaxSums, 8192)
+	setDefault(&c.RingCapacity, 1<<14)
+	setDefault(&c.QueueCapacity, 50000)
+	setDefault(&c.ReplayRate, 2000)
+	setDefault(&c.SummaryInterval, 10*time.Second)
+	setDefault(&c.TemplateInterval, 30*time.Second)
+	setDefault(&c.ConfirmAfter, 20*time.Second)
+	setDefault(&c.MaxUnconfirmedBytes, 8<<20)
+	setDefault(&c.WriteTimeout, 5*time.Second)
+	setDefault(&c.ShutdownTimeout, 3*time.Second)
+	setDefault(&c.MinRetryDelay, 200*time.Millisecond)
+	setDefault(&c.MaxRetryDelay, 10*time.Second)
+	setDefault(&c.Shed.MaxRecordRate, 1000)
+	setDefault(&c.Shed.MaxAge, 20*time.Second)
+	setDefault(&c.Shed.MinLevelDuration, 5*time.Second)
+	setDefault(&c.Shed.MaxSums, 8192)
 	for i := range c.Collectors {
 		if c.Collectors[i].Protocol == 0 {
 			c.Collectors[i].Protocol = ipfix.IPFIX
 		}
-		def(&c.Collectors[i].MTU, 1400)
+		setDefault(&c.Collectors[i].MTU, 1400)
 	}
 }
 
-func def[T comparable](v *T, d T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = d
+	if *field == zero {
+		*field = value
 	}
 }
 
 // Exporter takes records and sends them. Put is for the call path; Run owns the rest.
 type Exporter struct {
-	cfg   Config
-	codec *flow.Codec
-	ring  *ring.Ring[flow.Record]
-	full  [flow.KindCount][flow.MaxClasses][flow.OutcomeCount]atomic.Uint64 // the ring had no room
+	config   Config
+	codec    *flow.Codec
+	ring     *ring.Ring[flow.Record]
+	ringFull [flow.KindCount][flow.MaxClasses][flow.OutcomeCount]atomic.Uint64 // the ring had no room
 
-	lanes   []*lane
-	shed    *shed.Shedder
-	folds   map[shed.Key]*shed.Sum
-	order   []shed.Key // of folds
-	sums    map[farClass]*flow.Summary
-	sumKeys []farClass
-	from    time.Duration // of the interval
-	counted flow.Counts
-	folded  flow.Counts
-	dropped flow.Counts // by the ring and by shed
-	told    flow.Counts // of full, so far
-	foldSeq uint64
-	words   chan word
-	flushAt time.Duration
-	warned  map[string]time.Duration
+	pipelines       []*pipeline
+	shedder         *shed.Shedder
+	foldedSums      map[shed.Key]*shed.Sum
+	foldedKeys      []shed.Key // of folds
+	summaries       map[destinationClass]*flow.Summary
+	summaryKeys     []destinationClass
+	intervalStart   time.Duration // of the interval
+	counted         flow.Counts
+	folded          flow.Counts
+	dropped         flow.Counts // by the ring and by shed
+	ringFullCounted flow.Counts // of full, so far
+	lastSeq         uint64
+	events          chan senderEvent
+	nextFlushAt     time.Duration
+	warnedAt        map[string]time.Duration
 
 	mu     sync.Mutex
 	status Status
@@ -125,341 +125,341 @@
 }
 
 // New makes an exporter.
-func New(cfg Config, codec *flow.Codec) (*Exporter, error) {
-	cfg.SetDefaults()
-	if len(cfg.Collectors) == 0 {
+func New(config Config, codec *flow.Codec) (*Exporter, error) {
+	config.SetDefaults()
+	if len(config.Collectors) == 0 {
 		return nil, fmt.Errorf("export: no collector")
 	}
-	e := &Exporter{cfg: cfg, codec: codec, ring: ring.New[flow.Record](cfg.RingCapacity), shed: shed.New(cfg.Shed),
-		folds: map[shed.Key]*shed.Sum{}, sums: map[farClass]*flow.Summary{}, from: cfg.Now(), words: make(chan word, 64), warned: map[string]time.Duration{}}
-	lanes := 1
-	if cfg.SendToAll {
-		lanes = len(cfg.Collectors)
+	e := &Exporter{config: config, codec: codec, ring: ring.New[flow.Record](config.RingCapacity), shedder: shed.New(config.Shed),
+		foldedSums: map[shed.Key]*shed.Sum{}, summaries: map[destinationClass]*flow.Summary{}, intervalStart: config.Now(), events: make(chan senderEvent, 64), warnedAt: map[string]time.Duration{}}
+	pipelineCount := 1
+	if config.SendToAll {
+		pipelineCount = len(config.Collectors)
 	}
-	for i := range lanes {
-		l := &lane{cfg: &e.cfg, codec: codec, warn: e.warn}
-		for j, c := range cfg.Collectors {
-			if !cfg.SendToAll || i == j {
-				l.streams = append(l.streams, &stream{to: c})
+	for i := range pipelineCount {
+		p := &pipeline{config: &e.config, codec: codec, warn: e.warn}
+		for j, collector := range config.Collectors {
+			if !config.SendToAll || i == j {
+				p.streams = append(p.streams, &stream{collector: collector})
 			}
 		}
-		if i < len(cfg.Spools) {
-			l.spool = cfg.Spools[i]
+		if i < len(config.Spools) {
+			p.spool = config.Spools[i]
 		}
-		e.lanes = append(e.lanes, l)
+		e.pipelines = append(e.pipelines, p)
 	}
 	return e, nil
 }
 
-type farClass struct {
-	far   int32
+type destinationClass struct {
+	dest  int32
 	class uint8
 }
 
-// summary is where a record of a far end and class adds to; when there are too
+// summaryFor is where a record of a far end and class adds to; when there are too
 // many, those of one kind beyond are taken together.
-func (e *Exporter) summary(r *flow.Record) *flow.Summary {
-	k := farClass{r.Dest, r.Class}
-	if e.sums[k] == nil {
-		if len(e.sums) >= e.cfg.Shed.MaxSums {
-			k.far = -1
+func (e *Exporter) summaryFor(record *flow.Record) *flow.Summary {
+	key := destinationClass{record.Dest, record.Class}
+	if e.summaries[key] == nil {
+		if len(e.summaries) >= e.config.Shed.MaxSums {
+			key.dest = -1
 		}
-		if e.sums[k] == nil {
-			e.sums[k] = &flow.Summary{}
-			e.sumKeys = append(e.sumKeys, k)
+		if e.summaries[key] == nil {
+			e.summaries[key] = &flow.Summary{}
+			e.summaryKeys = append(e.summaryKeys, key)
 		}
 	}
-	return e.sums[k]
+	return e.summaries[key]
 }
 
 // Put takes a record from the call path: no lock, no allocation, no system call.
-func (e *Exporter) Put(r *flow.Record) {
-	if !e.ring.Put(r) {
-		e.full[r.Kind][min(r.Class, flow.MaxClasses-1)][r.Outcome].Add(1)
+func (e *Exporter) Put(record *flow.Record) {
+	if !e.ring.Put(record) {
+		e.ringFull[record.Kind][min(record.Class, flow.MaxClasses-1)][record.Outcome].Add(1)
 	}
 }
 
 // warn logs a trouble, and the same again a minute later at the earliest.
-func (e *Exporter) warn(what string, err error) {
-	now := e.cfg.Now()
-	if at, ok := e.warned[what]; ok && now-at < time.Minute {
+func (e *Exporter) warn(message string, err error) {
+	now := e.config.Now()
+	if lastAt, ok := e.warnedAt[message]; ok && now-lastAt < time.Minute {
 		return
 	}
-	e.warned[what] = now
-	e.cfg.Log.Warn("flow export: "+what, "error", err)
+	e.warnedAt[message] = now
+	e.config.Log.Warn("flow export: "+message, "error", err)
 }
 
-// word is what a sender tells.
-type word struct {
-	l    *lane
-	s    *stream
-	kind wordKind
-	b    *batch // wrote; with broke the one in hand, or none
-	err  error
-	feed chan *batch // with cameUp: what is to be written
+// senderEvent is what a sender tells.
+type senderEvent struct {
+	pipeline *pipeline
+	stream   *stream
+	kind     senderEventKind
+	batch    *batch // wrote; with broke the one in hand, or none
+	err      error
+	batches  chan *batch // with cameUp: what is to be written
 }
 
-type wordKind uint8
+type senderEventKind uint8
 
 const (
-	cameUp wordKind = iota
-	wrote
-	confirmed
-	noAnswer // the other end did not close
-	broke
+	eventConnected senderEventKind = iota
+	eventWritten
+	eventConfirmed
+	eventNotClosed // the other end did not close
+	eventDisconnected
 )
 
-// tick is how often the ring is emptied; nothing wakes the exporter from the call path.
-const tick = 20 * time.Millisecond
+// drainInterval is how often the ring is emptied; nothing wakes the exporter from the call path.
+const drainInterval = 20 * time.Millisecond
 
 // Run works until ctx ends, and then until what is left is sent or put away.
 func (e *Exporter) Run(ctx context.Context) {
-	send, stop := context.WithCancel(context.WithoutCancel(ctx))
+	sendCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var wg sync.WaitGroup
-	feeds := map[*stream]chan *batch{}
-	for i, l := range e.lanes {
-		for j, s := range l.streams {
-			sn := &sender{e: e, l: l, s: s, seed: uint64(i*100 + j)}
-			wg.Go(func() { sn.run(send) })
+	queues := map[*stream]chan *batch{}
+	for i, p := range e.pipelines {
+		for j, stream := range p.streams {
+			sender := &sender{exporter: e, pipeline: p, stream: stream, seed: uint64(i*100 + j)}
+			wg.Go(func() { sender.run(sendCtx) })
 		}
 	}
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
-	e.flushAt = e.cfg.Now() + e.cfg.SummaryInterval
+	e.nextFlushAt = e.config.Now() + e.config.SummaryInterval
 	done := ctx.Done()
-	var leaveBy time.Duration
+	var deadline time.Duration
 	for {
 		select {
 		case <-done:
 			done = nil
-			leaveBy = e.cfg.Now() + e.cfg.ShutdownTimeout
-			e.drain(e.cfg.Now())
-			e.flush(leaveBy, true)
+			deadline = e.config.Now() + e.config.ShutdownTimeout
+			e.drainRing(e.config.Now())
+			e.flush(deadline, true)
 		case <-ticker.C:
-		case w := <-e.words:
-			e.hear(w, feeds)
+		case event := <-e.events:
+			e.handleEvent(event, queues)
 		}
-		now := e.cfg.Now()
+		now := e.config.Now()
 		if done != nil {
-			e.drain(now)
-			if now >= e.flushAt {
-				e.flushAt = now + e.cfg.SummaryInterval
+			e.drainRing(now)
+			if now >= e.nextFlushAt {
+				e.nextFlushAt = now + e.config.SummaryInterval
 				e.flush(now, false)
 			}
 		}
-		e.feed(now, feeds)
-		e.report(now)
-		if done == nil && (now >= leaveBy || e.settled(now, feeds)) {
+		e.dispatch(now, queues)
+		e.updateStatus(now)
+		if done == nil && (now >= deadline || e.isDrained(now, queues)) {
 			break
 		}
 	}
 	stop()
-	ended := make(chan struct{})
+	sendersDone := make(chan struct{})
 	go func() {
 		wg.Wait()
-		close(ended)
+		close(sendersDone)
 	}()
-	for over := false; !over; { // what senders tell yet says what has left
+	for finished := false; !finished; { // what senders tell yet says what has left
 		select {
-		case w := <-e.words:
-			e.hear(w, feeds)
-		case <-ended:
-			for len(e.words) > 0 {
-				e.hear(<-e.words, feeds)
+		case event := <-e.events:
+			e.handleEvent(event, queues)
+		case <-sendersDone:
+			for len(e.events) > 0 {
+				e.handleEvent(<-e.events, queues)
 			}
-			over = true
+			finished = true
 		}
 	}
-	for _, l := range e.lanes {
-		l.finished(e.cfg.Now())
+	for _, p := range e.pipelines {
+		p.shutDown(e.config.Now())
 	}
-	e.report(e.cfg.Now())
+	e.updateStatus(e.config.Now())
 }
 
-// drain empties the ring and decides what becomes of each record.
-func (e *Exporter) drain(now time.Duration) {
-	for k := range e.full {
-		for c := range e.full[k] {
-			for o := range e.full[k][c] {
-				if n := e.full[k][c][o].Load(); n != e.told[k][c][o] {
-					e.counted[k][c][o] += n - e.told[k][c][o]
-					e.dropped[k][c][o] += n - e.told[k][c][o]
-					e.told[k][c][o] = n
+// drainRing empties the ring and decides what becomes of each record.
+func (e *Exporter) drainRing(now time.Duration) {
+	for kind := range e.ringFull {
+		for class := range e.ringFull[kind] {
+			for outcome := range e.ringFull[kind][class] {
+				if n := e.ringFull[kind][class][outcome].Load(); n != e.ringFullCounted[kind][class][outcome] {
+					e.counted[kind][class][outcome] += n - e.ringFullCounted[kind][class][outcome]
+					e.dropped[kind][class][outcome] += n - e.ringFullCounted[kind][class][outcome]
+					e.ringFullCounted[kind][class][outcome] = n
 				}
 			}
 		}
 	}
-	e.shed.Update(now, e.state(now))
-	var r flow.Record
-	for n := e.ring.Len(); n > 0 && e.ring.Take(&r); n-- {
-		*e.counted.At(&r)++
-		e.summary(&r).Add(&r)
-		key := shed.KeyFor(&r)
-		sum := e.folds[key]
-		switch e.shed.Decide(&r, len(e.folds), sum != nil) {
+	e.shedder.Update(now, e.shedState(now))
+	var record flow.Record
+	for n := e.ring.Len(); n > 0 && e.ring.Take(&record); n-- {
+		*e.counted.At(&record)++
+		e.summaryFor(&record).Add(&record)
+		key := shed.KeyFor(&record)
+		sum := e.foldedSums[key]
+		switch e.shedder.Decide(&record, len(e.foldedSums), sum != nil) {
 		case shed.Send:
-			for _, l := range e.lanes {
-				l.add(now, e.codec.RecordItem(&r)) // each its own: marks differ
+			for _, p := range e.pipelines {
+				p.enqueue(now, e.codec.RecordItem(&record)) // each its own: marks differ
 			}
 		case shed.Fold:
 			if sum == nil {
 				sum = &shed.Sum{}
-				e.folds[key] = sum
-				e.order = append(e.order, key)
+				e.foldedSums[key] = sum
+				e.foldedKeys = append(e.foldedKeys, key)
 			}
-			sum.Add(&r)
-			*e.folded.At(&r)++
+			sum.Add(&record)
+			*e.folded.At(&record)++
 		case shed.Drop:
-			*e.dropped.At(&r)++
+			*e.dropped.At(&record)++
 		}
 	}
-	for _, l := range e.lanes {
-		l.toSpool(now, false)
-		if l.spool == nil {
+	for _, p := range e.pipelines {
+		p.moveToSpool(now, false)
+		if p.spool == nil {
 			continue
 		}
-		if err := l.spool.Tick(now); err != nil {
+		if err := p.spool.Tick(now); err != nil {
 			e.warn("the spool can't be made durable", err)
 		}
-		lost := l.spool.TakeLost()
-		for k := range lost {
-			for c := range lost[k] {
-				for o, n := range lost[k][c] {
-					l.lost[k][c][o] += n
-					l.lostN += n
+		lost := p.spool.TakeLost()
+		for kind := range lost {
+			for class := range lost[kind] {
+				for outcome, n := range lost[kind][class] {
+					p.lost[kind][class][outcome] += n
+					p.lostCount += n
 				}
 			}
 		}
 	}
 }
 
-// state is the worst that any lane is in.
-func (e *Exporter) state(now time.Duration) shed.State {
-	st := shed.State{Reachable: true}
-	worst := -1.0
-	for _, l := range e.lanes {
-		s := shed.State{QueueLength: len(l.queue), QueueCapacity: e.cfg.QueueCapacity, OldestAge: l.age(now), Reachable: l.active() != nil}
-		if l.spool != nil {
-			s.SpoolBytes, s.MaxSpoolBytes = l.spool.Bytes(), l.spool.MaxBytes()
+// shedState is the worst that any lane is in.
+func (e *Exporter) shedState(now time.Duration) shed.State {
+	worst := shed.State{Reachable: true}
+	highest := -1.0
+	for _, p := range e.pipelines {
+		state := shed.State{QueueLength: len(p.queue), QueueCapacity: e.config.QueueCapacity, OldestAge: p.oldestAge(now), Reachable: p.active() != nil}
+		if p.spool != nil {
+			state.SpoolBytes, state.MaxSpoolBytes = p.spool.Bytes(), p.spool.MaxBytes()
 		}
-		if p := e.cfg.Shed.Pressure(s); p > worst {
-			worst, st = p, s
+		if pressure := e.config.Shed.Pressure(state); pressure > highest {
+			highest, worst = pressure, state
 		}
 	}
-	return st
+	return worst
 }
 
 // flush sends the sums, and what was counted, folded and dropped so far.
 func (e *Exporter) flush(now time.Duration, final bool) {
-	for _, key := range e.order {
-		sum := e.folds[key]
-		e.foldSeq++
-		f := flow.Folded{Kind: key.Kind, Class: key.Class, Outcome: key.Outcome, Dest: key.Dest, Seq: e.foldSeq, Count: sum.Count,
+	for _, key := range e.foldedKeys {
+		sum := e.foldedSums[key]
+		e.lastSeq++
+		folded := flow.Folded{Kind: key.Kind, Class: key.Class, Outcome: key.Outcome, Dest: key.Dest, Seq: e.lastSeq, Count: sum.Count,
 			FirstStart: sum.FirstStart, LastStart: sum.LastStart, SetUp: sum.SetUp, EstablishedFor: sum.EstablishedFor, Attempts: sum.Attempts}
-		for _, l := range e.lanes {
-			l.add(now, e.codec.FoldedItem(f))
+		for _, p := range e.pipelines {
+			p.enqueue(now, e.codec.FoldedItem(folded))
 		}
 	}
-	for _, k := range e.sumKeys {
-		e.foldSeq++
-		for _, l := range e.lanes {
-			l.add(now, e.codec.SummaryItem(e.foldSeq, k.class, k.far, e.from, now, e.sums[k]))
+	for _, key := range e.summaryKeys {
+		e.lastSeq++
+		for _, p := range e.pipelines {
+			p.enqueue(now, e.codec.SummaryItem(e.lastSeq, key.class, key.dest, e.intervalStart, now, e.summaries[key]))
 		}
 	}
-	clear(e.sums)
-	e.sumKeys, e.from = e.sumKeys[:0], now
-	clear(e.folds)
-	e.order = e.order[:0]
-	for _, l := range e.lanes {
+	clear(e.summaries)
+	e.summaryKeys, e.intervalStart = e.summaryKeys[:0], now
+	clear(e.foldedSums)
+	e.foldedKeys = e.foldedKeys[:0]
+	for _, p := range e.pipelines {
 		dropped := e.dropped
-		notSent := l.lostN
-		for k := range dropped {
-			for c := range dropped[k] {
-				for o := range dropped[k][c] {
-					notSent += dropped[k][c][o]
-					dropped[k][c][o] += l.lost[k][c][o]
+		notSent := p.lostCount
+		for kind := range dropped {
+			for class := range dropped[kind] {
+				for outcome := range dropped[kind][class] {
+					notSent += dropped[kind][class][outcome]
+					dropped[kind][class][outcome] += p.lost[kind][class][outcome]
 				}
 			}
 		}
-		e.foldSeq++
-		l.add(now, e.codec.CountItems(e.foldSeq, &e.counted, &e.folded, &dropped, final)...)
-		l.add(now, e.codec.StatisticsItem(notSent, l.sent))
+		e.lastSeq++
+		p.enqueue(now, e.codec.CountItems(e.lastSeq, &e.counted, &e.folded, &dropped, final)...)
+		p.enqueue(now, e.codec.StatisticsItem(notSent, p.sentCount))
 	}
 }
 
-// feed hands the senders what they can take.
-func (e *Exporter) feed(now time.Duration, feeds map[*stream]chan *batch) {
-	for _, l := range e.lanes {
-		if l.active() != nil {
-			l.upAt = now
+// dispatch hands the senders what they can take.
+func (e *Exporter) dispatch(now time.Duration, queues map[*stream]chan *batch) {
+	for _, p := range e.pipelines {
+		if p.active() != nil {
+			p.lastConnected = now
 		}
 		for {
-			s, b := l.next(now)
-			if b == nil {
+			stream, batch := p.nextBatch(now)
+			if batch == nil {
 				break
 			}
-			feeds[s] <- b // has room: sending is bounded by it
+			queues[stream] <- batch // has room: sending is bounded by it
 		}
 	}
 }
 
-func (e *Exporter) hear(w word, feeds map[*stream]chan *batch) {
-	now := e.cfg.Now()
-	switch w.kind {
-	case cameUp:
-		feeds[w.s] = w.feed
-		w.l.connected(now, w.s)
-		e.cfg.Log.Info("flow export: connected", "collector", w.s.to.Address)
-	case wrote:
-		w.l.written(now, w.s, w.b)
-	case confirmed:
-		w.l.confirmed(w.s)
-	case noAnswer:
-		w.s.noFin = true
-		e.warn("the collector does not end a connection when we do; what is under way at a break is known by size only", w.err)
-		w.l.broken(now, w.s, unwritten(w.b, feeds[w.s]))
-	case broke:
-		if w.s.up && !errors.Is(w.err, context.Canceled) {
-			e.warn("the collector "+w.s.to.Address+" is lost", w.err)
+func (e *Exporter) handleEvent(event senderEvent, queues map[*stream]chan *batch) {
+	now := e.config.Now()
+	switch event.kind {
+	case eventConnected:
+		queues[event.stream] = event.batches
+		event.pipeline.onConnected(now, event.stream)
+		e.config.Log.Info("flow export: connected", "collector", event.stream.collector.Address)
+	case eventWritten:
+		event.pipeline.onWritten(now, event.stream, event.batch)
+	case eventConfirmed:
+		event.pipeline.onConfirmed(event.stream)
+	case eventNotClosed:
+		event.stream.peerKeepsOpen = true
+		e.warn("the collector does not end a connection when we do; what is under way at a break is known by size only", event.err)
+		event.pipeline.onDisconnected(now, event.stream, unwrittenBatches(event.batch, queues[event.stream]))
+	case eventDisconnected:
+		if event.stream.connected && !errors.Is(event.err, context.Canceled) {
+			e.warn("the collector "+event.stream.collector.Address+" is lost", event.err)
 		}
-		w.l.broken(now, w.s, unwritten(w.b, feeds[w.s]))
+		event.pipeline.onDisconnected(now, event.stream, unwrittenBatches(event.batch, queues[event.stream]))
 	}
 }
 
-// unwritten is what a sender was handed and has not written; it reads no more.
-func unwritten(hand *batch, feed chan *batch) (out []*batch) {
-	if hand != nil {
-		out = append(out, hand)
+// unwrittenBatches is what a sender was handed and has not written; it reads no more.
+func unwrittenBatches(current *batch, queue chan *batch) (unwritten []*batch) {
+	if current != nil {
+		unwritten = append(unwritten, current)
 	}
 	for {
 		select {
-		case b := <-feed:
-			out = append(out, b)
+		case batch := <-queue:
+			unwritten = append(unwritten, batch)
 		default:
-			return out
+			return unwritten
 		}
 	}
 }
 
-// settled tells whether nothing is left to wait for at the end.
-func (e *Exporter) settled(now time.Duration, feeds map[*stream]chan *batch) bool {
-	for _, l := range e.lanes {
-		s := l.active()
-		if s == nil {
-			if len(l.queue) > 0 && (l.spool == nil || now-l.upAt < time.Second) {
+// isDrained tells whether nothing is left to wait for at the end.
+func (e *Exporter) isDrained(now time.Duration, queues map[*stream]chan *batch) bool {
+	for _, p := range e.pipelines {
+		stream := p.active()
+		if stream == nil {
+			if len(p.queue) > 0 && (p.spool == nil || now-p.lastConnected < time.Second) {
 				return false // a collector may come back yet
 			}
 			continue // what is left goes to the spool
 		}
-		if len(l.queue) > 0 || s.sending > 0 {
+		if len(p.queue) > 0 || stream.inFlight > 0 {
 			return false
 		}
-		if !udp(s.to) && !s.noFin && len(s.unsure) > 0 {
-			if !s.finSent {
-				s.finSent = true
-				s.sending++
-				feeds[s] <- &batch{fin: true}
+		if !isUDP(stream.collector) && !stream.peerKeepsOpen && len(stream.unconfirmed) > 0 {
+			if !stream.finSent {
+				stream.finSent = true
+				stream.inFlight++
+				queues[stream] <- &batch{fin: true}
 			}
 			return false
 		}
@@ -467,27 +467,27 @@
 	return true
 }
 
-func (e *Exporter) report(time.Duration) {
-	st := Status{ShedLevel: e.shed.Level().String()}
-	for k := range flow.KindCount {
-		st.Counted += e.counted.Sum(k)
-		st.Folded += e.folded.Sum(k)
-		st.Dropped += e.dropped.Sum(k)
+func (e *Exporter) updateStatus(time.Duration) {
+	status := Status{ShedLevel: e.shedder.Level().String()}
+	for kind := range flow.KindCount {
+		status.Counted += e.counted.Sum(kind)
+		status.Folded += e.folded.Sum(kind)
+		status.Dropped += e.dropped.Sum(kind)
 	}
-	for _, l := range e.lanes {
-		st.Sent += l.sent
-		st.Dropped += l.lostN
-		st.Undelivered += l.unsaid
-		st.QueueLength += len(l.queue)
-		if l.spool != nil {
-			st.Spools = append(st.Spools, l.spool.Status())
+	for _, p := range e.pipelines {
+		status.Sent += p.sentCount
+		status.Dropped += p.lostCount
+		status.Undelivered += p.undelivered
+		status.QueueLength += len(p.queue)
+		if p.spool != nil {
+			status.Spools = append(status.Spools, p.spool.Status())
 		}
-		for _, s := range l.streams {
-			st.Connected = append(st.Connected, s.up)
+		for _, stream := range p.streams {
+			status.Connected = append(status.Connected, stream.connected)
 		}
 	}
 	e.mu.Lock()
-	e.status = st
+	e.status = status
 	e.mu.Unlock()
 }
 
--- a/internal/export/lane.go
+++ b/internal/export/lane.go
@@ -9,41 +9,41 @@
 	"dahliaspindle/internal/spool"
 )
 
-// lane is one way for records to leave: a queue, a spool and the collectors that
+// pipeline is one way for records to leave: a queue, a spool and the collectors that
 // may take them, the first that can being the one in use. It does no I/O but to
 // its spool; what goes to and comes from a collector passes as batches and words.
-type lane struct {
-	cfg     *Config
-	codec   *flow.Codec
-	queue   []*flow.Item
-	oldest  []time.Duration // when each was queued
-	spool   *spool.Spool    // nil: none
-	streams []*stream
-	lost    flow.Counts // of this lane alone
-	lostN   uint64
-	unsaid  uint64 // summaries and counts that there was no room for
-	sent    uint64 // records written to a collector
-	pace    float64
-	scratch []ipfix.Value
-	paceAt  time.Duration
-	warn    func(string, error)
-	brokeAt time.Duration // when the spool last failed
-	upAt    time.Duration // when a collector was last there
+type pipeline struct {
+	config         *Config
+	codec          *flow.Codec
+	queue          []*flow.Item
+	queuedAt       []time.Duration // when each was queued
+	spool          *spool.Spool    // nil: none
+	streams        []*stream
+	lost           flow.Counts // of this lane alone
+	lostCount      uint64
+	undelivered    uint64 // summaries and counts that there was no room for
+	sentCount      uint64 // records written to a collector
+	replayTokens   float64
+	values         []ipfix.Value
+	replayTokensAt time.Duration
+	warn           func(string, error)
+	spoolFailedAt  time.Duration // when the spool last failed
+	lastConnected  time.Duration // when a collector was last there
 }
 
 // stream is what a lane knows of one collector's connection.
 type stream struct {
-	to       Collector
-	up       bool
-	w        *ipfix.Writer
-	sending  int // batches handed over and not written yet
-	unsure   []*batch
-	bytes    int           // of unsure
-	since    time.Duration // when the first unsure was written
-	finSent  bool
-	noFin    bool          // it does not close when this end does: what has left both sockets' buffers has arrived
-	template time.Duration // when templates were sent
-	opening  []*batch      // that are to go first
+	collector        Collector
+	connected        bool
+	writer           *ipfix.Writer
+	inFlight         int // batches handed over and not written yet
+	unconfirmed      []*batch
+	unconfirmedBytes int           // of unsure
+	unconfirmedSince time.Duration // when the first unsure was written
+	finSent          bool
+	peerKeepsOpen    bool          // it does not close when this end does: what has left both sockets' buffers has arrived
+	templatesSentAt  time.Duration // when templates were sent
+	preamble         []*batch      // that are to go first
 }
 
 // batch is one message on its way, with the records in it.
@@ -55,286 +55,286 @@
 }
 
 // active is the collector in use.
-func (l *lane) active() *stream {
-	for _, s := range l.streams {
-		if s.up {
-			return s
+func (p *pipeline) active() *stream {
+	for _, stream := range p.streams {
+		if stream.connected {
+			return stream
 		}
 	}
 	return nil
 }
 
-// wordsMost is the room beyond the queue for counts and statistics.
-const wordsMost = 2000
+// summaryQueueReserve is the room beyond the queue for counts and statistics.
+const summaryQueueReserve = 2000
 
-// add queues items; what there is no room for is dropped and counted.
-func (l *lane) add(now time.Duration, items ...*flow.Item) {
-	for _, it := range items {
+// enqueue queues items; what there is no room for is dropped and counted.
+func (p *pipeline) enqueue(now time.Duration, items ...*flow.Item) {
+	for _, item := range items {
 		switch {
-		case len(l.queue) >= l.cfg.QueueCapacity && it.HasRecords():
-			l.drop(it)
+		case len(p.queue) >= p.config.QueueCapacity && item.HasRecords():
+			p.drop(item)
 			continue
-		case len(l.queue) >= l.cfg.QueueCapacity && it.Kind == flow.ItemSummary, len(l.queue) >= l.cfg.QueueCapacity+wordsMost:
-			l.unsaid++ // of these a later one tells more
+		case len(p.queue) >= p.config.QueueCapacity && item.Kind == flow.ItemSummary, len(p.queue) >= p.config.QueueCapacity+summaryQueueReserve:
+			p.undelivered++ // of these a later one tells more
 			continue
 		}
-		l.queue = append(l.queue, it)
-		l.oldest = append(l.oldest, now)
+		p.queue = append(p.queue, item)
+		p.queuedAt = append(p.queuedAt, now)
 	}
 }
 
-func (l *lane) drop(it *flow.Item) {
-	it.AddTo(&l.lost)
-	l.lostN += it.RecordCount
+func (p *pipeline) drop(item *flow.Item) {
+	item.AddTo(&p.lost)
+	p.lostCount += item.RecordCount
 }
 
-// front puts items back where they came from.
-func (l *lane) front(now time.Duration, items []*flow.Item) {
-	l.queue = append(append(make([]*flow.Item, 0, len(items)+len(l.queue)), items...), l.queue...)
-	at := make([]time.Duration, len(items), len(items)+len(l.oldest))
-	for i := range at {
-		at[i] = now
+// requeue puts items back where they came from.
+func (p *pipeline) requeue(now time.Duration, items []*flow.Item) {
+	p.queue = append(append(make([]*flow.Item, 0, len(items)+len(p.queue)), items...), p.queue...)
+	queuedAt := make([]time.Duration, len(items), len(items)+len(p.queuedAt))
+	for i := range queuedAt {
+		queuedAt[i] = now
 	}
-	l.oldest = append(at, l.oldest...)
+	p.queuedAt = append(queuedAt, p.queuedAt...)
 }
 
-func (l *lane) take(n int) []*flow.Item {
-	n = min(n, len(l.queue))
-	got := l.queue[:n:n]
-	l.queue, l.oldest = l.queue[n:], l.oldest[n:]
-	return got
+func (p *pipeline) dequeue(count int) []*flow.Item {
+	count = min(count, len(p.queue))
+	items := p.queue[:count:count]
+	p.queue, p.queuedAt = p.queue[count:], p.queuedAt[count:]
+	return items
 }
 
-// age of the first that waits.
-func (l *lane) age(now time.Duration) time.Duration {
-	if len(l.oldest) == 0 {
+// oldestAge of the first that waits.
+func (p *pipeline) oldestAge(now time.Duration) time.Duration {
+	if len(p.queuedAt) == 0 {
 		return 0
 	}
-	return now - l.oldest[0]
+	return now - p.queuedAt[0]
 }
 
-// spoolRetry is the wait after a write that failed.
-const spoolRetry = time.Second
+// spoolRetryDelay is the wait after a write that failed.
+const spoolRetryDelay = time.Second
 
-// toSpool moves what waits to disk when nobody takes it, or more waits than will
+// moveToSpool moves what waits to disk when nobody takes it, or more waits than will
 // be taken soon. Where the disk fails it stays, and the queue's bound holds.
-func (l *lane) toSpool(now time.Duration, all bool) {
-	if l.spool == nil || len(l.queue) == 0 || now-l.brokeAt < spoolRetry && l.brokeAt > 0 {
+func (p *pipeline) moveToSpool(now time.Duration, all bool) {
+	if p.spool == nil || len(p.queue) == 0 || now-p.spoolFailedAt < spoolRetryDelay && p.spoolFailedAt > 0 {
 		return
 	}
-	n := len(l.queue)
-	switch s := l.active(); {
-	case all || s == nil:
-	case n > l.cfg.QueueCapacity*3/4:
-		n -= l.cfg.QueueCapacity / 2 // the oldest: the spool is replayed in order, live records go first
+	toMove := len(p.queue)
+	switch stream := p.active(); {
+	case all || stream == nil:
+	case toMove > p.config.QueueCapacity*3/4:
+		toMove -= p.config.QueueCapacity / 2 // the oldest: the spool is replayed in order, live records go first
 	default:
 		return
 	}
-	for n > 0 {
-		k := min(n, 500)
-		if err := l.spool.Write(now, l.queue[:k]); err != nil {
-			l.brokeAt = now
-			l.warn("the spool can't be written; records wait in memory", err)
+	for toMove > 0 {
+		count := min(toMove, 500)
+		if err := p.spool.Write(now, p.queue[:count]); err != nil {
+			p.spoolFailedAt = now
+			p.warn("the spool can't be written; records wait in memory", err)
 			return
 		}
-		l.take(k)
-		n -= k
+		p.dequeue(count)
+		toMove -= count
 	}
 }
 
-// next makes the next batch for the active stream, nil if there is nothing for
+// nextBatch makes the nextBatch batch for the active stream, nil if there is nothing for
 // it now: live records first, else the replay at its pace.
-func (l *lane) next(now time.Duration) (*stream, *batch) {
-	s := l.active()
-	if s == nil || s.finSent || s.sending >= sendingMost {
+func (p *pipeline) nextBatch(now time.Duration) (*stream, *batch) {
+	stream := p.active()
+	if stream == nil || stream.finSent || stream.inFlight >= maxInFlightBatches {
 		return nil, nil
 	}
-	if l.wantsFin(now, s) {
-		if s.sending > 0 {
+	if p.needsConfirmation(now, stream) {
+		if stream.inFlight > 0 {
 			return nil, nil
 		}
-		s.finSent = true
-		s.sending++
-		return s, &batch{fin: true}
+		stream.finSent = true
+		stream.inFlight++
+		return stream, &batch{fin: true}
 	}
-	if udp(s.to) && now-s.template >= l.cfg.TemplateInterval {
-		l.open(now, s)
+	if isUDP(stream.collector) && now-stream.templatesSentAt >= p.config.TemplateInterval {
+		p.queuePreamble(now, stream)
 	}
-	if len(s.opening) > 0 {
-		b := s.opening[0]
-		s.opening = s.opening[1:]
-		s.sending++
-		return s, b
+	if len(stream.preamble) > 0 {
+		next := stream.preamble[0]
+		stream.preamble = stream.preamble[1:]
+		stream.inFlight++
+		return stream, next
 	}
-	if len(l.queue) > 0 {
-		return s, l.pack(now, s, false, l.take(packMost))
+	if len(p.queue) > 0 {
+		return stream, p.makeBatch(now, stream, false, p.dequeue(maxBatchRecords))
 	}
-	l.pace = min(l.pace+l.cfg.ReplayRate*(now-l.paceAt).Seconds(), l.cfg.ReplayRate/4+1)
-	l.paceAt = now
-	if l.spool == nil || l.pace < 1 || !l.spool.HasPending() {
+	p.replayTokens = min(p.replayTokens+p.config.ReplayRate*(now-p.replayTokensAt).Seconds(), p.config.ReplayRate/4+1)
+	p.replayTokensAt = now
+	if p.spool == nil || p.replayTokens < 1 || !p.spool.HasPending() {
 		return nil, nil
 	}
-	items, err := l.spool.Next()
+	items, err := p.spool.Next()
 	if err != nil {
-		l.warn("the spool can't be read", err)
-		l.pace = 0
+		p.warn("the spool can't be read", err)
+		p.replayTokens = 0
 		return nil, nil
 	}
 	if len(items) == 0 {
 		return nil, nil
 	}
-	l.pace -= float64(len(items))
-	return s, l.pack(now, s, true, items)
+	p.replayTokens -= float64(len(items))
+	return stream, p.makeBatch(now, stream, true, items)
 }
 
 const (
-	sendingMost = 4   // batches handed over at a time
-	packMost    = 200 // records of one
+	maxInFlightBatches = 4   // batches handed over at a time
+	maxBatchRecords    = 200 // records of one
 )
 
-// pack writes one message; what does not fit goes back, or in a second one for a replay.
-func (l *lane) pack(now time.Duration, s *stream, replay bool, items []*flow.Item) *batch {
-	b := &batch{replay: replay}
-	for i, it := range items {
-		l.scratch = l.codec.Values(it, l.scratch)
-		err := s.w.AddRecord(l.codec.Template(it.Kind), l.scratch)
+// makeBatch writes one message; what does not fit goes back, or in a second one for a replay.
+func (p *pipeline) makeBatch(now time.Duration, stream *stream, replay bool, items []*flow.Item) *batch {
+	packed := &batch{replay: replay}
+	for i, item := range items {
+		p.values = p.codec.Values(item, p.values)
+		err := stream.writer.AddRecord(p.codec.Template(item.Kind), p.values)
 		if errors.Is(err, ipfix.ErrFull) {
 			if !replay {
-				l.front(now, items[i:])
+				p.requeue(now, items[i:])
 				break
 			}
-			b.data = append(b.data, s.w.Finish(now.Milliseconds(), 0)...)
-			err = s.w.AddRecord(l.codec.Template(it.Kind), l.scratch)
+			packed.data = append(packed.data, stream.writer.Finish(now.Milliseconds(), 0)...)
+			err = stream.writer.AddRecord(p.codec.Template(item.Kind), p.values)
 		}
 		if err != nil { // larger than any message of this collector's: it can't be told
-			l.drop(it)
+			p.drop(item)
 			continue
 		}
-		b.items = append(b.items, it)
+		packed.items = append(packed.items, item)
 	}
-	b.data = append(b.data, s.w.Finish(now.Milliseconds(), 0)...)
-	s.sending++
-	return b
+	packed.data = append(packed.data, stream.writer.Finish(now.Milliseconds(), 0)...)
+	stream.inFlight++
+	return packed
 }
 
-// wantsFin tells whether it is time to make sure that what was written has
+// needsConfirmation tells whether it is time to make sure that what was written has
 // arrived: by ending the connection in order and seeing the other end do so.
-func (l *lane) wantsFin(now time.Duration, s *stream) bool {
-	if udp(s.to) || s.noFin || len(s.unsure) == 0 {
+func (p *pipeline) needsConfirmation(now time.Duration, stream *stream) bool {
+	if isUDP(stream.collector) || stream.peerKeepsOpen || len(stream.unconfirmed) == 0 {
 		return false
 	}
-	waits := l.spool != nil && l.spool.HasPending() && len(l.queue) == 0
-	return s.bytes >= l.cfg.MaxUnconfirmedBytes/2 || now-s.since >= l.cfg.ConfirmAfter || waits && now-s.since >= l.cfg.ConfirmAfter/5
+	replayPending := p.spool != nil && p.spool.HasPending() && len(p.queue) == 0
+	return stream.unconfirmedBytes >= p.config.MaxUnconfirmedBytes/2 || now-stream.unconfirmedSince >= p.config.ConfirmAfter || replayPending && now-stream.unconfirmedSince >= p.config.ConfirmAfter/5
 }
 
-// connected starts a stream afresh: the collector may have no memory of templates.
-func (l *lane) connected(now time.Duration, s *stream) {
-	s.up, s.finSent, s.sending = true, false, 0
-	most := 16 << 10
-	if udp(s.to) {
-		most = s.to.MTU
+// onConnected starts a stream afresh: the collector may have no memory of templates.
+func (p *pipeline) onConnected(now time.Duration, stream *stream) {
+	stream.connected, stream.finSent, stream.inFlight = true, false, 0
+	maxLength := 16 << 10
+	if isUDP(stream.collector) {
+		maxLength = stream.collector.MTU
 	}
-	s.w = ipfix.NewWriter(s.to.Protocol, l.codec.Domain, most)
-	l.open(now, s)
+	stream.writer = ipfix.NewWriter(stream.collector.Protocol, p.codec.Domain, maxLength)
+	p.queuePreamble(now, stream)
 }
 
-// open puts the templates in front.
-func (l *lane) open(now time.Duration, s *stream) {
-	s.template, s.opening = now, nil
-	err := l.codec.Preamble(s.w, func() {
-		if b := s.w.Finish(now.Milliseconds(), 0); b != nil {
-			s.opening = append(s.opening, &batch{data: append([]byte(nil), b...)})
+// queuePreamble puts the templates in front.
+func (p *pipeline) queuePreamble(now time.Duration, stream *stream) {
+	stream.templatesSentAt, stream.preamble = now, nil
+	err := p.codec.Preamble(stream.writer, func() {
+		if message := stream.writer.Finish(now.Milliseconds(), 0); message != nil {
+			stream.preamble = append(stream.preamble, &batch{data: append([]byte(nil), message...)})
 		}
 	})
 	if err != nil {
-		l.warn("templates", err)
+		p.warn("templates", err)
 	}
 }
 
-// written books that a batch has been taken by the system.
-func (l *lane) written(now time.Duration, s *stream, b *batch) {
-	s.sending--
-	l.sent += uint64(len(b.items))
-	if udp(s.to) {
-		if b.replay {
-			l.arrived()
+// onWritten books that a batch has been taken by the system.
+func (p *pipeline) onWritten(now time.Duration, stream *stream, written *batch) {
+	stream.inFlight--
+	p.sentCount += uint64(len(written.items))
+	if isUDP(stream.collector) {
+		if written.replay {
+			p.confirmReplay()
 		}
 		return
 	}
-	if len(b.items) == 0 {
+	if len(written.items) == 0 {
 		return
 	}
-	if len(s.unsure) == 0 {
-		s.since = now
+	if len(stream.unconfirmed) == 0 {
+		stream.unconfirmedSince = now
 	}
-	s.unsure = append(s.unsure, b)
-	s.bytes += len(b.data)
+	stream.unconfirmed = append(stream.unconfirmed, written)
+	stream.unconfirmedBytes += len(written.data)
 	// What lies more than both sockets' buffers behind has been read.
-	for s.noFin && s.bytes > l.cfg.MaxUnconfirmedBytes {
-		if s.bytes -= len(s.unsure[0].data); s.unsure[0].replay {
-			l.arrived()
+	for stream.peerKeepsOpen && stream.unconfirmedBytes > p.config.MaxUnconfirmedBytes {
+		if stream.unconfirmedBytes -= len(stream.unconfirmed[0].data); stream.unconfirmed[0].replay {
+			p.confirmReplay()
 		}
-		s.unsure = s.unsure[1:]
+		stream.unconfirmed = stream.unconfirmed[1:]
 	}
 }
 
-// confirmed books that all that was written has arrived.
-func (l *lane) confirmed(s *stream) {
+// onConfirmed books that all that was written has arrived.
+func (p *pipeline) onConfirmed(stream *stream) {
 	replay := false
-	for _, b := range s.unsure {
-		replay = replay || b.replay
+	for _, unconfirmed := range stream.unconfirmed {
+		replay = replay || unconfirmed.replay
 	}
-	s.unsure, s.bytes, s.up = nil, 0, false
+	stream.unconfirmed, stream.unconfirmedBytes, stream.connected = nil, 0, false
 	if replay {
-		l.arrived()
+		p.confirmReplay()
 	}
 }
 
-func (l *lane) arrived() {
-	if err := l.spool.Confirm(); err != nil {
-		l.warn("the spool can't be written", err)
+func (p *pipeline) confirmReplay() {
+	if err := p.spool.Confirm(); err != nil {
+		p.warn("the spool can't be written", err)
 	}
 }
 
-// broken takes back what may not have arrived: it is sent again, and marked.
-func (l *lane) broken(now time.Duration, s *stream, out []*batch) {
-	s.up = false
-	var again []*flow.Item
+// onDisconnected takes back what may not have arrived: it is sent again, and marked.
+func (p *pipeline) onDisconnected(now time.Duration, stream *stream, unwritten []*batch) {
+	stream.connected = false
+	var resend []*flow.Item
 	replay := false
-	for _, b := range append(s.unsure, out...) {
-		if b.replay {
+	for _, unconfirmed := range append(stream.unconfirmed, unwritten...) {
+		if unconfirmed.replay {
 			replay = true
 			continue // the spool has it
 		}
-		for _, it := range b.items {
-			it.MarkResent()
-			again = append(again, it)
+		for _, item := range unconfirmed.items {
+			item.MarkResent()
+			resend = append(resend, item)
 		}
 	}
-	s.unsure, s.bytes = nil, 0
+	stream.unconfirmed, stream.unconfirmedBytes = nil, 0
 	if replay {
-		l.spool.Rewind()
+		p.spool.Rewind()
 	}
-	l.front(now, again)
+	p.requeue(now, resend)
 }
 
-// finished puts all that is left where the next life finds it, or counts it as lost.
-func (l *lane) finished(now time.Duration) {
-	for _, s := range l.streams {
-		if len(s.unsure) > 0 {
-			l.broken(now, s, nil)
+// shutDown puts all that is left where the next life finds it, or counts it as lost.
+func (p *pipeline) shutDown(now time.Duration) {
+	for _, stream := range p.streams {
+		if len(stream.unconfirmed) > 0 {
+			p.onDisconnected(now, stream, nil)
 		}
 	}
-	l.brokeAt = 0
-	l.toSpool(now, true)
-	for _, it := range l.take(len(l.queue)) {
-		l.drop(it)
+	p.spoolFailedAt = 0
+	p.moveToSpool(now, true)
+	for _, item := range p.dequeue(len(p.queue)) {
+		p.drop(item)
 	}
-	if l.spool != nil {
-		if err := l.spool.Close(); err != nil {
-			l.warn("closing the spool", err)
+	if p.spool != nil {
+		if err := p.spool.Close(); err != nil {
+			p.warn("closing the spool", err)
 		}
 	}
 }
 
-func udp(c Collector) bool { return c.Transport == "udp" }
+func isUDP(collector Collector) bool { return collector.Transport == "udp" }
--- a/internal/export/sender.go
+++ b/internal/export/sender.go
@@ -14,109 +14,109 @@
 // sender keeps the connection to one collector and writes what it is handed.
 // All that it learns it tells; it decides nothing.
 type sender struct {
-	e    *Exporter
-	l    *lane
-	s    *stream
-	seed uint64
+	exporter *Exporter
+	pipeline *pipeline
+	stream   *stream
+	seed     uint64
 }
 
-// tell brings word to the exporter, which listens until all senders have ended.
-func (n *sender) tell(w word) {
-	w.l, w.s = n.l, n.s
-	n.e.words <- w
+// notify brings word to the exporter, which listens until all senders have ended.
+func (s *sender) notify(event senderEvent) {
+	event.pipeline, event.stream = s.pipeline, s.stream
+	s.exporter.events <- event
 }
 
-func (n *sender) run(ctx context.Context) {
-	retry := guard.Backoff{Min: n.e.cfg.MinRetryDelay, Max: n.e.cfg.MaxRetryDelay, Random: rand.New(rand.NewPCG(n.e.codec.Incarnation, n.seed))}
-	for try := 1; ctx.Err() == nil; try++ {
-		nc, err := n.e.cfg.Dial(ctx, n.s.to)
+func (s *sender) run(ctx context.Context) {
+	retry := guard.Backoff{Min: s.exporter.config.MinRetryDelay, Max: s.exporter.config.MaxRetryDelay, Random: rand.New(rand.NewPCG(s.exporter.codec.Incarnation, s.seed))}
+	for attempt := 1; ctx.Err() == nil; attempt++ {
+		conn, err := s.exporter.config.Dial(ctx, s.stream.collector)
 		if err == nil {
-			began := time.Now()
-			if n.hold(ctx, nc) {
-				try = 0 // ended in order: at once again
+			connectedAt := time.Now()
+			if s.serveConnection(ctx, conn) {
+				attempt = 0 // ended in order: at once again
 				continue
 			}
-			if time.Since(began) > n.e.cfg.MaxRetryDelay {
-				try = 1
+			if time.Since(connectedAt) > s.exporter.config.MaxRetryDelay {
+				attempt = 1
 			}
 		} else {
-			n.e.cfg.Log.Debug("flow export: dialling", "collector", n.s.to.Address, "error", err)
+			s.exporter.config.Log.Debug("flow export: dialling", "collector", s.stream.collector.Address, "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry.Delay(try)):
+		case <-time.After(retry.Delay(attempt)):
 		}
 	}
 }
 
-// hold serves one connection; true if it ended in order.
-func (n *sender) hold(ctx context.Context, nc net.Conn) bool {
-	defer nc.Close()
-	stop := context.AfterFunc(ctx, func() { nc.Close() })
+// serveConnection serves one connection; true if it ended in order.
+func (s *sender) serveConnection(ctx context.Context, conn net.Conn) bool {
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	// A collector says nothing: what comes is its end.
-	over := make(chan error, 1)
-	if !udp(n.s.to) {
+	readError := make(chan error, 1)
+	if !isUDP(s.stream.collector) {
 		go func() {
 			buf := make([]byte, 512)
 			for {
-				if _, err := nc.Read(buf); err != nil {
-					over <- err
+				if _, err := conn.Read(buf); err != nil {
+					readError <- err
 					return
 				}
 			}
 		}()
 	}
-	feed := make(chan *batch, sendingMost+2)
-	n.tell(word{kind: cameUp, feed: feed})
+	batches := make(chan *batch, maxInFlightBatches+2)
+	s.notify(senderEvent{kind: eventConnected, batches: batches})
 	for {
 		select {
 		case <-ctx.Done():
-			n.tell(word{kind: broke, err: ctx.Err()})
+			s.notify(senderEvent{kind: eventDisconnected, err: ctx.Err()})
 			return false
-		case err := <-over:
-			n.tell(word{kind: broke, err: err})
+		case err := <-readError:
+			s.notify(senderEvent{kind: eventDisconnected, err: err})
 			return false
-		case b := <-feed:
-			if b.fin {
-				return n.fin(ctx, nc, over)
+		case batch := <-batches:
+			if batch.fin {
+				return s.closeInOrder(ctx, conn, readError)
 			}
-			_ = nc.SetWriteDeadline(time.Now().Add(n.e.cfg.WriteTimeout)) // fails only on a closed connection
-			if _, err := nc.Write(b.data); err != nil && !udp(n.s.to) {
-				n.tell(word{kind: broke, err: err, b: b})
+			_ = conn.SetWriteDeadline(time.Now().Add(s.exporter.config.WriteTimeout)) // fails only on a closed connection
+			if _, err := conn.Write(batch.data); err != nil && !isUDP(s.stream.collector) {
+				s.notify(senderEvent{kind: eventDisconnected, err: err, batch: batch})
 				return false
 			}
-			n.tell(word{kind: wrote, b: b})
+			s.notify(senderEvent{kind: eventWritten, batch: batch})
 		}
 	}
 }
 
-// finWait is how long the other end may take to close when this one has.
-const finWait = 2 * time.Second
+// closeTimeout is how long the other end may take to close when this one has.
+const closeTimeout = 2 * time.Second
 
-// fin ends the connection in order. When the other end has read everything and
+// closeInOrder ends the connection in order. When the other end has read everything and
 // closes too, all has arrived; a reset says that something was not read.
-func (n *sender) fin(ctx context.Context, nc net.Conn, over chan error) bool {
-	half, ok := nc.(interface{ CloseWrite() error })
+func (s *sender) closeInOrder(ctx context.Context, conn net.Conn, readError chan error) bool {
+	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
-		n.tell(word{kind: noAnswer, err: errors.New("the connection has no half end")})
+		s.notify(senderEvent{kind: eventNotClosed, err: errors.New("the connection has no half end")})
 		return false
 	}
-	err := half.CloseWrite()
+	err := halfCloser.CloseWrite()
 	if err == nil {
 		select {
-		case err = <-over:
+		case err = <-readError:
 			if errors.Is(err, io.EOF) {
-				n.tell(word{kind: confirmed})
+				s.notify(senderEvent{kind: eventConfirmed})
 				return true
 			}
-		case <-time.After(finWait):
-			n.tell(word{kind: noAnswer, err: errors.New("no end within the wait")})
+		case <-time.After(closeTimeout):
+			s.notify(senderEvent{kind: eventNotClosed, err: errors.New("no end within the wait")})
 			return false
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
 	}
-	n.tell(word{kind: broke, err: err})
+	s.notify(senderEvent{kind: eventDisconnected, err: err})
 	return false
 }
--- a/internal/flow/codec.go
+++ b/internal/flow/codec.go
@@ -18,63 +18,63 @@
 // FormatVersion is the version of the templates; a spool of another is set aside.
 const FormatVersion = 1
 
-func own(id uint16, t ipfix.Type, n uint16, name string) ipfix.Element {
-	return ipfix.Element{PEN: PEN, ID: id, Type: t, Length: n, Name: name}
+func ownElement(id uint16, dataType ipfix.Type, length uint16, name string) ipfix.Element {
+	return ipfix.Element{PEN: PEN, ID: id, Type: dataType, Length: length, Name: name}
 }
 
 // The elements. Their order in the templates is that of this list.
 var (
-	eStart     = ipfix.Element{ID: 152, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"}
-	eEnd       = ipfix.Element{ID: 153, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowEndMilliseconds"}
-	eFlowID    = ipfix.Element{ID: 148, Type: ipfix.Unsigned64, Length: 8, Name: "flowId"}
-	eProcess   = ipfix.Element{ID: 144, Type: ipfix.Unsigned32, Length: 4, Name: "exportingProcessId"}
-	eNotSent   = ipfix.Element{ID: 167, Type: ipfix.Unsigned64, Length: 8, Name: "notSentFlowTotalCount"}
-	eExported  = ipfix.Element{ID: 42, Type: ipfix.Unsigned64, Length: 8, Name: "exportedFlowRecordTotalCount"}
-	eLife      = own(1, ipfix.Unsigned64, 8, "controllerLife")
-	eKind      = own(2, ipfix.Unsigned8, 1, "recordKind")
-	eClass     = own(3, ipfix.Unsigned8, 1, "callClassNumber")
-	eClassName = own(4, ipfix.String, ipfix.VariableLength, "callClass")
-	eOutcome   = own(5, ipfix.Unsigned8, 1, "recordOutcome")
-	eFlags     = own(6, ipfix.Unsigned8, 1, "recordFlags")
-	eSource    = own(7, ipfix.Unsigned32, 4, "sourceExchangeNumber")
-	eDest      = own(8, ipfix.Unsigned32, 4, "destinationExchangeNumber")
-	eVia       = own(9, ipfix.Unsigned32, 4, "viaExchangeNumber")
-	eHash      = own(10, ipfix.Unsigned64, 8, "calledNumberHash")
-	eCircuits  = own(11, ipfix.Unsigned16, 2, "circuits")
-	eTries     = own(12, ipfix.Unsigned8, 1, "attempts")
-	eTandems   = own(13, ipfix.Unsigned8, 1, "tandemAttempts")
-	eSetUp     = own(14, ipfix.Unsigned32, 4, "setUpMilliseconds")
-	eStood     = own(15, ipfix.Unsigned32, 4, "standingMilliseconds")
-	eReason    = own(16, ipfix.String, ipfix.VariableLength, "verdictReason")
-	eScope     = own(17, ipfix.String, ipfix.VariableLength, "verdictScope")
-	eWhere     = own(18, ipfix.Unsigned32, 4, "verdictNumber")
-	eExchange  = own(19, ipfix.Unsigned32, 4, "exchangeId")
-	eRoute     = own(20, ipfix.Unsigned8, 1, "route")
-	eNote      = own(21, ipfix.Unsigned8, 1, "attemptNote")
-	eNumber    = own(22, ipfix.Unsigned8, 1, "attemptNumber")
-	eContext   = own(23, ipfix.Unsigned32, 4, "callContext")
-	eCount     = own(24, ipfix.Unsigned64, 8, "recordCount")
-	eFolded    = own(25, ipfix.Unsigned64, 8, "foldedRecordCount")
-	eDropped   = own(26, ipfix.Unsigned64, 8, "droppedRecordCount")
-	eSetUpSum  = own(27, ipfix.Unsigned64, 8, "setUpMillisecondsSum")
-	eStoodSum  = own(28, ipfix.Unsigned64, 8, "standingMillisecondsSum")
-	eTriesSum  = own(29, ipfix.Unsigned64, 8, "attemptsSum")
-	eFormat    = own(30, ipfix.Unsigned16, 2, "recordFormat")
-	eCalls     = own(31, ipfix.Unsigned64, 8, "callCount")
-	eStoodCnt  = own(32, ipfix.Unsigned64, 8, "stoodCallCount")
-	eRefused   = own(33, ipfix.Unsigned64, 8, "refusedCallCount")
-	eFailed    = own(34, ipfix.Unsigned64, 8, "failedCallCount")
-	eLeft      = own(35, ipfix.Unsigned64, 8, "leftCallCount")
-	eTried     = own(36, ipfix.Unsigned64, 8, "attemptCount")
-	eBusy      = own(37, ipfix.Unsigned64, 8, "circuitMilliseconds")
+	eStart            = ipfix.Element{ID: 152, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"}
+	eEnd              = ipfix.Element{ID: 153, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowEndMilliseconds"}
+	eFlowID           = ipfix.Element{ID: 148, Type: ipfix.Unsigned64, Length: 8, Name: "flowId"}
+	eProcess          = ipfix.Element{ID: 144, Type: ipfix.Unsigned32, Length: 4, Name: "exportingProcessId"}
+	eNotSent          = ipfix.Element{ID: 167, Type: ipfix.Unsigned64, Length: 8, Name: "notSentFlowTotalCount"}
+	eExported         = ipfix.Element{ID: 42, Type: ipfix.Unsigned64, Length: 8, Name: "exportedFlowRecordTotalCount"}
+	eIncarnation      = ownElement(1, ipfix.Unsigned64, 8, "controllerLife")
+	eKind             = ownElement(2, ipfix.Unsigned8, 1, "recordKind")
+	eClass            = ownElement(3, ipfix.Unsigned8, 1, "callClassNumber")
+	eClassName        = ownElement(4, ipfix.String, ipfix.VariableLength, "callClass")
+	eOutcome          = ownElement(5, ipfix.Unsigned8, 1, "recordOutcome")
+	eFlags            = ownElement(6, ipfix.Unsigned8, 1, "recordFlags")
+	eSource           = ownElement(7, ipfix.Unsigned32, 4, "sourceExchangeNumber")
+	eDest             = ownElement(8, ipfix.Unsigned32, 4, "destinationExchangeNumber")
+	eVia              = ownElement(9, ipfix.Unsigned32, 4, "viaExchangeNumber")
+	eNumberHash       = ownElement(10, ipfix.Unsigned64, 8, "calledNumberHash")
+	eCircuits         = ownElement(11, ipfix.Unsigned16, 2, "circuits")
+	eAttempts         = ownElement(12, ipfix.Unsigned8, 1, "attempts")
+	eTandemAttempts   = ownElement(13, ipfix.Unsigned8, 1, "tandemAttempts")
+	eSetUp            = ownElement(14, ipfix.Unsigned32, 4, "setUpMilliseconds")
+	eEstablished      = ownElement(15, ipfix.Unsigned32, 4, "standingMilliseconds")
+	eVerdictReason    = ownElement(16, ipfix.String, ipfix.VariableLength, "verdictReason")
+	eVerdictScope     = ownElement(17, ipfix.String, ipfix.VariableLength, "verdictScope")
+	eVerdictNumber    = ownElement(18, ipfix.Unsigned32, 4, "verdictNumber")
+	eExchange         = ownElement(19, ipfix.Unsigned32, 4, "exchangeId")
+	eRoute            = ownElement(20, ipfix.Unsigned8, 1, "route")
+	eAttemptNote      = ownElement(21, ipfix.Unsigned8, 1, "attemptNote")
+	eAttemptNumber    = ownElement(22, ipfix.Unsigned8, 1, "attemptNumber")
+	eContext          = ownElement(23, ipfix.Unsigned32, 4, "callContext")
+	eRecordCount      = ownElement(24, ipfix.Unsigned64, 8, "recordCount")
+	eFoldedCount      = ownElement(25, ipfix.Unsigned64, 8, "foldedRecordCount")
+	eDroppedCount     = ownElement(26, ipfix.Unsigned64, 8, "droppedRecordCount")
+	eSetUpSum         = ownElement(27, ipfix.Unsigned64, 8, "setUpMillisecondsSum")
+	eEstablishedSum   = ownElement(28, ipfix.Unsigned64, 8, "standingMillisecondsSum")
+	eAttemptsSum      = ownElement(29, ipfix.Unsigned64, 8, "attemptsSum")
+	eFormat           = ownElement(30, ipfix.Unsigned16, 2, "recordFormat")
+	eCallCount        = ownElement(31, ipfix.Unsigned64, 8, "callCount")
+	eEstablishedCount = ownElement(32, ipfix.Unsigned64, 8, "stoodCallCount")
+	eRefusedCount     = ownElement(33, ipfix.Unsigned64, 8, "refusedCallCount")
+	eFailedCount      = ownElement(34, ipfix.Unsigned64, 8, "failedCallCount")
+	eAbandonedCount   = ownElement(35, ipfix.Unsigned64, 8, "leftCallCount")
+	eAttemptCount     = ownElement(36, ipfix.Unsigned64, 8, "attemptCount")
+	eCircuitTime      = ownElement(37, ipfix.Unsigned64, 8, "circuitMilliseconds")
 )
 
 // Elements lists all that the templates use.
 func Elements() []ipfix.Element {
-	return append([]ipfix.Element{eStart, eEnd, eFlowID, eProcess, eNotSent, eExported, eLife, eKind, eClass, eClassName, eOutcome, eFlags,
-		eSource, eDest, eVia, eHash, eCircuits, eTries, eTandems, eSetUp, eStood, eReason, eScope, eWhere, eExchange, eRoute, eNote,
-		eNumber, eContext, eCount, eFolded, eDropped, eSetUpSum, eStoodSum, eTriesSum, eFormat, eCalls, eStoodCnt, eRefused, eFailed, eLeft,
-		eTried, eBusy}, ipfix.TypeInfoElements...)
+	return append([]ipfix.Element{eStart, eEnd, eFlowID, eProcess, eNotSent, eExported, eIncarnation, eKind, eClass, eClassName, eOutcome, eFlags,
+		eSource, eDest, eVia, eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eExchange, eRoute, eAttemptNote,
+		eAttemptNumber, eContext, eRecordCount, eFoldedCount, eDroppedCount, eSetUpSum, eEstablishedSum, eAttemptsSum, eFormat, eCallCount, eEstablishedCount, eRefusedCount, eFailedCount, eAbandonedCount,
+		eAttemptCount, eCircuitTime}, ipfix.TypeInfoElements...)
 }
 
 // ItemKind is what an item in the stream is.
@@ -88,7 +88,7 @@
 	ItemStatistics                 // the exporting process' reliability (RFC 7011, 4.3)
 	ItemFormat                     // the version of these records
 	ItemSummary                    // an interval's calls of one far end and class, whatever was shed
-	itemKinds
+	itemKindCount
 )
 
 // Flags of a record.
@@ -98,75 +98,75 @@
 	FlagFinal  uint64 = 4 // of counts: the last word of a controller that ended in order
 )
 
-var templates = [itemKinds]*ipfix.Template{
-	{ID: 256, Fields: []ipfix.Element{eLife, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
-		eHash, eCircuits, eTries, eTandems, eSetUp, eStood, eReason, eScope, eWhere, eRoute, eContext}},
-	{ID: 257, Fields: []ipfix.Element{eLife, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
-		eHash, eCircuits, eNumber, eExchange, eRoute, eNote, eSetUp, eStood, eContext}},
-	{ID: 258, Fields: []ipfix.Element{eLife, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eDest, eCount, eSetUpSum,
-		eStoodSum, eTriesSum}},
-	{ID: 259, ScopeCount: 2, Fields: []ipfix.Element{eLife, eProcess, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eCount, eFolded, eDropped}},
+var templates = [itemKindCount]*ipfix.Template{
+	{ID: 256, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
+		eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eRoute, eContext}},
+	{ID: 257, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
+		eNumberHash, eCircuits, eAttemptNumber, eExchange, eRoute, eAttemptNote, eSetUp, eEstablished, eContext}},
+	{ID: 258, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eDest, eRecordCount, eSetUpSum,
+		eEstablishedSum, eAttemptsSum}},
+	{ID: 259, ScopeCount: 2, Fields: []ipfix.Element{eIncarnation, eProcess, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eRecordCount, eFoldedCount, eDroppedCount}},
 	{ID: 260, ScopeCount: 1, Fields: []ipfix.Element{eProcess, eNotSent, eExported}},
 	{ID: 261, ScopeCount: 1, Fields: []ipfix.Element{eProcess, eFormat}},
-	{ID: 263, Fields: []ipfix.Element{eLife, eFlowID, eFlags, eClass, eClassName, eDest, eStart, eEnd, eCalls, eStoodCnt, eRefused, eFailed,
-		eLeft, eTried, eBusy}},
+	{ID: 263, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eClass, eClassName, eDest, eStart, eEnd, eCallCount, eEstablishedCount, eRefusedCount, eFailedCount,
+		eAbandonedCount, eAttemptCount, eCircuitTime}},
 }
 
-var describing = ipfix.TypeInfoTemplate(262)
+var typeInfoTemplate = ipfix.TypeInfoTemplate(262)
 
 // Codec turns a controller's records into values of the templates.
 type Codec struct {
 	Domain      uint32 // observation domain: the controller's number
 	Incarnation uint64 // when the controller started, in milliseconds since 1970
 	Classes     []string
-	key         []byte
+	hashKey     []byte
 }
 
 // NewCodec hashes called numbers with a key: the same number has the same hash
 // at all controllers that share it, and nobody without it can tell the number.
-func NewCodec(domain uint32, life uint64, classes []string, key []byte) *Codec {
-	return &Codec{Domain: domain, Incarnation: life, Classes: classes, key: key}
+func NewCodec(domain uint32, incarnation uint64, classes []string, key []byte) *Codec {
+	return &Codec{Domain: domain, Incarnation: incarnation, Classes: classes, hashKey: key}
 }
 
 // Template of an item.
-func (c *Codec) Template(k ItemKind) *ipfix.Template { return templates[k] }
+func (c *Codec) Template(kind ItemKind) *ipfix.Template { return templates[kind] }
 
 // Preamble writes what a reader needs first: the format, the other templates
 // and the descriptions of the elements (RFC 5610). take is called whenever a
 // message is full, and for the last.
-func (c *Codec) Preamble(w *ipfix.Writer, take func()) error {
+func (c *Codec) Preamble(writer *ipfix.Writer, finish func()) error {
 	steps := []func() error{
-		func() error { return w.AddTemplate(templates[ItemFormat]) },
+		func() error { return writer.AddTemplate(templates[ItemFormat]) },
 		func() error {
-			return w.AddRecord(templates[ItemFormat], []ipfix.Value{{Num: uint64(c.Domain)}, {Num: FormatVersion}})
+			return writer.AddRecord(templates[ItemFormat], []ipfix.Value{{Num: uint64(c.Domain)}, {Num: FormatVersion}})
 		}}
-	for _, t := range append(templates[:ItemFormat:ItemFormat], templates[ItemSummary], describing) {
-		steps = append(steps, func() error { return w.AddTemplate(t) })
+	for _, template := range append(templates[:ItemFormat:ItemFormat], templates[ItemSummary], typeInfoTemplate) {
+		steps = append(steps, func() error { return writer.AddTemplate(template) })
 	}
-	for _, e := range Elements() {
-		if e.PEN == PEN {
-			steps = append(steps, func() error { return w.AddRecord(describing, ipfix.TypeInfoRecord(e, 0)) })
+	for _, element := range Elements() {
+		if element.PEN == PEN {
+			steps = append(steps, func() error { return writer.AddRecord(typeInfoTemplate, ipfix.TypeInfoRecord(element, 0)) })
 		}
 	}
 	for _, step := range steps {
 		err := step()
 		if errors.Is(err, ipfix.ErrFull) {
-			take()
+			finish()
 			err = step()
 		}
 		if err != nil {
 			return fmt.Errorf("templates: %w", err)
 		}
 	}
-	take()
+	finish()
 	return nil
 }
 
 // HasCurrentFormat tells whether a message opens a stream of this format.
-func HasCurrentFormat(m *ipfix.Message) bool {
-	for i := range m.Records {
-		if v, ok := m.Records[i].Get(PEN, eFormat.ID); ok {
-			return v.Num == FormatVersion
+func HasCurrentFormat(message *ipfix.Message) bool {
+	for i := range message.Records {
+		if format, ok := message.Records[i].Get(PEN, eFormat.ID); ok {
+			return format.Num == FormatVersion
 		}
 	}
 	return false
@@ -181,83 +181,83 @@
 	RecordCount uint64 // records that it stands for
 
 	resent bool
-	rec    Record        // of calls and attempts that were made here: their values are made when they are written
+	record Record        // of calls and attempts that were made here: their values are made when they are written
 	values []ipfix.Value // of all others
 }
 
-// flagsAt is where the flags stand, in items that have them.
-const flagsAt = 2
+// flagsIndex is where the flags stand, in items that have them.
+const flagsIndex = 2
 
 // MarkResent marks an item that may have arrived before.
 func (i *Item) MarkResent() { i.resent = i.HasRecords() }
 
 // Values of an item, in the order of its template, written over buf.
-func (c *Codec) Values(i *Item, buf []ipfix.Value) []ipfix.Value {
-	v := append(buf[:0], i.values...)
-	if i.values == nil {
-		v = c.make(&i.rec, v)
+func (c *Codec) Values(item *Item, buf []ipfix.Value) []ipfix.Value {
+	values := append(buf[:0], item.values...)
+	if item.values == nil {
+		values = c.recordValues(&item.record, values)
 	}
-	if i.resent {
-		v[flagsAt].Num |= FlagResent
+	if item.resent {
+		values[flagsIndex].Num |= FlagResent
 	}
-	return v
+	return values
 }
 
 // HasRecords tells whether the item stands for records of its own.
 func (i *Item) HasRecords() bool { return i.Kind <= ItemFolded }
 
 // AddTo books what the item stands for.
-func (i *Item) AddTo(c *Counts) {
+func (i *Item) AddTo(counts *Counts) {
 	if i.HasRecords() {
-		c[min(i.RecordKind, KindCount-1)][min(i.Class, MaxClasses-1)][min(i.Outcome, OutcomeCount-1)] += i.RecordCount
+		counts[min(i.RecordKind, KindCount-1)][min(i.Class, MaxClasses-1)][min(i.Outcome, OutcomeCount-1)] += i.RecordCount
 	}
 }
 
-func (c *Codec) class(n uint8) string {
-	if int(n) < len(c.Classes) {
-		return c.Classes[n]
+func (c *Codec) className(class uint8) string {
+	if int(class) < len(c.Classes) {
+		return c.Classes[class]
 	}
 	return ""
 }
 
-func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
+func milliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-// none stands for no exchange in 32 bits.
-func none(n int32) uint64 { return uint64(uint32(n)) }
+// exchangeNumber stands for no exchange in 32 bits.
+func exchangeNumber(number int32) uint64 { return uint64(uint32(number)) }
 
-// hash of a called number: the first 8 bytes of HMAC-SHA-256 (RFC 2104).
-func (c *Codec) hash(number uint64) uint64 {
-	h := hmac.New(sha256.New, c.key)
-	h.Write(binary.BigEndian.AppendUint64(nil, number))
-	return binary.BigEndian.Uint64(h.Sum(nil))
+// hashNumber of a called number: the first 8 bytes of HMAC-SHA-256 (RFC 2104).
+func (c *Codec) hashNumber(number uint64) uint64 {
+	mac := hmac.New(sha256.New, c.hashKey)
+	mac.Write(binary.BigEndian.AppendUint64(nil, number))
+	return binary.BigEndian.Uint64(mac.Sum(nil))
 }
 
 // RecordItem makes the item of a record.
-func (c *Codec) RecordItem(r *Record) *Item {
-	it := &Item{Kind: ItemCall, RecordKind: r.Kind, Class: r.Class, Outcome: r.Outcome, RecordCount: 1, rec: *r}
-	if r.Kind == KindAttempt {
-		it.Kind = ItemAttempt
+func (c *Codec) RecordItem(record *Record) *Item {
+	item := &Item{Kind: ItemCall, RecordKind: record.Kind, Class: record.Class, Outcome: record.Outcome, RecordCount: 1, record: *record}
+	if record.Kind == KindAttempt {
+		item.Kind = ItemAttempt
 	}
-	return it
+	return item
 }
 
-func (c *Codec) make(r *Record, v []ipfix.Value) []ipfix.Value {
+func (c *Codec) recordValues(record *Record, values []ipfix.Value) []ipfix.Value {
 	flags := uint64(0)
-	if r.Repeat {
+	if record.Repeat {
 		flags |= FlagRepeat
 	}
-	v = append(v, ipfix.Value{Num: c.Incarnation}, ipfix.Value{Num: r.Seq}, ipfix.Value{Num: flags},
-		ipfix.Value{Num: uint64(r.Kind)}, ipfix.Value{Num: uint64(r.Class)}, ipfix.Value{Str: c.class(r.Class)},
-		ipfix.Value{Num: uint64(r.Outcome)}, ipfix.Value{Num: ms(r.Start)}, ipfix.Value{Num: ms(r.Start + r.SetUp + r.EstablishedFor)},
-		ipfix.Value{Num: none(r.Source)}, ipfix.Value{Num: none(r.Dest)}, ipfix.Value{Num: none(r.Via)}, ipfix.Value{Num: c.hash(r.CalledNumber)},
-		ipfix.Value{Num: uint64(r.Circuits)})
-	if r.Kind == KindAttempt {
-		return append(v, ipfix.Value{Num: uint64(r.Attempts)}, ipfix.Value{Num: uint64(r.Exchange)}, ipfix.Value{Num: uint64(r.Route)},
-			ipfix.Value{Num: uint64(r.Note)}, ipfix.Value{Num: ms(r.SetUp)}, ipfix.Value{Num: ms(r.EstablishedFor)}, ipfix.Value{Num: uint64(r.Context)})
+	values = append(values, ipfix.Value{Num: c.Incarnation}, ipfix.Value{Num: record.Seq}, ipfix.Value{Num: flags},
+		ipfix.Value{Num: uint64(record.Kind)}, ipfix.Value{Num: uint64(record.Class)}, ipfix.Value{Str: c.className(record.Class)},
+		ipfix.Value{Num: uint64(record.Outcome)}, ipfix.Value{Num: milliseconds(record.Start)}, ipfix.Value{Num: milliseconds(record.Start + record.SetUp + record.EstablishedFor)},
+		ipfix.Value{Num: exchangeNumber(record.Source)}, ipfix.Value{Num: exchangeNumber(record.Dest)}, ipfix.Value{Num: exchangeNumber(record.Via)}, ipfix.Value{Num: c.hashNumber(record.CalledNumber)},
+		ipfix.Value{Num: uint64(record.Circuits)})
+	if record.Kind == KindAttempt {
+		return append(values, ipfix.Value{Num: uint64(record.Attempts)}, ipfix.Value{Num: uint64(record.Exchange)}, ipfix.Value{Num: uint64(record.Route)},
+			ipfix.Value{Num: uint64(record.Note)}, ipfix.Value{Num: milliseconds(record.SetUp)}, ipfix.Value{Num: milliseconds(record.EstablishedFor)}, ipfix.Value{Num: uint64(record.Context)})
 	}
-	return append(v, ipfix.Value{Num: uint64(r.Attempts)}, ipfix.Value{Num: uint64(r.TandemAttempts)}, ipfix.Value{Num: ms(r.SetUp)},
-		ipfix.Value{Num: ms(r.EstablishedFor)}, ipfix.Value{Str: r.VerdictReason}, ipfix.Value{Str: r.VerdictScope}, ipfix.Value{Num: none(r.VerdictNumber)},
-		ipfix.Value{Num: uint64(r.Route)}, ipfix.Value{Num: uint64(r.Context)})
+	return append(values, ipfix.Value{Num: uint64(record.Attempts)}, ipfix.Value{Num: uint64(record.TandemAttempts)}, ipfix.Value{Num: milliseconds(record.SetUp)},
+		ipfix.Value{Num: milliseconds(record.EstablishedFor)}, ipfix.Value{Str: record.VerdictReason}, ipfix.Value{Str: record.VerdictScope}, ipfix.Value{Num: exchangeNumber(record.VerdictNumber)},
+		ipfix.Value{Num: uint64(record.Route)}, ipfix.Value{Num: uint64(record.Context)})
 }
 
 // Folded is what a sum of records tells.
@@ -274,10 +274,10 @@
 }
 
 // FoldedItem makes the item of a sum.
-func (c *Codec) FoldedItem(f Folded) *Item {
-	return &Item{Kind: ItemFolded, RecordKind: f.Kind, Class: f.Class, Outcome: f.Outcome, RecordCount: f.Count, values: []ipfix.Value{
-		{Num: c.Incarnation}, {Num: f.Seq}, {}, {Num: uint64(f.Kind)}, {Num: uint64(f.Class)}, {Str: c.class(f.Class)}, {Num: uint64(f.Outcome)},
-		{Num: ms(f.FirstStart)}, {Num: ms(f.LastStart)}, {Num: none(f.Dest)}, {Num: f.Count}, {Num: ms(f.SetUp)}, {Num: ms(f.EstablishedFor)}, {Num: f.Attempts}}}
+func (c *Codec) FoldedItem(folded Folded) *Item {
+	return &Item{Kind: ItemFolded, RecordKind: folded.Kind, Class: folded.Class, Outcome: folded.Outcome, RecordCount: folded.Count, values: []ipfix.Value{
+		{Num: c.Incarnation}, {Num: folded.Seq}, {}, {Num: uint64(folded.Kind)}, {Num: uint64(folded.Class)}, {Str: c.className(folded.Class)}, {Num: uint64(folded.Outcome)},
+		{Num: milliseconds(folded.FirstStart)}, {Num: milliseconds(folded.LastStart)}, {Num: exchangeNumber(folded.Dest)}, {Num: folded.Count}, {Num: milliseconds(folded.SetUp)}, {Num: milliseconds(folded.EstablishedFor)}, {Num: folded.Attempts}}}
 }
 
 // Summary is the calls of one far end and class that ended in an interval.
@@ -287,8 +287,8 @@
 }
 
 // Add books a record.
-func (s *Summary) Add(r *Record) {
-	switch r.Kind {
+func (s *Summary) Add(record *Record) {
+	switch record.Kind {
 	case KindAttempt:
 		s.Attempts++
 		return
@@ -296,10 +296,10 @@
 		return
 	}
 	s.Calls++
-	switch r.Outcome {
+	switch record.Outcome {
 	case CallEnded, CallCut:
 		s.Established++
-		s.CircuitTime += r.EstablishedFor * time.Duration(r.Circuits)
+		s.CircuitTime += record.EstablishedFor * time.Duration(record.Circuits)
 	case CallRefused:
 		s.Refused++
 	case CallFailed:
@@ -310,10 +310,10 @@
 }
 
 // SummaryItem makes the item of an interval's summary.
-func (c *Codec) SummaryItem(seq uint64, class uint8, far int32, from, to time.Duration, s *Summary) *Item {
-	return &Item{Kind: ItemSummary, Class: class, values: []ipfix.Value{{Num: c.Incarnation}, {Num: seq}, {}, {Num: uint64(class)}, {Str: c.class(class)},
-		{Num: none(far)}, {Num: ms(from)}, {Num: ms(to)}, {Num: s.Calls}, {Num: s.Established}, {Num: s.Refused}, {Num: s.Failed}, {Num: s.Abandoned},
-		{Num: s.Attempts}, {Num: ms(s.CircuitTime)}}}
+func (c *Codec) SummaryItem(seq uint64, class uint8, dest int32, from, to time.Duration, summary *Summary) *Item {
+	return &Item{Kind: ItemSummary, Class: class, values: []ipfix.Value{{Num: c.Incarnation}, {Num: seq}, {}, {Num: uint64(class)}, {Str: c.className(class)},
+		{Num: exchangeNumber(dest)}, {Num: milliseconds(from)}, {Num: milliseconds(to)}, {Num: summary.Calls}, {Num: summary.Established}, {Num: summary.Refused}, {Num: summary.Failed}, {Num: summary.Abandoned},
+		{Num: summary.Attempts}, {Num: milliseconds(summary.CircuitTime)}}}
 }
 
 // CountItems makes the items that tell what was counted, folded and dropped so
@@ -324,15 +324,15 @@
 	if final {
 		flags = FlagFinal
 	}
-	for k := range counted {
-		for cl := range counted[k] {
-			for o, n := range counted[k][cl] {
-				if n == 0 {
+	for kind := range counted {
+		for class := range counted[kind] {
+			for outcome, count := range counted[kind][class] {
+				if count == 0 {
 					continue
 				}
-				items = append(items, &Item{Kind: ItemCounts, RecordKind: Kind(k), Class: uint8(cl), Outcome: Outcome(o), values: []ipfix.Value{
-					{Num: c.Incarnation}, {Num: uint64(c.Domain)}, {Num: seq}, {Num: flags}, {Num: uint64(k)}, {Num: uint64(cl)}, {Str: c.class(uint8(cl))},
-					{Num: uint64(o)}, {Num: n}, {Num: folded[k][cl][o]}, {Num: dropped[k][cl][o]}}})
+				items = append(items, &Item{Kind: ItemCounts, RecordKind: Kind(kind), Class: uint8(class), Outcome: Outcome(outcome), values: []ipfix.Value{
+					{Num: c.Incarnation}, {Num: uint64(c.Domain)}, {Num: seq}, {Num: flags}, {Num: uint64(kind)}, {Num: uint64(class)}, {Str: c.className(uint8(class))},
+					{Num: uint64(outcome)}, {Num: count}, {Num: folded[kind][class][outcome]}, {Num: dropped[kind][class][outcome]}}})
 			}
 		}
 	}
@@ -346,47 +346,47 @@
 
 // ItemOf makes an item of a record that was read; false for those that tell of
 // the stream itself.
-func ItemOf(r *ipfix.Record) (*Item, bool) {
-	it := &Item{values: r.Values, RecordCount: 1}
-	switch r.Template.ID {
+func ItemOf(record *ipfix.Record) (*Item, bool) {
+	item := &Item{values: record.Values, RecordCount: 1}
+	switch record.Template.ID {
 	case templates[ItemCall].ID:
-		it.Kind = ItemCall
+		item.Kind = ItemCall
 	case templates[ItemAttempt].ID:
-		it.Kind = ItemAttempt
+		item.Kind = ItemAttempt
 	case templates[ItemFolded].ID:
-		it.Kind = ItemFolded
-		n, _ := r.Get(PEN, eCount.ID)
-		it.RecordCount = n.Num
+		item.Kind = ItemFolded
+		count, _ := record.Get(PEN, eRecordCount.ID)
+		item.RecordCount = count.Num
 	case templates[ItemCounts].ID:
-		it.Kind, it.RecordCount = ItemCounts, 0
+		item.Kind, item.RecordCount = ItemCounts, 0
 	case templates[ItemSummary].ID:
-		it.Kind, it.RecordCount = ItemSummary, 0
+		item.Kind, item.RecordCount = ItemSummary, 0
 	default:
 		return nil, false
 	}
-	if len(r.Values) != len(templates[it.Kind].Fields) {
+	if len(record.Values) != len(templates[item.Kind].Fields) {
 		return nil, false
 	}
-	k, _ := r.Get(PEN, eKind.ID)
-	cl, _ := r.Get(PEN, eClass.ID)
-	o, _ := r.Get(PEN, eOutcome.ID)
-	it.RecordKind, it.Class, it.Outcome = Kind(k.Num), uint8(cl.Num), Outcome(o.Num)
-	if it.RecordKind >= KindCount || it.Outcome >= OutcomeCount {
+	kind, _ := record.Get(PEN, eKind.ID)
+	class, _ := record.Get(PEN, eClass.ID)
+	outcome, _ := record.Get(PEN, eOutcome.ID)
+	item.RecordKind, item.Class, item.Outcome = Kind(kind.Num), uint8(class.Num), Outcome(outcome.Num)
+	if item.RecordKind >= KindCount || item.Outcome >= OutcomeCount {
 		return nil, false
 	}
-	return it, true
+	return item, true
 }
 
-// field reads a value by its place in our template: version 9 gives the fields
+// fieldValue reads a value by its place in our template: version 9 gives the fields
 // of a scope no names.
-func field(r *ipfix.Record, e ipfix.Element) uint64 {
-	for _, t := range templates {
-		if t.ID != r.Template.ID || len(t.Fields) != len(r.Values) {
+func fieldValue(record *ipfix.Record, element ipfix.Element) uint64 {
+	for _, template := range templates {
+		if template.ID != record.Template.ID || len(template.Fields) != len(record.Values) {
 			continue
 		}
-		for i := range t.Fields {
-			if t.Fields[i].ID == e.ID && t.Fields[i].PEN == e.PEN {
-				return r.Values[i].Num
+		for i := range template.Fields {
+			if template.Fields[i].ID == element.ID && template.Fields[i].PEN == element.PEN {
+				return record.Values[i].Num
 			}
 		}
 	}
@@ -395,33 +395,35 @@
 
 // Identity tells which record this is: the controller's life, its number in it,
 // and its flags.
-func Identity(r *ipfix.Record) (life, id, flags uint64) {
-	return field(r, eLife), field(r, eFlowID), field(r, eFlags)
+func Identity(record *ipfix.Record) (incarnation, seq, flags uint64) {
+	return fieldValue(record, eIncarnation), fieldValue(record, eFlowID), fieldValue(record, eFlags)
 }
 
 // CountsOf reads a controller's word on its counts.
-func CountsOf(r *ipfix.Record) (counted, dropped uint64) {
-	return field(r, eCount), field(r, eDropped)
+func CountsOf(record *ipfix.Record) (counted, dropped uint64) {
+	return fieldValue(record, eRecordCount), fieldValue(record, eDroppedCount)
 }
 
 // SummaryCallsOf reads how many calls a summary tells of.
-func SummaryCallsOf(r *ipfix.Record) uint64 { return field(r, eCalls) }
+func SummaryCallsOf(record *ipfix.Record) uint64 { return fieldValue(record, eCallCount) }
 
 // CallAttributes tells the destination, class name, outcome and hash of the number of a record.
-func CallAttributes(r *ipfix.Record) (dest uint32, class string, hash uint64) {
-	c, _ := r.Get(PEN, eClassName.ID)
-	return uint32(field(r, eDest)), c.Str, field(r, eHash)
+func CallAttributes(record *ipfix.Record) (dest uint32, class string, hash uint64) {
+	className, _ := record.Get(PEN, eClassName.ID)
+	return uint32(fieldValue(record, eDest)), className.Str, fieldValue(record, eNumberHash)
 }
 
 // CallRecordOf reads a call's record back, with the hash in place of the number.
-func CallRecordOf(r *ipfix.Record) (Record, bool) {
-	it, ok := ItemOf(r)
-	if !ok || it.Kind != ItemCall || it.RecordKind != KindCall {
+func CallRecordOf(record *ipfix.Record) (Record, bool) {
+	item, ok := ItemOf(record)
+	if !ok || item.Kind != ItemCall || item.RecordKind != KindCall {
 		return Record{}, false
 	}
-	span := func(e ipfix.Element) time.Duration { return time.Duration(field(r, e)) * time.Millisecond }
-	return Record{Kind: KindCall, Class: it.Class, Outcome: it.Outcome, Seq: field(r, eFlowID), CalledNumber: field(r, eHash), Start: span(eStart),
-		SetUp: span(eSetUp), EstablishedFor: span(eStood), Source: int32(field(r, eSource)), Dest: int32(field(r, eDest)), Via: int32(field(r, eVia)),
-		Circuits: uint16(field(r, eCircuits)), Attempts: uint8(field(r, eTries)), TandemAttempts: uint8(field(r, eTandems)), Route: Route(field(r, eRoute)),
-		Repeat: field(r, eFlags)&FlagRepeat != 0}, true
+	duration := func(element ipfix.Element) time.Duration {
+		return time.Duration(fieldValue(record, element)) * time.Millisecond
+	}
+	return Record{Kind: KindCall, Class: item.Class, Outcome: item.Outcome, Seq: fieldValue(record, eFlowID), CalledNumber: fieldValue(record, eNumberHash), Start: duration(eStart),
+		SetUp: duration(eSetUp), EstablishedFor: duration(eEstablished), Source: int32(fieldValue(record, eSource)), Dest: int32(fieldValue(record, eDest)), Via: int32(fieldValue(record, eVia)),
+		Circuits: uint16(fieldValue(record, eCircuits)), Attempts: uint8(fieldValue(record, eAttempts)), TandemAttempts: uint8(fieldValue(record, eTandemAttempts)), Route: Route(fieldValue(record, eRoute)),
+		Repeat: fieldValue(record, eFlags)&FlagRepeat != 0}, true
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -17,7 +17,7 @@
 
 var kindNames = [KindCount]string{"call", "attempt", "interim"}
 
-func (k Kind) String() string { return name(kindNames[:], int(k)) }
+func (k Kind) String() string { return nameOf(kindNames[:], int(k)) }
 
 // Outcome is how a call or an attempt ended. Calls use the first, attempts the second group.
 type Outcome uint8
@@ -44,7 +44,7 @@
 var outcomeNames = [OutcomeCount]string{"ended", "cut", "refused", "failed", "left", "stands", "done", "error", "full",
 	"timed out", "never reached", "reset", "cancelled", "moot"}
 
-func (o Outcome) String() string { return name(outcomeNames[:], int(o)) }
+func (o Outcome) String() string { return nameOf(outcomeNames[:], int(o)) }
 
 // Route of an attempt.
 type Route uint8
@@ -57,11 +57,11 @@
 
 var routeNames = []string{"direct", "tandem", "transit"}
 
-func (r Route) String() string { return name(routeNames, int(r)) }
+func (r Route) String() string { return nameOf(routeNames, int(r)) }
 
-func name(of []string, i int) string {
-	if i < len(of) {
-		return of[i]
+func nameOf(names []string, i int) string {
+	if i < len(names) {
+		return names[i]
 	}
 	return "?"
 }
@@ -99,19 +99,19 @@
 type Counts [KindCount][MaxClasses][OutcomeCount]uint64
 
 // At is the place of a record.
-func (c *Counts) At(r *Record) *uint64 {
-	return &c[r.Kind][min(r.Class, MaxClasses-1)][r.Outcome]
+func (c *Counts) At(record *Record) *uint64 {
+	return &c[record.Kind][min(record.Class, MaxClasses-1)][record.Outcome]
 }
 
 // Sum adds up a kind.
-func (c *Counts) Sum(k Kind) uint64 {
-	n := uint64(0)
-	for i := range c[k] {
-		for j := range c[k][i] {
-			n += c[k][i][j]
+func (c *Counts) Sum(kind Kind) uint64 {
+	total := uint64(0)
+	for class := range c[kind] {
+		for outcome := range c[kind][class] {
+			total += c[kind][class][outcome]
 		}
 	}
-	return n
+	return total
 }
 
 // Sink takes records from the call path. Put must not wait, lock or allocate;
--- a/internal/flow/words.go
+++ b/internal/flow/words.go
@@ -9,34 +9,34 @@
 
 // Describe tells a record as a person would read it: names and values, the kind of
 // record first.
-func Describe(r *ipfix.Record, it *Item) [][2]string {
-	what := [itemKinds]string{"call", "attempt", "sum", "counts", "statistics", "format", "summary"}[it.Kind]
-	row := [][2]string{{"record", what}}
-	t := templates[it.Kind]
-	for i, f := range t.Fields {
-		v := r.Values[i]
-		s := ""
+func Describe(record *ipfix.Record, item *Item) [][2]string {
+	recordType := [itemKindCount]string{"call", "attempt", "sum", "counts", "statistics", "format", "summary"}[item.Kind]
+	pairs := [][2]string{{"record", recordType}}
+	template := templates[item.Kind]
+	for i, field := range template.Fields {
+		value := record.Values[i]
+		text := ""
 		switch {
-		case f.ID == eKind.ID && f.PEN == PEN:
-			s = Kind(v.Num).String()
-		case f.ID == eOutcome.ID && f.PEN == PEN:
-			s = Outcome(v.Num).String()
-		case f.ID == eRoute.ID && f.PEN == PEN:
-			s = Route(v.Num).String()
-		case f.ID == eHash.ID && f.PEN == PEN:
-			s = fmt.Sprintf("%016x", v.Num)
-		case f.Type == ipfix.String:
-			s = v.Str
-		case f.Type == ipfix.DateTimeMilliseconds:
-			s = time.UnixMilli(int64(v.Num)).UTC().Format("2006-01-02T15:04:05.000Z")
-		case f.Length == 4 && uint32(v.Num) == ^uint32(0):
+		case field.ID == eKind.ID && field.PEN == PEN:
+			text = Kind(value.Num).String()
+		case field.ID == eOutcome.ID && field.PEN == PEN:
+			text = Outcome(value.Num).String()
+		case field.ID == eRoute.ID && field.PEN == PEN:
+			text = Route(value.Num).String()
+		case field.ID == eNumberHash.ID && field.PEN == PEN:
+			text = fmt.Sprintf("%016x", value.Num)
+		case field.Type == ipfix.String:
+			text = value.Str
+		case field.Type == ipfix.DateTimeMilliseconds:
+			text = time.UnixMilli(int64(value.Num)).UTC().Format("2006-01-02T15:04:05.000Z")
+		case field.Length == 4 && uint32(value.Num) == ^uint32(0):
 			continue // none
 		default:
-			s = fmt.Sprint(v.Num)
+			text = fmt.Sprint(value.Num)
 		}
-		if s != "" {
-			row = append(row, [2]string{f.Name, s})
+		if text != "" {
+			pairs = append(pairs, [2]string{field.Name, text})
 		}
 	}
-	return row
+	return pairs
 }
--- a/internal/ipfix/decode.go
+++ b/internal/ipfix/decode.go
@@ -16,8 +16,8 @@
 
 // Get returns a field's value by its element.
 func (r *Record) Get(pen uint32, id uint16) (Value, bool) {
-	for i, f := range r.Template.Fields {
-		if f.PEN == pen && f.ID == id {
+	for i, field := range r.Template.Fields {
+		if field.PEN == pen && field.ID == id {
 			return r.Values[i], true
 		}
 	}
@@ -44,14 +44,14 @@
 	templates map[uint64]*Template
 }
 
-// mostTemplates bounds what a stream can make a decoder remember.
-const mostTemplates = 4096
+// maxTemplates bounds what a stream can make a decoder remember.
+const maxTemplates = 4096
 
 // NewDecoder starts without templates.
 func NewDecoder(known ...Element) *Decoder {
 	d := &Decoder{Elements: map[[2]uint32]Element{}, templates: map[uint64]*Template{}}
-	for _, e := range known {
-		d.Elements[[2]uint32{e.PEN, uint32(e.ID)}] = e
+	for _, element := range known {
+		d.Elements[[2]uint32{element.PEN, uint32(element.ID)}] = element
 	}
 	return d
 }
@@ -59,8 +59,8 @@
 // ErrMalformed is wrapped by the errors of messages that can't be read.
 var ErrMalformed = errors.New("malformed message")
 
-func malformed(at int, format string, args ...any) error {
-	return fmt.Errorf("%w: byte %d: %s", ErrMalformed, at, fmt.Sprintf(format, args...))
+func malformedError(offset int, format string, args ...any) error {
+	return fmt.Errorf("%w: byte %d: %s", ErrMalformed, offset, fmt.Sprintf(format, args...))
 }
 
 // ReadMessage reads one IPFIX message from a stream of them (TCP, RFC 7011
@@ -70,19 +70,19 @@
 	if cap(buf) < MaxMessageLength {
 		buf = make([]byte, MaxMessageLength)
 	}
-	buf = buf[:headerIPFIX]
+	buf = buf[:ipfixHeaderLength]
 	if _, err := io.ReadFull(r, buf); err != nil {
 		return nil, err
 	}
-	if v := binary.BigEndian.Uint16(buf); Protocol(v) != IPFIX {
-		return nil, malformed(0, "version %d", v)
+	if version := binary.BigEndian.Uint16(buf); Protocol(version) != IPFIX {
+		return nil, malformedError(0, "version %d", version)
 	}
-	n := int(binary.BigEndian.Uint16(buf[2:]))
-	if n < headerIPFIX {
-		return nil, malformed(2, "length %d", n)
+	length := int(binary.BigEndian.Uint16(buf[2:]))
+	if length < ipfixHeaderLength {
+		return nil, malformedError(2, "length %d", length)
 	}
-	buf = buf[:n]
-	if _, err := io.ReadFull(r, buf[headerIPFIX:]); err != nil {
+	buf = buf[:length]
+	if _, err := io.ReadFull(r, buf[ipfixHeaderLength:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -92,227 +92,229 @@
 }
 
 // Decode reads one message of either protocol.
-func (d *Decoder) Decode(b []byte) (*Message, error) {
-	if len(b) < 2 {
-		return nil, malformed(0, "%d bytes", len(b))
+func (d *Decoder) Decode(data []byte) (*Message, error) {
+	if len(data) < 2 {
+		return nil, malformedError(0, "%d bytes", len(data))
 	}
-	m := &Message{Protocol: Protocol(binary.BigEndian.Uint16(b))}
-	at := headerIPFIX
-	switch m.Protocol {
+	message := &Message{Protocol: Protocol(binary.BigEndian.Uint16(data))}
+	offset := ipfixHeaderLength
+	switch message.Protocol {
 	case IPFIX:
-		if len(b) < headerIPFIX || int(binary.BigEndian.Uint16(b[2:])) != len(b) {
-			return nil, malformed(2, "the length is not that of the message")
+		if len(data) < ipfixHeaderLength || int(binary.BigEndian.Uint16(data[2:])) != len(data) {
+			return nil, malformedError(2, "the length is not that of the message")
 		}
-		m.ExportTime = int64(binary.BigEndian.Uint32(b[4:]))
-		m.Sequence = binary.BigEndian.Uint32(b[8:])
-		m.Domain = binary.BigEndian.Uint32(b[12:])
+		message.ExportTime = int64(binary.BigEndian.Uint32(data[4:]))
+		message.Sequence = binary.BigEndian.Uint32(data[8:])
+		message.Domain = binary.BigEndian.Uint32(data[12:])
 	case NetFlow9:
-		if at = header9; len(b) < header9 {
-			return nil, malformed(0, "%d bytes", len(b))
+		if offset = netflow9HeaderLength; len(data) < netflow9HeaderLength {
+			return nil, malformedError(0, "%d bytes", len(data))
 		}
-		m.ExportTime = int64(binary.BigEndian.Uint32(b[8:]))
-		m.Sequence = binary.BigEndian.Uint32(b[12:])
-		m.Domain = binary.BigEndian.Uint32(b[16:])
+		message.ExportTime = int64(binary.BigEndian.Uint32(data[8:]))
+		message.Sequence = binary.BigEndian.Uint32(data[12:])
+		message.Domain = binary.BigEndian.Uint32(data[16:])
 	default:
-		return nil, malformed(0, "version %d", m.Protocol)
+		return nil, malformedError(0, "version %d", message.Protocol)
 	}
-	for at < len(b) {
-		if len(b)-at < setHeader {
-			return nil, malformed(at, "%d bytes left for a set", len(b)-at)
+	for offset < len(data) {
+		if len(data)-offset < setHeaderLength {
+			return nil, malformedError(offset, "%d bytes left for a set", len(data)-offset)
 		}
-		id, n := binary.BigEndian.Uint16(b[at:]), int(binary.BigEndian.Uint16(b[at+2:]))
-		if n < setHeader || n > len(b)-at {
-			return nil, malformed(at+2, "a set of %d bytes", n)
+		setID, length := binary.BigEndian.Uint16(data[offset:]), int(binary.BigEndian.Uint16(data[offset+2:]))
+		if length < setHeaderLength || length > len(data)-offset {
+			return nil, malformedError(offset+2, "a set of %d bytes", length)
 		}
-		body := &cursor{b: b[at+setHeader : at+n], base: at + setHeader}
+		body := &reader{data: data[offset+setHeaderLength : offset+length], start: offset + setHeaderLength}
 		var err error
 		switch {
-		case m.Protocol == IPFIX && id == setTemplate, m.Protocol == NetFlow9 && id == set9Template:
-			err = d.readTemplates(m, body, false)
-		case m.Protocol == IPFIX && id == setOptions, m.Protocol == NetFlow9 && id == set9Options:
-			err = d.readTemplates(m, body, true)
-		case id >= firstTemplateID:
-			err = d.readData(m, body, id)
+		case message.Protocol == IPFIX && setID == templateSetID, message.Protocol == NetFlow9 && setID == netflow9TemplateSetID:
+			err = d.readTemplates(message, body, false)
+		case message.Protocol == IPFIX && setID == optionsTemplateSetID, message.Protocol == NetFlow9 && setID == netflow9OptionsSetID:
+			err = d.readTemplates(message, body, true)
+		case setID >= firstTemplateID:
+			err = d.readData(message, body, setID)
 		default:
-			m.UnknownSets++
+			message.UnknownSets++
 		}
 		if err != nil {
 			return nil, err
 		}
-		at += n
+		offset += length
 	}
-	return m, nil
+	return message, nil
 }
 
-type cursor struct {
-	b    []byte
-	at   int
-	base int
+type reader struct {
+	data   []byte
+	offset int
+	start  int
 }
 
-func (c *cursor) left() int { return len(c.b) - c.at }
+func (r *reader) remaining() int { return len(r.data) - r.offset }
 
-func (c *cursor) u16() uint16 {
-	v := binary.BigEndian.Uint16(c.b[c.at:])
-	c.at += 2
-	return v
+func (r *reader) readUint16() uint16 {
+	value := binary.BigEndian.Uint16(r.data[r.offset:])
+	r.offset += 2
+	return value
 }
 
-func (d *Decoder) key(m *Message, id uint16) uint64 { return uint64(m.Domain)<<16 | uint64(id) }
+func (d *Decoder) templateKey(message *Message, id uint16) uint64 {
+	return uint64(message.Domain)<<16 | uint64(id)
+}
 
-func (d *Decoder) readTemplates(m *Message, c *cursor, options bool) error {
-	for c.left() >= 4 {
-		start := c.base + c.at
-		t := &Template{ID: c.u16()}
-		count := int(c.u16())
-		if t.ID < firstTemplateID {
-			if t.ID == 0 && m.Protocol == NetFlow9 {
+func (d *Decoder) readTemplates(message *Message, body *reader, options bool) error {
+	for body.remaining() >= 4 {
+		start := body.start + body.offset
+		template := &Template{ID: body.readUint16()}
+		count := int(body.readUint16())
+		if template.ID < firstTemplateID {
+			if template.ID == 0 && message.Protocol == NetFlow9 {
 				return nil // padding
 			}
-			return malformed(start, "template id %d", t.ID)
+			return malformedError(start, "template id %d", template.ID)
 		}
-		m.TemplateCount++
-		if count == 0 && m.Protocol == IPFIX {
-			delete(d.templates, d.key(m, t.ID))
+		message.TemplateCount++
+		if count == 0 && message.Protocol == IPFIX {
+			delete(d.templates, d.templateKey(message, template.ID))
 			continue
 		}
 		if options {
-			if c.left() < 2 {
-				return malformed(start, "an options template ends early")
+			if body.remaining() < 2 {
+				return malformedError(start, "an options template ends early")
 			}
-			t.ScopeCount = int(c.u16())
-			if m.Protocol == NetFlow9 { // bytes of scopes, then bytes of options
-				scope := count / 4
-				count, t.ScopeCount = scope+t.ScopeCount/4, scope
+			template.ScopeCount = int(body.readUint16())
+			if message.Protocol == NetFlow9 { // bytes of scopes, then bytes of options
+				scopeCount := count / 4
+				count, template.ScopeCount = scopeCount+template.ScopeCount/4, scopeCount
 			}
-			if t.ScopeCount == 0 || t.ScopeCount > count {
-				return malformed(start, "%d scope fields of %d", t.ScopeCount, count)
+			if template.ScopeCount == 0 || template.ScopeCount > count {
+				return malformedError(start, "%d scope fields of %d", template.ScopeCount, count)
 			}
 		}
-		size := 0
+		recordLength := 0
 		for i := range count {
-			if c.left() < 4 {
-				return malformed(start, "a template of %d fields ends early", count)
+			if body.remaining() < 4 {
+				return malformedError(start, "a template of %d fields ends early", count)
 			}
-			f := Element{ID: c.u16(), Length: c.u16()}
+			field := Element{ID: body.readUint16(), Length: body.readUint16()}
 			switch {
-			case m.Protocol == NetFlow9 && i < t.ScopeCount:
-			case f.ID&enterpriseBit != 0 && m.Protocol == NetFlow9:
-				f.PEN, f.ID = ownPEN, f.ID&^enterpriseBit
-			case f.ID&enterpriseBit != 0:
-				if c.left() < 4 {
-					return malformed(start, "an enterprise number is missing")
+			case message.Protocol == NetFlow9 && i < template.ScopeCount:
+			case field.ID&enterpriseBit != 0 && message.Protocol == NetFlow9:
+				field.PEN, field.ID = netflow9PEN, field.ID&^enterpriseBit
+			case field.ID&enterpriseBit != 0:
+				if body.remaining() < 4 {
+					return malformedError(start, "an enterprise number is missing")
 				}
-				f.ID &^= enterpriseBit
-				f.PEN = binary.BigEndian.Uint32(c.b[c.at:])
-				c.at += 4
+				field.ID &^= enterpriseBit
+				field.PEN = binary.BigEndian.Uint32(body.data[body.offset:])
+				body.offset += 4
 			}
-			d.name(&f)
-			if size += int(f.Length); f.Length == VariableLength {
-				size -= VariableLength - 1
+			d.resolveType(&field)
+			if recordLength += int(field.Length); field.Length == VariableLength {
+				recordLength -= VariableLength - 1
 			}
-			t.Fields = append(t.Fields, f)
+			template.Fields = append(template.Fields, field)
 		}
-		if size == 0 {
-			return malformed(start, "records of no length")
+		if recordLength == 0 {
+			return malformedError(start, "records of no length")
 		}
-		if _, known := d.templates[d.key(m, t.ID)]; !known && len(d.templates) >= mostTemplates {
-			return malformed(start, "over %d templates", mostTemplates)
+		if _, known := d.templates[d.templateKey(message, template.ID)]; !known && len(d.templates) >= maxTemplates {
+			return malformedError(start, "over %d templates", maxTemplates)
 		}
-		d.templates[d.key(m, t.ID)] = t
+		d.templates[d.templateKey(message, template.ID)] = template
 	}
 	return nil
 }
 
-// ownPEN is whom version 9's ids above 32768 are taken to be of.
-const ownPEN = 32473
+// netflow9PEN is whom version 9's ids above 32768 are taken to be of.
+const netflow9PEN = 32473
 
-// name gives a field the type that is known of its element, or one by its length.
-func (d *Decoder) name(f *Element) {
-	if e, ok := d.Elements[[2]uint32{f.PEN, uint32(f.ID)}]; ok {
-		if n := e.Type.size(); n == 0 || int(f.Length) <= n && f.Length > 0 {
-			f.Type, f.Name = e.Type, e.Name
+// resolveType gives a field the type that is known of its element, or one by its length.
+func (d *Decoder) resolveType(field *Element) {
+	if element, ok := d.Elements[[2]uint32{field.PEN, uint32(field.ID)}]; ok {
+		if length := element.Type.size(); length == 0 || int(field.Length) <= length && field.Length > 0 {
+			field.Type, field.Name = element.Type, element.Name
 			return
 		}
 	}
-	f.Name = fmt.Sprintf("%d/%d", f.PEN, f.ID)
-	switch f.Length {
+	field.Name = fmt.Sprintf("%d/%d", field.PEN, field.ID)
+	switch field.Length {
 	case 1:
-		f.Type = Unsigned8
+		field.Type = Unsigned8
 	case 2:
-		f.Type = Unsigned16
+		field.Type = Unsigned16
 	case 4:
-		f.Type = Unsigned32
+		field.Type = Unsigned32
 	case 8:
-		f.Type = Unsigned64
+		field.Type = Unsigned64
 	}
 }
 
-func (d *Decoder) readData(m *Message, c *cursor, id uint16) error {
-	t := d.templates[d.key(m, id)]
-	if t == nil {
-		m.UnknownSets++
+func (d *Decoder) readData(message *Message, body *reader, id uint16) error {
+	template := d.templates[d.templateKey(message, id)]
+	if template == nil {
+		message.UnknownSets++
 		return nil
 	}
-	least := 0
-	for _, f := range t.Fields {
-		if f.Length == VariableLength {
-			least++
+	minLength := 0
+	for _, field := range template.Fields {
+		if field.Length == VariableLength {
+			minLength++
 		} else {
-			least += int(f.Length)
+			minLength += int(field.Length)
 		}
 	}
-	for c.left() >= least && c.left() > 0 {
-		if m.Protocol == NetFlow9 && c.left() < 4 && least < 4 {
+	for body.remaining() >= minLength && body.remaining() > 0 {
+		if message.Protocol == NetFlow9 && body.remaining() < 4 && minLength < 4 {
 			return nil // what is left may be padding
 		}
-		rec := Record{Template: t, Values: make([]Value, len(t.Fields))}
-		for i := range t.Fields {
-			if err := c.value(&t.Fields[i], &rec.Values[i], m.Protocol); err != nil {
+		record := Record{Template: template, Values: make([]Value, len(template.Fields))}
+		for i := range template.Fields {
+			if err := body.readValue(&template.Fields[i], &record.Values[i], message.Protocol); err != nil {
 				return err
 			}
 		}
-		m.Records = append(m.Records, rec)
-		d.learn(&rec)
+		message.Records = append(message.Records, record)
+		d.learnElement(&record)
 	}
 	return nil
 }
 
-func (c *cursor) value(f *Element, v *Value, p Protocol) error {
-	n := int(f.Length)
-	if f.Length == VariableLength {
-		if c.left() < 1 {
-			return malformed(c.base+c.at, "a value ends early")
+func (r *reader) readValue(field *Element, value *Value, protocol Protocol) error {
+	length := int(field.Length)
+	if field.Length == VariableLength {
+		if r.remaining() < 1 {
+			return malformedError(r.start+r.offset, "a value ends early")
 		}
-		n = int(c.b[c.at])
-		if c.at++; n == 255 {
-			if c.left() < 2 {
-				return malformed(c.base+c.at, "a length ends early")
+		length = int(r.data[r.offset])
+		if r.offset++; length == 255 {
+			if r.remaining() < 2 {
+				return malformedError(r.start+r.offset, "a length ends early")
 			}
-			n = int(c.u16())
+			length = int(r.readUint16())
 		}
 	}
-	if c.left() < n {
-		return malformed(c.base+c.at, "a value of %d bytes, %d left", n, c.left())
+	if r.remaining() < length {
+		return malformedError(r.start+r.offset, "a value of %d bytes, %d left", length, r.remaining())
 	}
-	raw := c.b[c.at : c.at+n]
-	c.at += n
+	raw := r.data[r.offset : r.offset+length]
+	r.offset += length
 	switch {
-	case f.Type == Boolean:
+	case field.Type == Boolean:
 		if raw[0] == 1 {
-			v.Num = 1
+			value.Num = 1
 		}
-	case f.Type == String && (p == NetFlow9 || f.Length != VariableLength):
-		v.Str = strings.TrimRight(string(raw), "\x00")
-	case f.Type == String || f.Type == OctetArray || n > 8:
-		v.Str = string(raw)
+	case field.Type == String && (protocol == NetFlow9 || field.Length != VariableLength):
+		value.Str = strings.TrimRight(string(raw), "\x00")
+	case field.Type == String || field.Type == OctetArray || length > 8:
+		value.Str = string(raw)
 	default:
-		for _, x := range raw {
-			v.Num = v.Num<<8 | uint64(x)
+		for _, octet := range raw {
+			value.Num = value.Num<<8 | uint64(octet)
 		}
-		if f.Type >= Signed8 && f.Type <= Signed64 && n > 0 {
-			shift := 64 - 8*n
-			v.Num = uint64(int64(v.Num<<shift) >> shift)
+		if field.Type >= Signed8 && field.Type <= Signed64 && length > 0 {
+			shift := 64 - 8*length
+			value.Num = uint64(int64(value.Num<<shift) >> shift)
 		}
 	}
 	return nil
@@ -335,29 +337,29 @@
 
 // TypeInfoRecord is the record that describes an element; units are those of the
 // IANA registry informationElementUnits, 0 for none.
-func TypeInfoRecord(e Element, units uint16) []Value {
+func TypeInfoRecord(element Element, units uint16) []Value {
 	semantics := uint64(0) // default
-	if e.Type == Unsigned64 {
+	if element.Type == Unsigned64 {
 		semantics = 1 // quantity
 	}
-	return []Value{{Num: uint64(e.PEN)}, {Num: uint64(e.ID)}, {Num: uint64(e.Type)}, {Num: semantics}, {Num: uint64(units)}, {Str: e.Name}}
+	return []Value{{Num: uint64(element.PEN)}, {Num: uint64(element.ID)}, {Num: uint64(element.Type)}, {Num: semantics}, {Num: uint64(units)}, {Str: element.Name}}
 }
 
-// learn takes the description of an element from the stream itself.
-func (d *Decoder) learn(r *Record) {
-	pen, ok1 := r.Get(0, elemPEN.ID)
-	id, ok2 := r.Get(0, elemID.ID)
-	typ, ok3 := r.Get(0, elemType.ID)
-	name, ok4 := r.Get(0, elemName.ID)
-	if !ok1 || !ok2 || !ok3 || !ok4 || len(d.Elements) >= mostTemplates {
+// learnElement takes the description of an element from the stream itself.
+func (d *Decoder) learnElement(record *Record) {
+	pen, hasPEN := record.Get(0, elemPEN.ID)
+	id, hasID := record.Get(0, elemID.ID)
+	dataType, hasType := record.Get(0, elemType.ID)
+	name, hasName := record.Get(0, elemName.ID)
+	if !hasPEN || !hasID || !hasType || !hasName || len(d.Elements) >= maxTemplates {
 		return
 	}
-	e := Element{PEN: uint32(pen.Num), ID: uint16(id.Num), Type: Type(typ.Num), Name: name.Str}
-	d.Elements[[2]uint32{e.PEN, uint32(e.ID)}] = e
-	for _, t := range d.templates { // those that came before it; each for itself
-		for i := range t.Fields {
-			if f := &t.Fields[i]; f.PEN == e.PEN && f.ID == e.ID {
-				d.name(f)
+	element := Element{PEN: uint32(pen.Num), ID: uint16(id.Num), Type: Type(dataType.Num), Name: name.Str}
+	d.Elements[[2]uint32{element.PEN, uint32(element.ID)}] = element
+	for _, template := range d.templates { // those that came before it; each for itself
+		for i := range template.Fields {
+			if field := &template.Fields[i]; field.PEN == element.PEN && field.ID == element.ID {
+				d.resolveType(field)
 			}
 		}
 	}
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -84,9 +84,9 @@
 )
 
 const (
-	headerIPFIX = 16
-	header9     = 20
-	setHeader   = 4
+	ipfixHeaderLength    = 16
+	netflow9HeaderLength = 20
+	setHeaderLength      = 4
 	// MinMessageLength is the smallest bound on a message that a Writer takes.
 	MinMessageLength = 256
 	// MaxMessageLength is the largest: its length stands in 16 bits.
@@ -101,89 +101,89 @@
 // variable lengths: there own elements keep their ids above 32768, and strings
 // have v9String bytes, filled with zeros.
 type Writer struct {
-	proto  Protocol
-	domain uint32
-	most   int
-	seq    uint32
-	buf    []byte
-	set    int // where the open set begins, 0: none
-	setID  uint16
+	protocol  Protocol
+	domain    uint32
+	maxLength int
+	sequence  uint32
+	buf       []byte
+	setStart  int // where the open set begins, 0: none
+	setID     uint16
 	records,
-	data int
+	dataRecords int
 }
 
-const v9String = 32
+const netflow9StringLength = 32
 
 // NewWriter starts a stream of messages of at most so many bytes.
-func NewWriter(p Protocol, domain uint32, most int) *Writer {
-	return &Writer{proto: p, domain: domain, most: min(max(most, MinMessageLength), MaxMessageLength)}
+func NewWriter(protocol Protocol, domain uint32, maxLength int) *Writer {
+	return &Writer{protocol: protocol, domain: domain, maxLength: min(max(maxLength, MinMessageLength), MaxMessageLength)}
 }
 
 // Sequence is the number that the next message carries: data records before it
 // (IPFIX), or packets (version 9).
-func (w *Writer) Sequence() uint32 { return w.seq }
+func (w *Writer) Sequence() uint32 { return w.sequence }
 
 // SetSequence goes on from another's count.
-func (w *Writer) SetSequence(n uint32) { w.seq = n }
+func (w *Writer) SetSequence(sequence uint32) { w.sequence = sequence }
 
 // RecordCount is the number of data records in the message that is being made.
-func (w *Writer) RecordCount() int { return w.data }
+func (w *Writer) RecordCount() int { return w.dataRecords }
 
-func (w *Writer) begin() {
+func (w *Writer) startMessage() {
 	if len(w.buf) > 0 {
 		return
 	}
-	n := headerIPFIX
-	if w.proto == NetFlow9 {
-		n = header9
+	length := ipfixHeaderLength
+	if w.protocol == NetFlow9 {
+		length = netflow9HeaderLength
 	}
-	w.buf = append(w.buf, make([]byte, n)...)
+	w.buf = append(w.buf, make([]byte, length)...)
 }
 
-func (w *Writer) empty() int {
-	if w.proto == NetFlow9 {
-		return header9
+func (w *Writer) headerLength() int {
+	if w.protocol == NetFlow9 {
+		return netflow9HeaderLength
 	}
-	return headerIPFIX
+	return ipfixHeaderLength
 }
 
-// open goes on in a set of an id, or starts one.
-func (w *Writer) open(id uint16) {
-	w.begin()
-	if w.set > 0 && w.setID == id {
+// openSet goes on in a set of an id, or starts one.
+func (w *Writer) openSet(id uint16) {
+	w.startMessage()
+	if w.setStart > 0 && w.setID == id {
 		return
 	}
-	w.close()
-	w.set, w.setID = len(w.buf), id
+	w.closeSet()
+	w.setStart, w.setID = len(w.buf), id
 	w.buf = binary.BigEndian.AppendUint16(w.buf, id)
 	w.buf = binary.BigEndian.AppendUint16(w.buf, 0)
 }
 
-func (w *Writer) close() {
-	if w.set == 0 {
+func (w *Writer) closeSet() {
+	if w.setStart == 0 {
 		return
 	}
-	if w.proto == NetFlow9 {
-		for (len(w.buf)-w.set)%4 != 0 {
+	if w.protocol == NetFlow9 {
+		for (len(w.buf)-w.setStart)%4 != 0 {
 			w.buf = append(w.buf, 0)
 		}
 	}
-	binary.BigEndian.PutUint16(w.buf[w.set+2:], uint16(len(w.buf)-w.set))
-	w.set = 0
+	binary.BigEndian.PutUint16(w.buf[w.setStart+2:], uint16(len(w.buf)-w.setStart))
+	w.setStart = 0
 }
 
-// add writes one record into a set, or takes it back when the message overflows.
-func (w *Writer) add(set uint16, write func()) error {
+// addToSet writes one record into a set, or takes it back when the message overflows.
+func (w *Writer) addToSet(setID uint16, write func()) error {
 	old := *w
 	old.buf = w.buf[:len(w.buf):len(w.buf)]
-	n := len(w.buf)
-	w.open(set)
+	oldLength := len(w.buf)
+	w.openSet(setID)
 	write()
-	if len(w.buf)+3 > w.most {
-		alone := n <= w.empty()
-		w.buf, w.set, w.setID = w.buf[:n], old.set, old.setID
-		if alone {
-			return fmt.Errorf("a record of set %d is larger than a message of %d bytes", set, w.most)
+	if len(w.buf)+3 > w.maxLength {
+		messageEmpty := oldLength <= w.headerLength()
+		w.buf, w.setStart, w.setID = w.buf[:oldLength], old.setStart, old.setID
+		if messageEmpty {
+			return fmt.Errorf("a record of set %d is larger than a message of %d bytes", setID, w.maxLength)
 		}
 		return ErrFull
 	}
@@ -192,74 +192,74 @@
 }
 
 const (
-	set9Template    = 0
-	set9Options     = 1
-	setTemplate     = 2
-	setOptions      = 3
-	enterpriseBit   = 0x8000
-	firstTemplateID = 256
+	netflow9TemplateSetID = 0
+	netflow9OptionsSetID  = 1
+	templateSetID         = 2
+	optionsTemplateSetID  = 3
+	enterpriseBit         = 0x8000
+	firstTemplateID       = 256
 )
 
 // AddTemplate adds a template's record.
 func (w *Writer) AddTemplate(t *Template) error {
-	if w.proto == NetFlow9 {
-		return w.template9(t)
+	if w.protocol == NetFlow9 {
+		return w.addNetFlow9Template(t)
 	}
-	set := uint16(setTemplate)
+	setID := uint16(templateSetID)
 	if t.ScopeCount > 0 {
-		set = setOptions
+		setID = optionsTemplateSetID
 	}
-	return w.add(set, func() {
+	return w.addToSet(setID, func() {
 		w.buf = binary.BigEndian.AppendUint16(w.buf, t.ID)
 		w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(t.Fields)))
 		if t.ScopeCount > 0 {
 			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(t.ScopeCount))
 		}
-		for _, f := range t.Fields {
-			id := f.ID
-			if f.PEN != 0 {
+		for _, field := range t.Fields {
+			id := field.ID
+			if field.PEN != 0 {
 				id |= enterpriseBit
 			}
 			w.buf = binary.BigEndian.AppendUint16(w.buf, id)
-			w.buf = binary.BigEndian.AppendUint16(w.buf, f.Length)
-			if f.PEN != 0 {
-				w.buf = binary.BigEndian.AppendUint32(w.buf, f.PEN)
+			w.buf = binary.BigEndian.AppendUint16(w.buf, field.Length)
+			if field.PEN != 0 {
+				w.buf = binary.BigEndian.AppendUint32(w.buf, field.PEN)
 			}
 		}
 	})
 }
 
-func (t *Template) size9() int {
-	n := 0
-	for _, f := range t.Fields {
-		n += int(len9(f))
+func (t *Template) netflow9RecordLength() int {
+	length := 0
+	for _, field := range t.Fields {
+		length += int(netflow9FieldLength(field))
 	}
-	return n
+	return length
 }
 
-func len9(f Element) uint16 {
-	if f.Length == VariableLength {
-		return v9String
+func netflow9FieldLength(field Element) uint16 {
+	if field.Length == VariableLength {
+		return netflow9StringLength
 	}
-	return f.Length
+	return field.Length
 }
 
-func id9(f Element) uint16 {
-	if f.PEN != 0 {
-		return f.ID | enterpriseBit
+func netflow9FieldID(field Element) uint16 {
+	if field.PEN != 0 {
+		return field.ID | enterpriseBit
 	}
-	return f.ID
+	return field.ID
 }
 
-// scopeSystem is the only scope that version 9 has for what ours are about.
-const scopeSystem = 1
+// netflow9SystemScope is the only scope that version 9 has for what ours are about.
+const netflow9SystemScope = 1
 
-func (w *Writer) template9(t *Template) error {
-	set := uint16(set9Template)
+func (w *Writer) addNetFlow9Template(t *Template) error {
+	setID := uint16(netflow9TemplateSetID)
 	if t.ScopeCount > 0 {
-		set = set9Options
+		setID = netflow9OptionsSetID
 	}
-	return w.add(set, func() {
+	return w.addToSet(setID, func() {
 		w.buf = binary.BigEndian.AppendUint16(w.buf, t.ID)
 		if t.ScopeCount > 0 {
 			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(4*t.ScopeCount))
@@ -267,13 +267,13 @@
 		} else {
 			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(t.Fields)))
 		}
-		for i, f := range t.Fields {
-			id := id9(f)
+		for i, field := range t.Fields {
+			id := netflow9FieldID(field)
 			if i < t.ScopeCount {
-				id = scopeSystem
+				id = netflow9SystemScope
 			}
 			w.buf = binary.BigEndian.AppendUint16(w.buf, id)
-			w.buf = binary.BigEndian.AppendUint16(w.buf, len9(f))
+			w.buf = binary.BigEndian.AppendUint16(w.buf, netflow9FieldLength(field))
 		}
 	})
 }
@@ -281,14 +281,14 @@
 // WithdrawTemplate adds the withdrawal of a template (RFC 7011, 8.1); not over UDP, and
 // unknown to version 9, where it does nothing.
 func (w *Writer) WithdrawTemplate(t *Template) error {
-	if w.proto == NetFlow9 {
+	if w.protocol == NetFlow9 {
 		return nil
 	}
-	set := uint16(setTemplate)
+	setID := uint16(templateSetID)
 	if t.ScopeCount > 0 {
-		set = setOptions
+		setID = optionsTemplateSetID
 	}
-	return w.add(set, func() {
+	return w.addToSet(setID, func() {
 		w.buf = binary.BigEndian.AppendUint16(w.buf, t.ID)
 		w.buf = binary.BigEndian.AppendUint16(w.buf, 0)
 	})
@@ -299,88 +299,88 @@
 	if len(values) != len(t.Fields) {
 		return fmt.Errorf("template %d has %d fields, the record %d", t.ID, len(t.Fields), len(values))
 	}
-	if w.proto == NetFlow9 && t.size9() < 4 {
+	if w.protocol == NetFlow9 && t.netflow9RecordLength() < 4 {
 		return fmt.Errorf("template %d: a record of under 4 bytes can't be told from padding", t.ID)
 	}
-	err := w.add(t.ID, func() {
+	err := w.addToSet(t.ID, func() {
 		for i := range t.Fields {
-			w.value(&t.Fields[i], &values[i])
+			w.appendValue(&t.Fields[i], &values[i])
 		}
 	})
 	if err == nil {
-		w.data++
+		w.dataRecords++
 	}
 	return err
 }
 
-func (w *Writer) value(f *Element, v *Value) {
-	switch n := f.Length; {
-	case n == VariableLength && w.proto == NetFlow9:
-		s := v.Str
-		for len(s) > v9String || !utf8.ValidString(s) && f.Type == String {
-			s = s[:min(len(s)-1, v9String)]
+func (w *Writer) appendValue(field *Element, value *Value) {
+	switch length := field.Length; {
+	case length == VariableLength && w.protocol == NetFlow9:
+		text := value.Str
+		for len(text) > netflow9StringLength || !utf8.ValidString(text) && field.Type == String {
+			text = text[:min(len(text)-1, netflow9StringLength)]
 		}
-		w.buf = append(w.buf, s...)
-		for range v9String - len(s) {
+		w.buf = append(w.buf, text...)
+		for range netflow9StringLength - len(text) {
 			w.buf = append(w.buf, 0)
 		}
-	case n == VariableLength:
-		s := v.Str
-		if len(s) < 255 {
-			w.buf = append(w.buf, byte(len(s)))
+	case length == VariableLength:
+		text := value.Str
+		if len(text) < 255 {
+			w.buf = append(w.buf, byte(len(text)))
 		} else {
-			s = s[:min(len(s), 65534)]
+			text = text[:min(len(text), 65534)]
 			w.buf = append(w.buf, 255)
-			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(s)))
+			w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(len(text)))
 		}
-		w.buf = append(w.buf, s...)
-	case f.Type == String || f.Type == OctetArray:
-		s := v.Str[:min(len(v.Str), int(n))]
-		w.buf = append(w.buf, s...)
-		for range int(n) - len(s) {
+		w.buf = append(w.buf, text...)
+	case field.Type == String || field.Type == OctetArray:
+		text := value.Str[:min(len(value.Str), int(length))]
+		w.buf = append(w.buf, text...)
+		for range int(length) - len(text) {
 			w.buf = append(w.buf, 0)
 		}
-	case f.Type == Boolean:
-		b := byte(2) // false (RFC 7011, 6.1.5)
-		if v.Num != 0 {
-			b = 1
+	case field.Type == Boolean:
+		encoded := byte(2) // false (RFC 7011, 6.1.5)
+		if value.Num != 0 {
+			encoded = 1
 		}
-		w.buf = append(w.buf, b)
+		w.buf = append(w.buf, encoded)
 	default:
-		for i := int(n) - 1; i >= 0; i-- { // reduced-size encoding as well (RFC 7011, 6.2)
-			w.buf = append(w.buf, byte(v.Num>>(8*i)))
+		for i := int(length) - 1; i >= 0; i-- { // reduced-size encoding as well (RFC 7011, 6.2)
+			w.buf = append(w.buf, byte(value.Num>>(8*i)))
 		}
 	}
 }
 
 // Finish ends the message and returns it, valid until the next call; nil if there
 // is nothing in it. Times are in milliseconds since 1970, up since the start.
-func (w *Writer) Finish(now, up int64) []byte {
-	if len(w.buf) <= w.empty() {
+func (w *Writer) Finish(now, uptime int64) []byte {
+	if len(w.buf) <= w.headerLength() {
 		return nil
 	}
-	w.close()
-	b := w.buf
-	if w.proto == NetFlow9 {
-		binary.BigEndian.PutUint16(b[0:], uint16(NetFlow9))
-		binary.BigEndian.PutUint16(b[2:], uint16(w.records))
-		binary.BigEndian.PutUint32(b[4:], uint32(up))
-		binary.BigEndian.PutUint32(b[8:], uint32(now/1000))
-		binary.BigEndian.PutUint32(b[12:], w.seq)
-		binary.BigEndian.PutUint32(b[16:], w.domain)
-		w.seq++
+	w.closeSet()
+	message := w.buf
+	if w.protocol == NetFlow9 {
+		binary.BigEndian.PutUint16(message[0:], uint16(NetFlow9))
+		binary.BigEndian.PutUint16(message[2:], uint16(w.records))
+		binary.BigEndian.PutUint32(message[4:], uint32(uptime))
+		binary.BigEndian.PutUint32(message[8:], uint32(now/1000))
+		binary.BigEndian.PutUint32(message[12:], w.sequence)
+		binary.BigEndian.PutUint32(message[16:], w.domain)
+		w.sequence++
 	} else {
-		binary.BigEndian.PutUint16(b[0:], uint16(IPFIX))
-		binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
-		binary.BigEndian.PutUint32(b[4:], uint32(now/1000))
-		binary.BigEndian.PutUint32(b[8:], w.seq)
-		binary.BigEndian.PutUint32(b[12:], w.domain)
-		w.seq += uint32(w.data)
+		binary.BigEndian.PutUint16(message[0:], uint16(IPFIX))
+		binary.BigEndian.PutUint16(message[2:], uint16(len(message)))
+		binary.BigEndian.PutUint32(message[4:], uint32(now/1000))
+		binary.BigEndian.PutUint32(message[8:], w.sequence)
+		binary.BigEndian.PutUint32(message[12:], w.domain)
+		w.sequence += uint32(w.dataRecords)
 	}
-	w.records, w.data, w.setID = 0, 0, 0
+	w.records, w.dataRecords, w.setID = 0, 0, 0
 	w.buf = w.buf[:0]
-	return b
+	return message
 }
 
-// FloatBits is a float's bits, for Value.Num.
-func FloatBits(x float64) uint64 { return math.Float64bits(x) }
+// FloatBits is a float'text bits, for Value.Num.
+func FloatBits(value float64) uint64 { return math.Float64bits(value) }
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const pen = ownPEN
+const pen = netflow9PEN
 
 var all = []Element{
 	{ID: 152, Type: DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"},
@@ -56,7 +56,7 @@
 			case f.Type == String:
 				most := 300
 				if p == NetFlow9 {
-					most = v9String
+					most = netflow9StringLength
 				}
 				rec[i].Str = rapid.StringMatching(`[a-z ]{0,20}[a-z]`).Draw(t, "string")
 				if rapid.Bool().Draw(t, "long") {
@@ -179,7 +179,7 @@
 				for j, f := range of[i].Fields {
 					raw := got[i][j].Value.([]byte)
 					want := NewWriter(p, 0, MaxMessageLength)
-					want.value(&Element{ID: f.ID, PEN: f.PEN, Type: f.Type, Length: f.Length}, &recs[i][j])
+					want.appendValue(&Element{ID: f.ID, PEN: f.PEN, Type: f.Type, Length: f.Length}, &recs[i][j])
 					bytesWant := want.buf
 					if p == IPFIX && f.Length == VariableLength { // the length in front is the other's too
 						if bytesWant[0] == 255 {
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -59,55 +59,55 @@
 // The pressure from which each level is taken, and below which it is left: the
 // gap keeps it from flapping.
 var (
-	rise = [LevelCount]float64{0, 0.40, 0.55, 0.70, 0.85}
-	fall = [LevelCount]float64{0, 0.20, 0.35, 0.50, 0.65}
+	riseThresholds = [LevelCount]float64{0, 0.40, 0.55, 0.70, 0.85}
+	fallThresholds = [LevelCount]float64{0, 0.20, 0.35, 0.50, 0.65}
 )
 
 // Pressure is how near the records are to being lost, from 0 to 1. While no
 // collector is reachable the spool is what can run full.
-func (c Config) Pressure(s State) float64 {
-	p := 0.0
-	if s.QueueCapacity > 0 {
-		p = float64(s.QueueLength) / float64(s.QueueCapacity)
+func (c Config) Pressure(state State) float64 {
+	pressure := 0.0
+	if state.QueueCapacity > 0 {
+		pressure = float64(state.QueueLength) / float64(state.QueueCapacity)
 	}
-	if c.MaxAge > 0 && s.Reachable {
-		p = max(p, float64(s.OldestAge)/float64(c.MaxAge))
+	if c.MaxAge > 0 && state.Reachable {
+		pressure = max(pressure, float64(state.OldestAge)/float64(c.MaxAge))
 	}
-	if !s.Reachable && s.MaxSpoolBytes > 0 {
-		p = max(p, float64(s.SpoolBytes)/float64(s.MaxSpoolBytes))
+	if !state.Reachable && state.MaxSpoolBytes > 0 {
+		pressure = max(pressure, float64(state.SpoolBytes)/float64(state.MaxSpoolBytes))
 	}
-	return min(p, 1)
+	return min(pressure, 1)
 }
 
 // Shedder decides record by record.
 type Shedder struct {
-	cfg        Config
-	level      Level
-	since      time.Duration // of the level
-	dear       []bool
-	window     time.Duration // start of the fair shares' window
-	taken      map[int32]float64
-	far        int // far ends seen in the last window
-	tokens     float64
-	at         time.Duration
-	LevelRises int // times that a level was taken
+	config      Config
+	level       Level
+	levelSince  time.Duration // of the level
+	highValue   []bool
+	windowStart time.Duration // start of the fair shares' window
+	sentByDest  map[int32]float64
+	activeDests int // far ends seen in the last window
+	tokens      float64
+	updatedAt   time.Duration
+	LevelRises  int // times that a level was taken
 }
 
 // shareWindow is the span over which far ends' shares are counted.
 const shareWindow = time.Second
 
-// mostFar bounds the far ends told apart in a window.
-const mostFar = 4096
+// maxTrackedDests bounds the far ends told apart in a window.
+const maxTrackedDests = 4096
 
 // New starts a shedder at level None.
-func New(cfg Config) *Shedder {
-	s := &Shedder{cfg: cfg, taken: map[int32]float64{}, far: 1, tokens: cfg.MaxRecordRate}
+func New(config Config) *Shedder {
+	s := &Shedder{config: config, sentByDest: map[int32]float64{}, activeDests: 1, tokens: config.MaxRecordRate}
 	mean := 0.0
-	for _, w := range cfg.ClassWorth {
-		mean += w / float64(len(cfg.ClassWorth))
+	for _, worth := range config.ClassWorth {
+		mean += worth / float64(len(config.ClassWorth))
 	}
-	for _, w := range cfg.ClassWorth {
-		s.dear = append(s.dear, w > mean)
+	for _, worth := range config.ClassWorth {
+		s.highValue = append(s.highValue, worth > mean)
 	}
 	return s
 }
@@ -117,66 +117,66 @@
 
 // Update takes a new view of the pressure. A level rises at once, over several if
 // need be, and falls one at a time after Hold.
-func (s *Shedder) Update(now time.Duration, st State) Level {
-	p := s.cfg.Pressure(st)
-	for s.level < LevelCount-1 && p >= rise[s.level+1] {
+func (s *Shedder) Update(now time.Duration, state State) Level {
+	pressure := s.config.Pressure(state)
+	for s.level < LevelCount-1 && pressure >= riseThresholds[s.level+1] {
 		s.level++
-		s.since = now
+		s.levelSince = now
 		s.LevelRises++
 	}
-	if s.level > LevelNone && p < fall[s.level] && now-s.since >= s.cfg.MinLevelDuration {
+	if s.level > LevelNone && pressure < fallThresholds[s.level] && now-s.levelSince >= s.config.MinLevelDuration {
 		s.level--
-		s.since = now
+		s.levelSince = now
 	}
-	if now-s.window >= shareWindow {
-		s.window, s.far = now, max(len(s.taken), 1)
-		clear(s.taken)
+	if now-s.windowStart >= shareWindow {
+		s.windowStart, s.activeDests = now, max(len(s.sentByDest), 1)
+		clear(s.sentByDest)
 	}
-	s.tokens = min(s.tokens+s.cfg.MaxRecordRate*(now-s.at).Seconds(), s.cfg.MaxRecordRate)
-	s.at = now
+	s.tokens = min(s.tokens+s.config.MaxRecordRate*(now-s.updatedAt).Seconds(), s.config.MaxRecordRate)
+	s.updatedAt = now
 	return s.level
 }
 
 // Decide tells what becomes of a record. folds is the number of sums in use and
 // known whether the record's own is among them.
-func (s *Shedder) Decide(r *flow.Record, folds int, known bool) Decision {
-	if s.whole(r) {
-		if len(s.taken) < mostFar {
-			s.taken[r.Dest]++
+func (s *Shedder) Decide(record *flow.Record, sumCount int, sumExists bool) Decision {
+	if s.shouldSend(record) {
+		if len(s.sentByDest) < maxTrackedDests {
+			s.sentByDest[record.Dest]++
 		}
 		s.tokens--
 		return Send
 	}
-	if known || folds < s.cfg.MaxSums {
+	if sumExists || sumCount < s.config.MaxSums {
 		return Fold
 	}
 	return Drop
 }
 
-func (s *Shedder) whole(r *flow.Record) bool {
+func (s *Shedder) shouldSend(record *flow.Record) bool {
 	level := s.level
-	if level > LevelNone && level < LevelMostCalls && s.over(r.Dest) {
+	if level > LevelNone && level < LevelMostCalls && s.exceedsShare(record.Dest) {
 		level++ // more than its share: as if the pressure were a level higher
 	}
-	dear := int(r.Class) < len(s.dear) && s.dear[r.Class]
-	attempt := r.Kind == flow.KindAttempt
+	highValue := int(record.Class) < len(s.highValue) && s.highValue[record.Class]
+	isAttempt := record.Kind == flow.KindAttempt
 	switch level {
 	case LevelNone:
 		return true
 	case LevelLowValueAttempts:
-		return !attempt || dear
+		return !isAttempt || highValue
 	case LevelAttempts:
-		return !attempt
+		return !isAttempt
 	case LevelLowValueCalls:
-		return !attempt && dear
+		return !isAttempt && highValue
 	}
-	return !attempt && dear && s.tokens >= 1 && !s.over(r.Dest)
+	return !isAttempt && highValue && s.tokens >= 1 && !s.exceedsShare(record.Dest)
 }
 
-// over tells whether a far end has had more than its share of the window's
+// exceedsShare tells whether a far end has had more than its share of the window's
 // whole records: an even part of the budget.
-func (s *Shedder) over(far int32) bool {
-	return s.taken[far] > s.cfg.MaxRecordRate*shareWindow.Seconds()/float64(s.far)
+func (s *Shedder) exceedsShare(dest int32) bool {
+	return s.sentByDest[dest] > s.config.MaxRecordRate*shareWindow.Seconds()/float64(s.activeDests)
 }
 
 // Key of a sum.
@@ -188,7 +188,9 @@
 }
 
 // KeyFor is the sum that a record is folded into.
-func KeyFor(r *flow.Record) Key { return Key{r.Kind, r.Class, r.Outcome, r.Dest} }
+func KeyFor(record *flow.Record) Key {
+	return Key{record.Kind, record.Class, record.Outcome, record.Dest}
+}
 
 // Sum is what is left of folded records.
 type Sum struct {
@@ -199,13 +201,13 @@
 }
 
 // Add folds a record in.
-func (s *Sum) Add(r *flow.Record) {
+func (s *Sum) Add(record *flow.Record) {
 	if s.Count == 0 {
-		s.FirstStart = r.Start
+		s.FirstStart = record.Start
 	}
 	s.Count++
-	s.FirstStart, s.LastStart = min(s.FirstStart, r.Start), max(s.LastStart, r.Start)
-	s.SetUp += r.SetUp
-	s.EstablishedFor += r.EstablishedFor
-	s.Attempts += uint64(r.Attempts)
+	s.FirstStart, s.LastStart = min(s.FirstStart, record.Start), max(s.LastStart, record.Start)
+	s.SetUp += record.SetUp
+	s.EstablishedFor += record.EstablishedFor
+	s.Attempts += uint64(record.Attempts)
 }
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -21,7 +21,7 @@
 // At each level, what goes whole at most also goes whole at every lower one,
 // and the order of loss holds.
 func TestOrderOfLoss(t *testing.T) {
-	rank := func(s *Shedder, k flow.Kind, class uint8) bool { return s.whole(record(k, class, 1)) }
+	rank := func(s *Shedder, k flow.Kind, class uint8) bool { return s.shouldSend(record(k, class, 1)) }
 	for level := LevelNone; level < LevelCount; level++ {
 		s := New(cfg)
 		s.level = level
--- a/internal/spool/fs.go
+++ b/internal/spool/fs.go
@@ -55,17 +55,17 @@
 
 // Append opens a file at its end, cut to size.
 func (d Dir) Append(name string, size int64) (File, error) {
-	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Truncate(size); err != nil {
-		return nil, errors.Join(err, f.Close())
+	if err := file.Truncate(size); err != nil {
+		return nil, errors.Join(err, file.Close())
 	}
-	if _, err := f.Seek(size, io.SeekStart); err != nil {
-		return nil, errors.Join(err, f.Close())
+	if _, err := file.Seek(size, io.SeekStart); err != nil {
+		return nil, errors.Join(err, file.Close())
 	}
-	return f, nil
+	return file, nil
 }
 
 // Remove deletes a file.
@@ -76,16 +76,16 @@
 
 // Replace writes a small file in one step.
 func (d Dir) Replace(name string, content []byte) error {
-	tmp := d.path(name + ".new")
-	f, err := os.Create(tmp)
+	temporary := d.path(name + ".new")
+	file, err := os.Create(temporary)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(content)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	_, err = file.Write(content)
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(tmp, d.path(name)); err != nil {
+	if err := os.Rename(temporary, d.path(name)); err != nil {
 		return err
 	}
 	return d.SyncDir()
@@ -97,25 +97,25 @@
 	if err != nil {
 		return nil, err
 	}
-	var all []FileInfo
-	for _, e := range entries {
-		info, err := e.Info()
-		if err != nil || e.IsDir() {
+	var files []FileInfo
+	for _, entry := range entries {
+		info, err := entry.Info()
+		if err != nil || entry.IsDir() {
 			continue // gone meanwhile, or not ours
 		}
-		all = append(all, FileInfo{e.Name(), info.Size()})
+		files = append(files, FileInfo{entry.Name(), info.Size()})
 	}
-	slices.SortFunc(all, func(a, b FileInfo) int { return strings.Compare(a.Name, b.Name) })
-	return all, nil
+	slices.SortFunc(files, func(a, b FileInfo) int { return strings.Compare(a.Name, b.Name) })
+	return files, nil
 }
 
 // SyncDir makes creations and removals durable.
 func (d Dir) SyncDir() error {
-	f, err := os.Open(string(d))
+	file, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.Sync(), f.Close())
+	return errors.Join(file.Sync(), file.Close())
 }
 
 // CreateDir makes the directory of a spool and checks that it can be written.
@@ -123,13 +123,13 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
 	}
-	d := Dir(path)
-	const probe = ".probe"
-	if err := os.WriteFile(d.path(probe), nil, 0o600); err != nil {
+	dir := Dir(path)
+	const probeName = ".probe"
+	if err := os.WriteFile(dir.path(probeName), nil, 0o600); err != nil {
 		return "", fmt.Errorf("spool: not writable: %w", err)
 	}
-	if err := os.Remove(d.path(probe)); err != nil {
+	if err := os.Remove(dir.path(probeName)); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
 	}
-	return d, nil
+	return dir, nil
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -39,43 +39,43 @@
 }
 
 const (
-	suffix     = ".ipfix"
-	cursorName = "cursor"
-	asideMark  = ".aside"
+	segmentSuffix  = ".ipfix"
+	cursorName     = "cursor"
+	setAsideSuffix = ".aside"
 )
 
-func segmentName(n uint64) string { return fmt.Sprintf("%012d%s", n, suffix) }
+func segmentName(number uint64) string { return fmt.Sprintf("%012d%s", number, segmentSuffix) }
 
 type segment struct {
-	n     uint64
-	size  int64
-	until int64 // export time of its last message, seconds since 1970
+	number     uint64
+	size       int64
+	lastExport int64 // export time of its last message, seconds since 1970
 }
 
 // cursor is where the replay stands: what is sure to have arrived, and what may have.
 type cursor struct {
-	Segment uint64 `json:"segment"`
-	Done    int64  `json:"done"`  // bytes of it that have arrived
-	Begun   int64  `json:"begun"` // bytes of it that were handed out
+	Segment        uint64 `json:"segment"`
+	ConfirmedBytes int64  `json:"done"`  // bytes of it that have arrived
+	ReadBytes      int64  `json:"begun"` // bytes of it that were handed out
 }
 
 // Spool is one directory. It is not safe for concurrent use.
 type Spool struct {
-	cfg      Config
-	fs       FS
-	codec    *flow.Codec
-	segs     []segment
-	file     File
-	w        *ipfix.Writer
-	unsynced bool
-	syncAt   time.Duration
-	status   Status
-	at       cursor
-	reader   File
-	readAt   int64
-	dec      *ipfix.Decoder
-	lost     LostCounts
-	scratch  []ipfix.Value
+	config     Config
+	fs         FS
+	codec      *flow.Codec
+	segments   []segment
+	current    File
+	writer     *ipfix.Writer
+	unsynced   bool
+	syncAt     time.Duration
+	status     Status
+	position   cursor
+	reader     File
+	readOffset int64
+	decoder    *ipfix.Decoder
+	lost       LostCounts
+	values     []ipfix.Value
 }
 
 // ErrNotWritable says that the spool can't be written; it tries again later.
@@ -83,40 +83,40 @@
 
 // Open looks through a directory: ends that are torn are cut, files of another
 // version are set aside, and the replay goes on where it stood.
-func Open(fs FS, cfg Config, codec *flow.Codec) (*Spool, error) {
-	s := &Spool{cfg: cfg, fs: fs, codec: codec}
-	infos, err := fs.List()
+func Open(fs FS, config Config, codec *flow.Codec) (*Spool, error) {
+	s := &Spool{config: config, fs: fs, codec: codec}
+	files, err := fs.List()
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
-	for _, i := range infos {
-		name, ok := strings.CutSuffix(i.Name, suffix)
-		n, err := strconv.ParseUint(name, 10, 64)
+	for _, info := range files {
+		name, ok := strings.CutSuffix(info.Name, segmentSuffix)
+		number, err := strconv.ParseUint(name, 10, 64)
 		if !ok || err != nil {
 			continue
 		}
-		seg := segment{n: n}
-		good, err := s.scan(&seg)
+		seg := segment{number: number}
+		validBytes, err := s.scan(&seg)
 		switch {
-		case err != nil && good == 0:
+		case err != nil && validBytes == 0:
 			s.status.SetAside++
-			if err := fs.Rename(i.Name, i.Name+asideMark); err != nil {
-				return nil, fmt.Errorf("spool: setting %s aside: %w", i.Name, err)
+			if err := fs.Rename(info.Name, info.Name+setAsideSuffix); err != nil {
+				return nil, fmt.Errorf("spool: setting %s aside: %w", info.Name, err)
 			}
 			continue
-		case good < i.Size:
+		case validBytes < info.Size:
 			s.status.Torn++
-			f, err := fs.Append(i.Name, good)
+			file, err := fs.Append(info.Name, validBytes)
 			if err != nil {
-				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", i.Name, err)
+				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", info.Name, err)
 			}
-			if err := errors.Join(f.Sync(), f.Close()); err != nil {
-				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", i.Name, err)
+			if err := errors.Join(file.Sync(), file.Close()); err != nil {
+				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", info.Name, err)
 			}
 		}
-		seg.size = good
-		s.segs = append(s.segs, seg)
-		s.status.Bytes += good
+		seg.size = validBytes
+		s.segments = append(s.segments, seg)
+		s.status.Bytes += validBytes
 	}
 	s.readCursor()
 	return s, nil
@@ -124,54 +124,54 @@
 
 // scan reads a segment and returns the length of its whole messages.
 func (s *Spool) scan(seg *segment) (int64, error) {
-	f, err := s.fs.Open(segmentName(seg.n))
+	file, err := s.fs.Open(segmentName(seg.number))
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
-	dec := ipfix.NewDecoder(flow.Elements()...)
-	good := int64(0)
+	defer file.Close()
+	decoder := ipfix.NewDecoder(flow.Elements()...)
+	validBytes := int64(0)
 	for first := true; ; first = false {
-		b, err := ipfix.ReadMessage(f, nil)
+		data, err := ipfix.ReadMessage(file, nil)
 		if err != nil {
-			return good, err
+			return validBytes, err
 		}
-		m, err := dec.Decode(b)
+		message, err := decoder.Decode(data)
 		if err != nil {
-			return good, err
+			return validBytes, err
 		}
-		if first && !flow.HasCurrentFormat(m) {
-			return 0, fmt.Errorf("segment %d: not of this format", seg.n)
+		if first && !flow.HasCurrentFormat(message) {
+			return 0, fmt.Errorf("segment %d: not of this format", seg.number)
 		}
-		good += int64(len(b))
-		seg.until = m.ExportTime
+		validBytes += int64(len(data))
+		seg.lastExport = message.ExportTime
 	}
 }
 
 // readCursor finds where the replay stood; without a word it begins at the start.
 func (s *Spool) readCursor() {
-	f, err := s.fs.Open(cursorName)
+	file, err := s.fs.Open(cursorName)
 	if err != nil {
 		return
 	}
-	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, 1<<16))
-	if err != nil || json.Unmarshal(b, &s.at) != nil {
-		s.at = cursor{}
+	defer file.Close()
+	data, err := io.ReadAll(io.LimitReader(file, 1<<16))
+	if err != nil || json.Unmarshal(data, &s.position) != nil {
+		s.position = cursor{}
 	}
 }
 
 func (s *Spool) writeCursor() error {
-	b, err := json.Marshal(s.at)
+	data, err := json.Marshal(s.position)
 	if err != nil {
 		return err
 	}
-	return s.fs.Replace(cursorName, b)
+	return s.fs.Replace(cursorName, data)
 }
 
 // Status tells what is in it.
 func (s *Spool) Status() Status {
-	s.status.Segments = len(s.segs)
+	s.status.Segments = len(s.segments)
 	return s.status
 }
 
@@ -180,16 +180,16 @@
 
 // HasPending tells whether there is something to replay.
 func (s *Spool) HasPending() bool {
-	return slices.ContainsFunc(s.segs, func(g segment) bool {
-		return g.n > s.at.Segment && g.size > 0 || g.n == s.at.Segment && s.at.Done < g.size
+	return slices.ContainsFunc(s.segments, func(seg segment) bool {
+		return seg.number > s.position.Segment && seg.size > 0 || seg.number == s.position.Segment && s.position.ConfirmedBytes < seg.size
 	})
 }
 
 // TakeLost returns what went unread since the last call.
 func (s *Spool) TakeLost() LostCounts {
-	l := s.lost
+	lost := s.lost
 	s.lost = LostCounts{}
-	return l
+	return lost
 }
 
 // Write adds records. What could not be written comes back as an error with
@@ -199,99 +199,99 @@
 		return nil
 	}
 	s.expire(now)
-	if s.file != nil && s.segs[len(s.segs)-1].size >= s.cfg.SegmentBytes {
+	if s.current != nil && s.segments[len(s.segments)-1].size >= s.config.SegmentBytes {
 		if err := s.rotate(); err != nil {
 			return err
 		}
 	}
-	if s.file == nil {
-		if err := s.create(now); err != nil {
+	if s.current == nil {
+		if err := s.createSegment(now); err != nil {
 			s.status.WriteFailures++
 			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
 	}
 	var buf []byte
-	take := func() {
-		if b := s.w.Finish(now.Milliseconds(), 0); b != nil {
-			buf = append(buf, b...)
+	flush := func() {
+		if message := s.writer.Finish(now.Milliseconds(), 0); message != nil {
+			buf = append(buf, message...)
 		}
 	}
-	for _, it := range items {
-		t := s.codec.Template(it.Kind)
-		s.scratch = s.codec.Values(it, s.scratch)
-		err := s.w.AddRecord(t, s.scratch)
+	for _, item := range items {
+		template := s.codec.Template(item.Kind)
+		s.values = s.codec.Values(item, s.values)
+		err := s.writer.AddRecord(template, s.values)
 		if errors.Is(err, ipfix.ErrFull) {
-			take()
-			err = s.w.AddRecord(t, s.scratch)
+			flush()
+			err = s.writer.AddRecord(template, s.values)
 		}
 		if err != nil {
 			return fmt.Errorf("spool: %w", err)
 		}
 	}
-	take()
-	if err := s.append(buf); err != nil {
+	flush()
+	if err := s.appendMessages(buf); err != nil {
 		return err
 	}
-	last := &s.segs[len(s.segs)-1]
-	last.until = int64(now / time.Second)
+	last := &s.segments[len(s.segments)-1]
+	last.lastExport = int64(now / time.Second)
 	if !s.unsynced {
-		s.unsynced, s.syncAt = true, now+s.cfg.SyncDelay
+		s.unsynced, s.syncAt = true, now+s.config.SyncDelay
 	}
 	s.evict()
 	return nil
 }
 
-// append writes whole messages, or none: a short write is cut off again, and
+// appendMessages writes whole messages, or none: a short write is cut off again, and
 // where that fails too the segment is left to be cut when it is next opened.
-func (s *Spool) append(b []byte) error {
-	seg := &s.segs[len(s.segs)-1]
-	n, err := s.file.Write(b)
+func (s *Spool) appendMessages(data []byte) error {
+	seg := &s.segments[len(s.segments)-1]
+	n, err := s.current.Write(data)
 	if err == nil {
 		seg.size += int64(n)
 		s.status.Bytes += int64(n)
 		return nil
 	}
 	s.status.WriteFailures++
-	_ = s.file.Close() // it failed already
-	s.file = nil
-	f, cut := s.fs.Append(segmentName(seg.n), seg.size)
-	if cut == nil {
-		cut = f.Close()
+	_ = s.current.Close() // it failed already
+	s.current = nil
+	file, cutErr := s.fs.Append(segmentName(seg.number), seg.size)
+	if cutErr == nil {
+		cutErr = file.Close()
 	}
-	return fmt.Errorf("%w: %w", ErrNotWritable, errors.Join(err, cut))
+	return fmt.Errorf("%w: %w", ErrNotWritable, errors.Join(err, cutErr))
 }
 
-// create starts a segment with the templates and the format's mark.
-func (s *Spool) create(now time.Duration) error {
-	n := uint64(1)
-	if len(s.segs) > 0 {
-		n = s.segs[len(s.segs)-1].n + 1
+// createSegment starts a segment with the templates and the format's mark.
+func (s *Spool) createSegment(now time.Duration) error {
+	number := uint64(1)
+	if len(s.segments) > 0 {
+		number = s.segments[len(s.segments)-1].number + 1
 	}
-	n = max(n, s.at.Segment+1)
-	f, err := s.fs.Create(segmentName(n))
+	number = max(number, s.position.Segment+1)
+	file, err := s.fs.Create(segmentName(number))
 	if err != nil {
 		return err
 	}
-	s.w = ipfix.NewWriter(ipfix.IPFIX, s.codec.Domain, 16<<10)
-	var head []byte
-	if err := s.codec.Preamble(s.w, func() { head = append(head, s.w.Finish(now.Milliseconds(), 0)...) }); err != nil {
-		return errors.Join(err, f.Close())
+	s.writer = ipfix.NewWriter(ipfix.IPFIX, s.codec.Domain, 16<<10)
+	var preamble []byte
+	if err := s.codec.Preamble(s.writer, func() { preamble = append(preamble, s.writer.Finish(now.Milliseconds(), 0)...) }); err != nil {
+		return errors.Join(err, file.Close())
 	}
-	if _, err := f.Write(head); err != nil {
-		return errors.Join(err, f.Close(), s.fs.Remove(segmentName(n)))
+	if _, err := file.Write(preamble); err != nil {
+		return errors.Join(err, file.Close(), s.fs.Remove(segmentName(number)))
 	}
 	if err := s.fs.SyncDir(); err != nil {
-		return errors.Join(err, f.Close(), s.fs.Remove(segmentName(n)))
+		return errors.Join(err, file.Close(), s.fs.Remove(segmentName(number)))
 	}
-	s.file = f
-	s.segs = append(s.segs, segment{n: n, size: int64(len(head)), until: int64(now / time.Second)})
-	s.status.Bytes += int64(len(head))
+	s.current = file
+	s.segments = append(s.segments, segment{number: number, size: int64(len(preamble)), lastExport: int64(now / time.Second)})
+	s.status.Bytes += int64(len(preamble))
 	return nil
 }
 
 func (s *Spool) rotate() error {
-	err := errors.Join(s.file.Sync(), s.file.Close())
-	s.file, s.unsynced = nil, false
+	err := errors.Join(s.current.Sync(), s.current.Close())
+	s.current, s.unsynced = nil, false
 	if err != nil {
 		s.status.WriteFailures++
 		return fmt.Errorf("%w: %w", ErrNotWritable, err)
@@ -302,9 +302,9 @@
 // Tick makes durable what is due, and drops what is too old.
 func (s *Spool) Tick(now time.Duration) error {
 	s.expire(now)
-	if s.unsynced && now >= s.syncAt && s.file != nil {
+	if s.unsynced && now >= s.syncAt && s.current != nil {
 		s.unsynced = false
-		if err := s.file.Sync(); err != nil {
+		if err := s.current.Sync(); err != nil {
 			s.status.WriteFailures++
 			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
@@ -315,9 +315,9 @@
 // expire drops segments whose last record is older than Age. A clock that has
 // stepped back makes nothing old.
 func (s *Spool) expire(now time.Duration) {
-	for s.cfg.MaxAge > 0 && len(s.segs) > 0 {
-		g := s.segs[0]
-		if s.file != nil && len(s.segs) == 1 || int64(now/time.Second)-g.until <= int64(s.cfg.MaxAge/time.Second) {
+	for s.config.MaxAge > 0 && len(s.segments) > 0 {
+		oldest := s.segments[0]
+		if s.current != nil && len(s.segments) == 1 || int64(now/time.Second)-oldest.lastExport <= int64(s.config.MaxAge/time.Second) {
 			return
 		}
 		s.dropOldest()
@@ -326,61 +326,61 @@
 
 // evict drops the oldest segments while there are too many bytes.
 func (s *Spool) evict() {
-	for s.status.Bytes > s.cfg.MaxBytes && len(s.segs) > 1 {
+	for s.status.Bytes > s.config.MaxBytes && len(s.segments) > 1 {
 		s.dropOldest()
 	}
 }
 
 // dropOldest removes the first segment and counts what of it was never handed out.
 func (s *Spool) dropOldest() {
-	g := s.segs[0]
-	from := int64(0)
-	if g.n == s.at.Segment {
-		from = s.at.Begun
+	oldest := s.segments[0]
+	unreadFrom := int64(0)
+	if oldest.number == s.position.Segment {
+		unreadFrom = s.position.ReadBytes
 	}
-	if g.n >= s.at.Segment {
-		s.count(g, from)
+	if oldest.number >= s.position.Segment {
+		s.countLost(oldest, unreadFrom)
 	}
-	s.closeReader(g.n)
-	if err := s.fs.Remove(segmentName(g.n)); err != nil {
+	s.closeReader(oldest.number)
+	if err := s.fs.Remove(segmentName(oldest.number)); err != nil {
 		s.status.WriteFailures++
 	}
-	s.status.Bytes -= g.size
-	s.segs = s.segs[1:]
+	s.status.Bytes -= oldest.size
+	s.segments = s.segments[1:]
 }
 
-// count books the records of a segment from a byte on as lost.
-func (s *Spool) count(g segment, from int64) {
-	f, err := s.fs.Open(segmentName(g.n))
+// countLost books the records of a segment from a byte on as lost.
+func (s *Spool) countLost(seg segment, from int64) {
+	file, err := s.fs.Open(segmentName(seg.number))
 	if err != nil {
 		return
 	}
-	defer f.Close()
-	dec := ipfix.NewDecoder(flow.Elements()...)
-	for at := int64(0); at < g.size; {
-		b, err := ipfix.ReadMessage(f, nil)
+	defer file.Close()
+	decoder := ipfix.NewDecoder(flow.Elements()...)
+	for offset := int64(0); offset < seg.size; {
+		data, err := ipfix.ReadMessage(file, nil)
 		if err != nil {
 			return
 		}
-		m, err := dec.Decode(b)
+		message, err := decoder.Decode(data)
 		if err != nil {
 			return
 		}
-		if at >= from {
-			for i := range m.Records {
-				if it, ok := flow.ItemOf(&m.Records[i]); ok {
-					it.AddTo(&s.lost)
+		if offset >= from {
+			for i := range message.Records {
+				if item, ok := flow.ItemOf(&message.Records[i]); ok {
+					item.AddTo(&s.lost)
 				}
 			}
 		}
-		at += int64(len(b))
+		offset += int64(len(data))
 	}
 }
 
-func (s *Spool) closeReader(n uint64) {
-	if s.reader != nil && s.at.Segment == n {
+func (s *Spool) closeReader(number uint64) {
+	if s.reader != nil && s.position.Segment == number {
 		_ = s.reader.Close() // only read from
-		s.reader, s.dec = nil, nil
+		s.reader, s.decoder = nil, nil
 	}
 }
 
@@ -390,67 +390,67 @@
 // before Arrived.
 func (s *Spool) Next() ([]*flow.Item, error) {
 	for {
-		i := slices.IndexFunc(s.segs, func(g segment) bool {
-			return g.n > s.at.Segment || g.n == s.at.Segment && s.at.Done < g.size
+		index := slices.IndexFunc(s.segments, func(seg segment) bool {
+			return seg.number > s.position.Segment || seg.number == s.position.Segment && s.position.ConfirmedBytes < seg.size
 		})
-		if i < 0 {
+		if index < 0 {
 			return nil, nil
 		}
-		g := s.segs[i]
-		if g.n == s.at.Segment && s.readPlace() >= g.size {
+		seg := s.segments[index]
+		if seg.number == s.position.Segment && s.replayOffset() >= seg.size {
 			return nil, nil // all is handed out; the next segment waits for Arrived
 		}
-		if s.file != nil && i == len(s.segs)-1 { // what is read has to be on disk first
+		if s.current != nil && index == len(s.segments)-1 { // what is read has to be on disk first
 			if err := s.rotate(); err != nil {
 				return nil, err
 			}
 		}
-		if g.n != s.at.Segment {
-			s.closeReader(s.at.Segment)
-			s.at = cursor{Segment: g.n}
+		if seg.number != s.position.Segment {
+			s.closeReader(s.position.Segment)
+			s.position = cursor{Segment: seg.number}
 		}
 		if s.reader == nil {
-			f, err := s.fs.Open(segmentName(g.n))
+			file, err := s.fs.Open(segmentName(seg.number))
 			if err != nil {
 				return nil, fmt.Errorf("spool: replay: %w", err)
 			}
-			s.reader, s.readAt, s.dec = f, 0, ipfix.NewDecoder(flow.Elements()...)
+			s.reader, s.readOffset, s.decoder = file, 0, ipfix.NewDecoder(flow.Elements()...)
 		}
-		b, err := ipfix.ReadMessage(s.reader, nil)
-		var m *ipfix.Message
+		data, err := ipfix.ReadMessage(s.reader, nil)
+		var message *ipfix.Message
 		if err == nil {
-			m, err = s.dec.Decode(b)
+			message, err = s.decoder.Decode(data)
 		}
 		if err != nil { // it was good when it was opened: the disk has lost it
 			s.status.WriteFailures++
-			s.count(segment{n: g.n, size: s.readAt}, s.readAt)
-			s.closeReader(g.n)
-			s.at.Done, s.at.Begun = g.size, g.size
-			s.readAt = g.size
+			s.countLost(segment{number: seg.number, size: s.readOffset}, s.readOffset)
+			s.closeReader(seg.number)
+			s.position.ConfirmedBytes, s.position.ReadBytes = seg.size, seg.size
+			s.readOffset = seg.size
 			continue
 		}
-		at := s.readAt
-		s.readAt += int64(len(b))
-		if at < s.at.Done {
+		offset := s.readOffset
+		s.readOffset += int64(len(data))
+		if offset < s.position.ConfirmedBytes {
 			continue // has arrived; read for its templates
 		}
-		again := at < s.at.Begun
-		if !again {
-			s.at.Begun = s.readAt
+		resent := offset < s.position.ReadBytes
+		if !resent {
+			s.position.ReadBytes = s.readOffset
 			if err := s.writeCursor(); err != nil {
 				s.status.WriteFailures++
-				s.at.Begun, s.readAt = at, at
-				s.closeReader(g.n)
+				s.position.ReadBytes, s.readOffset = offset, offset
+				s.closeReader(seg.number)
 				return nil, fmt.Errorf("%w: %w", ErrNotWritable, err)
 			}
 		}
 		var items []*flow.Item
-		for i := range m.Records {
-			if it, ok := flow.ItemOf(&m.Records[i]); ok {
-				if again {
-					it.MarkResent()
+		for i := range message.Records {
+			if item, ok := flow.ItemOf(&message.Records[i]); ok {
+				if resent {
+					item.MarkResent()
 				}
-				items = append(items, it)
+				items = append(items, item)
 			}
 		}
 		if len(items) > 0 {
@@ -459,30 +459,30 @@
 	}
 }
 
-func (s *Spool) readPlace() int64 {
+func (s *Spool) replayOffset() int64 {
 	if s.reader == nil {
-		return s.at.Done
+		return s.position.ConfirmedBytes
 	}
-	return s.readAt
+	return s.readOffset
 }
 
 // Confirm books that all that Next has returned has arrived: segments read to
 // their end go.
 func (s *Spool) Confirm() error {
-	s.at.Done = s.readPlace()
-	s.at.Begun = max(s.at.Begun, s.at.Done)
-	for len(s.segs) > 0 {
-		g := s.segs[0]
-		if g.n > s.at.Segment || g.n == s.at.Segment && s.at.Done < g.size || s.file != nil && len(s.segs) == 1 {
+	s.position.ConfirmedBytes = s.replayOffset()
+	s.position.ReadBytes = max(s.position.ReadBytes, s.position.ConfirmedBytes)
+	for len(s.segments) > 0 {
+		oldest := s.segments[0]
+		if oldest.number > s.position.Segment || oldest.number == s.position.Segment && s.position.ConfirmedBytes < oldest.size || s.current != nil && len(s.segments) == 1 {
 			break
 		}
-		s.closeReader(g.n)
-		if err := s.fs.Remove(segmentName(g.n)); err != nil {
+		s.closeReader(oldest.number)
+		if err := s.fs.Remove(segmentName(oldest.number)); err != nil {
 			s.status.WriteFailures++
 			return fmt.Errorf("spool: %w", err)
 		}
-		s.status.Bytes -= g.size
-		s.segs = s.segs[1:]
+		s.status.Bytes -= oldest.size
+		s.segments = s.segments[1:]
 	}
 	if err := s.writeCursor(); err != nil {
 		s.status.WriteFailures++
@@ -496,7 +496,7 @@
 func (s *Spool) Rewind() {
 	if s.reader != nil {
 		_ = s.reader.Close() // only read from
-		s.reader, s.dec = nil, nil
+		s.reader, s.decoder = nil, nil
 	}
 }
 
@@ -506,11 +506,11 @@
 		_ = s.reader.Close() // only read from
 		s.reader = nil
 	}
-	if s.file != nil {
+	if s.current != nil {
 		return s.rotate()
 	}
 	return nil
 }
 
 // MaxBytes is its bound in bytes.
-func (s *Spool) MaxBytes() int64 { return s.cfg.MaxBytes }
+func (s *Spool) MaxBytes() int64 { return s.config.MaxBytes }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -249,7 +249,7 @@
 	at := bytes.Index(data, []byte{1, 5, 0, 10}) // a set of id 261 with 4 and 2 bytes: the format
 	data[at+9]++
 	s = open(t, d, small)
-	if s.Status().SetAside != 1 || s.HasPending() || d.files[segmentName(1)+asideMark] == nil {
+	if s.Status().SetAside != 1 || s.HasPending() || d.files[segmentName(1)+setAsideSuffix] == nil {
 		t.Fatalf("%+v", s.Status())
 	}
 	if err := s.Write(time.Hour, items(1, 3)); err != nil || len(drain(t, s)) != 3 {
