--- a/internal/collect/collector.go
+++ b/internal/collect/collector.go
@@ -15,17 +15,18 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// Faults is what a collector does wrong; they may change while it runs.
+// Faults are the faults that a collector simulates. They may change while it runs.
 type Faults struct {
-	RefuseConnections atomic.Bool  // connections are closed as they come
+	RefuseConnections atomic.Bool  // connections are closed when they are accepted
 	StopReading       atomic.Bool  // nothing is read
-	ResetEach         atomic.Bool  // each connection is reset after a message
-	ReadDelay         atomic.Int64 // nanoseconds before each message is read
-	KeepOpen          atomic.Bool  // a connection that ends is not closed by this end
+	ResetEach         atomic.Bool  // each connection is reset after one message
+	ReadDelay         atomic.Int64 // nanoseconds to wait before each message is read
+	KeepOpen          atomic.Bool  // a connection that the peer has closed is not closed by the collector
 }
 
-// Collector takes messages over TCP (or TLS, by its listener) and UDP.
+// Collector receives messages over TCP (or TLS, depending on the listener) and UDP.
 type Collector struct {
+	// Faults may be set at any time.
 	Faults          Faults
 	mu              sync.Mutex
 	tally           *Tally
@@ -35,10 +36,11 @@
 	connections     map[net.Conn]bool
 	wg              sync.WaitGroup
 	connectionCount int
-	messageCount    int // messages read
+	messageCount    int // messages received
 }
 
-// New makes a collector that keeps what it reads in an IPFIX file, if one is named.
+// New returns a collector. If path is not empty, it writes the received messages to
+// an IPFIX file there.
 func New(path string) (*Collector, error) {
 	c := &Collector{tally: NewTally(), connections: map[net.Conn]bool{}}
 	if path != "" {
@@ -51,7 +53,7 @@
 	return c, nil
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (c *Collector) Serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -71,7 +73,7 @@
 	}
 }
 
-// ServePacket takes messages from a socket until it is closed.
+// ServePacket receives messages from a packet connection until it is closed.
 func (c *Collector) ServePacket(conn net.PacketConn) {
 	buf := make([]byte, ipfix.MaxMessageLength)
 	for {
@@ -83,6 +85,7 @@
 	}
 }
 
+// handleMessage writes a message to the file and adds it to the tally.
 func (c *Collector) handleMessage(source string, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,9 +93,10 @@
 	if c.writer != nil && c.writeErr == nil {
 		_, c.writeErr = c.writer.Write(message)
 	}
-	_, _ = c.tally.AddMessage(source, message) // one that can't be read is in the report
+	_, _ = c.tally.AddMessage(source, message) // the report counts messages that can't be decoded
 }
 
+// serveConnection receives messages from a connection until it ends.
 func (c *Collector) serveConnection(conn net.Conn, source string) {
 	defer func() {
 		conn.Close()
@@ -132,38 +136,39 @@
 	}
 }
 
-// ResetConnection ends a connection so that what was not read is known to be lost.
+// ResetConnection closes a connection with a TCP reset, so that the sender learns
+// that unread data was lost.
 func ResetConnection(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the close below says the rest
+		_ = tcp.SetLinger(0) // without it Close still ends the connection
 	}
 	conn.Close()
 }
 
-// ResetAll resets all connections.
+// ResetAll resets all open connections.
 func (c *Collector) ResetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn := range c.connections { // each for itself
+	for conn := range c.connections { // order doesn't matter
 		ResetConnection(conn)
 	}
 }
 
-// MessageCount is how many were read.
+// MessageCount returns the number of messages received.
 func (c *Collector) MessageCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.messageCount
 }
 
-// Report adds up what was read so far.
+// Report returns the report on the messages received so far.
 func (c *Collector) Report() *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally.Report()
 }
 
-// Close ends all connections and the file.
+// Close resets all connections and closes the file.
 func (c *Collector) Close() error {
 	c.Faults.StopReading.Store(false)
 	c.Faults.KeepOpen.Store(false)
@@ -181,7 +186,7 @@
 	return nil
 }
 
-// Run collects on an address until ctx ends: TCP connections and datagrams.
+// Run receives messages over TCP and UDP until ctx is done.
 func (c *Collector) Run(ctx context.Context, listener net.Listener, packetConn net.PacketConn) {
 	context.AfterFunc(ctx, func() {
 		listener.Close()
--- a/internal/collect/sketch_test.go
+++ b/internal/collect/sketch_test.go
@@ -8,58 +8,59 @@
 	"pgregory.net/rapid"
 )
 
-// The sketch's promise, against exact counts: no count is too low, none too high
-// by more than its own bound or n/size, and every key above n/size is there.
-func TestSketchKeepsItsPromise(t *testing.T) {
+// Compared with exact counts, no count of the sketch is too low or too high by more
+// than its own maximum error or total/size, and every key above total/size is listed.
+func TestSketchErrorBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "size")
-		s, exact, n := NewSketch(size), map[string]uint64{}, uint64(0)
-		z := rand.NewZipf(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), 1.3, 2, 200)
+		sketch, exact, total := NewSketch(size), map[string]uint64{}, uint64(0)
+		zipf := rand.NewZipf(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), 1.3, 2, 200)
 		for range rapid.IntRange(0, 2000).Draw(t, "adds") {
-			k, w := fmt.Sprint(z.Uint64()), 1+z.Uint64()%3
-			s.Add(k, w)
-			exact[k] += w
-			n += w
+			key, weight := fmt.Sprint(zipf.Uint64()), 1+zipf.Uint64()%3
+			sketch.Add(key, weight)
+			exact[key] += weight
+			total += weight
 		}
-		top, bound := s.Top(size)
-		in := map[string]bool{}
-		for _, x := range top {
-			in[x.Key] = true
-			if x.Count < exact[x.Key] || x.Count-x.MaxError > exact[x.Key] || x.Count-exact[x.Key] > bound {
-				t.Fatalf("%s: %d (over %d, bound %d), exactly %d", x.Key, x.Count, x.MaxError, bound, exact[x.Key])
+		top, bound := sketch.Top(size)
+		listed := map[string]bool{}
+		for _, entry := range top {
+			listed[entry.Key] = true
+			if entry.Count < exact[entry.Key] || entry.Count-entry.MaxError > exact[entry.Key] || entry.Count-exact[entry.Key] > bound {
+				t.Fatalf("key %s: count %d (maximum error %d, error bound %d), exact count %d", entry.Key, entry.Count, entry.MaxError, bound, exact[entry.Key])
 			}
 		}
-		for k, c := range exact {
-			if c > n/uint64(size) && !in[k] {
-				t.Fatalf("%s has %d of %d and is not there", k, c, n)
+		for key, count := range exact {
+			if count > total/uint64(size) && !listed[key] {
+				t.Fatalf("key %s with a count of %d of %d is not listed", key, count, total)
 			}
 		}
 	})
 }
 
-func keys(n int) []string {
-	z := rand.NewZipf(rand.New(rand.NewPCG(1, 1)), 1.1, 10, 1<<20)
-	all := make([]string, n)
-	for i := range all {
-		all[i] = fmt.Sprint(z.Uint64())
+// zipfKeys returns keys drawn from a Zipf distribution.
+func zipfKeys(count int) []string {
+	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 1)), 1.1, 10, 1<<20)
+	drawn := make([]string, count)
+	for i := range drawn {
+		drawn[i] = fmt.Sprint(zipf.Uint64())
 	}
-	return all
+	return drawn
 }
 
 func BenchmarkSketch(b *testing.B) {
-	k := keys(1 << 16)
-	s := NewSketch(1024)
+	keys := zipfKeys(1 << 16)
+	sketch := NewSketch(1024)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		s.Add(k[i&(1<<16-1)], 1)
+		sketch.Add(keys[i&(1<<16-1)], 1)
 	}
 }
 
 func BenchmarkExactCounts(b *testing.B) {
-	k := keys(1 << 16)
-	m := map[string]uint64{}
+	keys := zipfKeys(1 << 16)
+	counts := map[string]uint64{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		m[k[i&(1<<16-1)]]++
+		counts[keys[i&(1<<16-1)]]++
 	}
 }
--- a/internal/collect/tally.go
+++ b/internal/collect/tally.go
@@ -1,5 +1,5 @@
-// Package collect stands in for a collector of flow records, and adds up what
-// it received against what the controllers say that they counted.
+// Package collect implements a collector of flow records for tests and demos. It
+// compares the records that it received with the counts that the controllers report.
 package collect
 
 import (
@@ -19,41 +19,43 @@
 // concurrent use.
 type Tally struct {
 	domains     map[uint32]*domain
-	decoders    map[string]*ipfix.Decoder                           // by source: templates are a stream's own
+	decoders    map[string]*ipfix.Decoder                           // by source: templates belong to a stream
 	UnknownSets int                                                 // sets without a template
-	Unreadable  int                                                 // messages that can't be read
-	OnRecord    func(r *ipfix.Record, it *flow.Item, domain uint32) // told of each record that counts; nil for none
+	Unreadable  int                                                 // messages that can't be decoded
+	OnRecord    func(r *ipfix.Record, it *flow.Item, domain uint32) // called for each call, attempt or sum that is not a duplicate; may be nil
 }
 
+// domain holds what was received from one controller.
 type domain struct {
 	incarnations map[uint64]*incarnation
-	nextSequence map[string]uint32 // by source: the sequence number that is due
-	gaps         uint64            // records that sequence numbers miss (UDP)
-	resent       uint64            // came twice, as they were marked
-	duplicates   uint64            // came twice and were not marked
-	summaryCalls uint64            // calls by the summaries of intervals
+	nextSequence map[string]uint32 // by source: the expected sequence number
+	gaps         uint64            // records missing according to sequence numbers (UDP)
+	resent       uint64            // received twice, marked as resent
+	duplicates   uint64            // received twice without the mark
+	summaryCalls uint64            // calls according to the summaries of intervals
 }
 
+// incarnation holds what was received from one start of a controller.
 type incarnation struct {
-	seenRecords map[uint64]bool // records by flowId
-	seenSums    map[uint64]bool // sums by theirs
-	received    flow.Counts     // whole
-	folded      flow.Counts     // in sums
-	counted     flow.Counts     // as the controller says
-	dropped     flow.Counts
-	countsSeq   uint64 // the latest of its words on counts
-	final       bool   // it was the last one
+	seenRecords map[uint64]bool // records received, by flowId
+	seenSums    map[uint64]bool // sums and summaries received, by flowId
+	received    flow.Counts     // records received one by one
+	folded      flow.Counts     // records received in sums
+	counted     flow.Counts     // as the controller reports
+	dropped     flow.Counts     // as the controller reports
+	countsSeq   uint64          // flowId of the latest counts
+	final       bool            // the final counts were received
 }
 
-// NewTally starts with nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{domains: map[uint32]*domain{}, decoders: map[string]*ipfix.Decoder{}}
 }
 
-// Forget drops what is remembered of a source: its connection is over.
+// Forget drops the templates of a source whose connection has ended.
 func (t *Tally) Forget(source string) { delete(t.decoders, source) }
 
-// AddMessage adds a message of a source in; it returns how many records it held.
+// AddMessage adds a message from a source. It returns the number of its records.
 func (t *Tally) AddMessage(source string, data []byte) (int, error) {
 	decoder := t.decoders[source]
 	if decoder == nil {
@@ -84,6 +86,7 @@
 	return len(message.Records), nil
 }
 
+// addRecord adds one record.
 func (t *Tally) addRecord(d *domain, domainNumber uint32, record *ipfix.Record) {
 	item, ok := flow.ItemOf(record)
 	if !ok {
@@ -134,7 +137,7 @@
 	}
 }
 
-// ReportLine is what became of the records of one kind, class and outcome of a controller.
+// ReportLine holds the numbers of a controller's records of one kind, class and outcome.
 type ReportLine struct {
 	Domain     uint32 `json:"domain"`
 	Kind       string `json:"kind"`
@@ -147,28 +150,29 @@
 	Difference int64  `json:"difference"`
 }
 
-// Report is all lines, and what was seen of the streams.
+// Report compares the records received with the counts reported, and describes
+// the streams.
 type Report struct {
 	Lines         []ReportLine `json:"lines"`
 	Counted       uint64       `json:"counted"`
 	Received      uint64       `json:"received"`
 	Folded        uint64       `json:"folded"`
 	Dropped       uint64       `json:"dropped"`
-	Difference    uint64       `json:"difference"` // added up without signs
+	Difference    uint64       `json:"difference"` // sum of the absolute differences
 	Resent        uint64       `json:"resent"`
-	Duplicates    uint64       `json:"double"` // twice without a mark
+	Duplicates    uint64       `json:"double"` // received twice without the resent mark
 	SequenceGaps  uint64       `json:"gaps"`
-	SummaryCalls  uint64       `json:"summed"`  // calls by the summaries of intervals, of all controllers
-	Unfinished    int          `json:"unended"` // controllers that run yet, or were killed: not in the sums
-	OrphanRecords uint64       `json:"orphans"` // records of theirs
+	SummaryCalls  uint64       `json:"summed"`  // calls of all controllers according to the summaries of intervals
+	Unfinished    int          `json:"unended"` // incarnations without final counts (running or killed); not in the sums
+	OrphanRecords uint64       `json:"orphans"` // records of unfinished incarnations
 	UnknownSets   int          `json:"unknown_sets"`
 	Unreadable    int          `json:"unreadable"`
 }
 
-// OK tells whether everything that was counted is accounted for, once.
+// OK reports whether every counted record is accounted for exactly once.
 func (r *Report) OK() bool { return r.Difference == 0 && r.Duplicates == 0 && r.Counted > 0 }
 
-// Report adds up.
+// Report returns the report on all messages added so far.
 func (t *Tally) Report() *Report {
 	report := &Report{UnknownSets: t.UnknownSets, Unreadable: t.Unreadable}
 	var ids []uint32
@@ -183,7 +187,7 @@
 		report.Duplicates += d.duplicates
 		report.SummaryCalls += d.summaryCalls
 		var counted, received, folded, dropped flow.Counts
-		for _, inc := range d.incarnations { // sums: the order does not matter
+		for _, inc := range d.incarnations { // order doesn't matter for sums
 			if !inc.final {
 				report.Unfinished++
 				for k := range flow.KindCount {
@@ -217,6 +221,7 @@
 	return report
 }
 
+// addCounts adds the counts of from to those of to.
 func addCounts(to, from *flow.Counts) {
 	for kind := range from {
 		for class := range from[kind] {
@@ -227,8 +232,8 @@
 	}
 }
 
-// AddFile adds an IPFIX file (RFC 5655) in. A torn end is an error that says so;
-// what came before it is added.
+// AddFile adds the messages of an IPFIX file (RFC 5655). If the end is torn, it adds
+// the complete messages and returns an error.
 func (t *Tally) AddFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -245,7 +250,8 @@
 	return nil
 }
 
-// ForEachMessage hands out the messages of an IPFIX file, each valid until the next.
+// ForEachMessage calls handle with each message of an IPFIX file. The bytes are valid
+// until handle returns.
 func ForEachMessage(file io.Reader, handle func([]byte) error) error {
 	reader := bufio.NewReaderSize(file, 1<<16)
 	var buf []byte
@@ -264,35 +270,37 @@
 	}
 }
 
-// TopEntry is a far end, class or outcome with its count.
+// TopEntry is a key with its count.
 type TopEntry struct {
 	Key      string `json:"key"`
 	Count    uint64 `json:"count"`
-	MaxError uint64 `json:"over"` // by so much at the most Count is too high
+	MaxError uint64 `json:"over"` // maximum by which Count is too high
 }
 
-// Sketch keeps the heaviest of many keys in a bounded table: Space-Saving
-// (A. Metwally, D. Agrawal, A. El Abbadi, "Efficient computation of frequent and
-// top-k elements in data streams", 2005). Of n added, every key with more than
-// n/size is in it, and no count is too high by more than n/size.
+// Sketch finds the most frequent of many keys with a table of limited size, by the
+// Space-Saving algorithm (A. Metwally, D. Agrawal, A. El Abbadi, "Efficient
+// computation of frequent and top-k elements in data streams", 2005). When the
+// counts added total n, the table holds every key with more than n/size, and no
+// count is too high by more than n/size.
 type Sketch struct {
 	size    int
-	minHeap []*entry // the least count on top
+	minHeap []*entry // lowest count first
 	byKey   map[string]*entry
 	total   uint64
 }
 
+// entry is a key in the table with its index in the heap.
 type entry struct {
 	TopEntry
 	index int
 }
 
-// NewSketch keeps so many keys.
+// NewSketch returns a sketch that holds at most size keys.
 func NewSketch(size int) *Sketch {
 	return &Sketch{size: max(size, 1), byKey: map[string]*entry{}}
 }
 
-// Add counts a key.
+// Add adds count to the count of a key.
 func (s *Sketch) Add(key string, count uint64) {
 	s.total += count
 	if e := s.byKey[key]; e != nil {
@@ -307,7 +315,7 @@
 		s.siftUp(e.index)
 		return
 	}
-	e := s.minHeap[0] // the least makes room, and leaves its count as the error
+	e := s.minHeap[0] // replace the lowest entry; its count becomes the maximum error
 	delete(s.byKey, e.Key)
 	e.Key, e.MaxError, e.Count = key, e.Count, e.Count+count
 	s.byKey[key] = e
@@ -341,7 +349,7 @@
 	}
 }
 
-// Top lists the heaviest, and by how much any count may be too high.
+// Top returns the keys with the highest counts, and the maximum error of any count.
 func (s *Sketch) Top(count int) (top []TopEntry, errorBound uint64) {
 	for _, e := range s.minHeap {
 		top = append(top, e.TopEntry)
--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -23,402 +23,414 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var classes = []string{"fetch", "dear"}
+var classes = []string{"voice", "data"}
 
-// station is a collector on loopback that can be closed and opened again.
-type station struct {
-	t    *testing.T
-	c    *collect.Collector
-	addr string
-	ln   net.Listener
-	wg   sync.WaitGroup
+// testCollector is a collector on the loopback interface that can be disconnected and
+// can listen again on the same address.
+type testCollector struct {
+	t         *testing.T
+	collector *collect.Collector
+	addr      string
+	listener  net.Listener
+	wg        sync.WaitGroup
 }
 
-func newStation(t *testing.T) *station {
+func newTestCollector(t *testing.T) *testCollector {
 	t.Helper()
-	c, err := collect.New("")
+	collector, err := collect.New("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &station{t: t, c: c}
-	s.open()
-	return s
+	c := &testCollector{t: t, collector: collector}
+	c.listen()
+	return c
 }
 
-func (s *station) open() {
-	addr := s.addr
+// listen starts the listener, at the previous address if there was one.
+func (c *testCollector) listen() {
+	addr := c.addr
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		s.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	s.ln, s.addr = ln, ln.Addr().String()
-	s.wg.Go(func() { s.c.Serve(ln) })
+	c.listener, c.addr = listener, listener.Addr().String()
+	c.wg.Go(func() { c.collector.Serve(listener) })
 }
 
-// close takes the collector out of reach, at once and with resets.
-func (s *station) close() {
-	s.ln.Close()
-	s.wg.Wait()
-	s.c.ResetAll()
+// disconnect closes the listener and resets all connections.
+func (c *testCollector) disconnect() {
+	c.listener.Close()
+	c.wg.Wait()
+	c.collector.ResetAll()
 }
 
-func (s *station) end() {
-	s.ln.Close()
-	s.wg.Wait()
-	if err := s.c.Close(); err != nil {
-		s.t.Error(err)
+// stop closes the listener and the collector.
+func (c *testCollector) stop() {
+	c.listener.Close()
+	c.wg.Wait()
+	if err := c.collector.Close(); err != nil {
+		c.t.Error(err)
 	}
 }
 
-// process is one life of an exporting process.
-type process struct {
-	e     *Exporter
-	stop  context.CancelFunc
-	ended chan struct{}
-	seq   uint64
-	put   flow.Counts
+// testProcess is one incarnation of an exporting process.
+type testProcess struct {
+	exporter *Exporter
+	stop     context.CancelFunc
+	done     chan struct{}
+	seq      uint64
+	put      flow.Counts // records passed to Put
 }
 
-var lives atomic.Uint64
+// incarnationCount makes the incarnations of all test processes differ.
+var incarnationCount atomic.Uint64
 
-func start(t *testing.T, cfg Config, fs []spool.FS) *process {
+// startProcess starts an exporter with short intervals, and with a spool in each of
+// spoolDirs.
+func startProcess(t *testing.T, config Config, spoolDirs []spool.FS) *testProcess {
 	t.Helper()
-	codec := flow.NewCodec(7, 1_700_000_000_000+lives.Add(1), classes, []byte("key"))
-	for _, f := range fs {
-		s, err := spool.Open(f, spool.Config{MaxBytes: 8 << 20, SegmentBytes: 64 << 10, SyncDelay: 50 * time.Millisecond}, codec)
+	codec := flow.NewCodec(7, 1_700_000_000_000+incarnationCount.Add(1), classes, []byte("key"))
+	for _, fs := range spoolDirs {
+		opened, err := spool.Open(fs, spool.Config{MaxBytes: 8 << 20, SegmentBytes: 64 << 10, SyncDelay: 50 * time.Millisecond}, codec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.Spools = append(cfg.Spools, s)
+		config.Spools = append(config.Spools, opened)
 	}
-	if cfg.Dial == nil {
-		cfg.Dial = func(ctx context.Context, c Collector) (net.Conn, error) {
-			d := net.Dialer{Timeout: time.Second}
+	if config.Dial == nil {
+		config.Dial = func(ctx context.Context, collector Collector) (net.Conn, error) {
+			dialer := net.Dialer{Timeout: time.Second}
 			network := "tcp"
-			if c.Transport == "udp" {
+			if collector.Transport == "udp" {
 				network = "udp"
 			}
-			return d.DialContext(ctx, network, c.Address)
+			return dialer.DialContext(ctx, network, collector.Address)
 		}
 	}
-	cfg.Now = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
-	cfg.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg.SummaryInterval, cfg.ConfirmAfter = 100*time.Millisecond, 200*time.Millisecond
-	cfg.MinRetryDelay, cfg.MaxRetryDelay, cfg.WriteTimeout = 5*time.Millisecond, 50*time.Millisecond, 300*time.Millisecond
-	cfg.Shed.ClassWorth = []float64{1, 5}
-	e, err := New(cfg, codec)
+	config.Now = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
+	config.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+	config.SummaryInterval, config.ConfirmAfter = 100*time.Millisecond, 200*time.Millisecond
+	config.MinRetryDelay, config.MaxRetryDelay, config.WriteTimeout = 5*time.Millisecond, 50*time.Millisecond, 300*time.Millisecond
+	config.Shed.ClassWorth = []float64{1, 5}
+	exporter, err := New(config, codec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &process{e: e, stop: stop, ended: make(chan struct{})}
+	process := &testProcess{exporter: exporter, stop: stop, done: make(chan struct{})}
 	go func() {
-		defer close(p.ended)
-		e.Run(ctx)
+		defer close(process.done)
+		exporter.Run(ctx)
 	}()
-	return p
+	return process
 }
 
-// calls puts n calls with an attempt each, over a time.
-func (p *process) calls(n int, over time.Duration) {
-	from := time.Now()
-	for i := range n {
-		for _, k := range []flow.Kind{flow.KindCall, flow.KindAttempt} {
+// putCalls puts the records of count calls with one attempt each, spread over duration.
+func (p *testProcess) putCalls(count int, duration time.Duration) {
+	startedAt := time.Now()
+	for i := range count {
+		for _, kind := range []flow.Kind{flow.KindCall, flow.KindAttempt} {
 			p.seq++
-			r := flow.Record{Kind: k, Seq: p.seq, Class: uint8(i % 2), Outcome: flow.CallEnded, Dest: int32(i % 9), CalledNumber: uint64(i), VerdictReason: "no circuit free"}
-			if k == flow.KindAttempt {
-				r.Outcome = flow.AttemptCompleted
+			record := flow.Record{Kind: kind, Seq: p.seq, Class: uint8(i % 2), Outcome: flow.CallEnded, Dest: int32(i % 9), CalledNumber: uint64(i), VerdictReason: "no circuit free"}
+			if kind == flow.KindAttempt {
+				record.Outcome = flow.AttemptCompleted
 			}
-			*p.put.At(&r)++
-			p.e.Put(&r)
+			*p.put.At(&record)++
+			p.exporter.Put(&record)
 		}
-		if wait := time.Until(from.Add(over * time.Duration(i) / time.Duration(n))); wait > 2*time.Millisecond {
+		if wait := time.Until(startedAt.Add(duration * time.Duration(i) / time.Duration(count))); wait > 2*time.Millisecond {
 			time.Sleep(wait)
 		}
 	}
 }
 
-func (p *process) end(t *testing.T) {
+// shutDown waits until Run has returned, and checks that every record was counted.
+func (p *testProcess) shutDown(t *testing.T) {
 	t.Helper()
 	p.stop()
-	<-p.ended
-	if *p.e.Counted() != p.put {
-		t.Errorf("counted %d calls and %d attempts, put %d and %d", p.e.Counted().Sum(flow.KindCall), p.e.Counted().Sum(flow.KindAttempt),
+	<-p.done
+	if *p.exporter.Counted() != p.put {
+		t.Errorf("counted %d calls and %d attempts, want %d and %d", p.exporter.Counted().Sum(flow.KindCall), p.exporter.Counted().Sum(flow.KindAttempt),
 			p.put.Sum(flow.KindCall), p.put.Sum(flow.KindAttempt))
 	}
 }
 
-// exact asks that everything counted is there, once, and nothing is unknown.
-func exact(t *testing.T, r *collect.Report) {
+// checkAccountedFor checks that every counted record was received, folded or dropped
+// exactly once, and that everything could be decoded.
+func checkAccountedFor(t *testing.T, report *collect.Report) {
 	t.Helper()
-	if !r.OK() || r.Unfinished != 0 || r.UnknownSets != 0 || r.Unreadable != 0 {
-		t.Errorf("%+v", r)
+	if !report.OK() || report.Unfinished != 0 || report.UnknownSets != 0 || report.Unreadable != 0 {
+		t.Errorf("not every record is accounted for: %+v", report)
 	}
-	t.Logf("counted %d, received %d, folded %d, dropped %d, resent %d", r.Counted, r.Received, r.Folded, r.Dropped, r.Resent)
+	t.Logf("counted %d, received %d, folded %d, dropped %d, resent %d", report.Counted, report.Received, report.Folded, report.Dropped, report.Resent)
 }
 
-func tcp(s *station) Config {
-	return Config{Collectors: []Collector{{Address: s.addr, Transport: "tcp"}}}
+func tcpConfig(collector *testCollector) Config {
+	return Config{Collectors: []Collector{{Address: collector.addr, Transport: "tcp"}}}
 }
 
-// What a collector does to a stream, and each time the sums are exact.
-func TestConservation(t *testing.T) {
-	cases := []struct {
+// Whatever faults a collector has, every record is accounted for exactly once.
+func TestEveryRecordIsAccountedFor(t *testing.T) {
+	tests := []struct {
 		name  string
 		spool bool
-		play  func(t *testing.T, s *station, p *process)
-		ask   func(r *collect.Report) string
+		run   func(t *testing.T, collector *testCollector, process *testProcess)
+		check func(report *collect.Report) string
 	}{
-		{"well", false, func(t *testing.T, s *station, p *process) { p.calls(3000, 500*time.Millisecond) },
-			func(r *collect.Report) string { return whole(r, 6000) }},
-		{"away at the start, with a spool", true, func(t *testing.T, s *station, p *process) {
-			s.close()
-			p.calls(2000, 400*time.Millisecond)
-			s.open()
-			p.calls(500, 1500*time.Millisecond)
-		}, func(r *collect.Report) string { return whole(r, 5000) }},
-		{"away at the start, without", false, func(t *testing.T, s *station, p *process) {
-			s.close()
-			p.calls(2000, 400*time.Millisecond)
-			s.open()
-			p.calls(500, 500*time.Millisecond)
-		}, func(r *collect.Report) string { return whole(r, 5000) }},
-		{"away in the middle", true, func(t *testing.T, s *station, p *process) {
-			p.calls(1000, 300*time.Millisecond)
-			s.close()
-			p.calls(1000, 300*time.Millisecond)
-			s.open()
-			p.calls(1000, 1500*time.Millisecond)
-		}, func(r *collect.Report) string { return whole(r, 6000) }},
-		{"away to the end", true, func(t *testing.T, s *station, p *process) {
-			p.calls(1000, 300*time.Millisecond)
-			s.close()
-			p.calls(1000, 300*time.Millisecond)
-		}, func(r *collect.Report) string { return whole(r, 4000) }},
-		{"resets after each message", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.ResetEach.Store(true)
-			p.calls(1000, 700*time.Millisecond)
-			s.c.Faults.ResetEach.Store(false)
-			p.calls(500, time.Second)
+		{"no fault", false, func(t *testing.T, collector *testCollector, process *testProcess) {
+			process.putCalls(3000, 500*time.Millisecond)
+		},
+			func(report *collect.Report) string { return checkReceived(report, 6000) }},
+		{"unreachable at the start, with a spool", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.disconnect()
+			process.putCalls(2000, 400*time.Millisecond)
+			collector.listen()
+			process.putCalls(500, 1500*time.Millisecond)
+		}, func(report *collect.Report) string { return checkReceived(report, 5000) }},
+		{"unreachable at the start, without a spool", false, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.disconnect()
+			process.putCalls(2000, 400*time.Millisecond)
+			collector.listen()
+			process.putCalls(500, 500*time.Millisecond)
+		}, func(report *collect.Report) string { return checkReceived(report, 5000) }},
+		{"unreachable in the middle", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			process.putCalls(1000, 300*time.Millisecond)
+			collector.disconnect()
+			process.putCalls(1000, 300*time.Millisecond)
+			collector.listen()
+			process.putCalls(1000, 1500*time.Millisecond)
+		}, func(report *collect.Report) string { return checkReceived(report, 6000) }},
+		{"unreachable until the end", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			process.putCalls(1000, 300*time.Millisecond)
+			collector.disconnect()
+			process.putCalls(1000, 300*time.Millisecond)
+		}, func(report *collect.Report) string { return checkReceived(report, 4000) }},
+		{"resets after each message", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.collector.Faults.ResetEach.Store(true)
+			process.putCalls(1000, 700*time.Millisecond)
+			collector.collector.Faults.ResetEach.Store(false)
+			process.putCalls(500, time.Second)
 		}, nil},
-		{"accepts and never reads, then resets", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.StopReading.Store(true)
-			p.calls(20000, time.Second)
-			s.c.ResetAll()
-			s.c.Faults.StopReading.Store(false)
-			p.calls(500, time.Second)
+		{"stops reading, then resets", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.collector.Faults.StopReading.Store(true)
+			process.putCalls(20000, time.Second)
+			collector.collector.ResetAll()
+			collector.collector.Faults.StopReading.Store(false)
+			process.putCalls(500, time.Second)
 		}, nil},
-		{"resets during the replay", true, func(t *testing.T, s *station, p *process) {
-			s.close()
-			p.calls(3000, 300*time.Millisecond)
-			s.c.Faults.ReadDelay.Store(int64(time.Millisecond))
-			s.c.Faults.StopReading.Store(true)
-			s.open()
-			p.calls(100, 500*time.Millisecond) // the replay begins, and lies in the buffers
-			s.c.ResetAll()
-			s.c.Faults.StopReading.Store(false)
-			p.calls(100, time.Second)
-			for i := 0; p.e.Status().Spools[0].Segments > 0; i++ {
+		{"resets during the replay", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.disconnect()
+			process.putCalls(3000, 300*time.Millisecond)
+			collector.collector.Faults.ReadDelay.Store(int64(time.Millisecond))
+			collector.collector.Faults.StopReading.Store(true)
+			collector.listen()
+			process.putCalls(100, 500*time.Millisecond) // the replay begins and stays in the socket buffers
+			collector.collector.ResetAll()
+			collector.collector.Faults.StopReading.Store(false)
+			process.putCalls(100, time.Second)
+			for i := 0; process.exporter.Status().Spools[0].Segments > 0; i++ {
 				if i > 500 {
-					t.Fatal("the replay does not go on behind the break")
+					t.Fatal("the replay does not continue after the reset")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-		}, func(r *collect.Report) string { return whole(r, 6400) }},
-		{"refuses", true, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.RefuseConnections.Store(true)
-			s.c.ResetAll()
-			p.calls(1000, 300*time.Millisecond)
-			s.c.Faults.RefuseConnections.Store(false)
-			p.calls(500, time.Second)
+		}, func(report *collect.Report) string { return checkReceived(report, 6400) }},
+		{"refuses connections", true, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.collector.Faults.RefuseConnections.Store(true)
+			collector.collector.ResetAll()
+			process.putCalls(1000, 300*time.Millisecond)
+			collector.collector.Faults.RefuseConnections.Store(false)
+			process.putCalls(500, time.Second)
 		}, nil},
-		{"never ends a connection", false, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.KeepOpen.Store(true)
-			p.calls(2000, 3*time.Second)
+		{"never closes a connection", false, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.collector.Faults.KeepOpen.Store(true)
+			process.putCalls(2000, 3*time.Second)
 		}, nil},
-		{"flood", false, func(t *testing.T, s *station, p *process) {
-			s.c.Faults.ReadDelay.Store(int64(5 * time.Millisecond))
-			p.calls(200, 300*time.Millisecond)
-			p.calls(100000, 500*time.Millisecond)
-			s.c.Faults.ReadDelay.Store(0)
-			p.calls(200, 500*time.Millisecond)
-		}, func(r *collect.Report) string {
-			if r.Folded == 0 {
-				return "nothing was folded"
+		{"flood", false, func(t *testing.T, collector *testCollector, process *testProcess) {
+			collector.collector.Faults.ReadDelay.Store(int64(5 * time.Millisecond))
+			process.putCalls(200, 300*time.Millisecond)
+			process.putCalls(100000, 500*time.Millisecond)
+			collector.collector.Faults.ReadDelay.Store(0)
+			process.putCalls(200, 500*time.Millisecond)
+		}, func(report *collect.Report) string {
+			if report.Folded == 0 {
+				return "no record was folded"
 			}
 			return ""
 		}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			s := newStation(t)
-			defer s.end()
-			cfg := tcp(s)
-			cfg.QueueCapacity, cfg.ReplayRate, cfg.ShutdownTimeout = 15000, 50000, 4*time.Second
-			if c.name == "resets during the replay" {
-				cfg.ReplayRate = 4000 // it goes on behind the break
+			collector := newTestCollector(t)
+			defer collector.stop()
+			config := tcpConfig(collector)
+			config.QueueCapacity, config.ReplayRate, config.ShutdownTimeout = 15000, 50000, 4*time.Second
+			if test.name == "resets during the replay" {
+				config.ReplayRate = 4000 // slow enough that it continues after the reset
 			}
-			var fs []spool.FS
-			if c.spool {
-				fs = append(fs, spool.Dir(t.TempDir()))
+			var spoolDirs []spool.FS
+			if test.spool {
+				spoolDirs = append(spoolDirs, spool.Dir(t.TempDir()))
 			}
-			p := start(t, cfg, fs)
-			c.play(t, s, p)
-			p.end(t)
-			if c.spool { // what is left of it goes out in the next life
-				if c.name == "away to the end" {
-					s.open()
+			process := startProcess(t, config, spoolDirs)
+			test.run(t, collector, process)
+			process.shutDown(t)
+			if test.spool { // the next process sends what is left in the spool
+				if test.name == "unreachable until the end" {
+					collector.listen()
 				}
-				p = start(t, cfg, fs)
-				p.calls(1, 10*time.Millisecond)
+				process = startProcess(t, config, spoolDirs)
+				process.putCalls(1, 10*time.Millisecond)
 				for i := 0; i < 300; i++ {
-					if st := p.e.Status(); len(st.Spools) > 0 && st.Spools[0].Segments == 0 {
+					if status := process.exporter.Status(); len(status.Spools) > 0 && status.Spools[0].Segments == 0 {
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				p.end(t)
+				process.shutDown(t)
 			}
-			r := s.c.Report()
-			for i := 0; r.Unfinished > 0 && i < 200; i++ { // what is in the sockets yet is read
+			report := collector.collector.Report()
+			for i := 0; report.Unfinished > 0 && i < 200; i++ { // until the collector has read the socket buffers
 				time.Sleep(10 * time.Millisecond)
-				r = s.c.Report()
+				report = collector.collector.Report()
 			}
-			exact(t, r)
-			if c.ask != nil {
-				if bad := c.ask(r); bad != "" {
-					t.Error(bad)
+			checkAccountedFor(t, report)
+			if test.check != nil {
+				if failure := test.check(report); failure != "" {
+					t.Error(failure)
 				}
 			}
 		})
 	}
 }
 
-func whole(r *collect.Report, n uint64) string {
-	if calls := r.Counted / 2; r.SummaryCalls != calls { // an attempt each
-		return fmt.Sprintf("%d calls in the summaries, %d counted", r.SummaryCalls, calls)
+// checkReceived returns a description of the failure if fewer than minReceived records
+// were received one by one, or if the summaries do not agree with the counts.
+func checkReceived(report *collect.Report, minReceived uint64) string {
+	if calls := report.Counted / 2; report.SummaryCalls != calls { // each call has one attempt
+		return fmt.Sprintf("%d calls in the summaries, %d counted", report.SummaryCalls, calls)
 	}
-	if r.Received < n || r.Dropped+r.Folded > 0 {
-		return fmt.Sprintf("%d received whole, want %d", r.Received, n)
+	if report.Received < minReceived || report.Dropped+report.Folded > 0 {
+		return fmt.Sprintf("%d records received one by one, want at least %d", report.Received, minReceived)
 	}
 	return ""
 }
 
-func TestFailoverAndCopies(t *testing.T) {
-	a, b := newStation(t), newStation(t)
-	defer a.end()
-	defer b.end()
-	both := []Collector{{Address: a.addr, Transport: "tcp"}, {Address: b.addr, Transport: "tcp"}}
+func TestFailoverAndSendToAll(t *testing.T) {
+	first, second := newTestCollector(t), newTestCollector(t)
+	defer first.stop()
+	defer second.stop()
+	collectors := []Collector{{Address: first.addr, Transport: "tcp"}, {Address: second.addr, Transport: "tcp"}}
 	dir := t.TempDir()
 
-	p := start(t, Config{Collectors: both}, nil)
-	p.calls(500, 300*time.Millisecond)
-	a.close()
-	p.calls(500, 500*time.Millisecond)
-	p.end(t)
-	ra, rb := a.c.Report(), b.c.Report()
-	if ra.OrphanRecords == 0 && ra.Received == 0 || rb.Received == 0 || rb.Unfinished != 0 || int(ra.OrphanRecords+rb.Received) < 2000 {
-		t.Errorf("failover: first %+v, second %+v", ra, rb)
+	process := startProcess(t, Config{Collectors: collectors}, nil)
+	process.putCalls(500, 300*time.Millisecond)
+	first.disconnect()
+	process.putCalls(500, 500*time.Millisecond)
+	process.shutDown(t)
+	firstReport, secondReport := first.collector.Report(), second.collector.Report()
+	if firstReport.OrphanRecords == 0 && firstReport.Received == 0 || secondReport.Received == 0 || secondReport.Unfinished != 0 || int(firstReport.OrphanRecords+secondReport.Received) < 2000 {
+		t.Errorf("failover: first %+v, second %+v", firstReport, secondReport)
 	}
 
-	a, c := newStation(t), newStation(t)
-	defer a.end()
-	defer c.end()
-	fs := []spool.FS{mustDir(t, filepath.Join(dir, "a")), mustDir(t, filepath.Join(dir, "c"))}
-	cfg := Config{Collectors: []Collector{{Address: a.addr, Transport: "tcp"}, {Address: c.addr, Transport: "tcp"}}, SendToAll: true, ReplayRate: 50000}
-	p = start(t, cfg, fs)
-	p.calls(300, 200*time.Millisecond)
-	c.close()
-	p.calls(300, 300*time.Millisecond)
-	c.open()
-	p.calls(300, 1500*time.Millisecond)
-	p.end(t)
-	exact(t, a.c.Report())
-	p = start(t, cfg, fs) // what the second one lacks, if anything
-	p.calls(1, time.Millisecond)
+	first, third := newTestCollector(t), newTestCollector(t)
+	defer first.stop()
+	defer third.stop()
+	spoolDirs := []spool.FS{createSpoolDir(t, filepath.Join(dir, "first")), createSpoolDir(t, filepath.Join(dir, "third"))}
+	config := Config{Collectors: []Collector{{Address: first.addr, Transport: "tcp"}, {Address: third.addr, Transport: "tcp"}}, SendToAll: true, ReplayRate: 50000}
+	process = startProcess(t, config, spoolDirs)
+	process.putCalls(300, 200*time.Millisecond)
+	third.disconnect()
+	process.putCalls(300, 300*time.Millisecond)
+	third.listen()
+	process.putCalls(300, 1500*time.Millisecond)
+	process.shutDown(t)
+	checkAccountedFor(t, first.collector.Report())
+	process = startProcess(t, config, spoolDirs) // sends what the second collector still lacks
+	process.putCalls(1, time.Millisecond)
 	time.Sleep(time.Second)
-	p.end(t)
-	exact(t, a.c.Report())
-	exact(t, c.c.Report())
+	process.shutDown(t)
+	checkAccountedFor(t, first.collector.Report())
+	checkAccountedFor(t, third.collector.Report())
 }
 
-func mustDir(t *testing.T, path string) spool.FS {
+func createSpoolDir(t *testing.T, path string) spool.FS {
 	t.Helper()
-	d, err := spool.CreateDir(path)
+	dir, err := spool.CreateDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return dir
 }
 
 func TestDatagrams(t *testing.T) {
-	for _, proto := range []ipfix.Protocol{ipfix.IPFIX, ipfix.NetFlow9} {
-		t.Run(fmt.Sprint("version ", proto), func(t *testing.T) {
-			c, err := collect.New("")
+	for _, protocol := range []ipfix.Protocol{ipfix.IPFIX, ipfix.NetFlow9} {
+		t.Run(fmt.Sprint("version ", protocol), func(t *testing.T) {
+			collector, err := collect.New("")
 			if err != nil {
 				t.Fatal(err)
 			}
-			pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+			conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
-			wg.Go(func() { c.ServePacket(pc) })
-			p := start(t, Config{Collectors: []Collector{{Address: pc.LocalAddr().String(), Transport: "udp", Protocol: proto, MTU: 600}},
+			wg.Go(func() { collector.ServePacket(conn) })
+			process := startProcess(t, Config{Collectors: []Collector{{Address: conn.LocalAddr().String(), Transport: "udp", Protocol: protocol, MTU: 600}},
 				TemplateInterval: 100 * time.Millisecond}, nil)
-			p.calls(1000, 500*time.Millisecond)
-			p.end(t)
+			process.putCalls(1000, 500*time.Millisecond)
+			process.shutDown(t)
 			time.Sleep(50 * time.Millisecond)
-			pc.Close()
+			conn.Close()
 			wg.Wait()
-			r := c.Report()
-			if err := c.Close(); err != nil {
+			report := collector.Report()
+			if err := collector.Close(); err != nil {
 				t.Fatal(err)
 			}
-			if lost := r.Difference; lost > 0 && r.SequenceGaps == 0 || r.Received < 1500 || r.Unreadable != 0 { // datagrams may be lost, but not unseen
-				t.Errorf("%+v", r)
+			if lost := report.Difference; lost > 0 && report.SequenceGaps == 0 || report.Received < 1500 || report.Unreadable != 0 { // lost datagrams must appear as sequence gaps
+				t.Errorf("unexpected report: %+v", report)
 			}
 		})
 	}
 }
 
-// full is a disk that has no room.
-type full struct{ spool.FS }
+// fullDisk is an FS on which no file can be created.
+type fullDisk struct{ spool.FS }
 
-func (full) Create(string) (spool.File, error) { return nil, fmt.Errorf("no space left on device") }
+func (fullDisk) Create(string) (spool.File, error) { return nil, fmt.Errorf("no space left on device") }
 
-func TestDiskFullAndCollectorAway(t *testing.T) {
-	s := newStation(t)
-	defer s.end()
-	s.close()
-	cfg := tcp(s)
-	cfg.QueueCapacity = 2000
-	cfg.Shed = shed.Config{MaxSums: 20}
-	p := start(t, cfg, []spool.FS{full{mustDir(t, t.TempDir())}})
-	p.calls(20000, time.Second)
-	s.open()
-	p.calls(500, time.Second)
-	p.end(t)
-	r := s.c.Report()
-	exact(t, r)
-	if r.Folded == 0 {
-		t.Errorf("%+v", r)
+func TestDiskFullAndCollectorUnreachable(t *testing.T) {
+	collector := newTestCollector(t)
+	defer collector.stop()
+	collector.disconnect()
+	config := tcpConfig(collector)
+	config.QueueCapacity = 2000
+	config.Shed = shed.Config{MaxSums: 20}
+	process := startProcess(t, config, []spool.FS{fullDisk{createSpoolDir(t, t.TempDir())}})
+	process.putCalls(20000, time.Second)
+	collector.listen()
+	process.putCalls(500, time.Second)
+	process.shutDown(t)
+	report := collector.collector.Report()
+	checkAccountedFor(t, report)
+	if report.Folded == 0 {
+		t.Errorf("no record was folded: %+v", report)
 	}
 }
 
-// The call path: no allocation, also when nobody takes the records.
+// Put allocates nothing, even when Run does not empty the ring.
 func TestPutDoesNotAllocate(t *testing.T) {
-	e, err := New(Config{Collectors: []Collector{{Address: "x", Transport: "tcp"}}, RingCapacity: 64,
+	exporter, err := New(Config{Collectors: []Collector{{Address: "x", Transport: "tcp"}}, RingCapacity: 64,
 		Now: func() time.Duration { return 0 }}, flow.NewCodec(1, 1, classes, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &flow.Record{VerdictReason: "no circuit free"}
-	if n := testing.AllocsPerRun(1000, func() { e.Put(r) }); n != 0 {
-		t.Fatalf("%v allocations", n)
+	record := &flow.Record{VerdictReason: "no circuit free"}
+	if allocs := testing.AllocsPerRun(1000, func() { exporter.Put(record) }); allocs != 0 {
+		t.Fatalf("%v allocations per Put, want 0", allocs)
 	}
 }
--- a/internal/export/exporter.go
+++ b/internal/export/exporter.go
@@ -1,10 +1,11 @@
-// Package export is the exporting process (RFC 7011): it takes records from the
-// call path through a ring, decides with shed what goes whole, sends to one
-// collector of several or to all, over TCP, TLS or UDP, and keeps in a spool
-// what nobody takes. The call path never waits for it.
+// Package export implements an IPFIX exporting process (RFC 7011). It takes flow
+// records from the call path through a ring buffer, sheds load when there are too
+// many (package shed), and sends the rest to the first reachable collector or to
+// all of them, over TCP, TLS or UDP. Records that no collector takes are stored in
+// a spool. The call path never waits for the exporter.
 //
-// What was counted is received whole, or in sums, or dropped and told so: the
-// last word of a controller's stream says how many of each.
+// Every counted record is sent, folded into a sum that is sent, or counted as
+// dropped. The final counts that a controller sends report the number of each.
 package export
 
 import (
@@ -24,37 +25,37 @@
 	"dahliaspindle/internal/spool"
 )
 
-// Collector is one that takes records.
+// Collector describes a collector of flow records.
 type Collector struct {
 	Address   string
 	Transport string // tcp, tls or udp
 	Protocol  ipfix.Protocol
-	MTU       int // bytes of a datagram
+	MTU       int // maximum datagram size in bytes, for UDP
 }
 
-// Config of an exporting process.
+// Config is the configuration of an Exporter.
 type Config struct {
 	Collectors          []Collector
-	SendToAll           bool          // to all of them; else to the first that can be reached
-	RingCapacity        int           // records between the call path and the exporter
-	QueueCapacity       int           // records that wait in memory, for each lane
-	ReplayRate          float64       // records a second from the spool, at the most
-	SummaryInterval     time.Duration // of sums and counts
-	TemplateInterval    time.Duration // sent again over UDP after this
-	ConfirmAfter        time.Duration // written records are made sure of after this
-	MaxUnconfirmedBytes int           // bytes: more than the buffers of both ends of a connection
-	WriteTimeout        time.Duration // bound on one write
-	ShutdownTimeout     time.Duration // bound on the end of Run
+	SendToAll           bool          // send to all collectors, instead of the first that can be reached
+	RingCapacity        int           // records between the call path and Run
+	QueueCapacity       int           // records in memory, for each pipeline
+	ReplayRate          float64       // records per second replayed from a spool
+	SummaryInterval     time.Duration // between two reports of sums, summaries and counts
+	TemplateInterval    time.Duration // between two transmissions of the templates over UDP
+	ConfirmAfter        time.Duration // time after which the arrival of written records is confirmed
+	MaxUnconfirmedBytes int           // must be more than the socket buffers of both ends of a connection
+	WriteTimeout        time.Duration // for one write
+	ShutdownTimeout     time.Duration // for sending the rest when Run ends
 	MinRetryDelay       time.Duration
 	MaxRetryDelay       time.Duration
 	Shed                shed.Config
-	Spools              []*spool.Spool // one for each lane, or none
+	Spools              []*spool.Spool // one for each pipeline, or none
 	Dial                func(ctx context.Context, c Collector) (net.Conn, error)
-	Now                 func() time.Duration // since 1970
+	Now                 func() time.Duration // time since 1970
 	Log                 *slog.Logger
 }
 
-// SetDefaults fills in what is left open.
+// SetDefaults sets fields that are zero to their defaults.
 func (c *Config) SetDefaults() {
 	setDefault(&c.RingCapacity, 1<<14)
 	setDefault(&c.QueueCapacity, 50000)
@@ -79,6 +80,7 @@
 	}
 }
 
+// setDefault sets a field to value if it is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -86,24 +88,25 @@
 	}
 }
 
-// Exporter takes records and sends them. Put is for the call path; Run owns the rest.
+// Exporter takes flow records and sends them to collectors. Put is called on the
+// call path; all other fields belong to Run.
 type Exporter struct {
 	config   Config
 	codec    *flow.Codec
 	ring     *ring.Ring[flow.Record]
-	ringFull [flow.KindCount][flow.MaxClasses][flow.OutcomeCount]atomic.Uint64 // the ring had no room
+	ringFull [flow.KindCount][flow.MaxClasses][flow.OutcomeCount]atomic.Uint64 // records dropped because the ring was full
 
 	pipelines       []*pipeline
 	shedder         *shed.Shedder
 	foldedSums      map[shed.Key]*shed.Sum
-	foldedKeys      []shed.Key // of folds
+	foldedKeys      []shed.Key // keys of foldedSums in order of insertion
 	summaries       map[destinationClass]*flow.Summary
 	summaryKeys     []destinationClass
-	intervalStart   time.Duration // of the interval
+	intervalStart   time.Duration // start of the current summary interval
 	counted         flow.Counts
 	folded          flow.Counts
-	dropped         flow.Counts // by the ring and by shed
-	ringFullCounted flow.Counts // of full, so far
+	dropped         flow.Counts // dropped by the ring and by load shedding
+	ringFullCounted flow.Counts // the part of ringFull already in counted and dropped
 	lastSeq         uint64
 	events          chan senderEvent
 	nextFlushAt     time.Duration
@@ -113,22 +116,22 @@
 	status Status
 }
 
-// Status is what an operator may want to know.
+// Status describes the state of an exporter.
 type Status struct {
-	Counted, Folded, Dropped uint64 // records, all kinds
-	Sent                     uint64 // written to collectors, by lane summed
-	Undelivered              uint64 // summaries and counts that there was no room for
+	Counted, Folded, Dropped uint64 // records of all kinds
+	Sent                     uint64 // records written to collectors, total of all pipelines
+	Undelivered              uint64 // summaries and counts discarded because the queue was full
 	QueueLength              int
 	ShedLevel                string
 	Spools                   []spool.Status
 	Connected                []bool // by collector
 }
 
-// New makes an exporter.
+// New returns an exporter. Its records are sent once Run is called.
 func New(config Config, codec *flow.Codec) (*Exporter, error) {
 	config.SetDefaults()
 	if len(config.Collectors) == 0 {
-		return nil, fmt.Errorf("export: no collector")
+		return nil, fmt.Errorf("export: no collector configured")
 	}
 	e := &Exporter{config: config, codec: codec, ring: ring.New[flow.Record](config.RingCapacity), shedder: shed.New(config.Shed),
 		foldedSums: map[shed.Key]*shed.Sum{}, summaries: map[destinationClass]*flow.Summary{}, intervalStart: config.Now(), events: make(chan senderEvent, 64), warnedAt: map[string]time.Duration{}}
@@ -151,13 +154,14 @@
 	return e, nil
 }
 
+// destinationClass is the key of a summary.
 type destinationClass struct {
 	dest  int32
 	class uint8
 }
 
-// summaryFor is where a record of a far end and class adds to; when there are too
-// many, those of one kind beyond are taken together.
+// summaryFor returns the summary for the destination and class of a record. When
+// there are too many summaries, further destinations share one for each class.
 func (e *Exporter) summaryFor(record *flow.Record) *flow.Summary {
 	key := destinationClass{record.Dest, record.Class}
 	if e.summaries[key] == nil {
@@ -172,14 +176,15 @@
 	return e.summaries[key]
 }
 
-// Put takes a record from the call path: no lock, no allocation, no system call.
+// Put takes a record from the call path. It takes no lock, allocates nothing and
+// makes no system call.
 func (e *Exporter) Put(record *flow.Record) {
 	if !e.ring.Put(record) {
 		e.ringFull[record.Kind][min(record.Class, flow.MaxClasses-1)][record.Outcome].Add(1)
 	}
 }
 
-// warn logs a trouble, and the same again a minute later at the earliest.
+// warn logs a warning, and the same message at most once a minute.
 func (e *Exporter) warn(message string, err error) {
 	now := e.config.Now()
 	if lastAt, ok := e.warnedAt[message]; ok && now-lastAt < time.Minute {
@@ -189,30 +194,33 @@
 	e.config.Log.Warn("flow export: "+message, "error", err)
 }
 
-// senderEvent is what a sender tells.
+// senderEvent is an event that a sender reports to the exporter.
 type senderEvent struct {
 	pipeline *pipeline
 	stream   *stream
 	kind     senderEventKind
-	batch    *batch // wrote; with broke the one in hand, or none
+	batch    *batch // with eventWritten; with eventNotClosed and eventDisconnected the unwritten one, if any
 	err      error
-	batches  chan *batch // with cameUp: what is to be written
+	batches  chan *batch // with eventConnected: the channel that the sender reads batches from
 }
 
+// senderEventKind is the kind of a senderEvent.
 type senderEventKind uint8
 
 const (
 	eventConnected senderEventKind = iota
 	eventWritten
-	eventConfirmed
-	eventNotClosed // the other end did not close
+	eventConfirmed // everything written has arrived; the connection is closed
+	eventNotClosed // the collector did not close its end of the connection
 	eventDisconnected
 )
 
-// drainInterval is how often the ring is emptied; nothing wakes the exporter from the call path.
+// drainInterval is the interval at which the ring is emptied. The call path doesn't
+// wake the exporter.
 const drainInterval = 20 * time.Millisecond
 
-// Run works until ctx ends, and then until what is left is sent or put away.
+// Run sends records until ctx is done, and then until the rest is sent or spooled,
+// or ShutdownTimeout has passed.
 func (e *Exporter) Run(ctx context.Context) {
 	sendCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -260,7 +268,7 @@
 		wg.Wait()
 		close(sendersDone)
 	}()
-	for finished := false; !finished; { // what senders tell yet says what has left
+	for finished := false; !finished; { // the last events report which batches were written
 		select {
 		case event := <-e.events:
 			e.handleEvent(event, queues)
@@ -277,7 +285,8 @@
 	e.updateStatus(e.config.Now())
 }
 
-// drainRing empties the ring and decides what becomes of each record.
+// drainRing empties the ring, and sends, folds or drops each record. It also
+// maintains the spools.
 func (e *Exporter) drainRing(now time.Duration) {
 	for kind := range e.ringFull {
 		for class := range e.ringFull[kind] {
@@ -300,7 +309,7 @@
 		switch e.shedder.Decide(&record, len(e.foldedSums), sum != nil) {
 		case shed.Send:
 			for _, p := range e.pipelines {
-				p.enqueue(now, e.codec.RecordItem(&record)) // each its own: marks differ
+				p.enqueue(now, e.codec.RecordItem(&record)) // one item per pipeline, because the resent marks differ
 			}
 		case shed.Fold:
 			if sum == nil {
@@ -320,7 +329,7 @@
 			continue
 		}
 		if err := p.spool.Tick(now); err != nil {
-			e.warn("the spool can't be made durable", err)
+			e.warn("the spool can't be synced to disk", err)
 		}
 		lost := p.spool.TakeLost()
 		for kind := range lost {
@@ -334,7 +343,7 @@
 	}
 }
 
-// shedState is the worst that any lane is in.
+// shedState returns the state of the pipeline with the highest pressure.
 func (e *Exporter) shedState(now time.Duration) shed.State {
 	worst := shed.State{Reachable: true}
 	highest := -1.0
@@ -350,7 +359,8 @@
 	return worst
 }
 
-// flush sends the sums, and what was counted, folded and dropped so far.
+// flush queues the sums, the summaries and the counts of all records counted,
+// folded and dropped so far.
 func (e *Exporter) flush(now time.Duration, final bool) {
 	for _, key := range e.foldedKeys {
 		sum := e.foldedSums[key]
@@ -388,7 +398,7 @@
 	}
 }
 
-// dispatch hands the senders what they can take.
+// dispatch passes batches to the senders that can take them.
 func (e *Exporter) dispatch(now time.Duration, queues map[*stream]chan *batch) {
 	for _, p := range e.pipelines {
 		if p.active() != nil {
@@ -399,11 +409,12 @@
 			if batch == nil {
 				break
 			}
-			queues[stream] <- batch // has room: sending is bounded by it
+			queues[stream] <- batch // never blocks: inFlight is limited to less than the channel's capacity
 		}
 	}
 }
 
+// handleEvent handles an event of a sender.
 func (e *Exporter) handleEvent(event senderEvent, queues map[*stream]chan *batch) {
 	now := e.config.Now()
 	switch event.kind {
@@ -417,17 +428,18 @@
 		event.pipeline.onConfirmed(event.stream)
 	case eventNotClosed:
 		event.stream.peerKeepsOpen = true
-		e.warn("the collector does not end a connection when we do; what is under way at a break is known by size only", event.err)
+		e.warn("the collector does not close a connection after this end has closed it; arrival of records is inferred from the amount sent", event.err)
 		event.pipeline.onDisconnected(now, event.stream, unwrittenBatches(event.batch, queues[event.stream]))
 	case eventDisconnected:
 		if event.stream.connected && !errors.Is(event.err, context.Canceled) {
-			e.warn("the collector "+event.stream.collector.Address+" is lost", event.err)
+			e.warn("connection to collector "+event.stream.collector.Address+" lost", event.err)
 		}
 		event.pipeline.onDisconnected(now, event.stream, unwrittenBatches(event.batch, queues[event.stream]))
 	}
 }
 
-// unwrittenBatches is what a sender was handed and has not written; it reads no more.
+// unwrittenBatches returns the batches that a sender received and has not written.
+// The sender no longer reads from the queue.
 func unwrittenBatches(current *batch, queue chan *batch) (unwritten []*batch) {
 	if current != nil {
 		unwritten = append(unwritten, current)
@@ -442,15 +454,15 @@
 	}
 }
 
-// isDrained tells whether nothing is left to wait for at the end.
+// isDrained reports during shutdown whether there is nothing left to wait for.
 func (e *Exporter) isDrained(now time.Duration, queues map[*stream]chan *batch) bool {
 	for _, p := range e.pipelines {
 		stream := p.active()
 		if stream == nil {
 			if len(p.queue) > 0 && (p.spool == nil || now-p.lastConnected < time.Second) {
-				return false // a collector may come back yet
+				return false // a collector may still reconnect
 			}
-			continue // what is left goes to the spool
+			continue // the rest goes to the spool
 		}
 		if len(p.queue) > 0 || stream.inFlight > 0 {
 			return false
@@ -467,6 +479,7 @@
 	return true
 }
 
+// updateStatus publishes the status for other goroutines.
 func (e *Exporter) updateStatus(time.Duration) {
 	status := Status{ShedLevel: e.shedder.Level().String()}
 	for kind := range flow.KindCount {
@@ -491,13 +504,13 @@
 	e.mu.Unlock()
 }
 
-// Status returns the latest view.
+// Status returns the latest status.
 func (e *Exporter) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.status
 }
 
-// Counted is what came from the call path, by kind, class and outcome. It is
-// whole once Run has returned.
+// Counted returns the numbers of records taken from the call path. They are complete
+// once Run has returned.
 func (e *Exporter) Counted() *flow.Counts { return &e.counted }
--- a/internal/export/lane.go
+++ b/internal/export/pipeline.go
@@ -9,52 +9,52 @@
 	"dahliaspindle/internal/spool"
 )
 
-// pipeline is one way for records to leave: a queue, a spool and the collectors that
-// may take them, the first that can being the one in use. It does no I/O but to
-// its spool; what goes to and comes from a collector passes as batches and words.
+// pipeline sends records to the first reachable one of its collectors. It has a
+// queue and optionally a spool. Apart from the spool it does no I/O: it exchanges
+// batches and events with the senders.
 type pipeline struct {
 	config         *Config
 	codec          *flow.Codec
 	queue          []*flow.Item
 	queuedAt       []time.Duration // when each was queued
-	spool          *spool.Spool    // nil: none
-	streams        []*stream
-	lost           flow.Counts // of this lane alone
-	lostCount      uint64
-	undelivered    uint64 // summaries and counts that there was no room for
-	sentCount      uint64 // records written to a collector
-	replayTokens   float64
-	values         []ipfix.Value
-	replayTokensAt time.Duration
+	spool          *spool.Spool    // may be nil
+	streams        []*stream       // in order of preference
+	lost           flow.Counts     // dropped by this pipeline
+	lostCount      uint64          // total of lost
+	undelivered    uint64          // summaries and counts discarded because the queue was full
+	sentCount      uint64          // records written to a collector
+	replayTokens   float64         // records that may be replayed now
+	values         []ipfix.Value   // buffer
+	replayTokensAt time.Duration   // when replayTokens was last updated
 	warn           func(string, error)
 	spoolFailedAt  time.Duration // when the spool last failed
-	lastConnected  time.Duration // when a collector was last there
+	lastConnected  time.Duration // when a collector was last connected
 }
 
-// stream is what a lane knows of one collector's connection.
+// stream is the state of the connection to one collector.
 type stream struct {
 	collector        Collector
 	connected        bool
 	writer           *ipfix.Writer
-	inFlight         int // batches handed over and not written yet
-	unconfirmed      []*batch
-	unconfirmedBytes int           // of unsure
-	unconfirmedSince time.Duration // when the first unsure was written
-	finSent          bool
-	peerKeepsOpen    bool          // it does not close when this end does: what has left both sockets' buffers has arrived
-	templatesSentAt  time.Duration // when templates were sent
-	preamble         []*batch      // that are to go first
+	inFlight         int           // batches passed to the sender and not yet written
+	unconfirmed      []*batch      // written, may not have arrived
+	unconfirmedBytes int           // size of unconfirmed
+	unconfirmedSince time.Duration // when the first of unconfirmed was written
+	finSent          bool          // the sender was asked to close the connection
+	peerKeepsOpen    bool          // the collector does not close when this end does; see onWritten
+	templatesSentAt  time.Duration
+	preamble         []*batch // templates to be sent before other batches
 }
 
-// batch is one message on its way, with the records in it.
+// batch holds one or more encoded messages and their items.
 type batch struct {
 	data   []byte
 	items  []*flow.Item
 	replay bool // from the spool
-	fin    bool // no message: end the connection and wait for the other end
+	fin    bool // no messages: close the connection and wait until the peer has closed it too
 }
 
-// active is the collector in use.
+// active returns the stream in use, or nil if no collector is connected.
 func (p *pipeline) active() *stream {
 	for _, stream := range p.streams {
 		if stream.connected {
@@ -64,10 +64,11 @@
 	return nil
 }
 
-// summaryQueueReserve is the room beyond the queue for counts and statistics.
+// summaryQueueReserve is the number of counts and statistics items that may be
+// queued beyond QueueCapacity.
 const summaryQueueReserve = 2000
 
-// enqueue queues items; what there is no room for is dropped and counted.
+// enqueue adds items to the queue. It drops and counts those that don't fit.
 func (p *pipeline) enqueue(now time.Duration, items ...*flow.Item) {
 	for _, item := range items {
 		switch {
@@ -75,7 +76,7 @@
 			p.drop(item)
 			continue
 		case len(p.queue) >= p.config.QueueCapacity && item.Kind == flow.ItemSummary, len(p.queue) >= p.config.QueueCapacity+summaryQueueReserve:
-			p.undelivered++ // of these a later one tells more
+			p.undelivered++ // counts and statistics are cumulative: later ones include these
 			continue
 		}
 		p.queue = append(p.queue, item)
@@ -83,12 +84,13 @@
 	}
 }
 
+// drop counts the records of an item as lost.
 func (p *pipeline) drop(item *flow.Item) {
 	item.AddTo(&p.lost)
 	p.lostCount += item.RecordCount
 }
 
-// requeue puts items back where they came from.
+// requeue puts items back at the front of the queue.
 func (p *pipeline) requeue(now time.Duration, items []*flow.Item) {
 	p.queue = append(append(make([]*flow.Item, 0, len(items)+len(p.queue)), items...), p.queue...)
 	queuedAt := make([]time.Duration, len(items), len(items)+len(p.queuedAt))
@@ -98,6 +100,7 @@
 	p.queuedAt = append(queuedAt, p.queuedAt...)
 }
 
+// dequeue removes and returns up to count items from the front of the queue.
 func (p *pipeline) dequeue(count int) []*flow.Item {
 	count = min(count, len(p.queue))
 	items := p.queue[:count:count]
@@ -105,7 +108,7 @@
 	return items
 }
 
-// oldestAge of the first that waits.
+// oldestAge returns how long the first item has been queued.
 func (p *pipeline) oldestAge(now time.Duration) time.Duration {
 	if len(p.queuedAt) == 0 {
 		return 0
@@ -113,11 +116,12 @@
 	return now - p.queuedAt[0]
 }
 
-// spoolRetryDelay is the wait after a write that failed.
+// spoolRetryDelay is the delay after a failed write to the spool.
 const spoolRetryDelay = time.Second
 
-// moveToSpool moves what waits to disk when nobody takes it, or more waits than will
-// be taken soon. Where the disk fails it stays, and the queue's bound holds.
+// moveToSpool moves queued items to the spool when no collector is connected, when
+// the queue is too long, or if all is set. If the disk fails, they stay in the
+// queue, whose limit still holds.
 func (p *pipeline) moveToSpool(now time.Duration, all bool) {
 	if p.spool == nil || len(p.queue) == 0 || now-p.spoolFailedAt < spoolRetryDelay && p.spoolFailedAt > 0 {
 		return
@@ -126,7 +130,7 @@
 	switch stream := p.active(); {
 	case all || stream == nil:
 	case toMove > p.config.QueueCapacity*3/4:
-		toMove -= p.config.QueueCapacity / 2 // the oldest: the spool is replayed in order, live records go first
+		toMove -= p.config.QueueCapacity / 2 // the oldest items: the spool is replayed in order, after live records
 	default:
 		return
 	}
@@ -134,7 +138,7 @@
 		count := min(toMove, 500)
 		if err := p.spool.Write(now, p.queue[:count]); err != nil {
 			p.spoolFailedAt = now
-			p.warn("the spool can't be written; records wait in memory", err)
+			p.warn("the spool can't be written; records stay in memory", err)
 			return
 		}
 		p.dequeue(count)
@@ -142,8 +146,8 @@
 	}
 }
 
-// nextBatch makes the nextBatch batch for the active stream, nil if there is nothing for
-// it now: live records first, else the replay at its pace.
+// nextBatch returns the next batch for the active stream, or nil if there is nothing
+// to send now. Live records come before the replay, which is limited to ReplayRate.
 func (p *pipeline) nextBatch(now time.Duration) (*stream, *batch) {
 	stream := p.active()
 	if stream == nil || stream.finSent || stream.inFlight >= maxInFlightBatches {
@@ -188,11 +192,12 @@
 }
 
 const (
-	maxInFlightBatches = 4   // batches handed over at a time
-	maxBatchRecords    = 200 // records of one
+	maxInFlightBatches = 4   // batches passed to a sender and not yet written
+	maxBatchRecords    = 200 // live records in a batch
 )
 
-// makeBatch writes one message; what does not fit goes back, or in a second one for a replay.
+// makeBatch encodes items into one message. Items that don't fit return to the
+// queue, or for a replay go into a second message.
 func (p *pipeline) makeBatch(now time.Duration, stream *stream, replay bool, items []*flow.Item) *batch {
 	packed := &batch{replay: replay}
 	for i, item := range items {
@@ -206,7 +211,7 @@
 			packed.data = append(packed.data, stream.writer.Finish(now.Milliseconds(), 0)...)
 			err = stream.writer.AddRecord(p.codec.Template(item.Kind), p.values)
 		}
-		if err != nil { // larger than any message of this collector's: it can't be told
+		if err != nil { // larger than this collector's maximum message: can't be sent
 			p.drop(item)
 			continue
 		}
@@ -217,8 +222,9 @@
 	return packed
 }
 
-// needsConfirmation tells whether it is time to make sure that what was written has
-// arrived: by ending the connection in order and seeing the other end do so.
+// needsConfirmation reports whether it is time to confirm that the written records
+// have arrived. IPFIX has no acknowledgement: the connection is closed, and the
+// collector closes it too when it has read everything.
 func (p *pipeline) needsConfirmation(now time.Duration, stream *stream) bool {
 	if isUDP(stream.collector) || stream.peerKeepsOpen || len(stream.unconfirmed) == 0 {
 		return false
@@ -227,7 +233,8 @@
 	return stream.unconfirmedBytes >= p.config.MaxUnconfirmedBytes/2 || now-stream.unconfirmedSince >= p.config.ConfirmAfter || replayPending && now-stream.unconfirmedSince >= p.config.ConfirmAfter/5
 }
 
-// onConnected starts a stream afresh: the collector may have no memory of templates.
+// onConnected initializes the stream of a new connection. The templates are sent
+// again, because the collector may not have kept them.
 func (p *pipeline) onConnected(now time.Duration, stream *stream) {
 	stream.connected, stream.finSent, stream.inFlight = true, false, 0
 	maxLength := 16 << 10
@@ -238,7 +245,7 @@
 	p.queuePreamble(now, stream)
 }
 
-// queuePreamble puts the templates in front.
+// queuePreamble schedules the templates before all other batches.
 func (p *pipeline) queuePreamble(now time.Duration, stream *stream) {
 	stream.templatesSentAt, stream.preamble = now, nil
 	err := p.codec.Preamble(stream.writer, func() {
@@ -247,11 +254,11 @@
 		}
 	})
 	if err != nil {
-		p.warn("templates", err)
+		p.warn("the templates can't be encoded", err)
 	}
 }
 
-// onWritten books that a batch has been taken by the system.
+// onWritten records that the operating system has accepted a batch.
 func (p *pipeline) onWritten(now time.Duration, stream *stream, written *batch) {
 	stream.inFlight--
 	p.sentCount += uint64(len(written.items))
@@ -269,7 +276,8 @@
 	}
 	stream.unconfirmed = append(stream.unconfirmed, written)
 	stream.unconfirmedBytes += len(written.data)
-	// What lies more than both sockets' buffers behind has been read.
+	// Data followed by more bytes than the socket buffers of both ends can hold must
+	// have been read by the collector.
 	for stream.peerKeepsOpen && stream.unconfirmedBytes > p.config.MaxUnconfirmedBytes {
 		if stream.unconfirmedBytes -= len(stream.unconfirmed[0].data); stream.unconfirmed[0].replay {
 			p.confirmReplay()
@@ -278,7 +286,7 @@
 	}
 }
 
-// onConfirmed books that all that was written has arrived.
+// onConfirmed records that everything written has arrived.
 func (p *pipeline) onConfirmed(stream *stream) {
 	replay := false
 	for _, unconfirmed := range stream.unconfirmed {
@@ -290,13 +298,15 @@
 	}
 }
 
+// confirmReplay confirms to the spool that the replayed records have arrived.
 func (p *pipeline) confirmReplay() {
 	if err := p.spool.Confirm(); err != nil {
 		p.warn("the spool can't be written", err)
 	}
 }
 
-// onDisconnected takes back what may not have arrived: it is sent again, and marked.
+// onDisconnected requeues the records that may not have arrived and marks them as
+// resent.
 func (p *pipeline) onDisconnected(now time.Duration, stream *stream, unwritten []*batch) {
 	stream.connected = false
 	var resend []*flow.Item
@@ -304,7 +314,7 @@
 	for _, unconfirmed := range append(stream.unconfirmed, unwritten...) {
 		if unconfirmed.replay {
 			replay = true
-			continue // the spool has it
+			continue // still in the spool
 		}
 		for _, item := range unconfirmed.items {
 			item.MarkResent()
@@ -318,7 +328,8 @@
 	p.requeue(now, resend)
 }
 
-// shutDown puts all that is left where the next life finds it, or counts it as lost.
+// shutDown stores the remaining records in the spool, where the next process finds
+// them, or counts them as lost.
 func (p *pipeline) shutDown(now time.Duration) {
 	for _, stream := range p.streams {
 		if len(stream.unconfirmed) > 0 {
@@ -332,9 +343,10 @@
 	}
 	if p.spool != nil {
 		if err := p.spool.Close(); err != nil {
-			p.warn("closing the spool", err)
+			p.warn("the spool can't be closed", err)
 		}
 	}
 }
 
+// isUDP reports whether a collector is reached over UDP.
 func isUDP(collector Collector) bool { return collector.Transport == "udp" }
--- a/internal/export/sender.go
+++ b/internal/export/sender.go
@@ -11,8 +11,8 @@
 	"dahliaspindle/internal/guard"
 )
 
-// sender keeps the connection to one collector and writes what it is handed.
-// All that it learns it tells; it decides nothing.
+// sender maintains the connection to one collector and writes batches to it. It
+// reports all events to the exporter and makes no decisions of its own.
 type sender struct {
 	exporter *Exporter
 	pipeline *pipeline
@@ -20,12 +20,14 @@
 	seed     uint64
 }
 
-// notify brings word to the exporter, which listens until all senders have ended.
+// notify reports an event to the exporter, which receives events until all senders
+// have ended.
 func (s *sender) notify(event senderEvent) {
 	event.pipeline, event.stream = s.pipeline, s.stream
 	s.exporter.events <- event
 }
 
+// run connects to the collector again and again until ctx is done.
 func (s *sender) run(ctx context.Context) {
 	retry := guard.Backoff{Min: s.exporter.config.MinRetryDelay, Max: s.exporter.config.MaxRetryDelay, Random: rand.New(rand.NewPCG(s.exporter.codec.Incarnation, s.seed))}
 	for attempt := 1; ctx.Err() == nil; attempt++ {
@@ -33,14 +35,14 @@
 		if err == nil {
 			connectedAt := time.Now()
 			if s.serveConnection(ctx, conn) {
-				attempt = 0 // ended in order: at once again
+				attempt = 0 // closed in order: reconnect without delay
 				continue
 			}
 			if time.Since(connectedAt) > s.exporter.config.MaxRetryDelay {
 				attempt = 1
 			}
 		} else {
-			s.exporter.config.Log.Debug("flow export: dialling", "collector", s.stream.collector.Address, "error", err)
+			s.exporter.config.Log.Debug("flow export: dial failed", "collector", s.stream.collector.Address, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -49,12 +51,13 @@
 	}
 }
 
-// serveConnection serves one connection; true if it ended in order.
+// serveConnection writes batches to one connection until it ends. It reports
+// whether the connection was closed in order.
 func (s *sender) serveConnection(ctx context.Context, conn net.Conn) bool {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	// A collector says nothing: what comes is its end.
+	// A collector sends no data: Read returns only when the connection ends.
 	readError := make(chan error, 1)
 	if !isUDP(s.stream.collector) {
 		go func() {
@@ -91,15 +94,16 @@
 	}
 }
 
-// closeTimeout is how long the other end may take to close when this one has.
+// closeTimeout is how long the collector may take to close its end of a connection.
 const closeTimeout = 2 * time.Second
 
-// closeInOrder ends the connection in order. When the other end has read everything and
-// closes too, all has arrived; a reset says that something was not read.
+// closeInOrder closes the sending half of the connection. If the collector then
+// closes its half, it has read everything; a reset means that it has not. It reports
+// whether everything has arrived.
 func (s *sender) closeInOrder(ctx context.Context, conn net.Conn, readError chan error) bool {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
-		s.notify(senderEvent{kind: eventNotClosed, err: errors.New("the connection has no half end")})
+		s.notify(senderEvent{kind: eventNotClosed, err: errors.New("the connection does not support half-close")})
 		return false
 	}
 	err := halfCloser.CloseWrite()
@@ -111,7 +115,7 @@
 				return true
 			}
 		case <-time.After(closeTimeout):
-			s.notify(senderEvent{kind: eventNotClosed, err: errors.New("no end within the wait")})
+			s.notify(senderEvent{kind: eventNotClosed, err: errors.New("connection not closed within the timeout")})
 			return false
 		case <-ctx.Done():
 			err = ctx.Err()
--- a/internal/export/tls.go
+++ b/internal/export/tls.go
@@ -13,28 +13,31 @@
 	"time"
 )
 
-// expiryWarning is how long before its end a certificate is warned of.
-const expiryWarning = 14 * 24 * time.Hour
+// expiryWarningPeriod is the remaining validity of a certificate below which a warning is
+// logged.
+const expiryWarningPeriod = 14 * 24 * time.Hour
 
-// TLS dials with mutual certificates over TLS 1.3, read again when their files
-// change: a swap takes effect at the next connection, and a swap to something
-// that can't be used leaves the old ones in force.
+// TLS dials TLS 1.3 connections with mutual authentication. It reads the certificate
+// files again when they change: new files take effect at the next connection. If the
+// new files can't be used, the old certificates stay in use.
 type TLS struct {
 	caFile, certFile, keyFile, serverName string
 	log                                   *slog.Logger
 
 	mu             sync.Mutex
 	config         *tls.Config
-	modTimes       [3]time.Time
+	modTimes       [3]time.Time // of the files in config
 	expiryWarnedAt time.Time
 }
 
-// NewTLS reads the files; the error names the one that is wrong.
-func NewTLS(ca, cert, key, name string, log *slog.Logger) (*TLS, error) {
-	t := &TLS{caFile: ca, certFile: cert, keyFile: key, serverName: name, log: log}
+// NewTLS reads the files. The error names the file that can't be used.
+func NewTLS(caFile, certFile, keyFile, serverName string, log *slog.Logger) (*TLS, error) {
+	t := &TLS{caFile: caFile, certFile: certFile, keyFile: keyFile, serverName: serverName, log: log}
 	return t, t.reload()
 }
 
+// filesChanged returns the modification times of the files, and whether they differ
+// from those of the files in use.
 func (t *TLS) filesChanged() (modTimes [3]time.Time, changed bool, err error) {
 	for i, file := range []string{t.caFile, t.certFile, t.keyFile} {
 		info, err := os.Stat(file)
@@ -58,7 +61,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return fmt.Errorf("tls: %s holds no certificate", t.caFile)
+		return fmt.Errorf("tls: %s contains no certificate", t.caFile)
 	}
 	cert, err := tls.LoadX509KeyPair(t.certFile, t.keyFile)
 	if err != nil {
@@ -69,16 +72,16 @@
 	return nil
 }
 
-// Dial connects, with the certificates as they are now.
+// Dial connects with the current certificates.
 func (t *TLS) Dial(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	t.mu.Lock()
 	if err := t.reload(); err != nil {
-		t.log.Warn("flow export: certificates that can't be used; the old ones stay in force", "error", err)
+		t.log.Warn("flow export: the new certificates can't be used; the old ones stay in use", "error", err)
 	}
 	config := t.config
 	if leaf := config.Certificates[0].Leaf; leaf != nil {
 		now := time.Now()
-		if remaining := leaf.NotAfter.Sub(now); remaining < expiryWarning && now.Sub(t.expiryWarnedAt) > time.Hour {
+		if remaining := leaf.NotAfter.Sub(now); remaining < expiryWarningPeriod && now.Sub(t.expiryWarnedAt) > time.Hour {
 			t.expiryWarnedAt = now
 			t.log.Warn("flow export: the certificate ends soon", "file", t.certFile, "left", remaining.Round(time.Minute))
 		}
--- a/internal/flow/codec.go
+++ b/internal/flow/codec.go
@@ -11,18 +11,20 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// PEN is the enterprise number of the elements of our own: the one that IANA
-// keeps for documentation.
+// PEN is the private enterprise number of this project's information elements.
+// IANA reserves it for documentation.
 const PEN = 32473
 
-// FormatVersion is the version of the templates; a spool of another is set aside.
+// FormatVersion is the version of the templates. Spool files of another version
+// are set aside.
 const FormatVersion = 1
 
+// ownElement returns an information element of this project.
 func ownElement(id uint16, dataType ipfix.Type, length uint16, name string) ipfix.Element {
 	return ipfix.Element{PEN: PEN, ID: id, Type: dataType, Length: length, Name: name}
 }
 
-// The elements. Their order in the templates is that of this list.
+// The information elements that the templates use.
 var (
 	eStart            = ipfix.Element{ID: 152, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"}
 	eEnd              = ipfix.Element{ID: 153, Type: ipfix.DateTimeMilliseconds, Length: 8, Name: "flowEndMilliseconds"}
@@ -69,7 +71,7 @@
 	eCircuitTime      = ownElement(37, ipfix.Unsigned64, 8, "circuitMilliseconds")
 )
 
-// Elements lists all that the templates use.
+// Elements returns all information elements that the templates use.
 func Elements() []ipfix.Element {
 	return append([]ipfix.Element{eStart, eEnd, eFlowID, eProcess, eNotSent, eExported, eIncarnation, eKind, eClass, eClassName, eOutcome, eFlags,
 		eSource, eDest, eVia, eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eExchange, eRoute, eAttemptNote,
@@ -77,27 +79,28 @@
 		eAttemptCount, eCircuitTime}, ipfix.TypeInfoElements...)
 }
 
-// ItemKind is what an item in the stream is.
+// ItemKind is the kind of an Item. It selects the template of the item.
 type ItemKind uint8
 
 const (
-	ItemCall       ItemKind = iota // one call, ended or standing still
+	ItemCall       ItemKind = iota // one call that has ended or is still established
 	ItemAttempt                    // one attempt
-	ItemFolded                     // a sum of records that were not sent one by one
-	ItemCounts                     // what a controller has counted, folded and dropped so far, by kind, class and outcome
-	ItemStatistics                 // the exporting process' reliability (RFC 7011, 4.3)
-	ItemFormat                     // the version of these records
-	ItemSummary                    // an interval's calls of one far end and class, whatever was shed
+	ItemFolded                     // the sum of records that were folded instead of being sent one by one
+	ItemCounts                     // records counted, folded and dropped so far, by kind, class and outcome
+	ItemStatistics                 // exporting process reliability statistics (RFC 7011, 4.3)
+	ItemFormat                     // the version of the records in the stream
+	ItemSummary                    // an interval's calls to one destination in one class, including shed records
 	itemKindCount
 )
 
 // Flags of a record.
 const (
-	FlagResent uint64 = 1 // it may have arrived before: the flowId tells
-	FlagRepeat uint64 = 2 // a further try of a caller, or one that came again
-	FlagFinal  uint64 = 4 // of counts: the last word of a controller that ended in order
+	FlagResent uint64 = 1 // may have arrived before; flowId identifies duplicates
+	FlagRepeat uint64 = 2 // a caller's retry, or a repeated call
+	FlagFinal  uint64 = 4 // on counts: the last ones of a controller that shut down in order
 )
 
+// templates holds the template of each ItemKind.
 var templates = [itemKindCount]*ipfix.Template{
 	{ID: 256, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
 		eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eRoute, eContext}},
@@ -112,28 +115,30 @@
 		eAbandonedCount, eAttemptCount, eCircuitTime}},
 }
 
+// typeInfoTemplate describes this project's information elements to collectors.
 var typeInfoTemplate = ipfix.TypeInfoTemplate(262)
 
-// Codec turns a controller's records into values of the templates.
+// Codec converts a controller's records to the values of their templates.
 type Codec struct {
-	Domain      uint32 // observation domain: the controller's number
-	Incarnation uint64 // when the controller started, in milliseconds since 1970
-	Classes     []string
-	hashKey     []byte
+	Domain      uint32   // observation domain ID: the controller's number
+	Incarnation uint64   // start time of the controller, in milliseconds since 1970
+	Classes     []string // names of the call classes
+	hashKey     []byte   // HMAC key for called numbers
 }
 
-// NewCodec hashes called numbers with a key: the same number has the same hash
-// at all controllers that share it, and nobody without it can tell the number.
+// NewCodec returns a codec that hashes called numbers with key. Controllers that
+// share the key produce the same hash for a number; without the key the number
+// can't be recovered.
 func NewCodec(domain uint32, incarnation uint64, classes []string, key []byte) *Codec {
 	return &Codec{Domain: domain, Incarnation: incarnation, Classes: classes, hashKey: key}
 }
 
-// Template of an item.
+// Template returns the template of an item kind.
 func (c *Codec) Template(kind ItemKind) *ipfix.Template { return templates[kind] }
 
-// Preamble writes what a reader needs first: the format, the other templates
-// and the descriptions of the elements (RFC 5610). take is called whenever a
-// message is full, and for the last.
+// Preamble writes what a reader of the stream needs first: the format version,
+// the templates and the type information of the elements (RFC 5610). It calls
+// finish whenever a message is full and once at the end.
 func (c *Codec) Preamble(writer *ipfix.Writer, finish func()) error {
 	steps := []func() error{
 		func() error { return writer.AddTemplate(templates[ItemFormat]) },
@@ -162,7 +167,7 @@
 	return nil
 }
 
-// HasCurrentFormat tells whether a message opens a stream of this format.
+// HasCurrentFormat reports whether a message announces the current format version.
 func HasCurrentFormat(message *ipfix.Message) bool {
 	for i := range message.Records {
 		if format, ok := message.Records[i].Get(PEN, eFormat.ID); ok {
@@ -172,26 +177,29 @@
 	return false
 }
 
-// Item is one record in the stream, with what it counts as.
+// Item is one data record of the stream, with the number of flow records that it
+// represents.
 type Item struct {
 	Kind        ItemKind
 	RecordKind  Kind
 	Class       uint8
 	Outcome     Outcome
-	RecordCount uint64 // records that it stands for
+	RecordCount uint64 // flow records that the item represents
 
 	resent bool
-	record Record        // of calls and attempts that were made here: their values are made when they are written
-	values []ipfix.Value // of all others
+	record Record        // of calls and attempts of this process, encoded when they are written
+	values []ipfix.Value // of all other items
 }
 
-// flagsIndex is where the flags stand, in items that have them.
+// flagsIndex is the index of recordFlags in the templates that have it, except
+// that of ItemCounts.
 const flagsIndex = 2
 
-// MarkResent marks an item that may have arrived before.
+// MarkResent marks an item that may have arrived at a collector before.
 func (i *Item) MarkResent() { i.resent = i.HasRecords() }
 
-// Values of an item, in the order of its template, written over buf.
+// Values returns the values of an item in the order of its template. It
+// overwrites buf.
 func (c *Codec) Values(item *Item, buf []ipfix.Value) []ipfix.Value {
 	values := append(buf[:0], item.values...)
 	if item.values == nil {
@@ -203,16 +211,18 @@
 	return values
 }
 
-// HasRecords tells whether the item stands for records of its own.
+// HasRecords reports whether the item represents flow records, rather than
+// counts, summaries or statistics.
 func (i *Item) HasRecords() bool { return i.Kind <= ItemFolded }
 
-// AddTo books what the item stands for.
+// AddTo adds the flow records that the item represents to counts.
 func (i *Item) AddTo(counts *Counts) {
 	if i.HasRecords() {
 		counts[min(i.RecordKind, KindCount-1)][min(i.Class, MaxClasses-1)][min(i.Outcome, OutcomeCount-1)] += i.RecordCount
 	}
 }
 
+// className returns the name of a class, or an empty string if it has none.
 func (c *Codec) className(class uint8) string {
 	if int(class) < len(c.Classes) {
 		return c.Classes[class]
@@ -220,19 +230,20 @@
 	return ""
 }
 
+// milliseconds converts a duration, or 0 if it is negative.
 func milliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-// exchangeNumber stands for no exchange in 32 bits.
+// exchangeNumber encodes an exchange number in 32 bits; all bits set mean none.
 func exchangeNumber(number int32) uint64 { return uint64(uint32(number)) }
 
-// hashNumber of a called number: the first 8 bytes of HMAC-SHA-256 (RFC 2104).
+// hashNumber returns the first 8 bytes of the HMAC-SHA-256 (RFC 2104) of a called number.
 func (c *Codec) hashNumber(number uint64) uint64 {
 	mac := hmac.New(sha256.New, c.hashKey)
 	mac.Write(binary.BigEndian.AppendUint64(nil, number))
 	return binary.BigEndian.Uint64(mac.Sum(nil))
 }
 
-// RecordItem makes the item of a record.
+// RecordItem returns the item for a call or attempt record.
 func (c *Codec) RecordItem(record *Record) *Item {
 	item := &Item{Kind: ItemCall, RecordKind: record.Kind, Class: record.Class, Outcome: record.Outcome, RecordCount: 1, record: *record}
 	if record.Kind == KindAttempt {
@@ -241,6 +252,7 @@
 	return item
 }
 
+// recordValues appends the values of a call or attempt record.
 func (c *Codec) recordValues(record *Record, values []ipfix.Value) []ipfix.Value {
 	flags := uint64(0)
 	if record.Repeat {
@@ -260,33 +272,33 @@
 		ipfix.Value{Num: uint64(record.Route)}, ipfix.Value{Num: uint64(record.Context)})
 }
 
-// Folded is what a sum of records tells.
+// Folded is the sum of records that were not sent one by one.
 type Folded struct {
 	Kind                  Kind
 	Class                 uint8
 	Outcome               Outcome
 	Dest                  int32
-	Seq                   uint64 // of sums: apart from that of records
+	Seq                   uint64 // numbered separately from the records
 	Count                 uint64
 	FirstStart, LastStart time.Duration
 	SetUp, EstablishedFor time.Duration
 	Attempts              uint64
 }
 
-// FoldedItem makes the item of a sum.
+// FoldedItem returns the item for a sum of folded records.
 func (c *Codec) FoldedItem(folded Folded) *Item {
 	return &Item{Kind: ItemFolded, RecordKind: folded.Kind, Class: folded.Class, Outcome: folded.Outcome, RecordCount: folded.Count, values: []ipfix.Value{
 		{Num: c.Incarnation}, {Num: folded.Seq}, {}, {Num: uint64(folded.Kind)}, {Num: uint64(folded.Class)}, {Str: c.className(folded.Class)}, {Num: uint64(folded.Outcome)},
 		{Num: milliseconds(folded.FirstStart)}, {Num: milliseconds(folded.LastStart)}, {Num: exchangeNumber(folded.Dest)}, {Num: folded.Count}, {Num: milliseconds(folded.SetUp)}, {Num: milliseconds(folded.EstablishedFor)}, {Num: folded.Attempts}}}
 }
 
-// Summary is the calls of one far end and class that ended in an interval.
+// Summary counts the calls to one destination in one class that ended in an interval.
 type Summary struct {
 	Calls, Established, Refused, Failed, Abandoned, Attempts uint64
-	CircuitTime                                              time.Duration // circuits times standing time
+	CircuitTime                                              time.Duration // circuits multiplied by the time established
 }
 
-// Add books a record.
+// Add counts a record.
 func (s *Summary) Add(record *Record) {
 	switch record.Kind {
 	case KindAttempt:
@@ -309,15 +321,15 @@
 	}
 }
 
-// SummaryItem makes the item of an interval's summary.
+// SummaryItem returns the item for the summary of an interval.
 func (c *Codec) SummaryItem(seq uint64, class uint8, dest int32, from, to time.Duration, summary *Summary) *Item {
 	return &Item{Kind: ItemSummary, Class: class, values: []ipfix.Value{{Num: c.Incarnation}, {Num: seq}, {}, {Num: uint64(class)}, {Str: c.className(class)},
 		{Num: exchangeNumber(dest)}, {Num: milliseconds(from)}, {Num: milliseconds(to)}, {Num: summary.Calls}, {Num: summary.Established}, {Num: summary.Refused}, {Num: summary.Failed}, {Num: summary.Abandoned},
 		{Num: summary.Attempts}, {Num: milliseconds(summary.CircuitTime)}}}
 }
 
-// CountItems makes the items that tell what was counted, folded and dropped so
-// far, one for each kind, class and outcome that was seen.
+// CountItems returns the items that report the records counted, folded and
+// dropped so far: one for each kind, class and outcome that occurred.
 func (c *Codec) CountItems(seq uint64, counted, folded, dropped *Counts, final bool) []*Item {
 	var items []*Item
 	flags := uint64(0)
@@ -339,13 +351,13 @@
 	return items
 }
 
-// StatisticsItem makes the item of the exporting process' reliability.
+// StatisticsItem returns the item for the exporting process reliability statistics.
 func (c *Codec) StatisticsItem(notSent, exported uint64) *Item {
 	return &Item{Kind: ItemStatistics, values: []ipfix.Value{{Num: uint64(c.Domain)}, {Num: notSent}, {Num: exported}}}
 }
 
-// ItemOf makes an item of a record that was read; false for those that tell of
-// the stream itself.
+// ItemOf returns the item for a record that was read. It returns false for a
+// record about the stream itself and for one that is not valid.
 func ItemOf(record *ipfix.Record) (*Item, bool) {
 	item := &Item{values: record.Values, RecordCount: 1}
 	switch record.Template.ID {
@@ -377,8 +389,8 @@
 	return item, true
 }
 
-// fieldValue reads a value by its place in our template: version 9 gives the fields
-// of a scope no names.
+// fieldValue returns a value by the position of its element in this package's
+// template, because NetFlow version 9 doesn't name the elements of scope fields.
 func fieldValue(record *ipfix.Record, element ipfix.Element) uint64 {
 	for _, template := range templates {
 		if template.ID != record.Template.ID || len(template.Fields) != len(record.Values) {
@@ -393,27 +405,29 @@
 	return 0
 }
 
-// Identity tells which record this is: the controller's life, its number in it,
-// and its flags.
+// Identity returns the incarnation of the controller that a record comes from,
+// the sequence number within it, and the flags.
 func Identity(record *ipfix.Record) (incarnation, seq, flags uint64) {
 	return fieldValue(record, eIncarnation), fieldValue(record, eFlowID), fieldValue(record, eFlags)
 }
 
-// CountsOf reads a controller's word on its counts.
+// CountsOf returns the counted and dropped records that an ItemCounts record reports.
 func CountsOf(record *ipfix.Record) (counted, dropped uint64) {
 	return fieldValue(record, eRecordCount), fieldValue(record, eDroppedCount)
 }
 
-// SummaryCallsOf reads how many calls a summary tells of.
+// SummaryCallsOf returns the number of calls in a summary.
 func SummaryCallsOf(record *ipfix.Record) uint64 { return fieldValue(record, eCallCount) }
 
-// CallAttributes tells the destination, class name, outcome and hash of the number of a record.
+// CallAttributes returns the destination, the class name and the hash of the
+// called number of a record.
 func CallAttributes(record *ipfix.Record) (dest uint32, class string, hash uint64) {
 	className, _ := record.Get(PEN, eClassName.ID)
 	return uint32(fieldValue(record, eDest)), className.Str, fieldValue(record, eNumberHash)
 }
 
-// CallRecordOf reads a call's record back, with the hash in place of the number.
+// CallRecordOf returns the record of a call that was read, with the hash in place
+// of the called number. It returns false for any other record.
 func CallRecordOf(record *ipfix.Record) (Record, bool) {
 	item, ok := ItemOf(record)
 	if !ok || item.Kind != ItemCall || item.RecordKind != KindCall {
--- a/internal/flow/words.go
+++ b/internal/flow/describe.go
@@ -7,8 +7,8 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// Describe tells a record as a person would read it: names and values, the kind of
-// record first.
+// Describe returns a record as pairs of names and readable values, the type of
+// the record first. Empty values are left out.
 func Describe(record *ipfix.Record, item *Item) [][2]string {
 	recordType := [itemKindCount]string{"call", "attempt", "sum", "counts", "statistics", "format", "summary"}[item.Kind]
 	pairs := [][2]string{{"record", recordType}}
@@ -30,7 +30,7 @@
 		case field.Type == ipfix.DateTimeMilliseconds:
 			text = time.UnixMilli(int64(value.Num)).UTC().Format("2006-01-02T15:04:05.000Z")
 		case field.Length == 4 && uint32(value.Num) == ^uint32(0):
-			continue // none
+			continue // no exchange
 		default:
 			text = fmt.Sprint(value.Num)
 		}
--- a/internal/ipfix/decode.go
+++ b/internal/ipfix/decode.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Record is one data record as it was read.
+// Record is one decoded data record.
 type Record struct {
 	Template *Template
 	Values   []Value
 }
 
-// Get returns a field's value by its element.
+// Get returns the value of the field with an element's enterprise number and ID.
 func (r *Record) Get(pen uint32, id uint16) (Value, bool) {
 	for i, field := range r.Template.Fields {
 		if field.PEN == pen && field.ID == id {
@@ -24,30 +24,31 @@
 	return Value{}, false
 }
 
-// Message is one message as it was read.
+// Message is one decoded message.
 type Message struct {
 	Protocol      Protocol
 	ExportTime    int64 // export time, seconds since 1970
 	Sequence      uint32
 	Domain        uint32
 	Records       []Record
-	TemplateCount int // template records, withdrawals too
-	UnknownSets   int // sets without a known template
+	TemplateCount int // template records, including withdrawals
+	UnknownSets   int // sets whose template is not known
 }
 
-// Decoder reads the messages of one stream: it remembers templates, and the
-// types of elements that it knows or is told (RFC 5610).
+// Decoder decodes the messages of one stream. It remembers the stream's templates
+// and the type information of its elements (RFC 5610).
 type Decoder struct {
-	// Elements tells the type and name of elements; others are read as octets,
-	// or as unsigned numbers where they have a number's length.
+	// Elements holds the known elements by enterprise number and ID. Others are
+	// read as unsigned numbers if they have the length of one, else as octets.
 	Elements  map[[2]uint32]Element
 	templates map[uint64]*Template
 }
 
-// maxTemplates bounds what a stream can make a decoder remember.
+// maxTemplates limits the templates, and separately the elements, that a stream
+// can make a decoder store.
 const maxTemplates = 4096
 
-// NewDecoder starts without templates.
+// NewDecoder returns a decoder that knows the given elements and no templates.
 func NewDecoder(known ...Element) *Decoder {
 	d := &Decoder{Elements: map[[2]uint32]Element{}, templates: map[uint64]*Template{}}
 	for _, element := range known {
@@ -56,16 +57,17 @@
 	return d
 }
 
-// ErrMalformed is wrapped by the errors of messages that can't be read.
+// ErrMalformed is wrapped by the errors of messages that can't be decoded.
 var ErrMalformed = errors.New("malformed message")
 
+// malformedError returns an error that wraps ErrMalformed and names the byte offset.
 func malformedError(offset int, format string, args ...any) error {
 	return fmt.Errorf("%w: byte %d: %s", ErrMalformed, offset, fmt.Sprintf(format, args...))
 }
 
-// ReadMessage reads one IPFIX message from a stream of them (TCP, RFC 7011
-// 10.4; files, RFC 5655). io.EOF is the end between two, io.ErrUnexpectedEOF
-// that within one.
+// ReadMessage reads one IPFIX message from a stream (TCP, RFC 7011 10.4; files,
+// RFC 5655). It uses buf if that is large enough. It returns io.EOF if the stream
+// ends between two messages, and io.ErrUnexpectedEOF if it ends within one.
 func ReadMessage(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < MaxMessageLength {
 		buf = make([]byte, MaxMessageLength)
@@ -91,7 +93,7 @@
 	return buf, nil
 }
 
-// Decode reads one message of either protocol.
+// Decode decodes one message of either protocol.
 func (d *Decoder) Decode(data []byte) (*Message, error) {
 	if len(data) < 2 {
 		return nil, malformedError(0, "%d bytes", len(data))
@@ -101,7 +103,7 @@
 	switch message.Protocol {
 	case IPFIX:
 		if len(data) < ipfixHeaderLength || int(binary.BigEndian.Uint16(data[2:])) != len(data) {
-			return nil, malformedError(2, "the length is not that of the message")
+			return nil, malformedError(2, "the length in the header is not that of the message")
 		}
 		message.ExportTime = int64(binary.BigEndian.Uint32(data[4:]))
 		message.Sequence = binary.BigEndian.Uint32(data[8:])
@@ -122,7 +124,7 @@
 		}
 		setID, length := binary.BigEndian.Uint16(data[offset:]), int(binary.BigEndian.Uint16(data[offset+2:]))
 		if length < setHeaderLength || length > len(data)-offset {
-			return nil, malformedError(offset+2, "a set of %d bytes", length)
+			return nil, malformedError(offset+2, "set length %d", length)
 		}
 		body := &reader{data: data[offset+setHeaderLength : offset+length], start: offset + setHeaderLength}
 		var err error
@@ -144,10 +146,11 @@
 	return message, nil
 }
 
+// reader reads the body of a set.
 type reader struct {
 	data   []byte
 	offset int
-	start  int
+	start  int // offset of the body in the message, for errors
 }
 
 func (r *reader) remaining() int { return len(r.data) - r.offset }
@@ -158,10 +161,13 @@
 	return value
 }
 
+// templateKey returns the map key of a template. Template IDs are unique within
+// an observation domain.
 func (d *Decoder) templateKey(message *Message, id uint16) uint64 {
 	return uint64(message.Domain)<<16 | uint64(id)
 }
 
+// readTemplates stores the templates of a template set or options template set.
 func (d *Decoder) readTemplates(message *Message, body *reader, options bool) error {
 	for body.remaining() >= 4 {
 		start := body.start + body.offset
@@ -180,10 +186,10 @@
 		}
 		if options {
 			if body.remaining() < 2 {
-				return malformedError(start, "an options template ends early")
+				return malformedError(start, "truncated options template")
 			}
 			template.ScopeCount = int(body.readUint16())
-			if message.Protocol == NetFlow9 { // bytes of scopes, then bytes of options
+			if message.Protocol == NetFlow9 { // has the lengths of the scope and option fields in bytes instead of counts
 				scopeCount := count / 4
 				count, template.ScopeCount = scopeCount+template.ScopeCount/4, scopeCount
 			}
@@ -194,7 +200,7 @@
 		recordLength := 0
 		for i := range count {
 			if body.remaining() < 4 {
-				return malformedError(start, "a template of %d fields ends early", count)
+				return malformedError(start, "truncated template of %d fields", count)
 			}
 			field := Element{ID: body.readUint16(), Length: body.readUint16()}
 			switch {
@@ -203,7 +209,7 @@
 				field.PEN, field.ID = netflow9PEN, field.ID&^enterpriseBit
 			case field.ID&enterpriseBit != 0:
 				if body.remaining() < 4 {
-					return malformedError(start, "an enterprise number is missing")
+					return malformedError(start, "missing enterprise number")
 				}
 				field.ID &^= enterpriseBit
 				field.PEN = binary.BigEndian.Uint32(body.data[body.offset:])
@@ -216,20 +222,22 @@
 			template.Fields = append(template.Fields, field)
 		}
 		if recordLength == 0 {
-			return malformedError(start, "records of no length")
+			return malformedError(start, "template with records of no length")
 		}
 		if _, known := d.templates[d.templateKey(message, template.ID)]; !known && len(d.templates) >= maxTemplates {
-			return malformedError(start, "over %d templates", maxTemplates)
+			return malformedError(start, "more than %d templates", maxTemplates)
 		}
 		d.templates[d.templateKey(message, template.ID)] = template
 	}
 	return nil
 }
 
-// netflow9PEN is whom version 9's ids above 32768 are taken to be of.
+// netflow9PEN is the enterprise number that elements of NetFlow version 9 with IDs
+// from 32768 up are assumed to belong to.
 const netflow9PEN = 32473
 
-// resolveType gives a field the type that is known of its element, or one by its length.
+// resolveType sets the type and name of a field from its element if that is known,
+// else from its length.
 func (d *Decoder) resolveType(field *Element) {
 	if element, ok := d.Elements[[2]uint32{field.PEN, uint32(field.ID)}]; ok {
 		if length := element.Type.size(); length == 0 || int(field.Length) <= length && field.Length > 0 {
@@ -250,6 +258,7 @@
 	}
 }
 
+// readData decodes the records of a data set.
 func (d *Decoder) readData(message *Message, body *reader, id uint16) error {
 	template := d.templates[d.templateKey(message, id)]
 	if template == nil {
@@ -266,7 +275,7 @@
 	}
 	for body.remaining() >= minLength && body.remaining() > 0 {
 		if message.Protocol == NetFlow9 && body.remaining() < 4 && minLength < 4 {
-			return nil // what is left may be padding
+			return nil // may be padding
 		}
 		record := Record{Template: template, Values: make([]Value, len(template.Fields))}
 		for i := range template.Fields {
@@ -280,22 +289,23 @@
 	return nil
 }
 
+// readValue decodes the value of one field.
 func (r *reader) readValue(field *Element, value *Value, protocol Protocol) error {
 	length := int(field.Length)
 	if field.Length == VariableLength {
 		if r.remaining() < 1 {
-			return malformedError(r.start+r.offset, "a value ends early")
+			return malformedError(r.start+r.offset, "truncated value")
 		}
 		length = int(r.data[r.offset])
 		if r.offset++; length == 255 {
 			if r.remaining() < 2 {
-				return malformedError(r.start+r.offset, "a length ends early")
+				return malformedError(r.start+r.offset, "truncated length of a value")
 			}
 			length = int(r.readUint16())
 		}
 	}
 	if r.remaining() < length {
-		return malformedError(r.start+r.offset, "a value of %d bytes, %d left", length, r.remaining())
+		return malformedError(r.start+r.offset, "value of %d bytes, but %d bytes left", length, r.remaining())
 	}
 	raw := r.data[r.offset : r.offset+length]
 	r.offset += length
@@ -320,7 +330,7 @@
 	return nil
 }
 
-// The elements by which a stream describes others (RFC 5610).
+// The information elements that carry the type information of others (RFC 5610).
 var (
 	elemPEN       = Element{ID: 346, Type: Unsigned32, Length: 4, Name: "privateEnterpriseNumber"}
 	elemID        = Element{ID: 303, Type: Unsigned16, Length: 2, Name: "informationElementId"}
@@ -330,13 +340,14 @@
 	elemName      = Element{ID: 341, Type: String, Length: VariableLength, Name: "informationElementName"}
 )
 
-// TypeInfoTemplate is the options template for the descriptions of elements.
+// TypeInfoTemplate returns the options template for information element type
+// records (RFC 5610).
 func TypeInfoTemplate(id uint16) *Template {
 	return &Template{ID: id, ScopeCount: 2, Fields: []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}}
 }
 
-// TypeInfoRecord is the record that describes an element; units are those of the
-// IANA registry informationElementUnits, 0 for none.
+// TypeInfoRecord returns the values of the record that describes an element.
+// units is a value of the IANA registry informationElementUnits, 0 for none.
 func TypeInfoRecord(element Element, units uint16) []Value {
 	semantics := uint64(0) // default
 	if element.Type == Unsigned64 {
@@ -345,7 +356,8 @@
 	return []Value{{Num: uint64(element.PEN)}, {Num: uint64(element.ID)}, {Num: uint64(element.Type)}, {Num: semantics}, {Num: uint64(units)}, {Str: element.Name}}
 }
 
-// learnElement takes the description of an element from the stream itself.
+// learnElement stores the element that a type information record describes. It
+// ignores all other records.
 func (d *Decoder) learnElement(record *Record) {
 	pen, hasPEN := record.Get(0, elemPEN.ID)
 	id, hasID := record.Get(0, elemID.ID)
@@ -356,7 +368,7 @@
 	}
 	element := Element{PEN: uint32(pen.Num), ID: uint16(id.Num), Type: Type(dataType.Num), Name: name.Str}
 	d.Elements[[2]uint32{element.PEN, uint32(element.ID)}] = element
-	for _, template := range d.templates { // those that came before it; each for itself
+	for _, template := range d.templates { // templates received before it; order doesn't matter
 		for i := range template.Fields {
 			if field := &template.Fields[i]; field.PEN == element.PEN && field.ID == element.ID {
 				d.resolveType(field)
@@ -365,5 +377,5 @@
 	}
 }
 
-// TypeInfoElements are IANA's elements that are used here.
+// TypeInfoElements lists the IANA elements of type information records.
 var TypeInfoElements = []Element{elemPEN, elemID, elemType, elemSemantics, elemUnits, elemName}
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -1,6 +1,6 @@
-// Package ipfix is the codec of flow records: IPFIX messages (RFC 7011, with
-// the data types of RFC 7012) and NetFlow version 9 packets (RFC 3954) over the
-// same templates and values, written and read. It knows no call and no network.
+// Package ipfix encodes and decodes IPFIX messages (RFC 7011, with the data types
+// of RFC 7012) and NetFlow version 9 packets (RFC 3954), both from the same
+// templates and values. It has no knowledge of calls and does no network I/O.
 package ipfix
 
 import (
@@ -15,6 +15,7 @@
 // informationElementDataType.
 type Type uint8
 
+// The abstract data types of RFC 7012 that this package supports.
 const (
 	OctetArray           Type = 0
 	Unsigned8            Type = 1
@@ -30,10 +31,10 @@
 	Boolean              Type = 11
 	String               Type = 13
 	DateTimeSeconds      Type = 14 // dateTimeSeconds
-	DateTimeMilliseconds Type = 15 // dateTimeMilliseconds, of UTC since 1970
+	DateTimeMilliseconds Type = 15 // dateTimeMilliseconds, UTC since 1970
 )
 
-// size is the full length of a type in bytes, 0 where it varies.
+// size returns the full length of a type in bytes, or 0 if it is variable.
 func (t Type) size() int {
 	switch t {
 	case Unsigned8, Signed8, Boolean:
@@ -48,87 +49,93 @@
 	return 0
 }
 
-// VariableLength is the length of a field whose records tell it (RFC 7011, 7).
+// VariableLength is the Length of a field whose records carry their own length
+// (RFC 7011, 7).
 const VariableLength = 65535
 
-// Element is an information element as a template lists it.
+// Element is an information element as a field of a template.
 type Element struct {
-	PEN    uint32 // private enterprise number, 0 for IANA's
+	PEN    uint32 // private enterprise number, 0 for IANA elements
 	ID     uint16 // below 32768
 	Type   Type
-	Length uint16 // bytes in a record, or Variable
+	Length uint16 // bytes, or VariableLength
 	Name   string
 }
 
-// Template tells how the records of a set are laid out. The first Scope fields
-// of an options template (Scope above 0) say what the rest is about.
+// Template describes the layout of the records of a set. In an options template,
+// where ScopeCount is greater than 0, the first ScopeCount fields are scope fields.
 type Template struct {
-	ID         uint16 // from 256
+	ID         uint16 // 256 or higher
 	ScopeCount int
 	Fields     []Element
 }
 
-// Value is one field's value: Num for numbers, times and booleans (signed ones
-// and floats by their bits), Str for strings and octets.
+// Value is the value of one field: Num for numbers, times and booleans (signed
+// numbers and floats by their bits), Str for strings and octet arrays.
 type Value struct {
 	Num uint64
 	Str string
 }
 
-// Protocol is the version of a message.
+// Protocol is the version number of a message.
 type Protocol uint16
 
+// The supported protocols.
 const (
 	NetFlow9 Protocol = 9
 	IPFIX    Protocol = 10
 )
 
+// Lengths in bytes.
 const (
 	ipfixHeaderLength    = 16
 	netflow9HeaderLength = 20
 	setHeaderLength      = 4
-	// MinMessageLength is the smallest bound on a message that a Writer takes.
+	// MinMessageLength is the smallest message limit that a Writer accepts.
 	MinMessageLength = 256
-	// MaxMessageLength is the largest: its length stands in 16 bits.
+	// MaxMessageLength is the largest possible message: its header holds the
+	// length in 16 bits.
 	MaxMessageLength = 65535
 )
 
-// ErrFull says that the message has no room for what was to be added; the
-// message is to be taken out first.
-var ErrFull = errors.New("the message is full")
+// ErrFull reports that a record doesn't fit into the current message. The caller
+// finishes the message and adds the record again.
+var ErrFull = errors.New("message full")
 
-// Writer puts messages together. Version 9 knows no enterprise numbers and no
-// variable lengths: there own elements keep their ids above 32768, and strings
-// have v9String bytes, filled with zeros.
+// Writer assembles messages. NetFlow version 9 has no enterprise numbers and no
+// variable lengths: there, enterprise elements have IDs from 32768 up, and strings
+// have netflow9StringLength bytes, padded with zeros.
 type Writer struct {
 	protocol  Protocol
 	domain    uint32
 	maxLength int
 	sequence  uint32
 	buf       []byte
-	setStart  int // where the open set begins, 0: none
+	setStart  int // offset of the open set, 0 if none is open
 	setID     uint16
-	records,
-	dataRecords int
+	records,  // of the current message, templates included
+	dataRecords int // data records of the current message
 }
 
+// netflow9StringLength is the length of every string in bytes in NetFlow version 9.
 const netflow9StringLength = 32
 
-// NewWriter starts a stream of messages of at most so many bytes.
+// NewWriter returns a writer for a stream of messages of at most maxLength bytes.
 func NewWriter(protocol Protocol, domain uint32, maxLength int) *Writer {
 	return &Writer{protocol: protocol, domain: domain, maxLength: min(max(maxLength, MinMessageLength), MaxMessageLength)}
 }
 
-// Sequence is the number that the next message carries: data records before it
-// (IPFIX), or packets (version 9).
+// Sequence returns the sequence number of the next message: the number of data
+// records before it (IPFIX), or of packets (NetFlow version 9).
 func (w *Writer) Sequence() uint32 { return w.sequence }
 
-// SetSequence goes on from another's count.
+// SetSequence sets the sequence number of the next message.
 func (w *Writer) SetSequence(sequence uint32) { w.sequence = sequence }
 
-// RecordCount is the number of data records in the message that is being made.
+// RecordCount returns the number of data records in the current message.
 func (w *Writer) RecordCount() int { return w.dataRecords }
 
+// startMessage reserves room for the message header, if there is none yet.
 func (w *Writer) startMessage() {
 	if len(w.buf) > 0 {
 		return
@@ -147,7 +154,7 @@
 	return ipfixHeaderLength
 }
 
-// openSet goes on in a set of an id, or starts one.
+// openSet continues the open set if it has this ID, or starts a new one.
 func (w *Writer) openSet(id uint16) {
 	w.startMessage()
 	if w.setStart > 0 && w.setID == id {
@@ -159,6 +166,7 @@
 	w.buf = binary.BigEndian.AppendUint16(w.buf, 0)
 }
 
+// closeSet pads the open set and writes its length.
 func (w *Writer) closeSet() {
 	if w.setStart == 0 {
 		return
@@ -172,7 +180,8 @@
 	w.setStart = 0
 }
 
-// addToSet writes one record into a set, or takes it back when the message overflows.
+// addToSet writes one record into a set, and removes it again if the message
+// becomes too long.
 func (w *Writer) addToSet(setID uint16, write func()) error {
 	old := *w
 	old.buf = w.buf[:len(w.buf):len(w.buf)]
@@ -183,7 +192,7 @@
 		messageEmpty := oldLength <= w.headerLength()
 		w.buf, w.setStart, w.setID = w.buf[:oldLength], old.setStart, old.setID
 		if messageEmpty {
-			return fmt.Errorf("a record of set %d is larger than a message of %d bytes", setID, w.maxLength)
+			return fmt.Errorf("record of set %d is larger than the maximum message length of %d bytes", setID, w.maxLength)
 		}
 		return ErrFull
 	}
@@ -191,6 +200,7 @@
 	return nil
 }
 
+// Set IDs, and the bit that marks an enterprise element's ID.
 const (
 	netflow9TemplateSetID = 0
 	netflow9OptionsSetID  = 1
@@ -200,7 +210,7 @@
 	firstTemplateID       = 256
 )
 
-// AddTemplate adds a template's record.
+// AddTemplate adds a template record. It returns ErrFull if the message is full.
 func (w *Writer) AddTemplate(t *Template) error {
 	if w.protocol == NetFlow9 {
 		return w.addNetFlow9Template(t)
@@ -229,6 +239,7 @@
 	})
 }
 
+// netflow9RecordLength returns the length of a record in NetFlow version 9.
 func (t *Template) netflow9RecordLength() int {
 	length := 0
 	for _, field := range t.Fields {
@@ -251,7 +262,8 @@
 	return field.ID
 }
 
-// netflow9SystemScope is the only scope that version 9 has for what ours are about.
+// netflow9SystemScope is the only scope field type of NetFlow version 9 that fits
+// this package's scopes.
 const netflow9SystemScope = 1
 
 func (w *Writer) addNetFlow9Template(t *Template) error {
@@ -278,8 +290,8 @@
 	})
 }
 
-// WithdrawTemplate adds the withdrawal of a template (RFC 7011, 8.1); not over UDP, and
-// unknown to version 9, where it does nothing.
+// WithdrawTemplate adds the withdrawal of a template (RFC 7011, 8.1). It must not
+// be used over UDP. NetFlow version 9 has no withdrawals; there it does nothing.
 func (w *Writer) WithdrawTemplate(t *Template) error {
 	if w.protocol == NetFlow9 {
 		return nil
@@ -294,13 +306,14 @@
 	})
 }
 
-// AddRecord adds a record of a template. ErrFull asks for Take first.
+// AddRecord adds a data record of a template. It returns ErrFull if the message is
+// full.
 func (w *Writer) AddRecord(t *Template, values []Value) error {
 	if len(values) != len(t.Fields) {
-		return fmt.Errorf("template %d has %d fields, the record %d", t.ID, len(t.Fields), len(values))
+		return fmt.Errorf("template %d has %d fields, but the record has %d values", t.ID, len(t.Fields), len(values))
 	}
 	if w.protocol == NetFlow9 && t.netflow9RecordLength() < 4 {
-		return fmt.Errorf("template %d: a record of under 4 bytes can't be told from padding", t.ID)
+		return fmt.Errorf("template %d: NetFlow 9 records shorter than 4 bytes can't be distinguished from padding", t.ID)
 	}
 	err := w.addToSet(t.ID, func() {
 		for i := range t.Fields {
@@ -313,6 +326,7 @@
 	return err
 }
 
+// appendValue appends the value of one field.
 func (w *Writer) appendValue(field *Element, value *Value) {
 	switch length := field.Length; {
 	case length == VariableLength && w.protocol == NetFlow9:
@@ -347,14 +361,15 @@
 		}
 		w.buf = append(w.buf, encoded)
 	default:
-		for i := int(length) - 1; i >= 0; i-- { // reduced-size encoding as well (RFC 7011, 6.2)
+		for i := int(length) - 1; i >= 0; i-- { // also reduced-size encoding (RFC 7011, 6.2)
 			w.buf = append(w.buf, byte(value.Num>>(8*i)))
 		}
 	}
 }
 
-// Finish ends the message and returns it, valid until the next call; nil if there
-// is nothing in it. Times are in milliseconds since 1970, up since the start.
+// Finish completes the message and returns it, or nil if it is empty. The bytes
+// are valid until the next call of a method. now is in milliseconds since 1970,
+// uptime in milliseconds since the start of the process.
 func (w *Writer) Finish(now, uptime int64) []byte {
 	if len(w.buf) <= w.headerLength() {
 		return nil
@@ -382,5 +397,5 @@
 	return message
 }
 
-// FloatBits is a float'text bits, for Value.Num.
+// FloatBits returns the bits of a float, for Value.Num.
 func FloatBits(value float64) uint64 { return math.Float64bits(value) }
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -12,99 +12,100 @@
 	"pgregory.net/rapid"
 )
 
-const pen = netflow9PEN
+const testPEN = netflow9PEN
 
-var all = []Element{
+var testElements = []Element{
 	{ID: 152, Type: DateTimeMilliseconds, Length: 8, Name: "flowStartMilliseconds"},
-	{PEN: pen, ID: 1, Type: String, Length: VariableLength, Name: "class"},
-	{PEN: pen, ID: 2, Type: Unsigned8, Length: 1, Name: "u8"},
-	{PEN: pen, ID: 3, Type: Unsigned16, Length: 2, Name: "u16"},
-	{PEN: pen, ID: 4, Type: Unsigned32, Length: 4, Name: "u32"},
-	{PEN: pen, ID: 5, Type: Unsigned64, Length: 8, Name: "u64"},
-	{PEN: pen, ID: 6, Type: Boolean, Length: 1, Name: "flag"},
-	{PEN: pen, ID: 7, Type: Float64, Length: 8, Name: "float"},
-	{PEN: pen, ID: 8, Type: Unsigned64, Length: 3, Name: "reduced"},
-	{PEN: pen, ID: 9, Type: Signed32, Length: 4, Name: "signed"},
+	{PEN: testPEN, ID: 1, Type: String, Length: VariableLength, Name: "class"},
+	{PEN: testPEN, ID: 2, Type: Unsigned8, Length: 1, Name: "u8"},
+	{PEN: testPEN, ID: 3, Type: Unsigned16, Length: 2, Name: "u16"},
+	{PEN: testPEN, ID: 4, Type: Unsigned32, Length: 4, Name: "u32"},
+	{PEN: testPEN, ID: 5, Type: Unsigned64, Length: 8, Name: "u64"},
+	{PEN: testPEN, ID: 6, Type: Boolean, Length: 1, Name: "flag"},
+	{PEN: testPEN, ID: 7, Type: Float64, Length: 8, Name: "float"},
+	{PEN: testPEN, ID: 8, Type: Unsigned64, Length: 3, Name: "reduced"},
+	{PEN: testPEN, ID: 9, Type: Signed32, Length: 4, Name: "signed"},
 }
 
-func decoder() *Decoder { return NewDecoder(append(all, TypeInfoElements...)...) }
+func newTestDecoder() *Decoder { return NewDecoder(append(testElements, TypeInfoElements...)...) }
 
-// genRecords draws templates and records that fit them.
-func genRecords(t *rapid.T, p Protocol) ([]*Template, [][]Value, []*Template) {
-	var ts []*Template
+// drawRecords draws templates, records and the template of each record.
+func drawRecords(t *rapid.T, protocol Protocol) ([]*Template, [][]Value, []*Template) {
+	var templates []*Template
 	for i := range rapid.IntRange(1, 3).Draw(t, "templates") {
-		// a number first: version 9 pads with up to three bytes and its scopes have no
-		// names, and the other library can't read records that may be empty
-		tmpl := &Template{ID: uint16(256 + i), Fields: []Element{all[4]}}
-		for _, j := range rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 1, len(all), rapid.ID).Draw(t, "fields") {
+		// The first field is a number of four bytes: NetFlow version 9 pads sets with up
+		// to three bytes and has no names for scope fields, and goflow2 can't decode
+		// records that may be empty.
+		template := &Template{ID: uint16(256 + i), Fields: []Element{testElements[4]}}
+		for _, j := range rapid.SliceOfNDistinct(rapid.IntRange(0, len(testElements)-1), 1, len(testElements), rapid.ID).Draw(t, "fields") {
 			if j != 4 {
-				tmpl.Fields = append(tmpl.Fields, all[j])
+				template.Fields = append(template.Fields, testElements[j])
 			}
 		}
-		if rapid.Bool().Draw(t, "options") && len(tmpl.Fields) > 1 {
-			tmpl.ScopeCount = 1
+		if rapid.Bool().Draw(t, "options") && len(template.Fields) > 1 {
+			template.ScopeCount = 1
 		}
-		ts = append(ts, tmpl)
+		templates = append(templates, template)
 	}
-	var recs [][]Value
-	var of []*Template
+	var records [][]Value
+	var recordTemplates []*Template
 	for range rapid.IntRange(0, 12).Draw(t, "records") {
-		tmpl := rapid.SampledFrom(ts).Draw(t, "template")
-		rec := make([]Value, len(tmpl.Fields))
-		for i, f := range tmpl.Fields {
+		template := rapid.SampledFrom(templates).Draw(t, "template")
+		record := make([]Value, len(template.Fields))
+		for i, field := range template.Fields {
 			switch {
-			case f.Type == String:
-				most := 300
-				if p == NetFlow9 {
-					most = netflow9StringLength
+			case field.Type == String:
+				maxLength := 300
+				if protocol == NetFlow9 {
+					maxLength = netflow9StringLength
 				}
-				rec[i].Str = rapid.StringMatching(`[a-z ]{0,20}[a-z]`).Draw(t, "string")
+				record[i].Str = rapid.StringMatching(`[a-z ]{0,20}[a-z]`).Draw(t, "string")
 				if rapid.Bool().Draw(t, "long") {
-					rec[i].Str = strings.Repeat("x", most)
+					record[i].Str = strings.Repeat("x", maxLength)
 				}
-			case f.Type == Boolean:
-				rec[i].Num = rapid.Uint64Range(0, 1).Draw(t, "flag")
-			case f.Type == Signed32:
-				rec[i].Num = uint64(int64(rapid.Int32().Draw(t, "signed")))
+			case field.Type == Boolean:
+				record[i].Num = rapid.Uint64Range(0, 1).Draw(t, "flag")
+			case field.Type == Signed32:
+				record[i].Num = uint64(int64(rapid.Int32().Draw(t, "signed")))
 			default:
-				rec[i].Num = rapid.Uint64().Draw(t, "number") >> (64 - 8*f.Length)
+				record[i].Num = rapid.Uint64().Draw(t, "number") >> (64 - 8*field.Length)
 			}
 		}
-		recs, of = append(recs, rec), append(of, tmpl)
+		records, recordTemplates = append(records, record), append(recordTemplates, template)
 	}
-	return ts, recs, of
+	return templates, records, recordTemplates
 }
 
 func TestRoundTrip(t *testing.T) {
-	for _, p := range []Protocol{IPFIX, NetFlow9} {
+	for _, protocol := range []Protocol{IPFIX, NetFlow9} {
 		rapid.Check(t, func(t *rapid.T) {
-			ts, recs, of := genRecords(t, p)
-			w, d := NewWriter(p, 7, rapid.IntRange(600, 2000).Draw(t, "most")), decoder()
-			var got []Record
-			sent := 0
-			take := func() {
-				seq, n := w.Sequence(), w.RecordCount()
-				b := w.Finish(1_700_000_000_000, 5000)
-				if b == nil {
+			templates, records, recordTemplates := drawRecords(t, protocol)
+			writer, decoder := NewWriter(protocol, 7, rapid.IntRange(600, 2000).Draw(t, "maxLength")), newTestDecoder()
+			var decoded []Record
+			recordsSent := 0
+			finish := func() {
+				sequence, count := writer.Sequence(), writer.RecordCount()
+				data := writer.Finish(1_700_000_000_000, 5000)
+				if data == nil {
 					return
 				}
-				m, err := d.Decode(bytes.Clone(b))
+				message, err := decoder.Decode(bytes.Clone(data))
 				if err != nil {
-					t.Fatalf("%v in % x", err, b)
+					t.Fatalf("error %v while decoding % x", err, data)
 				}
-				if m.Domain != 7 || m.ExportTime != 1_700_000_000 || m.Sequence != seq || len(m.Records) != n || m.UnknownSets != 0 {
-					t.Fatalf("%+v, want sequence %d and %d records", m, seq, n)
+				if message.Domain != 7 || message.ExportTime != 1_700_000_000 || message.Sequence != sequence || len(message.Records) != count || message.UnknownSets != 0 {
+					t.Fatalf("decoded %+v, want sequence %d and %d records", message, sequence, count)
 				}
-				if p == IPFIX && m.Sequence != uint32(sent) {
-					t.Fatalf("sequence %d after %d records", m.Sequence, sent)
+				if protocol == IPFIX && message.Sequence != uint32(recordsSent) {
+					t.Fatalf("sequence %d after %d data records", message.Sequence, recordsSent)
 				}
-				sent += n
-				got = append(got, m.Records...)
+				recordsSent += count
+				decoded = append(decoded, message.Records...)
 			}
-			add := func(f func() error) {
-				if err := f(); errors.Is(err, ErrFull) {
-					take()
-					err = f()
+			add := func(addRecord func() error) {
+				if err := addRecord(); errors.Is(err, ErrFull) {
+					finish()
+					err = addRecord()
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -112,20 +113,20 @@
 					t.Fatal(err)
 				}
 			}
-			for _, tmpl := range ts {
-				add(func() error { return w.AddTemplate(tmpl) })
+			for _, template := range templates {
+				add(func() error { return writer.AddTemplate(template) })
 			}
-			for i := range recs {
-				add(func() error { return w.AddRecord(of[i], recs[i]) })
+			for i := range records {
+				add(func() error { return writer.AddRecord(recordTemplates[i], records[i]) })
 			}
-			take()
-			if len(got) != len(recs) {
-				t.Fatalf("%d records, want %d", len(got), len(recs))
+			finish()
+			if len(decoded) != len(records) {
+				t.Fatalf("%d records decoded, want %d", len(decoded), len(records))
 			}
-			for i := range recs {
-				for j := range recs[i] {
-					if got[i].Values[j] != recs[i][j] {
-						t.Fatalf("record %d field %s: %v, want %v", i, of[i].Fields[j].Name, got[i].Values[j], recs[i][j])
+			for i := range records {
+				for j := range records[i] {
+					if decoded[i].Values[j] != records[i][j] {
+						t.Fatalf("record %d field %s: %v, want %v", i, recordTemplates[i].Fields[j].Name, decoded[i].Values[j], records[i][j])
 					}
 				}
 			}
@@ -133,64 +134,64 @@
 	}
 }
 
-// The same bytes read by a library that nobody here wrote, with the same values.
-func TestAnotherLibraryReadsTheSame(t *testing.T) {
-	for _, p := range []Protocol{IPFIX, NetFlow9} {
+// An independent library, goflow2, decodes the same values from the same bytes.
+func TestGoflow2DecodesSameValues(t *testing.T) {
+	for _, protocol := range []Protocol{IPFIX, NetFlow9} {
 		rapid.Check(t, func(t *rapid.T) {
-			ts, recs, of := genRecords(t, p)
-			w := NewWriter(p, 9, MaxMessageLength)
-			for _, tmpl := range ts {
-				if err := w.AddTemplate(tmpl); err != nil {
+			templates, records, recordTemplates := drawRecords(t, protocol)
+			writer := NewWriter(protocol, 9, MaxMessageLength)
+			for _, template := range templates {
+				if err := writer.AddTemplate(template); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for i := range recs {
-				if err := w.AddRecord(of[i], recs[i]); err != nil {
+			for i := range records {
+				if err := writer.AddRecord(recordTemplates[i], records[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
-			b := bytes.Clone(w.Finish(1_700_000_000_000, 1000))
-			var v9 netflow.NFv9Packet
-			var v10 netflow.IPFIXPacket
-			if err := netflow.DecodeMessageVersion(bytes.NewBuffer(b), netflow.CreateTemplateSystem(), &v9, &v10); err != nil {
-				t.Fatalf("%v in % x", err, b)
+			data := bytes.Clone(writer.Finish(1_700_000_000_000, 1000))
+			var netflow9 netflow.NFv9Packet
+			var ipfixPacket netflow.IPFIXPacket
+			if err := netflow.DecodeMessageVersion(bytes.NewBuffer(data), netflow.CreateTemplateSystem(), &netflow9, &ipfixPacket); err != nil {
+				t.Fatalf("goflow2: error %v while decoding % x", err, data)
 			}
-			sets := v10.FlowSets
-			if p == NetFlow9 {
-				sets = v9.FlowSets
+			sets := ipfixPacket.FlowSets
+			if protocol == NetFlow9 {
+				sets = netflow9.FlowSets
 			}
-			var got [][]netflow.DataField
+			var decoded [][]netflow.DataField
 			for _, s := range sets {
-				switch s := s.(type) {
+				switch set := s.(type) {
 				case netflow.DataFlowSet:
-					for _, r := range s.Records {
-						got = append(got, r.Values)
+					for _, r := range set.Records {
+						decoded = append(decoded, r.Values)
 					}
 				case netflow.OptionsDataFlowSet:
-					for _, r := range s.Records {
-						got = append(got, append(append([]netflow.DataField{}, r.ScopesValues...), r.OptionsValues...))
+					for _, r := range set.Records {
+						decoded = append(decoded, append(append([]netflow.DataField{}, r.ScopesValues...), r.OptionsValues...))
 					}
 				}
 			}
-			if len(got) < len(recs) {
-				t.Fatalf("%d records, want %d", len(got), len(recs))
+			if len(decoded) < len(records) {
+				t.Fatalf("%d records decoded, want %d", len(decoded), len(records))
 			}
-			for i := range recs {
-				for j, f := range of[i].Fields {
-					raw := got[i][j].Value.([]byte)
-					want := NewWriter(p, 0, MaxMessageLength)
-					want.appendValue(&Element{ID: f.ID, PEN: f.PEN, Type: f.Type, Length: f.Length}, &recs[i][j])
-					bytesWant := want.buf
-					if p == IPFIX && f.Length == VariableLength { // the length in front is the other's too
-						if bytesWant[0] == 255 {
-							bytesWant = bytesWant[3:]
+			for i := range records {
+				for j, field := range recordTemplates[i].Fields {
+					raw := decoded[i][j].Value.([]byte)
+					expected := NewWriter(protocol, 0, MaxMessageLength)
+					expected.appendValue(&Element{ID: field.ID, PEN: field.PEN, Type: field.Type, Length: field.Length}, &records[i][j])
+					want := expected.buf
+					if protocol == IPFIX && field.Length == VariableLength { // without the length in front of the value
+						if want[0] == 255 {
+							want = want[3:]
 						} else {
-							bytesWant = bytesWant[1:]
+							want = want[1:]
 						}
-						raw = raw[len(raw)-len(bytesWant):]
+						raw = raw[len(raw)-len(want):]
 					}
-					if !bytes.Equal(raw, bytesWant) {
-						t.Fatalf("record %d field %s: % x, want % x", i, f.Name, raw, bytesWant)
+					if !bytes.Equal(raw, want) {
+						t.Fatalf("record %d field %s: % x, want % x", i, field.Name, raw, want)
 					}
 				}
 			}
@@ -198,96 +199,96 @@
 	}
 }
 
-func TestDescriptionsTeach(t *testing.T) {
-	own := Element{PEN: pen, ID: 77, Type: String, Length: VariableLength, Name: "reason"}
-	desc := TypeInfoTemplate(300)
-	data := &Template{ID: 301, Fields: []Element{own}}
-	w := NewWriter(IPFIX, 1, 1400)
-	d := NewDecoder(TypeInfoElements...)
-	for _, err := range []error{w.AddTemplate(desc), w.AddTemplate(data), w.AddRecord(desc, TypeInfoRecord(own, 0)), w.AddRecord(data, []Value{{Str: "busy"}})} {
+func TestDecoderLearnsTypeInformation(t *testing.T) {
+	element := Element{PEN: testPEN, ID: 77, Type: String, Length: VariableLength, Name: "reason"}
+	typeInfo := TypeInfoTemplate(300)
+	template := &Template{ID: 301, Fields: []Element{element}}
+	writer := NewWriter(IPFIX, 1, 1400)
+	decoder := NewDecoder(TypeInfoElements...)
+	for _, err := range []error{writer.AddTemplate(typeInfo), writer.AddTemplate(template), writer.AddRecord(typeInfo, TypeInfoRecord(element, 0)), writer.AddRecord(template, []Value{{Str: "busy"}})} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	m, err := d.Decode(w.Finish(0, 0))
-	if err != nil || len(m.Records) != 2 {
-		t.Fatalf("%+v, %v", m, err)
+	message, err := decoder.Decode(writer.Finish(0, 0))
+	if err != nil || len(message.Records) != 2 {
+		t.Fatalf("decoded %+v, error %v", message, err)
 	}
-	if f := m.Records[1].Template.Fields[0]; f.Name != "reason" || m.Records[1].Values[0].Str != "busy" {
-		t.Fatalf("%+v %+v", f, m.Records[1])
+	if field := message.Records[1].Template.Fields[0]; field.Name != "reason" || message.Records[1].Values[0].Str != "busy" {
+		t.Fatalf("decoded field %+v of record %+v", field, message.Records[1])
 	}
 }
 
 func TestWithdrawnTemplateIsUnknown(t *testing.T) {
-	tmpl := &Template{ID: 256, Fields: all[:1]}
-	w, d := NewWriter(IPFIX, 1, 1400), decoder()
-	w.AddTemplate(tmpl)
-	w.WithdrawTemplate(tmpl)
-	w.AddRecord(tmpl, []Value{{Num: 1}})
-	if m, err := d.Decode(w.Finish(0, 0)); err != nil || m.UnknownSets != 1 || m.TemplateCount != 2 || len(m.Records) != 0 {
-		t.Fatalf("%+v, %v", m, err)
+	template := &Template{ID: 256, Fields: testElements[:1]}
+	writer, decoder := NewWriter(IPFIX, 1, 1400), newTestDecoder()
+	writer.AddTemplate(template)
+	writer.WithdrawTemplate(template)
+	writer.AddRecord(template, []Value{{Num: 1}})
+	if message, err := decoder.Decode(writer.Finish(0, 0)); err != nil || message.UnknownSets != 1 || message.TemplateCount != 2 || len(message.Records) != 0 {
+		t.Fatalf("decoded %+v, error %v", message, err)
 	}
 }
 
-func TestStreamOfMessages(t *testing.T) {
-	tmpl := &Template{ID: 256, Fields: all[:1]}
-	w := NewWriter(IPFIX, 1, 1400)
+func TestReadMessageFromTruncatedStream(t *testing.T) {
+	template := &Template{ID: 256, Fields: testElements[:1]}
+	writer := NewWriter(IPFIX, 1, 1400)
 	var stream []byte
 	for range 3 {
-		w.AddTemplate(tmpl)
-		w.AddRecord(tmpl, []Value{{Num: 5}})
-		stream = append(stream, w.Finish(0, 0)...)
+		writer.AddTemplate(template)
+		writer.AddRecord(template, []Value{{Num: 5}})
+		stream = append(stream, writer.Finish(0, 0)...)
 	}
-	for cut := range len(stream) + 1 {
-		r, n := bytes.NewReader(stream[:cut]), 0
+	for length := range len(stream) + 1 {
+		reader, reads := bytes.NewReader(stream[:length]), 0
 		var err error
-		for ; err == nil; n++ {
-			_, err = ReadMessage(r, nil)
+		for ; err == nil; reads++ {
+			_, err = ReadMessage(reader, nil)
 		}
-		whole := cut%(len(stream)/3) == 0
-		if whole != errors.Is(err, io.EOF) || !whole && !errors.Is(err, io.ErrUnexpectedEOF) || n-1 != cut/(len(stream)/3) {
-			t.Fatalf("cut at %d: %d messages, %v", cut, n-1, err)
+		betweenMessages := length%(len(stream)/3) == 0
+		if betweenMessages != errors.Is(err, io.EOF) || !betweenMessages && !errors.Is(err, io.ErrUnexpectedEOF) || reads-1 != length/(len(stream)/3) {
+			t.Fatalf("stream cut at %d: %d messages, error %v", length, reads-1, err)
 		}
 	}
 }
 
-func TestBoundsOfTheWriter(t *testing.T) {
-	tmpl := &Template{ID: 256, Fields: []Element{all[1]}}
-	w := NewWriter(IPFIX, 1, 300)
-	if err := w.AddRecord(tmpl, []Value{{Str: strings.Repeat("x", 400)}}); err == nil || errors.Is(err, ErrFull) {
-		t.Errorf("a record larger than any message: %v", err)
+func TestWriterLimits(t *testing.T) {
+	template := &Template{ID: 256, Fields: []Element{testElements[1]}}
+	writer := NewWriter(IPFIX, 1, 300)
+	if err := writer.AddRecord(template, []Value{{Str: strings.Repeat("x", 400)}}); err == nil || errors.Is(err, ErrFull) {
+		t.Errorf("AddRecord of a record larger than the maximum message returned %v", err)
 	}
-	if err := w.AddRecord(tmpl, nil); err == nil {
-		t.Error("a record without its fields")
+	if err := writer.AddRecord(template, nil); err == nil {
+		t.Error("AddRecord accepted a record without values")
 	}
-	if w.Finish(0, 0) != nil {
-		t.Error("an empty message")
+	if writer.Finish(0, 0) != nil {
+		t.Error("Finish returned an empty message")
 	}
-	n := 0
-	for w.AddRecord(tmpl, []Value{{Str: "0123456789"}}) == nil {
-		n++
+	count := 0
+	for writer.AddRecord(template, []Value{{Str: "0123456789"}}) == nil {
+		count++
 	}
-	if b := w.Finish(0, 0); len(b) > 300 || n < 20 {
-		t.Errorf("%d records in %d bytes", n, len(b))
+	if message := writer.Finish(0, 0); len(message) > 300 || count < 20 {
+		t.Errorf("%d records in %d bytes", count, len(message))
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, p := range []Protocol{IPFIX, NetFlow9} {
-		w := NewWriter(p, 1, 1400)
-		w.AddTemplate(&Template{ID: 256, Fields: all})
-		w.AddTemplate(&Template{ID: 257, ScopeCount: 1, Fields: all[3:6]})
-		w.AddRecord(&Template{ID: 256, Fields: all}, make([]Value, len(all)))
-		f.Add(bytes.Clone(w.Finish(1, 1)))
+	for _, protocol := range []Protocol{IPFIX, NetFlow9} {
+		writer := NewWriter(protocol, 1, 1400)
+		writer.AddTemplate(&Template{ID: 256, Fields: testElements})
+		writer.AddTemplate(&Template{ID: 257, ScopeCount: 1, Fields: testElements[3:6]})
+		writer.AddRecord(&Template{ID: 256, Fields: testElements}, make([]Value, len(testElements)))
+		f.Add(bytes.Clone(writer.Finish(1, 1)))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > 4 && binary.BigEndian.Uint16(b) == uint16(IPFIX) {
-			binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if len(data) > 4 && binary.BigEndian.Uint16(data) == uint16(IPFIX) {
+			binary.BigEndian.PutUint16(data[2:], uint16(len(data)))
 		}
-		d := decoder()
-		m, err := d.Decode(b)
-		if err == nil && len(m.Records) > len(b) {
-			t.Fatalf("%d records of %d bytes", len(m.Records), len(b))
+		decoder := newTestDecoder()
+		message, err := decoder.Decode(data)
+		if err == nil && len(message.Records) > len(data) {
+			t.Fatalf("%d records decoded from %d bytes", len(message.Records), len(data))
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
@@ -295,77 +296,79 @@
 	})
 }
 
-var benchFields = []Element{all[0], all[1], all[2], all[3], all[4], all[5], all[4], all[4], all[2], all[2]}
+var benchmarkFields = []Element{testElements[0], testElements[1], testElements[2], testElements[3], testElements[4], testElements[5], testElements[4], testElements[4], testElements[2], testElements[2]}
 
-func benchMessage(p Protocol) (*Writer, *Template, []Value) {
-	t := &Template{ID: 256, Fields: benchFields}
-	v := make([]Value, len(benchFields))
-	v[0].Num, v[1].Str, v[5].Num = 1_700_000_000_000, "conference", 1<<40
-	return NewWriter(p, 1, 1400), t, v
+// benchmarkRecord returns a writer and a typical record with its template.
+func benchmarkRecord(protocol Protocol) (*Writer, *Template, []Value) {
+	template := &Template{ID: 256, Fields: benchmarkFields}
+	values := make([]Value, len(benchmarkFields))
+	values[0].Num, values[1].Str, values[5].Num = 1_700_000_000_000, "conference", 1<<40
+	return NewWriter(protocol, 1, 1400), template, values
 }
 
-// A record written; beside it the same bytes copied.
+// BenchmarkEncode measures AddRecord. BenchmarkCopy measures copying the same bytes.
 func BenchmarkEncode(b *testing.B) {
-	for name, p := range map[string]Protocol{"ipfix": IPFIX, "netflow9": NetFlow9} {
+	for name, protocol := range map[string]Protocol{"ipfix": IPFIX, "netflow9": NetFlow9} {
 		b.Run(name, func(b *testing.B) {
-			w, t, v := benchMessage(p)
-			total := 0
+			writer, template, values := benchmarkRecord(protocol)
+			totalBytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				if w.AddRecord(t, v) != nil {
-					total += len(w.Finish(0, 0))
-					w.AddRecord(t, v)
+				if writer.AddRecord(template, values) != nil {
+					totalBytes += len(writer.Finish(0, 0))
+					writer.AddRecord(template, values)
 				}
 			}
-			b.SetBytes(int64(total / max(b.N, 1)))
-			b.ReportMetric(float64(total)/float64(b.N), "B/record")
+			b.SetBytes(int64(totalBytes / max(b.N, 1)))
+			b.ReportMetric(float64(totalBytes)/float64(b.N), "B/record")
 		})
 	}
 }
 
-func full() []byte {
-	w, t, v := benchMessage(IPFIX)
-	w.AddTemplate(t)
-	for w.AddRecord(t, v) == nil {
+// fullMessage returns a message with a template and as many records as fit.
+func fullMessage() []byte {
+	writer, template, values := benchmarkRecord(IPFIX)
+	writer.AddTemplate(template)
+	for writer.AddRecord(template, values) == nil {
 	}
-	return bytes.Clone(w.Finish(0, 0))
+	return bytes.Clone(writer.Finish(0, 0))
 }
 
 func BenchmarkCopy(b *testing.B) {
-	msg := full()
-	per := len(msg) / 27
-	dst := make([]byte, 0, 2000)
+	message := fullMessage()
+	recordLength := len(message) / 27
+	buf := make([]byte, 0, 2000)
 	for i := 0; b.Loop(); i++ {
-		if len(dst)+per > 1400 {
-			dst = dst[:0]
+		if len(buf)+recordLength > 1400 {
+			buf = buf[:0]
 		}
-		dst = append(dst, msg[:per]...)
+		buf = append(buf, message[:recordLength]...)
 	}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	msg := full()
-	m, _ := decoder().Decode(msg)
-	b.Run("ours", func(b *testing.B) {
-		d := decoder()
+	data := fullMessage()
+	message, _ := newTestDecoder().Decode(data)
+	b.Run("ipfix", func(b *testing.B) {
+		decoder := newTestDecoder()
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := d.Decode(msg); err != nil {
+			if _, err := decoder.Decode(data); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(m.Records)), "ns/record")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(message.Records)), "ns/record")
 	})
 	b.Run("goflow2", func(b *testing.B) {
-		ts := netflow.CreateTemplateSystem()
+		templates := netflow.CreateTemplateSystem()
 		b.ReportAllocs()
 		for b.Loop() {
-			var p9 netflow.NFv9Packet
-			var p10 netflow.IPFIXPacket
-			if err := netflow.DecodeMessageVersion(bytes.NewBuffer(msg), ts, &p9, &p10); err != nil {
+			var netflow9 netflow.NFv9Packet
+			var ipfixPacket netflow.IPFIXPacket
+			if err := netflow.DecodeMessageVersion(bytes.NewBuffer(data), templates, &netflow9, &ipfixPacket); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(m.Records)), "ns/record")
+		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(message.Records)), "ns/record")
 	})
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,27 +1,29 @@
-// Package ring hands values from one goroutine to another without a lock: a
-// bounded ring for one producer and one consumer, each with a cached view of
-// the other's position, so that the ordinary step touches one shared word.
+// Package ring passes values from one goroutine to another without a lock. It
+// is a bounded single-producer, single-consumer ring buffer. Each side caches
+// the other side's position, so that a usual Put or Take accesses one shared
+// variable only.
 package ring
 
 import "sync/atomic"
 
-type cacheLinePad [64]byte // keeps what two cores write on lines of their own
+// cacheLinePad keeps variables that different cores write on separate cache lines.
+type cacheLinePad [64]byte
 
-// Ring holds up to a power of two of values. Put is for one goroutine at a
-// time, Take for one other.
+// Ring is a ring buffer whose capacity is a power of two. One goroutine at a
+// time may call Put, and one other at a time Take.
 type Ring[T any] struct {
 	slots      []T
 	mask       uint64
 	_          cacheLinePad
-	tail       atomic.Uint64 // next to be put
-	cachedHead uint64        // the producer's view of head
+	tail       atomic.Uint64 // position of the next Put
+	cachedHead uint64        // the producer's copy of head
 	_          cacheLinePad
-	head       atomic.Uint64 // next to be taken
-	cachedTail uint64        // the consumer's view of tail
+	head       atomic.Uint64 // position of the next Take
+	cachedTail uint64        // the consumer's copy of tail
 	_          cacheLinePad
 }
 
-// New makes a ring of at least n slots.
+// New returns a ring with at least minSlots slots, rounded up to a power of two.
 func New[T any](minSlots int) *Ring[T] {
 	size := 1
 	for size < minSlots {
@@ -30,7 +32,7 @@
 	return &Ring[T]{slots: make([]T, size), mask: uint64(size - 1)}
 }
 
-// Put copies a value in; false if the ring is full.
+// Put copies a value into the ring. It returns false if the ring is full.
 func (r *Ring[T]) Put(value *T) bool {
 	tail := r.tail.Load()
 	if tail-r.cachedHead >= uint64(len(r.slots)) {
@@ -43,7 +45,8 @@
 	return true
 }
 
-// Take copies the oldest value out; false if there is none.
+// Take removes the oldest value and copies it to value. It returns false if the
+// ring is empty.
 func (r *Ring[T]) Take(value *T) bool {
 	head := r.head.Load()
 	if head == r.cachedTail {
@@ -56,11 +59,11 @@
 	return true
 }
 
-// Len is the number of values held, as of some moment during the call.
+// Len returns the number of values in the ring at some moment during the call.
 func (r *Ring[T]) Len() int {
 	head := r.head.Load()
 	return int(r.tail.Load() - head)
 }
 
-// Cap is the number of slots.
+// Cap returns the number of slots.
 func (r *Ring[T]) Cap() int { return len(r.slots) }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -9,87 +9,87 @@
 	"dahliaspindle/internal/flow"
 )
 
-func TestInOrderNothingLostNothingTwice(t *testing.T) {
+func TestOrderedWithoutLossOrDuplicates(t *testing.T) {
 	r := New[flow.Record](64)
 	const n = 200000
 	done := make(chan int)
 	go func() {
-		full := 0
+		fullCount := 0
 		for i := uint64(1); i <= n; {
 			if r.Put(&flow.Record{Seq: i, CalledNumber: ^i, Context: uint32(i)}) {
 				i++
 			} else {
-				full++
+				fullCount++
 				runtime.Gosched()
 			}
 		}
-		done <- full
+		done <- fullCount
 	}()
-	var v flow.Record
+	var record flow.Record
 	for want := uint64(1); want <= n; {
-		if !r.Take(&v) {
+		if !r.Take(&record) {
 			runtime.Gosched()
 			continue
 		}
-		if v.Seq != want || v.CalledNumber != ^want || v.Context != uint32(want) {
-			t.Fatalf("took %d (%x), want %d", v.Seq, v.CalledNumber, want)
+		if record.Seq != want || record.CalledNumber != ^want || record.Context != uint32(want) {
+			t.Fatalf("took record %d with number %x, want record %d", record.Seq, record.CalledNumber, want)
 		}
 		want++
 	}
 	<-done
-	if r.Take(&v) || r.Len() != 0 {
-		t.Fatal("something is left")
+	if r.Take(&record) || r.Len() != 0 {
+		t.Fatal("ring not empty after all records were taken")
 	}
 }
 
-func TestFullRingRefusesAndKeeps(t *testing.T) {
+func TestFullRingRejectsAndKeepsValues(t *testing.T) {
 	r := New[int](3) // four slots
 	for i := range 4 {
 		if !r.Put(&i) {
-			t.Fatalf("refused %d", i)
+			t.Fatalf("Put of value %d failed", i)
 		}
 	}
-	if x := 9; r.Put(&x) || r.Len() != 4 || r.Cap() != 4 {
-		t.Fatal("takes a fifth")
+	if value := 9; r.Put(&value) || r.Len() != 4 || r.Cap() != 4 {
+		t.Fatal("full ring accepted a fifth value, or has a wrong length or capacity")
 	}
-	var v int
+	var taken int
 	for i := range 4 {
-		if !r.Take(&v) || v != i {
-			t.Fatalf("took %d, want %d", v, i)
+		if !r.Take(&taken) || taken != i {
+			t.Fatalf("took %d, want %d", taken, i)
 		}
 	}
 }
 
 func TestNoAllocation(t *testing.T) {
 	r := New[flow.Record](1024)
-	rec := &flow.Record{VerdictReason: "no circuit free"}
-	var v flow.Record
-	if n := testing.AllocsPerRun(1000, func() { r.Put(rec); r.Take(&v) }); n != 0 {
-		t.Fatalf("%v allocations", n)
+	record := &flow.Record{VerdictReason: "no circuit free"}
+	var taken flow.Record
+	if allocs := testing.AllocsPerRun(1000, func() { r.Put(record); r.Take(&taken) }); allocs != 0 {
+		t.Fatalf("%v allocations per Put and Take, want 0", allocs)
 	}
 }
 
-// pass measures one producer and one consumer on two goroutines.
-func pass(b *testing.B, put func(*flow.Record) bool, take func(*flow.Record) bool) {
+// benchmarkQueue measures one producer and one consumer in two goroutines.
+func benchmarkQueue(b *testing.B, put func(*flow.Record) bool, take func(*flow.Record) bool) {
 	b.ReportAllocs()
 	done := make(chan struct{})
-	n := b.N
+	count := b.N
 	go func() {
 		defer close(done)
-		var v flow.Record
-		for i := 0; i < n; {
-			if take(&v) {
+		var taken flow.Record
+		for i := 0; i < count; {
+			if take(&taken) {
 				i++
 			} else {
 				runtime.Gosched()
 			}
 		}
 	}()
-	rec := &flow.Record{}
+	record := &flow.Record{}
 	b.ResetTimer()
-	for i := 0; i < n; {
-		rec.Seq = uint64(i)
-		if put(rec) {
+	for i := 0; i < count; {
+		record.Seq = uint64(i)
+		if put(record) {
 			i++
 		} else {
 			runtime.Gosched()
@@ -98,16 +98,16 @@
 	<-done
 }
 
-const slots = 16384
+const capacity = 16384
 
 func BenchmarkRing(b *testing.B) {
-	r := New[flow.Record](slots)
-	pass(b, r.Put, r.Take)
+	r := New[flow.Record](capacity)
+	benchmarkQueue(b, r.Put, r.Take)
 }
 
 func BenchmarkChannel(b *testing.B) {
-	c := make(chan flow.Record, slots)
-	pass(b, func(r *flow.Record) bool {
+	c := make(chan flow.Record, capacity)
+	benchmarkQueue(b, func(r *flow.Record) bool {
 		select {
 		case c <- *r:
 			return true
@@ -125,8 +125,8 @@
 }
 
 func BenchmarkXsyncSPSC(b *testing.B) {
-	q := xsync.NewSPSCQueue[flow.Record](slots)
-	pass(b, func(r *flow.Record) bool { return q.TryEnqueue(*r) }, func(r *flow.Record) bool {
+	q := xsync.NewSPSCQueue[flow.Record](capacity)
+	benchmarkQueue(b, func(r *flow.Record) bool { return q.TryEnqueue(*r) }, func(r *flow.Record) bool {
 		v, ok := q.TryDequeue()
 		*r = v
 		return ok
@@ -134,8 +134,8 @@
 }
 
 func BenchmarkXsyncMPMC(b *testing.B) {
-	q := xsync.NewMPMCQueue[flow.Record](slots)
-	pass(b, func(r *flow.Record) bool { return q.TryEnqueue(*r) }, func(r *flow.Record) bool {
+	q := xsync.NewMPMCQueue[flow.Record](capacity)
+	benchmarkQueue(b, func(r *flow.Record) bool { return q.TryEnqueue(*r) }, func(r *flow.Record) bool {
 		v, ok := q.TryDequeue()
 		*r = v
 		return ok
--- a/internal/shed/seed_test.go
+++ b/internal/shed/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Properties are drawn from one seed: the same verdict every time.
+// The property tests use a fixed seed, so that their results are reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/shed/shed.go
+++ b/internal/shed/shed.go
@@ -1,11 +1,11 @@
-// Package shed decides what becomes of flow records when more come than can be
-// sent: which go whole, which are folded into sums and which are dropped. It is
-// free of I/O and clocks.
+// Package shed implements load shedding of flow records. When there are more
+// records than can be sent, it decides which are sent one by one, which are folded
+// into sums and which are dropped. It does no I/O and reads no clock.
 //
-// The order of loss: attempts before calls, cheap before dear, and within a
-// level those of far ends that take more than their share before the others.
-// Nothing is dropped while it can still be folded: a fold keeps the counts and
-// loses the particulars.
+// Attempts are shed before calls and low-value classes before high-value classes.
+// Destinations that exceed their fair share of the records are shed one level
+// earlier than the others. A record is dropped only if it can't be folded, since a
+// sum preserves the counts and loses only the details.
 package shed
 
 import (
@@ -14,57 +14,59 @@
 	"dahliaspindle/internal/flow"
 )
 
-// Decision on one record.
+// Decision is the decision on one record.
 type Decision uint8
 
 const (
-	Send Decision = iota
-	Fold
-	Drop
+	Send Decision = iota // send the record itself
+	Fold                 // add the record to a sum
+	Drop                 // only count the record as dropped
 )
 
-// Level is how much is shed.
+// Level is the degree of load shedding. Each level also sheds what the lower ones do.
 type Level int
 
 const (
-	LevelNone             Level = iota // all whole
-	LevelLowValueAttempts              // attempts of cheap classes are folded
-	LevelAttempts                      // all attempts
-	LevelLowValueCalls                 // and calls of cheap classes
-	LevelMostCalls                     // and all calls but a share of the dear ones
-	LevelCount
+	LevelNone             Level = iota // all records are sent
+	LevelLowValueAttempts              // attempts of low-value classes are shed
+	LevelAttempts                      // all attempts are shed
+	LevelLowValueCalls                 // calls of low-value classes are shed
+	LevelMostCalls                     // all calls are shed but a limited rate of high-value ones
+	LevelCount                         // number of levels
 )
 
+// String returns the name of the level.
 func (l Level) String() string {
-	return [...]string{"none", "cheap attempts", "attempts", "cheap calls", "most calls"}[l]
+	return [...]string{"none", "low-value attempts", "attempts", "low-value calls", "most calls"}[l]
 }
 
-// Config of a shedder.
+// Config is the configuration of a Shedder.
 type Config struct {
-	ClassWorth       []float64     // by class; above the mean is dear
-	MaxRecordRate    float64       // records a second that may go whole in the long run, at MostCalls
-	MaxAge           time.Duration // a record that waits longer counts as full pressure
-	MinLevelDuration time.Duration // a level is kept at least so long before it falls by one
-	MaxSums          int           // sums kept at the same time
+	ClassWorth       []float64     // by class; classes above the mean are high-value
+	MaxRecordRate    float64       // records per second sent at LevelMostCalls, and divided into fair shares
+	MaxAge           time.Duration // age of the oldest queued record that counts as full pressure
+	MinLevelDuration time.Duration // time at a level before it falls by one
+	MaxSums          int           // concurrent sums
 }
 
-// State is what a shedder looks at.
+// State is the state of the queue and the spool that the pressure is computed from.
 type State struct {
-	QueueLength, QueueCapacity int           // records waiting
-	OldestAge                  time.Duration // age of the first
-	Reachable                  bool          // a collector takes records
-	SpoolBytes, MaxSpoolBytes  int64         // bytes
+	QueueLength, QueueCapacity int           // records
+	OldestAge                  time.Duration // age of the oldest queued record
+	Reachable                  bool          // a collector is connected
+	SpoolBytes, MaxSpoolBytes  int64
 }
 
-// The pressure from which each level is taken, and below which it is left: the
-// gap keeps it from flapping.
+// The pressure at which each level is entered, and below which it is left. The gap
+// between the two prevents flapping.
 var (
 	riseThresholds = [LevelCount]float64{0, 0.40, 0.55, 0.70, 0.85}
 	fallThresholds = [LevelCount]float64{0, 0.20, 0.35, 0.50, 0.65}
 )
 
-// Pressure is how near the records are to being lost, from 0 to 1. While no
-// collector is reachable the spool is what can run full.
+// Pressure returns how close records are to being lost, from 0 to 1. While no
+// collector is reachable, the fill level of the spool counts instead of the age
+// of the queue.
 func (c Config) Pressure(state State) float64 {
 	pressure := 0.0
 	if state.QueueCapacity > 0 {
@@ -79,27 +81,27 @@
 	return min(pressure, 1)
 }
 
-// Shedder decides record by record.
+// Shedder decides for each record whether it is sent, folded or dropped.
 type Shedder struct {
 	config      Config
 	level       Level
-	levelSince  time.Duration // of the level
-	highValue   []bool
-	windowStart time.Duration // start of the fair shares' window
-	sentByDest  map[int32]float64
-	activeDests int // far ends seen in the last window
-	tokens      float64
+	levelSince  time.Duration
+	highValue   []bool            // by class
+	windowStart time.Duration     // start of the window of the fair shares
+	sentByDest  map[int32]float64 // records sent in the window
+	activeDests int               // destinations with records sent in the previous window
+	tokens      float64           // records that may be sent at LevelMostCalls
 	updatedAt   time.Duration
-	LevelRises  int // times that a level was taken
+	LevelRises  int // number of level increases
 }
 
-// shareWindow is the span over which far ends' shares are counted.
+// shareWindow is the time over which the shares of destinations are counted.
 const shareWindow = time.Second
 
-// maxTrackedDests bounds the far ends told apart in a window.
+// maxTrackedDests limits sentByDest.
 const maxTrackedDests = 4096
 
-// New starts a shedder at level None.
+// New returns a shedder at LevelNone.
 func New(config Config) *Shedder {
 	s := &Shedder{config: config, sentByDest: map[int32]float64{}, activeDests: 1, tokens: config.MaxRecordRate}
 	mean := 0.0
@@ -112,11 +114,11 @@
 	return s
 }
 
-// Level is the level in force.
+// Level returns the current level.
 func (s *Shedder) Level() Level { return s.level }
 
-// Update takes a new view of the pressure. A level rises at once, over several if
-// need be, and falls one at a time after Hold.
+// Update adjusts the level to the pressure and returns it. The level rises at once,
+// by several levels if necessary, and falls by one after MinLevelDuration.
 func (s *Shedder) Update(now time.Duration, state State) Level {
 	pressure := s.config.Pressure(state)
 	for s.level < LevelCount-1 && pressure >= riseThresholds[s.level+1] {
@@ -137,8 +139,8 @@
 	return s.level
 }
 
-// Decide tells what becomes of a record. folds is the number of sums in use and
-// known whether the record's own is among them.
+// Decide decides about a record. sumCount is the number of sums in use, and
+// sumExists whether the sum for the record's key is one of them.
 func (s *Shedder) Decide(record *flow.Record, sumCount int, sumExists bool) Decision {
 	if s.shouldSend(record) {
 		if len(s.sentByDest) < maxTrackedDests {
@@ -153,10 +155,11 @@
 	return Drop
 }
 
+// shouldSend reports whether a record is sent at the current level.
 func (s *Shedder) shouldSend(record *flow.Record) bool {
 	level := s.level
 	if level > LevelNone && level < LevelMostCalls && s.exceedsShare(record.Dest) {
-		level++ // more than its share: as if the pressure were a level higher
+		level++ // destinations above their share are treated as one level higher
 	}
 	highValue := int(record.Class) < len(s.highValue) && s.highValue[record.Class]
 	isAttempt := record.Kind == flow.KindAttempt
@@ -173,13 +176,13 @@
 	return !isAttempt && highValue && s.tokens >= 1 && !s.exceedsShare(record.Dest)
 }
 
-// exceedsShare tells whether a far end has had more than its share of the window's
-// whole records: an even part of the budget.
+// exceedsShare reports whether more records of a destination were sent in the
+// window than its fair share: MaxRecordRate divided equally among the destinations.
 func (s *Shedder) exceedsShare(dest int32) bool {
 	return s.sentByDest[dest] > s.config.MaxRecordRate*shareWindow.Seconds()/float64(s.activeDests)
 }
 
-// Key of a sum.
+// Key identifies a sum.
 type Key struct {
 	Kind    flow.Kind
 	Class   uint8
@@ -187,20 +190,20 @@
 	Dest    int32
 }
 
-// KeyFor is the sum that a record is folded into.
+// KeyFor returns the key of the sum that a record is folded into.
 func KeyFor(record *flow.Record) Key {
 	return Key{record.Kind, record.Class, record.Outcome, record.Dest}
 }
 
-// Sum is what is left of folded records.
+// Sum is the sum of folded records.
 type Sum struct {
 	Count                 uint64
-	FirstStart, LastStart time.Duration // starts
-	SetUp, EstablishedFor time.Duration // added up
+	FirstStart, LastStart time.Duration
+	SetUp, EstablishedFor time.Duration // totals
 	Attempts              uint64
 }
 
-// Add folds a record in.
+// Add adds a record to the sum.
 func (s *Sum) Add(record *flow.Record) {
 	if s.Count == 0 {
 		s.FirstStart = record.Start
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -10,77 +10,78 @@
 	"dahliaspindle/internal/flow"
 )
 
-var cfg = Config{ClassWorth: []float64{1, 2, 6}, MaxRecordRate: 100, MaxAge: 10 * time.Second, MinLevelDuration: 2 * time.Second, MaxSums: 64}
+var testConfig = Config{ClassWorth: []float64{1, 2, 6}, MaxRecordRate: 100, MaxAge: 10 * time.Second, MinLevelDuration: 2 * time.Second, MaxSums: 64}
 
-func queue(n int) State { return State{QueueLength: n, QueueCapacity: 1000, Reachable: true} }
+func queueState(length int) State {
+	return State{QueueLength: length, QueueCapacity: 1000, Reachable: true}
+}
 
-func record(k flow.Kind, class uint8, far int32) *flow.Record {
-	return &flow.Record{Kind: k, Class: class, Dest: far}
+func newRecord(kind flow.Kind, class uint8, dest int32) *flow.Record {
+	return &flow.Record{Kind: kind, Class: class, Dest: dest}
 }
 
-// At each level, what goes whole at most also goes whole at every lower one,
-// and the order of loss holds.
-func TestOrderOfLoss(t *testing.T) {
-	rank := func(s *Shedder, k flow.Kind, class uint8) bool { return s.shouldSend(record(k, class, 1)) }
+// At each level attempts are shed before calls, and low-value classes before
+// high-value ones. A higher level sends no more kinds of records than a lower one.
+func TestSheddingOrder(t *testing.T) {
+	sends := func(s *Shedder, kind flow.Kind, class uint8) bool { return s.shouldSend(newRecord(kind, class, 1)) }
 	for level := LevelNone; level < LevelCount; level++ {
-		s := New(cfg)
+		s := New(testConfig)
 		s.level = level
-		cheapA, dearA := rank(s, flow.KindAttempt, 0), rank(s, flow.KindAttempt, 2)
-		cheapC, dearC := rank(s, flow.KindCall, 0), rank(s, flow.KindCall, 2)
-		if cheapA && !dearA || dearA && !cheapC || cheapC && !dearC {
-			t.Errorf("%v: cheap attempts %v, dear attempts %v, cheap calls %v, dear calls %v", level, cheapA, dearA, cheapC, dearC)
-		}
-		whole := 0
-		for _, b := range []bool{cheapA, dearA, cheapC, dearC} {
-			if b {
-				whole++
+		lowAttempt, highAttempt := sends(s, flow.KindAttempt, 0), sends(s, flow.KindAttempt, 2)
+		lowCall, highCall := sends(s, flow.KindCall, 0), sends(s, flow.KindCall, 2)
+		if lowAttempt && !highAttempt || highAttempt && !lowCall || lowCall && !highCall {
+			t.Errorf("%v: sent: low-value attempts %v, high-value attempts %v, low-value calls %v, high-value calls %v", level, lowAttempt, highAttempt, lowCall, highCall)
+		}
+		sent := 0
+		for _, kindSent := range []bool{lowAttempt, highAttempt, lowCall, highCall} {
+			if kindSent {
+				sent++
 			}
 		}
-		if want := []int{4, 3, 2, 1, 1}[level]; whole != want {
-			t.Errorf("%v: %d kinds go whole, want %d", level, whole, want)
+		if want := []int{4, 3, 2, 1, 1}[level]; sent != want {
+			t.Errorf("%v: %d kinds of records are sent, want %d", level, sent, want)
 		}
 	}
 }
 
 func TestLevelsRiseAtOnceAndFallSlowly(t *testing.T) {
-	s := New(cfg)
-	if l := s.Update(time.Second, queue(900)); l != LevelMostCalls {
-		t.Fatalf("%v at nine tenths", l)
+	s := New(testConfig)
+	if level := s.Update(time.Second, queueState(900)); level != LevelMostCalls {
+		t.Fatalf("level %v at pressure 0.9, want LevelMostCalls", level)
 	}
 	for now, want := time.Second, LevelMostCalls; now < 12*time.Second; now += 100 * time.Millisecond {
-		if passed := now - time.Second; passed > 0 && passed%(2*time.Second) == 0 && want > LevelNone {
+		if elapsed := now - time.Second; elapsed > 0 && elapsed%(2*time.Second) == 0 && want > LevelNone {
 			want--
 		}
-		if l := s.Update(now, queue(0)); l != want {
-			t.Fatalf("%v: %v, want %v", now, l, want)
+		if level := s.Update(now, queueState(0)); level != want {
+			t.Fatalf("at %v: level %v, want %v", now, level, want)
 		}
 	}
 }
 
-// Whatever the pressure does around one mark, the level does not flap: it
-// changes at most twice in any Hold.
+// The level does not flap while the pressure varies around a threshold.
 func TestNoFlapping(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(cfg)
-		mark := rapid.SampledFrom([]int{400, 550, 700, 850}).Draw(t, "mark")
+		s := New(testConfig)
+		threshold := rapid.SampledFrom([]int{400, 550, 700, 850}).Draw(t, "threshold")
 		last, changes := LevelNone, 0
 		for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
-			l := s.Update(now, queue(mark+rapid.IntRange(-100, 100).Draw(t, "noise")))
-			if l != last {
+			level := s.Update(now, queueState(threshold+rapid.IntRange(-100, 100).Draw(t, "noise")))
+			if level != last {
 				changes++
 			}
-			last = l
+			last = level
 		}
-		if changes > 4 { // up to the level that the noise reaches, and no way back
-			t.Fatalf("%d changes around %d", changes, mark)
+		if changes > 4 { // it rises to the level that the noise reaches and does not fall again
+			t.Fatalf("%d level changes at a queue length around %d", changes, threshold)
 		}
 	})
 }
 
 func TestPressure(t *testing.T) {
-	for _, c := range []struct {
-		s    State
-		want float64
+	for _, test := range []struct {
+		state State
+		want  float64
 	}{
 		{State{QueueLength: 500, QueueCapacity: 1000, Reachable: true}, 0.5},
 		{State{QueueLength: 5000, QueueCapacity: 1000, Reachable: true}, 1},
@@ -89,147 +90,148 @@
 		{State{SpoolBytes: 90, MaxSpoolBytes: 100, Reachable: true}, 0},
 		{State{}, 0},
 	} {
-		if got := cfg.Pressure(c.s); got != c.want {
-			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
+		if got := testConfig.Pressure(test.state); got != test.want {
+			t.Errorf("pressure of %+v is %v, want %v", test.state, got, test.want)
 		}
 	}
 }
 
-// Under pressure a far end that floods is folded a level before the others, and
-// nothing is dropped while its sum is there.
-func TestFairBetweenFarEnds(t *testing.T) {
-	s := New(cfg)
-	s.Update(0, queue(600)) // Attempts
+// A destination that exceeds its fair share is folded one level earlier than the
+// others.
+func TestFairSharesOfDestinations(t *testing.T) {
+	s := New(testConfig)
+	s.Update(0, queueState(600))
 	if s.Level() != LevelAttempts {
 		t.Fatal(s.Level())
 	}
-	for n := range 10 {
-		s.Decide(record(flow.KindCall, 0, int32(n)), 0, false)
+	for dest := range 10 {
+		s.Decide(newRecord(flow.KindCall, 0, int32(dest)), 0, false)
 	}
-	s.Update(time.Second, queue(600)) // ten far ends: ten a second each
-	whole := map[int32]int{}
+	s.Update(time.Second, queueState(600)) // ten destinations: a fair share of ten records per second each
+	sent := map[int32]int{}
 	for range 50 {
-		if s.Decide(record(flow.KindCall, 0, 1), 0, true) == Send {
-			whole[1]++
+		if s.Decide(newRecord(flow.KindCall, 0, 1), 0, true) == Send {
+			sent[1]++
 		}
 	}
 	for range 5 {
-		for far := int32(2); far < 10; far++ {
-			if s.Decide(record(flow.KindCall, 0, far), 0, true) == Send {
-				whole[far]++
+		for dest := int32(2); dest < 10; dest++ {
+			if s.Decide(newRecord(flow.KindCall, 0, dest), 0, true) == Send {
+				sent[dest]++
 			}
 		}
 	}
-	if whole[1] > 15 {
-		t.Errorf("the far end that floods has %d whole", whole[1])
+	if sent[1] > 15 {
+		t.Errorf("%d records of the flooding destination are sent, want at most 15", sent[1])
 	}
-	for far := int32(2); far < 10; far++ {
-		if whole[far] != 5 {
-			t.Errorf("far end %d has %d of 5 whole", far, whole[far])
+	for dest := int32(2); dest < 10; dest++ {
+		if sent[dest] != 5 {
+			t.Errorf("destination %d: %d of 5 records are sent", dest, sent[dest])
 		}
 	}
 }
 
-func TestDropOnlyWhenNoSumIsLeft(t *testing.T) {
-	s := New(cfg)
+func TestDropOnlyWhenSumsAreExhausted(t *testing.T) {
+	s := New(testConfig)
 	s.level = LevelMostCalls
-	r := record(flow.KindAttempt, 0, 1)
-	if v := s.Decide(r, cfg.MaxSums-1, false); v != Fold {
-		t.Error(v)
+	record := newRecord(flow.KindAttempt, 0, 1)
+	if decision := s.Decide(record, testConfig.MaxSums-1, false); decision != Fold {
+		t.Error(decision)
 	}
-	if v := s.Decide(r, cfg.MaxSums, true); v != Fold {
-		t.Error(v)
+	if decision := s.Decide(record, testConfig.MaxSums, true); decision != Fold {
+		t.Error(decision)
 	}
-	if v := s.Decide(r, cfg.MaxSums, false); v != Drop {
-		t.Error(v)
+	if decision := s.Decide(record, testConfig.MaxSums, false); decision != Drop {
+		t.Error(decision)
 	}
 }
 
-// flood plays ten seconds in which fifty times more comes than goes out for two,
-// and returns the worth of the records that go whole, by far ends as well.
-func flood(decide func(now time.Duration, r *flow.Record, queued int) bool) (worth float64, quiet int) {
-	rnd := rand.New(rand.NewPCG(1, 2))
-	queued, credit := 0, 0.0
+// simulateFlood simulates ten seconds, in two of which destination 1 is flooded with
+// fifty times the usual record rate. It returns the worth of the calls that decide
+// accepts, and the number of accepted calls to other destinations.
+func simulateFlood(decide func(now time.Duration, record *flow.Record, queued int) bool) (worth float64, otherCalls int) {
+	random := rand.New(rand.NewPCG(1, 2))
+	queued, sendCredit := 0, 0.0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-		rate := 80
+		recordRate := 80
 		if now > 3*time.Second && now < 5*time.Second {
-			rate = 4000
+			recordRate = 4000
 		}
-		credit += 1
-		for credit >= 1 && queued > 0 { // 100 a second go out
+		sendCredit += 1
+		for sendCredit >= 1 && queued > 0 { // 100 records per second are sent
 			queued--
-			credit--
+			sendCredit--
 		}
-		credit = min(credit, 1)
-		for range rnd.IntN(2 * rate / 100) {
-			r := &flow.Record{Kind: flow.Kind(rnd.IntN(2)), Class: uint8(rnd.IntN(10) / 4), Dest: 1, Start: now}
-			if rate == 80 || rnd.IntN(20) == 0 {
-				r.Dest = int32(2 + rnd.IntN(8))
+		sendCredit = min(sendCredit, 1)
+		for range random.IntN(2 * recordRate / 100) {
+			record := &flow.Record{Kind: flow.Kind(random.IntN(2)), Class: uint8(random.IntN(10) / 4), Dest: 1, Start: now}
+			if recordRate == 80 || random.IntN(20) == 0 {
+				record.Dest = int32(2 + random.IntN(8))
 			}
-			if decide(now, r, queued) {
+			if decide(now, record, queued) {
 				queued++
-				if r.Kind == flow.KindCall {
-					worth += cfg.ClassWorth[r.Class]
-					if r.Dest != 1 {
-						quiet++
+				if record.Kind == flow.KindCall {
+					worth += testConfig.ClassWorth[record.Class]
+					if record.Dest != 1 {
+						otherCalls++
 					}
 				}
 			}
 		}
 	}
-	return worth, quiet
+	return worth, otherCalls
 }
 
-// Worth kept in a flood, beside a queue that drops the newest, and one that
-// drops the oldest (of which each record in the queue is as likely lost as kept,
-// so its worth is that of as many drawn at random).
-func TestWorthKeptInAFlood(t *testing.T) {
-	s := New(cfg)
-	next := time.Duration(0)
-	ours, quiet := flood(func(now time.Duration, r *flow.Record, queued int) bool {
-		if now >= next {
-			s.Update(now, queue(queued))
-			next = now + 10*time.Millisecond
-		}
-		return queued < 1000 && s.Decide(r, 0, true) == Send
+// In a flood, the shedder sends records of at least 1.2 times the worth that plain
+// queues send, both one that drops the newest and one that drops the oldest record.
+// It sends no fewer calls of the other destinations than the former.
+func TestWorthSentDuringFlood(t *testing.T) {
+	s := New(testConfig)
+	nextUpdate := time.Duration(0)
+	shedderWorth, shedderOthers := simulateFlood(func(now time.Duration, record *flow.Record, queued int) bool {
+		if now >= nextUpdate {
+			s.Update(now, queueState(queued))
+			nextUpdate = now + 10*time.Millisecond
+		}
+		return queued < 1000 && s.Decide(record, 0, true) == Send
 	})
-	newest, quietNewest := flood(func(_ time.Duration, _ *flow.Record, queued int) bool { return queued < 1000 })
-	type slot struct {
-		worth float64
-		quiet bool
+	dropNewestWorth, dropNewestOthers := simulateFlood(func(_ time.Duration, _ *flow.Record, queued int) bool { return queued < 1000 })
+	type queuedRecord struct {
+		worth     float64
+		otherDest bool
 	}
-	var q []slot
-	kept, keptQuiet := 0.0, 0
+	var queue []queuedRecord
+	dropOldestWorth, dropOldestOthers := 0.0, 0
 	oldestQueued := 0
-	flood(func(_ time.Duration, r *flow.Record, queued int) bool {
-		for ; oldestQueued > queued; oldestQueued-- { // went out
-			kept += q[0].worth
-			if q[0].quiet {
-				keptQuiet++
+	simulateFlood(func(_ time.Duration, record *flow.Record, queued int) bool {
+		for ; oldestQueued > queued; oldestQueued-- { // sent
+			dropOldestWorth += queue[0].worth
+			if queue[0].otherDest {
+				dropOldestOthers++
 			}
-			q = q[1:]
+			queue = queue[1:]
 		}
-		x := slot{quiet: r.Dest != 1 && r.Kind == flow.KindCall}
-		if r.Kind == flow.KindCall {
-			x.worth = cfg.ClassWorth[r.Class]
+		newest := queuedRecord{otherDest: record.Dest != 1 && record.Kind == flow.KindCall}
+		if record.Kind == flow.KindCall {
+			newest.worth = testConfig.ClassWorth[record.Class]
 		}
-		q = append(q, x)
-		if len(q) > 1000 {
-			q = q[1:]
+		queue = append(queue, newest)
+		if len(queue) > 1000 {
+			queue = queue[1:]
 			return false
 		}
 		oldestQueued++
 		return true
 	})
-	for _, x := range q {
-		kept += x.worth
-		if x.quiet {
-			keptQuiet++
+	for _, left := range queue {
+		dropOldestWorth += left.worth
+		if left.otherDest {
+			dropOldestOthers++
 		}
 	}
-	t.Logf("worth of calls kept whole: %.0f, drop newest %.0f, drop oldest %.0f; of quiet far ends %d, %d, %d",
-		ours, newest, kept, quiet, quietNewest, keptQuiet)
-	if ours < 1.2*newest || ours < 1.2*kept || quiet < quietNewest {
-		t.Error("no better than a plain queue")
+	t.Logf("worth of calls sent: shedder %.0f, drop newest %.0f, drop oldest %.0f; calls of other destinations: %d, %d, %d",
+		shedderWorth, dropNewestWorth, dropOldestWorth, shedderOthers, dropNewestOthers, dropOldestOthers)
+	if shedderWorth < 1.2*dropNewestWorth || shedderWorth < 1.2*dropOldestWorth || shedderOthers < dropNewestOthers {
+		t.Error("the shedder is not sufficiently better than a plain queue")
 	}
 }
--- a/internal/spool/fs.go
+++ b/internal/spool/fs.go
@@ -10,42 +10,45 @@
 	"strings"
 )
 
-// FS is the files that a spool lives in; tests put faults in its place.
+// FS is the directory of a spool. Tests replace it to inject faults.
 type FS interface {
 	// Create opens a new file for writing.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
-	// Append opens a file for writing at its end, cut to size.
+	// Append truncates a file to size and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
+	// Remove deletes a file.
 	Remove(name string) error
-	// Replace writes a small file in one step: it is there whole, or as before.
+	// Replace atomically replaces the content of a small file.
 	Replace(name string, content []byte) error
+	// Rename renames a file.
 	Rename(from, to string) error
-	// List names the files, with their sizes, sorted.
+	// List returns the files, sorted by name.
 	List() ([]FileInfo, error)
-	// SyncDir makes creations and removals durable.
+	// SyncDir makes created and removed directory entries durable.
 	SyncDir() error
 }
 
-// File is one file.
+// File is one open file.
 type File interface {
 	io.ReadWriteCloser
+	// Sync makes what was written durable.
 	Sync() error
 }
 
-// FileInfo is a file's name and size.
+// FileInfo holds the name of a file and its size in bytes.
 type FileInfo struct {
 	Name string
 	Size int64
 }
 
-// Dir is a directory of the system.
+// Dir is an FS in a directory of the operating system.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Create makes a file.
+// Create creates a file for writing. It fails if the file exists.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
@@ -53,7 +56,7 @@
 // Open opens a file for reading.
 func (d Dir) Open(name string) (File, error) { return os.Open(d.path(name)) }
 
-// Append opens a file at its end, cut to size.
+// Append truncates a file to size and opens it for writing at its end.
 func (d Dir) Append(name string, size int64) (File, error) {
 	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o600)
 	if err != nil {
@@ -71,10 +74,10 @@
 // Remove deletes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Replace writes a small file in one step.
+// Replace atomically replaces the content of a small file.
 func (d Dir) Replace(name string, content []byte) error {
 	temporary := d.path(name + ".new")
 	file, err := os.Create(temporary)
@@ -91,7 +94,7 @@
 	return d.SyncDir()
 }
 
-// List names the files.
+// List returns the files, sorted by name.
 func (d Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -101,7 +104,7 @@
 	for _, entry := range entries {
 		info, err := entry.Info()
 		if err != nil || entry.IsDir() {
-			continue // gone meanwhile, or not ours
+			continue // removed in the meantime, or a directory
 		}
 		files = append(files, FileInfo{entry.Name(), info.Size()})
 	}
@@ -109,7 +112,7 @@
 	return files, nil
 }
 
-// SyncDir makes creations and removals durable.
+// SyncDir makes created and removed directory entries durable.
 func (d Dir) SyncDir() error {
 	file, err := os.Open(string(d))
 	if err != nil {
@@ -118,7 +121,8 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// CreateDir makes the directory of a spool and checks that it can be written.
+// CreateDir creates the directory of a spool, if necessary, and checks that it is
+// writable.
 func CreateDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
@@ -126,7 +130,7 @@
 	dir := Dir(path)
 	const probeName = ".probe"
 	if err := os.WriteFile(dir.path(probeName), nil, 0o600); err != nil {
-		return "", fmt.Errorf("spool: not writable: %w", err)
+		return "", fmt.Errorf("spool: directory not writable: %w", err)
 	}
 	if err := os.Remove(dir.path(probeName)); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,7 +1,9 @@
-// Package spool keeps flow records on disk while no collector takes them: IPFIX
-// files (RFC 5655), each with its templates in front, bounded by size and age,
-// replayed in order. A torn end is found and cut; what was replayed when the
-// process ended is replayed again, and marked, since it may have arrived.
+// Package spool stores flow records on disk while no collector takes them. A spool
+// is a sequence of segments, IPFIX files (RFC 5655) that each begin with their
+// templates. It is limited in size and age, and is replayed in order. Torn ends of
+// segments are truncated when the spool is opened. Records that were being replayed
+// when the process ended are replayed again and marked as resent, because they may
+// have arrived.
 package spool
 
 import (
@@ -18,24 +20,25 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// Config bounds a spool.
+// Config holds the limits of a spool.
 type Config struct {
-	MaxBytes     int64         // bytes of all segments; the oldest go first
-	SegmentBytes int64         // bytes of one
-	MaxAge       time.Duration // segments whose last record is older go; 0: never
-	SyncDelay    time.Duration // written records are made durable after so long at the latest
+	MaxBytes     int64         // total size at which the oldest segments are dropped
+	SegmentBytes int64         // size at which a new segment is started
+	MaxAge       time.Duration // age of a segment's last record at which it is dropped; 0 for no limit
+	SyncDelay    time.Duration // maximum time until written records are synced to disk
 }
 
-// LostCounts is records that went unread, by kind, class and outcome.
+// LostCounts holds the numbers of records that were dropped unread, by kind, class
+// and outcome.
 type LostCounts = flow.Counts
 
-// Info of what is in a spool.
+// Status describes the content of a spool.
 type Status struct {
-	Bytes         int64 `json:"bytes"`
-	Segments      int   `json:"segments"`
-	Torn          int   `json:"torn"`     // ends that were cut when it was opened
-	SetAside      int   `json:"strange"`  // files set aside: of another version, or unreadable from the start
-	WriteFailures int   `json:"failures"` // writes that failed
+	Bytes    int64 `json:"bytes"`
+	Segments int   `json:"segments"`
+	Torn     int   `json:"torn"`     // segments whose torn end was truncated at Open
+	SetAside int   `json:"strange"`  // files of another version, or unreadable from the start, renamed at Open
+	IOErrors int   `json:"failures"` // failed writes, syncs, removals and replay reads
 }
 
 const (
@@ -44,45 +47,47 @@
 	setAsideSuffix = ".aside"
 )
 
+// segmentName returns the file name of a segment.
 func segmentName(number uint64) string { return fmt.Sprintf("%012d%s", number, segmentSuffix) }
 
+// segment is one file of the spool.
 type segment struct {
 	number     uint64
 	size       int64
-	lastExport int64 // export time of its last message, seconds since 1970
+	lastExport int64 // export time of the last message, seconds since 1970
 }
 
-// cursor is where the replay stands: what is sure to have arrived, and what may have.
+// cursor is the position of the replay, as stored in the cursor file.
 type cursor struct {
 	Segment        uint64 `json:"segment"`
-	ConfirmedBytes int64  `json:"done"`  // bytes of it that have arrived
-	ReadBytes      int64  `json:"begun"` // bytes of it that were handed out
+	ConfirmedBytes int64  `json:"done"`  // bytes of the segment that have arrived
+	ReadBytes      int64  `json:"begun"` // bytes of the segment that were returned by Next
 }
 
-// Spool is one directory. It is not safe for concurrent use.
+// Spool is a spool in one directory. It is not safe for concurrent use.
 type Spool struct {
 	config     Config
 	fs         FS
 	codec      *flow.Codec
 	segments   []segment
-	current    File
+	current    File // the segment being written, or nil
 	writer     *ipfix.Writer
-	unsynced   bool
+	unsynced   bool // current has data that was not synced
 	syncAt     time.Duration
 	status     Status
 	position   cursor
-	reader     File
-	readOffset int64
+	reader     File  // the segment being replayed, or nil
+	readOffset int64 // offset in reader
 	decoder    *ipfix.Decoder
 	lost       LostCounts
 	values     []ipfix.Value
 }
 
-// ErrNotWritable says that the spool can't be written; it tries again later.
-var ErrNotWritable = errors.New("the spool can't be written")
+// ErrNotWritable reports that writing to the spool failed. A later write may succeed.
+var ErrNotWritable = errors.New("spool not writable")
 
-// Open looks through a directory: ends that are torn are cut, files of another
-// version are set aside, and the replay goes on where it stood.
+// Open opens the spool in a directory. It truncates torn ends of segments, renames
+// files of another version, and continues the replay at the stored position.
 func Open(fs FS, config Config, codec *flow.Codec) (*Spool, error) {
 	s := &Spool{config: config, fs: fs, codec: codec}
 	files, err := fs.List()
@@ -108,10 +113,10 @@
 			s.status.Torn++
 			file, err := fs.Append(info.Name, validBytes)
 			if err != nil {
-				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", info.Name, err)
+				return nil, fmt.Errorf("spool: truncating the torn end of %s: %w", info.Name, err)
 			}
 			if err := errors.Join(file.Sync(), file.Close()); err != nil {
-				return nil, fmt.Errorf("spool: cutting the torn end of %s: %w", info.Name, err)
+				return nil, fmt.Errorf("spool: truncating the torn end of %s: %w", info.Name, err)
 			}
 		}
 		seg.size = validBytes
@@ -122,7 +127,8 @@
 	return s, nil
 }
 
-// scan reads a segment and returns the length of its whole messages.
+// scan reads a segment and returns the total length of its complete messages. The
+// error is why reading stopped, io.EOF at the end of the file.
 func (s *Spool) scan(seg *segment) (int64, error) {
 	file, err := s.fs.Open(segmentName(seg.number))
 	if err != nil {
@@ -141,14 +147,15 @@
 			return validBytes, err
 		}
 		if first && !flow.HasCurrentFormat(message) {
-			return 0, fmt.Errorf("segment %d: not of this format", seg.number)
+			return 0, fmt.Errorf("segment %d has another format version", seg.number)
 		}
 		validBytes += int64(len(data))
 		seg.lastExport = message.ExportTime
 	}
 }
 
-// readCursor finds where the replay stood; without a word it begins at the start.
+// readCursor reads the stored position of the replay. Without a valid one the
+// replay begins at the first segment.
 func (s *Spool) readCursor() {
 	file, err := s.fs.Open(cursorName)
 	if err != nil {
@@ -161,6 +168,7 @@
 	}
 }
 
+// writeCursor stores the position of the replay.
 func (s *Spool) writeCursor() error {
 	data, err := json.Marshal(s.position)
 	if err != nil {
@@ -169,31 +177,31 @@
 	return s.fs.Replace(cursorName, data)
 }
 
-// Status tells what is in it.
+// Status returns a description of the content.
 func (s *Spool) Status() Status {
 	s.status.Segments = len(s.segments)
 	return s.status
 }
 
-// Bytes is its size.
+// Bytes returns the total size of the segments.
 func (s *Spool) Bytes() int64 { return s.status.Bytes }
 
-// HasPending tells whether there is something to replay.
+// HasPending reports whether there are records that have not been confirmed.
 func (s *Spool) HasPending() bool {
 	return slices.ContainsFunc(s.segments, func(seg segment) bool {
 		return seg.number > s.position.Segment && seg.size > 0 || seg.number == s.position.Segment && s.position.ConfirmedBytes < seg.size
 	})
 }
 
-// TakeLost returns what went unread since the last call.
+// TakeLost returns the numbers of records dropped unread since the last call.
 func (s *Spool) TakeLost() LostCounts {
 	lost := s.lost
 	s.lost = LostCounts{}
 	return lost
 }
 
-// Write adds records. What could not be written comes back as an error with
-// none of them in the spool; the next Write tries a new segment.
+// Write appends records. If it fails, none of them is in the spool, and the next
+// Write starts a new segment.
 func (s *Spool) Write(now time.Duration, items []*flow.Item) error {
 	if len(items) == 0 {
 		return nil
@@ -206,7 +214,7 @@
 	}
 	if s.current == nil {
 		if err := s.createSegment(now); err != nil {
-			s.status.WriteFailures++
+			s.status.IOErrors++
 			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
 	}
@@ -241,8 +249,8 @@
 	return nil
 }
 
-// appendMessages writes whole messages, or none: a short write is cut off again, and
-// where that fails too the segment is left to be cut when it is next opened.
+// appendMessages writes complete messages or none. It truncates the segment after
+// a short write; if that fails too, the next Open truncates it.
 func (s *Spool) appendMessages(data []byte) error {
 	seg := &s.segments[len(s.segments)-1]
 	n, err := s.current.Write(data)
@@ -251,8 +259,8 @@
 		s.status.Bytes += int64(n)
 		return nil
 	}
-	s.status.WriteFailures++
-	_ = s.current.Close() // it failed already
+	s.status.IOErrors++
+	_ = s.current.Close() // the write has failed already
 	s.current = nil
 	file, cutErr := s.fs.Append(segmentName(seg.number), seg.size)
 	if cutErr == nil {
@@ -261,7 +269,7 @@
 	return fmt.Errorf("%w: %w", ErrNotWritable, errors.Join(err, cutErr))
 }
 
-// createSegment starts a segment with the templates and the format's mark.
+// createSegment creates a segment and writes the templates and the format version.
 func (s *Spool) createSegment(now time.Duration) error {
 	number := uint64(1)
 	if len(s.segments) > 0 {
@@ -289,31 +297,32 @@
 	return nil
 }
 
+// rotate syncs and closes the current segment; the next Write starts a new one.
 func (s *Spool) rotate() error {
 	err := errors.Join(s.current.Sync(), s.current.Close())
 	s.current, s.unsynced = nil, false
 	if err != nil {
-		s.status.WriteFailures++
+		s.status.IOErrors++
 		return fmt.Errorf("%w: %w", ErrNotWritable, err)
 	}
 	return nil
 }
 
-// Tick makes durable what is due, and drops what is too old.
+// Tick syncs written records when that is due, and drops segments that are too old.
 func (s *Spool) Tick(now time.Duration) error {
 	s.expire(now)
 	if s.unsynced && now >= s.syncAt && s.current != nil {
 		s.unsynced = false
 		if err := s.current.Sync(); err != nil {
-			s.status.WriteFailures++
+			s.status.IOErrors++
 			return fmt.Errorf("%w: %w", ErrNotWritable, err)
 		}
 	}
 	return nil
 }
 
-// expire drops segments whose last record is older than Age. A clock that has
-// stepped back makes nothing old.
+// expire drops segments whose last record is older than MaxAge. If the clock has
+// stepped back, no segment is too old.
 func (s *Spool) expire(now time.Duration) {
 	for s.config.MaxAge > 0 && len(s.segments) > 0 {
 		oldest := s.segments[0]
@@ -324,14 +333,15 @@
 	}
 }
 
-// evict drops the oldest segments while there are too many bytes.
+// evict drops the oldest segments while the total size is above MaxBytes.
 func (s *Spool) evict() {
 	for s.status.Bytes > s.config.MaxBytes && len(s.segments) > 1 {
 		s.dropOldest()
 	}
 }
 
-// dropOldest removes the first segment and counts what of it was never handed out.
+// dropOldest removes the first segment and counts as lost those of its records that
+// Next has not returned.
 func (s *Spool) dropOldest() {
 	oldest := s.segments[0]
 	unreadFrom := int64(0)
@@ -343,13 +353,13 @@
 	}
 	s.closeReader(oldest.number)
 	if err := s.fs.Remove(segmentName(oldest.number)); err != nil {
-		s.status.WriteFailures++
+		s.status.IOErrors++
 	}
 	s.status.Bytes -= oldest.size
 	s.segments = s.segments[1:]
 }
 
-// countLost books the records of a segment from a byte on as lost.
+// countLost counts the records of a segment from a byte offset on as lost.
 func (s *Spool) countLost(seg segment, from int64) {
 	file, err := s.fs.Open(segmentName(seg.number))
 	if err != nil {
@@ -377,6 +387,7 @@
 	}
 }
 
+// closeReader closes the reader if it reads the segment with this number.
 func (s *Spool) closeReader(number uint64) {
 	if s.reader != nil && s.position.Segment == number {
 		_ = s.reader.Close() // only read from
@@ -384,10 +395,10 @@
 	}
 }
 
-// Next reads the next message of the replay, and makes durable that it was
-// begun before it returns. Records that may have arrived in an earlier life are
-// marked as resent. No items and no error mean that there is no more, or none
-// before Arrived.
+// Next returns the records of the next message of the replay. Before it returns, it
+// stores that they were read, so that the next process marks them as resent if it
+// replays them again. No items and no error mean that there are no more records, or
+// none until Confirm is called.
 func (s *Spool) Next() ([]*flow.Item, error) {
 	for {
 		index := slices.IndexFunc(s.segments, func(seg segment) bool {
@@ -398,9 +409,9 @@
 		}
 		seg := s.segments[index]
 		if seg.number == s.position.Segment && s.replayOffset() >= seg.size {
-			return nil, nil // all is handed out; the next segment waits for Arrived
+			return nil, nil // all is read; the next segment follows after Confirm
 		}
-		if s.current != nil && index == len(s.segments)-1 { // what is read has to be on disk first
+		if s.current != nil && index == len(s.segments)-1 { // must be on disk before it is read
 			if err := s.rotate(); err != nil {
 				return nil, err
 			}
@@ -421,8 +432,8 @@
 		if err == nil {
 			message, err = s.decoder.Decode(data)
 		}
-		if err != nil { // it was good when it was opened: the disk has lost it
-			s.status.WriteFailures++
+		if err != nil { // it was valid when written or opened: the disk has damaged it
+			s.status.IOErrors++
 			s.countLost(segment{number: seg.number, size: s.readOffset}, s.readOffset)
 			s.closeReader(seg.number)
 			s.position.ConfirmedBytes, s.position.ReadBytes = seg.size, seg.size
@@ -432,13 +443,13 @@
 		offset := s.readOffset
 		s.readOffset += int64(len(data))
 		if offset < s.position.ConfirmedBytes {
-			continue // has arrived; read for its templates
+			continue // has arrived; decoded for its templates only
 		}
 		resent := offset < s.position.ReadBytes
 		if !resent {
 			s.position.ReadBytes = s.readOffset
 			if err := s.writeCursor(); err != nil {
-				s.status.WriteFailures++
+				s.status.IOErrors++
 				s.position.ReadBytes, s.readOffset = offset, offset
 				s.closeReader(seg.number)
 				return nil, fmt.Errorf("%w: %w", ErrNotWritable, err)
@@ -459,6 +470,8 @@
 	}
 }
 
+// replayOffset returns the offset in the replayed segment that the next message is
+// read from.
 func (s *Spool) replayOffset() int64 {
 	if s.reader == nil {
 		return s.position.ConfirmedBytes
@@ -466,8 +479,8 @@
 	return s.readOffset
 }
 
-// Confirm books that all that Next has returned has arrived: segments read to
-// their end go.
+// Confirm records that everything that Next has returned has arrived. It removes
+// segments that were read to their end.
 func (s *Spool) Confirm() error {
 	s.position.ConfirmedBytes = s.replayOffset()
 	s.position.ReadBytes = max(s.position.ReadBytes, s.position.ConfirmedBytes)
@@ -478,21 +491,22 @@
 		}
 		s.closeReader(oldest.number)
 		if err := s.fs.Remove(segmentName(oldest.number)); err != nil {
-			s.status.WriteFailures++
+			s.status.IOErrors++
 			return fmt.Errorf("spool: %w", err)
 		}
 		s.status.Bytes -= oldest.size
 		s.segments = s.segments[1:]
 	}
 	if err := s.writeCursor(); err != nil {
-		s.status.WriteFailures++
+		s.status.IOErrors++
 		return fmt.Errorf("%w: %w", ErrNotWritable, err)
 	}
 	return nil
 }
 
-// Rewind lets the replay go on behind what has arrived: the connection that it
-// was sent over broke. What was handed out since comes again, marked.
+// Rewind continues the replay after the last confirmed record, because the
+// connection that it was sent over has failed. Records returned since then are
+// returned again and marked as resent.
 func (s *Spool) Rewind() {
 	if s.reader != nil {
 		_ = s.reader.Close() // only read from
@@ -500,7 +514,7 @@
 	}
 }
 
-// Close makes all durable.
+// Close syncs and closes the files.
 func (s *Spool) Close() error {
 	if s.reader != nil {
 		_ = s.reader.Close() // only read from
@@ -512,5 +526,5 @@
 	return nil
 }
 
-// MaxBytes is its bound in bytes.
+// MaxBytes returns the limit of the total size.
 func (s *Spool) MaxBytes() int64 { return s.config.MaxBytes }
