--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -17,161 +17,168 @@
 	"dahliaspindle/internal/flow"
 )
 
-// disk is files in memory, of which a crash keeps what was made durable, and
-// that can run full, write short or fail.
-type disk struct {
-	files   map[string]*blob
-	room    int // bytes left, below 0: without bound
-	failing error
-	short   bool // the next write takes half
+// memoryDisk is an FS in memory. A crash keeps only what was synced, and writes can
+// run out of space, be short or fail.
+type memoryDisk struct {
+	files      map[string]*memoryFile
+	freeBytes  int // less than 0 for no limit
+	failure    error
+	shortWrite bool // the next write writes only half
 }
 
-type blob struct{ data, durable []byte }
+// memoryFile holds the content of a file, and the part that survives a crash.
+type memoryFile struct{ data, durable []byte }
 
-func newDisk() *disk { return &disk{files: map[string]*blob{}, room: -1} }
+func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string]*memoryFile{}, freeBytes: -1} }
 
 type handle struct {
-	d  *disk
-	b  *blob
-	at int
+	disk   *memoryDisk
+	file   *memoryFile
+	offset int
 }
 
-func (d *disk) Create(name string) (File, error) {
-	if d.failing != nil {
-		return nil, d.failing
+func (d *memoryDisk) Create(name string) (File, error) {
+	if d.failure != nil {
+		return nil, d.failure
 	}
-	b := &blob{}
-	d.files[name] = b
-	return &handle{d: d, b: b}, nil
+	file := &memoryFile{}
+	d.files[name] = file
+	return &handle{disk: d, file: file}, nil
 }
-func (d *disk) Open(name string) (File, error) {
-	b := d.files[name]
-	if b == nil {
+func (d *memoryDisk) Open(name string) (File, error) {
+	file := d.files[name]
+	if file == nil {
 		return nil, os.ErrNotExist
 	}
-	return &handle{d: d, b: b}, nil
+	return &handle{disk: d, file: file}, nil
 }
-func (d *disk) Append(name string, size int64) (File, error) {
-	b := d.files[name]
-	if b == nil {
+func (d *memoryDisk) Append(name string, size int64) (File, error) {
+	file := d.files[name]
+	if file == nil {
 		return nil, os.ErrNotExist
 	}
-	b.data = b.data[:size]
-	return &handle{d: d, b: b}, nil
+	file.data = file.data[:size]
+	return &handle{disk: d, file: file}, nil
 }
-func (d *disk) Remove(name string) error { delete(d.files, name); return nil }
-func (d *disk) Rename(a, b string) error { d.files[b] = d.files[a]; delete(d.files, a); return nil }
-func (d *disk) SyncDir() error           { return d.failing }
-func (d *disk) Replace(name string, c []byte) error {
-	if d.failing != nil {
-		return d.failing
+func (d *memoryDisk) Remove(name string) error { delete(d.files, name); return nil }
+func (d *memoryDisk) Rename(from, to string) error {
+	d.files[to] = d.files[from]
+	delete(d.files, from)
+	return nil
+}
+func (d *memoryDisk) SyncDir() error { return d.failure }
+func (d *memoryDisk) Replace(name string, content []byte) error {
+	if d.failure != nil {
+		return d.failure
 	}
-	d.files[name] = &blob{bytes.Clone(c), bytes.Clone(c)}
+	d.files[name] = &memoryFile{bytes.Clone(content), bytes.Clone(content)}
 	return nil
 }
-func (d *disk) List() ([]FileInfo, error) {
-	var all []FileInfo
-	for _, n := range slices.Sorted(maps.Keys(d.files)) {
-		all = append(all, FileInfo{n, int64(len(d.files[n].data))})
+func (d *memoryDisk) List() ([]FileInfo, error) {
+	var files []FileInfo
+	for _, name := range slices.Sorted(maps.Keys(d.files)) {
+		files = append(files, FileInfo{name, int64(len(d.files[name].data))})
 	}
-	return all, nil
+	return files, nil
 }
 func (h *handle) Read(p []byte) (int, error) {
-	if h.at >= len(h.b.data) {
+	if h.offset >= len(h.file.data) {
 		return 0, io.EOF
 	}
-	n := copy(p, h.b.data[h.at:])
-	h.at += n
+	n := copy(p, h.file.data[h.offset:])
+	h.offset += n
 	return n, nil
 }
 func (h *handle) Write(p []byte) (int, error) {
-	n, err := len(p), h.d.failing
+	n, err := len(p), h.disk.failure
 	switch {
 	case err != nil:
 		n = 0
-	case h.d.short:
-		n, err, h.d.short = n/2, io.ErrShortWrite, false
-	case h.d.room >= 0 && n > h.d.room:
-		n, err = h.d.room, syscall.ENOSPC
+	case h.disk.shortWrite:
+		n, err, h.disk.shortWrite = n/2, io.ErrShortWrite, false
+	case h.disk.freeBytes >= 0 && n > h.disk.freeBytes:
+		n, err = h.disk.freeBytes, syscall.ENOSPC
 	}
-	if h.d.room >= 0 {
-		h.d.room -= n
+	if h.disk.freeBytes >= 0 {
+		h.disk.freeBytes -= n
 	}
-	h.b.data = append(h.b.data, p[:n]...)
+	h.file.data = append(h.file.data, p[:n]...)
 	return n, err
 }
 func (h *handle) Sync() error {
-	if h.d.failing != nil {
-		return h.d.failing
+	if h.disk.failure != nil {
+		return h.disk.failure
 	}
-	h.b.durable = bytes.Clone(h.b.data)
+	h.file.durable = bytes.Clone(h.file.data)
 	return nil
 }
 func (h *handle) Close() error { return nil }
 
-// crash leaves what was durable, and of the rest as many bytes as a test says.
-func (d *disk) crash(tail int) {
-	for _, b := range d.files {
-		if len(b.durable) < len(b.data) {
-			b.data = b.data[:min(len(b.durable)+tail, len(b.data))]
+// crash keeps the durable content of each file and undurableBytes of the rest.
+func (d *memoryDisk) crash(undurableBytes int) {
+	for _, file := range d.files {
+		if len(file.durable) < len(file.data) {
+			file.data = file.data[:min(len(file.durable)+undurableBytes, len(file.data))]
 		}
 	}
 }
 
-var codec = flow.NewCodec(3, 1_700_000_000_000, []string{"fetch", "dear"}, []byte("key"))
+var testCodec = flow.NewCodec(3, 1_700_000_000_000, []string{"voice", "data"}, []byte("key"))
 
-func items(from, n int) []*flow.Item {
-	var all []*flow.Item
-	for i := range n {
-		all = append(all, codec.RecordItem(&flow.Record{Seq: uint64(from + i), Class: uint8(i % 2), Outcome: flow.CallRefused, VerdictReason: "no circuit free"}))
+// newItems returns items of count calls with sequence numbers from firstSeq.
+func newItems(firstSeq, count int) []*flow.Item {
+	var records []*flow.Item
+	for i := range count {
+		records = append(records, testCodec.RecordItem(&flow.Record{Seq: uint64(firstSeq + i), Class: uint8(i % 2), Outcome: flow.CallRefused, VerdictReason: "no circuit free"}))
 	}
-	return all
+	return records
 }
 
-func seq(it *flow.Item) uint64  { return codec.Values(it, nil)[1].Num }
-func resent(it *flow.Item) bool { return codec.Values(it, nil)[2].Num&flow.FlagResent != 0 }
+func seqOf(item *flow.Item) uint64  { return testCodec.Values(item, nil)[1].Num }
+func isResent(item *flow.Item) bool { return testCodec.Values(item, nil)[2].Num&flow.FlagResent != 0 }
 
-var small = Config{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxAge: time.Hour, SyncDelay: time.Second}
+var smallConfig = Config{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxAge: time.Hour, SyncDelay: time.Second}
 
-func open(t fataler, fs FS, cfg Config) *Spool {
+func openSpool(t testingT, fs FS, config Config) *Spool {
 	t.Helper()
-	s, err := Open(fs, cfg, codec)
+	s, err := Open(fs, config, testCodec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-type fataler interface {
+// testingT is implemented by testing.T and rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// drain replays all that is there, as a collector would confirm it.
-func drain(t fataler, s *Spool) (all []*flow.Item) {
+// replayAll returns all pending records, and confirms them as a collector would.
+func replayAll(t testingT, s *Spool) (all []*flow.Item) {
 	t.Helper()
 	for s.HasPending() {
-		got, err := s.Next()
+		items, err := s.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got == nil {
+		if items == nil {
 			if err := s.Confirm(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		all = append(all, got...)
+		all = append(all, items...)
 	}
 	return all
 }
 
-func TestWrittenIsReplayedInOrderAndGone(t *testing.T) {
-	for _, fs := range []FS{newDisk(), Dir(t.TempDir())} {
-		s := open(t, fs, small)
+func TestReplayInOrderEmptiesSpool(t *testing.T) {
+	for _, fs := range []FS{newMemoryDisk(), Dir(t.TempDir())} {
+		s := openSpool(t, fs, smallConfig)
 		now := time.Duration(1_700_000_000) * time.Second
 		for i := range 50 {
-			if err := s.Write(now, items(1+20*i, 20)); err != nil {
+			if err := s.Write(now, newItems(1+20*i, 20)); err != nil {
 				t.Fatal(err)
 			}
 			now += time.Second
@@ -179,113 +186,114 @@
 				t.Fatal(err)
 			}
 		}
-		if n := s.Status().Segments; n < 5 {
-			t.Fatalf("%d segments", n)
+		if count := s.Status().Segments; count < 5 {
+			t.Fatalf("%d segments, want at least 5", count)
 		}
-		got := drain(t, s)
-		if len(got) != 1000 {
-			t.Fatalf("%d records", len(got))
+		replayed := replayAll(t, s)
+		if len(replayed) != 1000 {
+			t.Fatalf("%d records replayed, want 1000", len(replayed))
 		}
-		for i, it := range got {
-			if seq(it) != uint64(i+1) || resent(it) {
-				t.Fatalf("record %d is %d, resent %v", i, seq(it), resent(it))
+		for i, item := range replayed {
+			if seqOf(item) != uint64(i+1) || isResent(item) {
+				t.Fatalf("record %d has sequence number %d, resent %v", i, seqOf(item), isResent(item))
 			}
 		}
 		if s.HasPending() || s.Bytes() != 0 {
-			t.Fatalf("%+v is left", s.Status())
+			t.Fatalf("spool not empty after the replay: %+v", s.Status())
 		}
-		// and it goes on
-		if err := s.Write(now, items(5000, 3)); err != nil || len(drain(t, s)) != 3 {
-			t.Fatal("no more after a replay", err)
+		// The spool can be used again.
+		if err := s.Write(now, newItems(5000, 3)); err != nil || len(replayAll(t, s)) != 3 {
+			t.Fatal("records written after a replay are not replayed", err)
 		}
 	}
 }
 
-// A segment that is cut at any byte: whole messages are kept, the rest cut.
-func TestTornAtEveryByte(t *testing.T) {
-	whole := newDisk()
-	s := open(t, whole, small)
+// A segment may be cut at any byte by a crash. Open keeps the complete messages and
+// truncates the rest.
+func TestSegmentTruncatedAtEveryByte(t *testing.T) {
+	whole := newMemoryDisk()
+	s := openSpool(t, whole, smallConfig)
 	for i := range 4 {
-		if err := s.Write(time.Hour, items(1+5*i, 5)); err != nil {
+		if err := s.Write(time.Hour, newItems(1+5*i, 5)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	name := segmentName(1)
 	data := whole.files[name].data
-	last := -1
-	for cut := len(data); cut >= 0; cut-- {
-		d := newDisk()
-		d.files[name] = &blob{data: bytes.Clone(data[:cut])}
-		s := open(t, d, small)
-		if torn := d.files[name] != nil && int64(len(d.files[name].data)) != s.Bytes(); torn {
-			t.Fatalf("cut at %d: %d bytes on disk, %d good", cut, len(d.files[name].data), s.Bytes())
+	previous := -1
+	for length := len(data); length >= 0; length-- {
+		disk := newMemoryDisk()
+		disk.files[name] = &memoryFile{data: bytes.Clone(data[:length])}
+		s := openSpool(t, disk, smallConfig)
+		if torn := disk.files[name] != nil && int64(len(disk.files[name].data)) != s.Bytes(); torn {
+			t.Fatalf("cut at %d: %d bytes on disk, %d valid", length, len(disk.files[name].data), s.Bytes())
 		}
-		got := drain(t, s)
-		if last >= 0 && len(got) > last || len(got)%5 != 0 {
-			t.Fatalf("cut at %d of %d: %d records", cut, len(data), len(got))
+		replayed := replayAll(t, s)
+		if previous >= 0 && len(replayed) > previous || len(replayed)%5 != 0 {
+			t.Fatalf("cut at %d of %d: %d records replayed", length, len(data), len(replayed))
 		}
-		last = len(got)
-		for i, it := range got {
-			if seq(it) != uint64(i+1) {
-				t.Fatalf("cut at %d: record %d is %d", cut, i, seq(it))
+		previous = len(replayed)
+		for i, item := range replayed {
+			if seqOf(item) != uint64(i+1) {
+				t.Fatalf("cut at %d: record %d has sequence number %d", length, i, seqOf(item))
 			}
 		}
-		if err := s.Write(time.Hour, items(900, 1)); err != nil || len(drain(t, s)) != 1 {
-			t.Fatalf("cut at %d: can't go on: %v", cut, err)
+		if err := s.Write(time.Hour, newItems(900, 1)); err != nil || len(replayAll(t, s)) != 1 {
+			t.Fatalf("cut at %d: records written afterwards are not replayed: %v", length, err)
 		}
 	}
-	if last != 0 {
-		t.Fatalf("%d records of an empty file", last)
+	if previous != 0 {
+		t.Fatalf("%d records replayed from an empty file", previous)
 	}
 }
 
 func TestOtherVersionIsSetAside(t *testing.T) {
-	d := newDisk()
-	s := open(t, d, small)
-	if err := s.Write(time.Hour, items(1, 3)); err != nil {
+	disk := newMemoryDisk()
+	s := openSpool(t, disk, smallConfig)
+	if err := s.Write(time.Hour, newItems(1, 3)); err != nil {
 		t.Fatal(err)
 	}
-	data := d.files[segmentName(1)].data
-	at := bytes.Index(data, []byte{1, 5, 0, 10}) // a set of id 261 with 4 and 2 bytes: the format
-	data[at+9]++
-	s = open(t, d, small)
-	if s.Status().SetAside != 1 || s.HasPending() || d.files[segmentName(1)+setAsideSuffix] == nil {
-		t.Fatalf("%+v", s.Status())
+	data := disk.files[segmentName(1)].data
+	offset := bytes.Index(data, []byte{1, 5, 0, 10}) // the format version: a set with ID 261 and values of 4 and 2 bytes
+	data[offset+9]++
+	s = openSpool(t, disk, smallConfig)
+	if s.Status().SetAside != 1 || s.HasPending() || disk.files[segmentName(1)+setAsideSuffix] == nil {
+		t.Fatalf("segment of another version not set aside: %+v", s.Status())
 	}
-	if err := s.Write(time.Hour, items(1, 3)); err != nil || len(drain(t, s)) != 3 {
+	if err := s.Write(time.Hour, newItems(1, 3)); err != nil || len(replayAll(t, s)) != 3 {
 		t.Fatal(err)
 	}
 }
 
 func TestFullAndFailingDisk(t *testing.T) {
-	for name, break_ := range map[string]func(d *disk){
-		"full":        func(d *disk) { d.room = 100 },
-		"read only":   func(d *disk) { d.failing = syscall.EROFS },
-		"short write": func(d *disk) { d.short = true },
+	for name, injectFault := range map[string]func(disk *memoryDisk){
+		"full":        func(disk *memoryDisk) { disk.freeBytes = 100 },
+		"read only":   func(disk *memoryDisk) { disk.failure = syscall.EROFS },
+		"short write": func(disk *memoryDisk) { disk.shortWrite = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDisk()
-			s := open(t, d, small)
-			if err := s.Write(time.Hour, items(1, 5)); err != nil {
+			disk := newMemoryDisk()
+			s := openSpool(t, disk, smallConfig)
+			if err := s.Write(time.Hour, newItems(1, 5)); err != nil {
 				t.Fatal(err)
 			}
-			break_(d)
-			if err := s.Write(time.Hour, items(100, 5)); !errors.Is(err, ErrNotWritable) {
-				t.Fatalf("%v", err)
+			injectFault(disk)
+			if err := s.Write(time.Hour, newItems(100, 5)); !errors.Is(err, ErrNotWritable) {
+				t.Fatalf("Write returned %v, want ErrNotWritable", err)
 			}
-			d.room, d.failing, d.short = -1, nil, false
-			if err := s.Write(time.Hour, items(200, 5)); err != nil {
+			disk.freeBytes, disk.failure, disk.shortWrite = -1, nil, false
+			if err := s.Write(time.Hour, newItems(200, 5)); err != nil {
 				t.Fatal(err)
 			}
 			var seqs []uint64
-			for _, it := range drain(t, s) {
-				seqs = append(seqs, seq(it))
+			for _, item := range replayAll(t, s) {
+				seqs = append(seqs, seqOf(item))
 			}
 			if fmt.Sprint(seqs) != "[1 2 3 4 5 200 201 202 203 204]" {
-				t.Fatalf("%v", seqs)
+				t.Fatalf("replayed records %v", seqs)
 			}
-			if s.Status().WriteFailures == 0 {
-				t.Error("no failure counted")
+			if s.Status().IOErrors == 0 {
+				t.Error("no I/O error counted")
 			}
 		})
 	}
@@ -297,129 +305,129 @@
 		t.Fatal(err)
 	}
 	if _, err := CreateDir(file + "/spool"); err == nil {
-		t.Fatal("a spool below a file")
+		t.Fatal("CreateDir below a regular file succeeded")
 	}
 }
 
-func TestSizeAndAgeBound(t *testing.T) {
-	cfg := Config{MaxBytes: 20 << 10, SegmentBytes: 6 << 10, MaxAge: time.Minute, SyncDelay: time.Second}
-	s := open(t, newDisk(), cfg)
+func TestSizeAndAgeLimits(t *testing.T) {
+	config := Config{MaxBytes: 20 << 10, SegmentBytes: 6 << 10, MaxAge: time.Minute, SyncDelay: time.Second}
+	s := openSpool(t, newMemoryDisk(), config)
 	now := 100 * time.Hour
 	for i := range 100 {
-		if err := s.Write(now, items(1+10*i, 10)); err != nil {
+		if err := s.Write(now, newItems(1+10*i, 10)); err != nil {
 			t.Fatal(err)
 		}
-		if s.Bytes() > cfg.MaxBytes+cfg.SegmentBytes {
-			t.Fatalf("%d bytes", s.Bytes())
+		if s.Bytes() > config.MaxBytes+config.SegmentBytes {
+			t.Fatalf("%d bytes are more than the limit", s.Bytes())
 		}
 	}
-	lost := s.TakeLost()
+	lostBySize := s.TakeLost()
 	kept := 0
-	before := s.Bytes()
-	if err := s.Tick(now - 50*time.Hour); err != nil || s.Bytes() != before { // a clock that steps back
-		t.Fatal("a clock that steps back loses records", err)
+	bytesBefore := s.Bytes()
+	if err := s.Tick(now - 50*time.Hour); err != nil || s.Bytes() != bytesBefore {
+		t.Fatal("records lost after the clock stepped back", err)
 	}
-	if err := s.Write(now+2*time.Minute, items(2001, 1)); err != nil {
+	if err := s.Write(now+2*time.Minute, newItems(2001, 1)); err != nil {
 		t.Fatal(err)
 	}
-	lostNow := s.TakeLost()
-	got := drain(t, s)
-	kept = len(got)
-	if n := lost.Sum(flow.KindCall) + lostNow.Sum(flow.KindCall) + uint64(kept); n != 1001 || lost.Sum(flow.KindCall) == 0 || lostNow.Sum(flow.KindCall) == 0 {
-		t.Fatalf("%d lost by size, %d by age, %d kept", lost.Sum(flow.KindCall), lostNow.Sum(flow.KindCall), kept)
+	lostByAge := s.TakeLost()
+	replayed := replayAll(t, s)
+	kept = len(replayed)
+	if n := lostBySize.Sum(flow.KindCall) + lostByAge.Sum(flow.KindCall) + uint64(kept); n != 1001 || lostBySize.Sum(flow.KindCall) == 0 || lostByAge.Sum(flow.KindCall) == 0 {
+		t.Fatalf("%d lost by size, %d by age, %d kept", lostBySize.Sum(flow.KindCall), lostByAge.Sum(flow.KindCall), kept)
 	}
 }
 
-// Whatever is written, crashed, handed out, confirmed and rewound: each record
-// that was durable comes until it is confirmed; none comes twice unmarked; none
-// is out of order within a life.
-func TestReplayWhateverHappens(t *testing.T) {
+// After any sequence of writes, crashes, reads, confirmations and rewinds, every
+// durable record is replayed until it is confirmed, and none is replayed a second
+// time without the resent mark.
+func TestReplayAfterArbitraryFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDisk()
-		cfg := Config{MaxBytes: 1 << 30, SegmentBytes: 4 << 10, SyncDelay: 0}
-		s := open(t, d, cfg)
-		next := 1
-		must := map[uint64]bool{} // durable: must come
-		var written []uint64      // in this life, not durable yet
-		came, confirmed, pending := map[uint64]bool{}, map[uint64]bool{}, []uint64{}
-		take := func(it *flow.Item) {
-			if came[seq(it)] && !resent(it) {
-				t.Fatalf("record %d comes again unmarked", seq(it))
+		disk := newMemoryDisk()
+		config := Config{MaxBytes: 1 << 30, SegmentBytes: 4 << 10, SyncDelay: 0}
+		s := openSpool(t, disk, config)
+		nextSeq := 1
+		durable := map[uint64]bool{} // must be replayed
+		var written []uint64         // since the last crash, not durable yet
+		replayed, confirmed, pending := map[uint64]bool{}, map[uint64]bool{}, []uint64{}
+		checkItem := func(item *flow.Item) {
+			if replayed[seqOf(item)] && !isResent(item) {
+				t.Fatalf("record %d replayed again without the resent mark", seqOf(item))
 			}
-			if confirmed[seq(it)] {
-				t.Fatalf("record %d comes again after it was confirmed", seq(it))
+			if confirmed[seqOf(item)] {
+				t.Fatalf("record %d replayed again after it was confirmed", seqOf(item))
 			}
-			came[seq(it)] = true
-			pending = append(pending, seq(it))
+			replayed[seqOf(item)] = true
+			pending = append(pending, seqOf(item))
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "operation") {
 			case 0, 1:
-				n := rapid.IntRange(1, 30).Draw(t, "n")
-				if err := s.Write(time.Hour, items(next, n)); err != nil {
+				count := rapid.IntRange(1, 30).Draw(t, "count")
+				if err := s.Write(time.Hour, newItems(nextSeq, count)); err != nil {
 					t.Fatal(err)
 				}
-				for i := range n {
-					written = append(written, uint64(next+i))
+				for i := range count {
+					written = append(written, uint64(nextSeq+i))
 				}
-				next += n
+				nextSeq += count
 			case 2:
 				if err := s.Tick(2 * time.Hour); err != nil {
 					t.Fatal(err)
 				}
-				for _, n := range written {
-					must[n] = true
+				for _, seq := range written {
+					durable[seq] = true
 				}
 				written = nil
 			case 3:
-				got, err := s.Next()
+				items, err := s.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, it := range got {
-					take(it)
+				for _, item := range items {
+					checkItem(item)
 				}
 			case 4:
-				if rapid.Bool().Draw(t, "arrived") {
+				if rapid.Bool().Draw(t, "confirm") {
 					if err := s.Confirm(); err != nil {
 						t.Fatal(err)
 					}
-					for _, n := range pending {
-						confirmed[n] = true
+					for _, seq := range pending {
+						confirmed[seq] = true
 					}
 				} else {
 					s.Rewind()
 				}
 				pending = nil
-			case 5: // the process is killed; of what was not durable some bytes are on disk
-				d.crash(rapid.IntRange(0, 3000).Draw(t, "tail"))
-				s = open(t, d, cfg)
+			case 5: // the process is killed; some of the undurable bytes are on disk
+				disk.crash(rapid.IntRange(0, 3000).Draw(t, "undurableBytes"))
+				s = openSpool(t, disk, config)
 				pending, written = nil, nil
 			}
 		}
 		s.Rewind()
 		pending = nil
 		for s.HasPending() {
-			got, err := s.Next()
+			items, err := s.Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, it := range got {
-				take(it)
+			for _, item := range items {
+				checkItem(item)
 			}
-			if got == nil {
+			if items == nil {
 				if err := s.Confirm(); err != nil {
 					t.Fatal(err)
 				}
-				for _, n := range pending {
-					confirmed[n] = true
+				for _, seq := range pending {
+					confirmed[seq] = true
 				}
 				pending = nil
 			}
 		}
-		for n := range must {
-			if !came[n] {
-				t.Fatalf("record %d was durable and never came", n)
+		for seq := range durable {
+			if !replayed[seq] {
+				t.Fatalf("durable record %d was never replayed", seq)
 			}
 		}
 	})
