--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -38,7 +38,7 @@
 	network     memnet.Network
 	captures    []*captureBuffer
 	addresses   []net.Addr
-	environment *world.World
+	environment *world.Runner
 	heldCounts  []func() int // calls and attempts that each controller still holds
 }
 
@@ -61,7 +61,7 @@
 	report, result := &audit.Report{}, &demo.Result{}
 	synctest.Test(t, func(t *testing.T) {
 		captureWriter := sim.newCapture("stand-ins")
-		environment, err := world.New(sim.scenario, world.Net{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
+		environment, err := world.New(sim.scenario, world.Network{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,30 +98,30 @@
 		shutDown()
 		controllers.Wait()
 		held := make(chan int, 1)
-		environment.Do(func() { held <- environment.Fleet.Held() })
-		result.Held = <-held
+		environment.Do(func() { held <- environment.Fleet.CircuitsInUse() })
+		result.CircuitsInUse = <-held
 		environment.Close()
 		for _, captureWriter := range append(writers, captureWriter) {
 			if err := captureWriter.Close(); err != nil {
 				t.Error(err)
 			}
 		}
-		demo.Tables(result, sim.scenario, environment.Scene)
+		demo.AddTables(result, sim.scenario, environment.Simulation)
 	})
 	var records audit.Records
 	for i, buffer := range sim.captures {
-		if err := capture.Read(bytes.NewReader(buffer.Bytes()), "file", audit.Collect(&records, i)); err != nil {
+		if err := capture.Read(bytes.NewReader(buffer.Bytes()), "file", audit.Collector(&records, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	report = audit.Judge(records)
+	report = audit.Check(records)
 	return report, result
 }
 
 // loadScenario parses a shipped scenario.
 func loadScenario(t *testing.T, name string) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text(name)
+	text, ok := scenarios.XML(name)
 	if !ok {
 		t.Fatalf("scenario %s does not exist", name)
 	}
@@ -142,11 +142,11 @@
 	for _, note := range report.Notes {
 		t.Error(note)
 	}
-	if report.Calls.Taken == 0 || report.Calls.Taken != report.Calls.Answered+report.Calls.Left {
-		t.Errorf("%d calls accepted, %d answered, %d abandoned by their callers", report.Calls.Taken, report.Calls.Answered, report.Calls.Left)
+	if report.Calls.Received == 0 || report.Calls.Received != report.Calls.Answered+report.Calls.Abandoned {
+		t.Errorf("%d calls accepted, %d answered, %d abandoned by their callers", report.Calls.Received, report.Calls.Answered, report.Calls.Abandoned)
 	}
-	if result.Held != 0 {
-		t.Errorf("%d circuits held after all controllers have stopped", result.Held)
+	if result.CircuitsInUse != 0 {
+		t.Errorf("%d circuits held after all controllers have stopped", result.CircuitsInUse)
 	}
 	for i, held := range sim.heldCounts {
 		if n := held(); n != 0 {
@@ -167,11 +167,11 @@
 			}
 			requireRulesKept(t, report, result, sim)
 			for _, rule := range report.Rules {
-				if rule.Cases == 0 && (rule.Rule != 5 || policy == "brain") { // the simple rules never resend
-					t.Errorf("rule %d: no case examined", rule.Rule)
+				if rule.Cases == 0 && (rule.Number != 5 || policy == "brain") { // the simple rules never resend
+					t.Errorf("rule %d: no case examined", rule.Number)
 				}
 			}
-			t.Logf("%s: service %.3f, %d calls", policy, result.Service, report.Calls.Taken)
+			t.Logf("%s: service %.3f, %d calls", policy, result.ServiceRatio, report.Calls.Received)
 		})
 	}
 }
@@ -205,7 +205,7 @@
 			sim := &simulation{scenario: loadScenario(t, name), policy: "brain"}
 			report, result := sim.run(t)
 			requireRulesKept(t, report, result, sim)
-			t.Logf("service %.3f, %d calls", result.Service, report.Calls.Taken)
+			t.Logf("service %.3f, %d calls", result.ServiceRatio, report.Calls.Received)
 		})
 	}
 }
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -17,7 +17,7 @@
 
 func quiet(t testing.TB, level float64) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text("quiet-day")
+	text, ok := scenarios.XML("quiet-day")
 	if !ok {
 		t.Fatal("no quiet day")
 	}
@@ -81,7 +81,7 @@
 	}
 	var tries []measure.Try
 	lives := uint64(0)
-	if _, err := virtual.Run(scn, virtual.Options{Flows: func(int) flow.Sink {
+	if _, err := virtual.Run(scn, virtual.Options{NewFlowSink: func(int) flow.Sink {
 		lives++
 		return records{&tries, lives}
 	}}); err != nil {
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -14,9 +14,9 @@
 	"dahliaspindle/scenarios"
 )
 
-func scenario(t testing.TB, name string) *settings.Scenario {
+func loadScenario(t testing.TB, name string) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text(name)
+	text, ok := scenarios.XML(name)
 	if !ok {
 		t.Fatalf("no scenario %s", name)
 	}
@@ -27,19 +27,19 @@
 	return s
 }
 
-func all(*subscriber.Call) bool { return true }
+func anyCall(*subscriber.Call) bool { return true }
 
-// file is a capture in memory.
-type file struct{ bytes.Buffer }
+// memoryFile is a capture in memory.
+type memoryFile struct{ bytes.Buffer }
 
-func (*file) Close() error { return nil }
+func (*memoryFile) Close() error { return nil }
 
-// judged plays a day with a capture and lets the auditor judge it.
-func judged(t testing.TB, scn *settings.Scenario, opt Options) (*Day, *audit.Report) {
+// runAudited plays a day with a capture and lets the auditor judge it.
+func runAudited(t testing.TB, scn *settings.Scenario, opt Options) (*Result, *audit.Report) {
 	t.Helper()
-	var files []*file
-	opt.Capture = func(who string, now func() int64) *capture.Writer {
-		f := &file{}
+	var files []*memoryFile
+	opt.NewCapture = func(who string, now func() int64) *capture.Writer {
+		f := &memoryFile{}
 		files = append(files, f)
 		return capture.NewWriter(f, who, now)
 	}
@@ -49,39 +49,39 @@
 	}
 	var recs audit.Records
 	for i, f := range files {
-		if err := capture.Read(bytes.NewReader(f.Bytes()), "file", audit.Collect(&recs, i)); err != nil {
+		if err := capture.Read(bytes.NewReader(f.Bytes()), "file", audit.Collector(&recs, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return d, audit.Judge(recs)
+	return d, audit.Check(recs)
 }
 
 // The bad day, with its killed controllers: every rule, no circuit left.
-func TestBadDayKeepsTheRules(t *testing.T) {
+func TestBadDayKeepsRules(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		scn := scenario(t, "bad-day")
+		scn := loadScenario(t, "bad-day")
 		scn.Seed = seed
-		d, r := judged(t, scn, Options{})
+		d, r := runAudited(t, scn, Options{})
 		for _, b := range r.Breaches {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 		for _, u := range r.Rules {
 			if u.Cases == 0 {
-				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Rule)
+				t.Errorf("seed %d, rule %d: nothing to examine", seed, u.Number)
 			}
 		}
-		if !d.Left || d.Held != 0 || r.Calls.Taken == 0 || r.Calls.Taken != r.Calls.Answered+r.Calls.Left+r.Calls.Killed {
-			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.Left, d.Held, r.Calls)
+		if !d.AllStopped || d.CircuitsInUse != 0 || r.Calls.Received == 0 || r.Calls.Received != r.Calls.Answered+r.Calls.Abandoned+r.Calls.Killed {
+			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, d.AllStopped, d.CircuitsInUse, r.Calls)
 		}
-		tally := d.Crowd.Tally(all)
-		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.Service(), tally.Offered, d.Events, d.Took)
+		tally := d.Callers.Tally(anyCall)
+		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, d.Events, d.Duration)
 	}
 }
 
 // The same scenario gives the same day to the call; another seed another one.
-func TestSameDayTwice(t *testing.T) {
-	play := func(seed uint64) *Day {
-		scn := scenario(t, "bad-day")
+func TestRunIsDeterministic(t *testing.T) {
+	play := func(seed uint64) *Result {
+		scn := loadScenario(t, "bad-day")
 		scn.Seed = seed
 		d, err := Run(scn, Options{})
 		if err != nil {
@@ -90,12 +90,12 @@
 		return d
 	}
 	a, b, c := play(4), play(4), play(5)
-	if a.Events != b.Events || len(a.Crowd.Calls) != len(b.Crowd.Calls) || !reflect.DeepEqual(a.Stats, b.Stats) || a.Fleet.Counts != b.Fleet.Counts {
-		t.Fatalf("%d and %d events, %d and %d calls", a.Events, b.Events, len(a.Crowd.Calls), len(b.Crowd.Calls))
+	if a.Events != b.Events || len(a.Callers.Calls) != len(b.Callers.Calls) || !reflect.DeepEqual(a.ControllerStats, b.ControllerStats) || a.Fleet.Counts != b.Fleet.Counts {
+		t.Fatalf("%d and %d events, %d and %d calls", a.Events, b.Events, len(a.Callers.Calls), len(b.Callers.Calls))
 	}
-	for i := range a.Crowd.Calls {
-		if *a.Crowd.Calls[i] != *b.Crowd.Calls[i] {
-			t.Fatalf("call %d: %+v and %+v", i, *a.Crowd.Calls[i], *b.Crowd.Calls[i])
+	for i := range a.Callers.Calls {
+		if *a.Callers.Calls[i] != *b.Callers.Calls[i] {
+			t.Fatalf("call %d: %+v and %+v", i, *a.Callers.Calls[i], *b.Callers.Calls[i])
 		}
 	}
 	if a.Events == c.Events {
