--- a/internal/calllog/log.go
+++ b/internal/calllog/log.go
@@ -1,9 +1,9 @@
-// Package calllog keeps what a controller has to know of its calls after it was
-// killed: a log of entries in numbered files, made durable in groups, and
-// snapshots that let old files go.
+// Package calllog stores what a controller must know about its calls after it was
+// killed. It is a write-ahead log of entries in numbered segment files, made
+// durable in groups, with snapshots that allow old segments to be removed.
 //
-// Files: frame.go the format; state.go what entries add up to; log.go writing;
-// open.go reading what a former life left.
+// Files: frame.go holds the file format; state.go the state that results from the
+// entries; log.go writing; open.go recovery of what an earlier process left.
 package calllog
 
 import (
@@ -17,83 +17,91 @@
 	"dahliaspindle/internal/disk"
 )
 
-// Options of a log. Zero fields take the defaults.
+// Options configures a log. Zero fields take the defaults.
 type Options struct {
-	SegmentBytes    int // bytes after which a file is ended; 8 MiB
-	MaxPendingBytes int // bytes that wait to be written at the most; 4 MiB
+	SegmentBytes    int // size in bytes at which a segment file is closed; default 8 MiB
+	MaxPendingBytes int // maximum size in bytes of the entries that wait to be written; default 4 MiB
 }
 
-// Errors of Append.
 var (
-	ErrFull   = errors.New("too much waits to be written")
+	// ErrFull is returned by Append when MaxPendingBytes wait to be written.
+	ErrFull = errors.New("too many entries wait to be written")
+	// ErrClosed is returned by operations on a closed log.
 	ErrClosed = errors.New("the log is closed")
 )
 
-// Log is an open one. It is safe for concurrent use.
+// Log is an open call log. It is safe for concurrent use.
 type Log struct {
-	dir    disk.Dir
-	opt    Options
-	unlock func() error
-	done   chan struct{} // closed when the writer has ended
-
-	mu      sync.Mutex
-	waiting []byte
-	next    uint64        // number of the next entry
-	durable uint64        // all below are
-	changed chan struct{} // closed and made anew when durable or err changes
-	wake    chan struct{}
-	closed  bool
-	err     error // of the first write that failed; for good
-
-	file  disk.File // the writer's own from here on
-	size  int
-	first uint64 // number of the file's first entry
-	spare []byte
-	buf   []byte // Append's
+	dir     disk.Dir
+	options Options
+	unlock  func() error
+	done    chan struct{} // closed when the writer goroutine has ended
+
+	mu            sync.Mutex
+	pending       []byte        // frames that wait to be written
+	nextEntry     uint64        // number of the next entry
+	durable       uint64        // all entries with a lower number are durable
+	changed       chan struct{} // closed and replaced when durable or writeErr changes
+	pendingSignal chan struct{} // tells the writer that entries are pending
+	closed        bool
+	writeErr      error // of the first write that failed; permanent
+
+	// Used only by the writer goroutine while it runs.
+	file         disk.File
+	segmentSize  int    // bytes in file
+	segmentStart uint64 // number of the first entry of file
+	spareBuffer  []byte // reused for pending
+
+	entryBuffer []byte // used by Append, under mu
 }
 
-func segmentName(first uint64) string  { return fmt.Sprintf("log-%016x", first) }
-func snapshotName(first uint64) string { return fmt.Sprintf("snap-%016x", first) }
+// segmentName returns the name of the segment that starts with the entry first.
+func segmentName(first uint64) string { return fmt.Sprintf("log-%016x", first) }
 
-// Append queues an entry and returns its number. It does not wait for the disk;
-// it fails when too much waits, and for good once a write has failed.
-func (l *Log) Append(e *Entry) (uint64, error) {
+// snapshotName returns the name of the snapshot of all entries below the given number.
+func snapshotName(below uint64) string { return fmt.Sprintf("snap-%016x", below) }
+
+// Append queues an entry for writing and returns its number. It does not wait for
+// the disk. It returns ErrFull when MaxPendingBytes are pending, and the write error
+// once a write has failed.
+func (l *Log) Append(entry *Entry) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.err != nil:
-		return 0, l.err
+	case l.writeErr != nil:
+		return 0, l.writeErr
 	case l.closed:
 		return 0, ErrClosed
-	case len(l.waiting) >= l.opt.MaxPendingBytes:
+	case len(l.pending) >= l.options.MaxPendingBytes:
 		return 0, ErrFull
 	}
 	var err error
-	if l.buf, err = (proto.MarshalOptions{}).MarshalAppend(l.buf[:0], e); err != nil {
-		return 0, fmt.Errorf("an entry of the call log: %w", err)
+	if l.entryBuffer, err = (proto.MarshalOptions{}).MarshalAppend(l.entryBuffer[:0], entry); err != nil {
+		return 0, fmt.Errorf("encode call log entry: %w", err)
 	}
-	number := l.next
-	l.waiting = appendFrame(l.waiting, number, l.buf)
-	l.next++
+	number := l.nextEntry
+	l.pending = appendFrame(l.pending, number, l.entryBuffer)
+	l.nextEntry++
 	select {
-	case l.wake <- struct{}{}:
+	case l.pendingSignal <- struct{}{}:
 	default:
 	}
 	return number, nil
 }
 
-// Durable is the number below which all entries are.
+// Durable returns the number below which all entries are durable.
 func (l *Log) Durable() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.durable
 }
 
-// WaitDurable returns when an entry is durable, or can't become so.
+// WaitDurable waits until the entry with the given number is durable. It returns an
+// error if the entry can't become durable or ctx ends.
 func (l *Log) WaitDurable(ctx context.Context, number uint64) error {
 	for {
 		l.mu.Lock()
-		durable, err, changed := l.durable, l.err, l.changed
+		durable, err, changed := l.durable, l.writeErr, l.changed
 		l.mu.Unlock()
 		switch {
 		case number < durable:
@@ -104,33 +112,33 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for the call log: %w", ctx.Err())
+			return fmt.Errorf("wait for durable call log entry: %w", ctx.Err())
 		}
 	}
 }
 
-// write makes what waits durable, group by group: while one is written and
-// synced, the next gathers. A file that failed once is not trusted again, since
-// the system may have dropped what it could not write.
-func (l *Log) write() {
+// writeLoop writes and syncs the pending entries group by group: while one group is
+// written, the next accumulates. After a failed write the file is not written
+// again, since the system may have dropped the data that it could not write.
+func (l *Log) writeLoop() {
 	defer close(l.done)
-	for range l.wake {
+	for range l.pendingSignal {
 		for {
 			l.mu.Lock()
-			if l.err != nil || len(l.waiting) == 0 {
+			if l.writeErr != nil || len(l.pending) == 0 {
 				l.mu.Unlock()
 				break
 			}
-			group, upto := l.waiting, l.next
-			l.waiting, l.spare = l.spare[:0], nil // never one buffer for both
+			group, end := l.pending, l.nextEntry
+			l.pending, l.spareBuffer = l.spareBuffer[:0], nil // group and pending must not share a buffer
 			l.mu.Unlock()
-			err := l.put(group, upto)
-			l.spare = group
+			err := l.writeGroup(group, end)
+			l.spareBuffer = group
 			l.mu.Lock()
 			if err != nil {
-				l.err = fmt.Errorf("writing the call log: %w", err)
+				l.writeErr = fmt.Errorf("write call log: %w", err)
 			} else {
-				l.durable = upto
+				l.durable = end
 			}
 			close(l.changed)
 			l.changed = make(chan struct{})
@@ -139,8 +147,10 @@
 	}
 }
 
-func (l *Log) put(group []byte, upto uint64) error {
-	if l.size > headSize && l.size+len(group) > l.opt.SegmentBytes {
+// writeGroup writes and syncs the entries below end, in a new segment if the
+// current one would exceed its size.
+func (l *Log) writeGroup(group []byte, end uint64) error {
+	if l.segmentSize > headerSize && l.segmentSize+len(group) > l.options.SegmentBytes {
 		if err := l.rotate(l.Durable()); err != nil {
 			return err
 		}
@@ -148,12 +158,12 @@
 	if _, err := l.file.Write(group); err != nil {
 		return err
 	}
-	l.size += len(group)
+	l.segmentSize += len(group)
 	return l.file.Sync()
 }
 
-// rotate ends the file and begins the one of a number; it is there for good
-// before an entry goes into it.
+// rotate closes the current segment and creates the one that starts with the entry
+// first. The new file is durable before an entry is written to it.
 func (l *Log) rotate(first uint64) error {
 	if l.file != nil {
 		if err := l.file.Close(); err != nil {
@@ -164,8 +174,8 @@
 	if err != nil {
 		return err
 	}
-	head := appendHead(nil, first)
-	if _, err := f.Write(head); err != nil {
+	header := appendHeader(nil, first)
+	if _, err := f.Write(header); err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil {
@@ -174,49 +184,49 @@
 	if err := l.dir.Sync(); err != nil {
 		return err
 	}
-	l.file, l.size, l.first = f, len(head), first
+	l.file, l.segmentSize, l.segmentStart = f, len(header), first
 	return nil
 }
 
-// Snapshot keeps a state to which all entries below a number add up, and lets go
-// of files that hold none from there on. It is for one caller at a time; calls
-// go on meanwhile.
-func (l *Log) Snapshot(s State, below uint64) error {
-	fail := func(err error) error { return fmt.Errorf("a snapshot of the call log: %w", err) }
-	if below > 0 { // what it tells must not be newer than the log
+// Snapshot stores the state that results from all entries below the given number,
+// and removes files that hold only older entries. Snapshot must not be called
+// concurrently with itself; Append may be called meanwhile.
+func (l *Log) Snapshot(state State, below uint64) error {
+	fail := func(err error) error { return fmt.Errorf("write call log snapshot: %w", err) }
+	if below > 0 { // the snapshot must not be newer than the durable log
 		if err := l.WaitDurable(context.Background(), below-1); err != nil {
 			return fail(err)
 		}
 	}
-	entry, err := proto.Marshal(s.picture())
+	entry, err := proto.Marshal(state.snapshotMessage())
 	if err != nil {
 		return fail(err)
 	}
 	name := snapshotName(below)
-	f, err := l.dir.Create(name + temporary)
+	f, err := l.dir.Create(name + temporarySuffix)
 	if err != nil {
 		return fail(err)
 	}
-	_, err = f.Write(appendFrame(appendHead(nil, below), below, entry))
+	_, err = f.Write(appendFrame(appendHeader(nil, below), below, entry))
 	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return fail(errors.Join(err, l.dir.Remove(name+temporary)))
+		return fail(errors.Join(err, l.dir.Remove(name+temporarySuffix)))
 	}
-	if err := l.dir.Rename(name+temporary, name); err != nil {
+	if err := l.dir.Rename(name+temporarySuffix, name); err != nil {
 		return fail(err)
 	}
 	if err := l.dir.Sync(); err != nil {
 		return fail(err)
 	}
-	if err := forget(l.dir, below); err != nil {
+	if err := removeObsolete(l.dir, below); err != nil {
 		return fail(err)
 	}
 	return nil
 }
 
-// temporary ends the name of a snapshot that is not whole yet.
-const temporary = ".new"
+// temporarySuffix marks a snapshot that is not completely written yet.
+const temporarySuffix = ".new"
 
-// Close writes what waits and lets go of the directory.
+// Close writes the pending entries, closes the log and unlocks the directory.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -224,10 +234,10 @@
 		return ErrClosed
 	}
 	l.closed = true
-	close(l.wake)
+	close(l.pendingSignal)
 	l.mu.Unlock()
 	<-l.done
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return errors.Join(l.err, l.file.Close(), l.unlock())
+	return errors.Join(l.writeErr, l.file.Close(), l.unlock())
 }
--- a/internal/calllog/log_test.go
+++ b/internal/calllog/log_test.go
@@ -18,532 +18,546 @@
 	"dahliaspindle/internal/disk"
 )
 
-// history makes entries that can follow each other, from a source of choices.
-type history struct {
-	choose func(n int) int
-	calls  map[uint32]*CallState
-	order  []uint32
-	next   uint32
-	n      uint32 // attempts so far
+// entryGenerator generates entries of a consistent log. choose makes its decisions:
+// it returns a number from 0 to n-1.
+type entryGenerator struct {
+	choose      func(n int) int
+	calls       map[uint32]*CallState
+	ids         []uint32 // contexts of calls, in the order of their creation
+	lastID      uint32
+	lastAttempt uint32
 }
 
-func (h *history) entry() *Entry {
-	if len(h.order) == 0 || len(h.order) < 8 && h.choose(3) == 0 {
-		h.next++
-		h.order = append(h.order, h.next)
-		t := &Taken{Context: h.next, Name: fmt.Sprint("call ", h.next), Dest: uint32(h.choose(9)), Width: 1, Due: int64(h.next) * 1e9}
-		h.calls[h.next] = &CallState{Accepted: t}
-		return &Entry{What: &Entry_Taken{Taken: t}}
-	}
-	id := h.order[h.choose(len(h.order))]
-	c := h.calls[id]
+// nextEntry returns an entry that may follow the earlier ones.
+func (g *entryGenerator) nextEntry() *Entry {
+	if len(g.ids) == 0 || len(g.ids) < 8 && g.choose(3) == 0 {
+		g.lastID++
+		g.ids = append(g.ids, g.lastID)
+		taken := &Taken{Context: g.lastID, Name: fmt.Sprint("call ", g.lastID), Dest: uint32(g.choose(9)), Width: 1, Due: int64(g.lastID) * 1e9}
+		g.calls[g.lastID] = &CallState{Accepted: taken}
+		return &Entry{What: &Entry_Taken{Taken: taken}}
+	}
+	id := g.ids[g.choose(len(g.ids))]
+	call := g.calls[id]
 	switch {
-	case len(c.Attempts) > 0 && c.Established == nil && !c.CallerDone && h.choose(2) == 0:
-		c.Established = &Stood{Context: id, At: 7}
-		return &Entry{What: &Entry_Stood{Stood: c.Established}}
-	case len(c.Attempts) > 0 && h.choose(2) == 0:
-		a := c.Attempts[0]
-		c.Attempts = c.Attempts[1:]
-		h.drop(id, c)
-		return &Entry{What: &Entry_Let{Let: &Let{Context: id, Attempt: a.Attempt}}}
-	case !c.CallerDone && c.Established == nil && h.choose(2) == 0:
-		h.n++
-		a := &Sent{Context: id, Attempt: h.n, Exchange: uint32(100 + h.choose(9))}
-		c.Attempts = append(c.Attempts, a)
-		return &Entry{What: &Entry_Sent{Sent: a}}
-	case !c.CallerDone:
-		c.CallerDone = true
-		h.drop(id, c)
+	case len(call.Attempts) > 0 && call.Established == nil && !call.CallerDone && g.choose(2) == 0:
+		call.Established = &Stood{Context: id, At: 7}
+		return &Entry{What: &Entry_Stood{Stood: call.Established}}
+	case len(call.Attempts) > 0 && g.choose(2) == 0:
+		released := call.Attempts[0]
+		call.Attempts = call.Attempts[1:]
+		g.removeIfDone(id, call)
+		return &Entry{What: &Entry_Let{Let: &Let{Context: id, Attempt: released.Attempt}}}
+	case !call.CallerDone && call.Established == nil && g.choose(2) == 0:
+		g.lastAttempt++
+		sent := &Sent{Context: id, Attempt: g.lastAttempt, Exchange: uint32(100 + g.choose(9))}
+		call.Attempts = append(call.Attempts, sent)
+		return &Entry{What: &Entry_Sent{Sent: sent}}
+	case !call.CallerDone:
+		call.CallerDone = true
+		g.removeIfDone(id, call)
 		return &Entry{What: &Entry_Over{Over: &Over{Context: id}}}
 	}
-	return &Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(h.choose(5)), State: uint32(h.choose(3))}}}
+	return &Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(g.choose(5)), State: uint32(g.choose(3))}}}
 }
 
-func (h *history) drop(id uint32, c *CallState) {
-	if c.CallerDone && len(c.Attempts) == 0 {
-		delete(h.calls, id)
-		h.order = slices.DeleteFunc(h.order, func(x uint32) bool { return x == id })
+// removeIfDone removes a call of which nothing more can be logged.
+func (g *entryGenerator) removeIfDone(id uint32, call *CallState) {
+	if call.CallerDone && len(call.Attempts) == 0 {
+		delete(g.calls, id)
+		g.ids = slices.DeleteFunc(g.ids, func(other uint32) bool { return other == id })
 	}
 }
 
-func newHistory(choose func(int) int) *history {
-	return &history{choose: choose, calls: map[uint32]*CallState{}}
+// newEntryGenerator returns a generator that decides by choose.
+func newEntryGenerator(choose func(int) int) *entryGenerator {
+	return &entryGenerator{choose: choose, calls: map[uint32]*CallState{}}
 }
 
-// fixed is a history that is the same each time.
-func fixed() *history {
-	x := uint32(1)
-	return newHistory(func(n int) int {
-		x = x*1664525 + 1013904223
-		return int(x>>16) % n
+// newFixedGenerator returns a generator with a fixed sequence of decisions.
+func newFixedGenerator() *entryGenerator {
+	random := uint32(1)
+	return newEntryGenerator(func(n int) int {
+		random = random*1664525 + 1013904223
+		return int(random>>16) % n
 	})
 }
 
-// fingerprint is a state as bytes that are the same for the same state.
-func fingerprint(t fataler, s State) string {
-	p := s.picture()
-	slices.SortFunc(p.Calls, func(a, b *Call) int { return int(a.Taken.Context) - int(b.Taken.Context) })
-	slices.SortFunc(p.Words, func(a, b *Word) int { return int(a.Exchange) - int(b.Exchange) })
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(p)
+// fingerprint returns an encoding of a state that is equal for equal states.
+func fingerprint(t testFailer, state State) string {
+	snapshot := state.snapshotMessage()
+	slices.SortFunc(snapshot.Calls, func(a, b *Call) int { return int(a.Taken.Context) - int(b.Taken.Context) })
+	slices.SortFunc(snapshot.Words, func(a, b *Word) int { return int(a.Exchange) - int(b.Exchange) })
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(encoded)
 }
 
-type fataler interface {
+// testFailer is implemented by testing.T and rapid.T.
+type testFailer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-func open(t fataler, d disk.Dir, o Options) (*Log, *Recovery) {
-	l, f, err := Open(d, o)
+// openLog opens a log and fails the test if that fails.
+func openLog(t testFailer, dir disk.Dir, options Options) (*Log, *Recovery) {
+	log, recovery, err := Open(dir, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l, f
+	return log, recovery
 }
 
-// filled is a directory with entries of a fixed history, closed, and the
-// fingerprints of the states after each number of them.
-func filled(t *testing.T, n int, o Options) (*disk.MemoryDir, []string) {
+// newFilledDir returns a directory with a closed log of n entries, and the
+// fingerprints of the states after 0 to n entries.
+func newFilledDir(t *testing.T, n int, options Options) (*disk.MemoryDir, []string) {
 	t.Helper()
-	d := disk.NewMemoryDir()
-	l, f := open(t, d, o)
-	s, h := f.State, fixed()
-	prints := []string{fingerprint(t, s)}
+	dir := disk.NewMemoryDir()
+	log, recovery := openLog(t, dir, options)
+	state, generator := recovery.State, newFixedGenerator()
+	fingerprints := []string{fingerprint(t, state)}
 	for range n {
-		e := h.entry()
-		number, err := l.Append(e)
+		entry := generator.nextEntry()
+		number, err := log.Append(entry)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.WaitDurable(context.Background(), number); err != nil {
+		if err := log.WaitDurable(context.Background(), number); err != nil {
 			t.Fatal(err)
 		}
-		if s, err = s.Apply(e); err != nil {
+		if state, err = state.Apply(entry); err != nil {
 			t.Fatal(err)
 		}
-		prints = append(prints, fingerprint(t, s))
+		fingerprints = append(fingerprints, fingerprint(t, state))
 	}
-	if err := l.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return d, prints
+	return dir, fingerprints
 }
 
-// A crash that leaves any number of bytes of the last entry: the state is that
-// before it, the torn end goes, and the next life's entries follow.
-func TestTornAtEveryByte(t *testing.T) {
-	whole, prints := filled(t, 20, Options{})
-	b, err := whole.ReadFile(segmentName(0))
+// The file may end after any byte of the last entry. The log then recovers the state
+// before that entry, removes the incomplete bytes and accepts new entries.
+func TestTruncatedAtEveryByte(t *testing.T) {
+	intact, fingerprints := newFilledDir(t, 20, Options{})
+	content, err := intact.ReadFile(segmentName(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	start, _, err := frames(b, 0, func(n uint64, e []byte) error { // where the last one begins
-		if n == 19 {
-			return errors.New("here")
+	start, _, err := readFrames(content, 0, func(number uint64, entry []byte) error { // finds the start of the last entry
+		if number == 19 {
+			return errors.New("last entry")
 		}
 		return nil
 	})
 	if err == nil {
-		t.Fatal("twenty entries are not there")
+		t.Fatal("the log holds fewer than 20 entries")
 	}
-	for size := start; size < len(b); size++ {
-		d, _ := filled(t, 20, Options{})
-		d.Corrupt(segmentName(0), func(b []byte) []byte { return b[:size] })
-		l, f := open(t, d, Options{})
-		if fingerprint(t, f.State) != prints[19] || f.NextEntry != 19 || f.TornBytes != size-start {
-			t.Fatalf("%d bytes left: %d entries, %d torn", size-start, f.NextEntry, f.TornBytes)
+	for size := start; size < len(content); size++ {
+		dir, _ := newFilledDir(t, 20, Options{})
+		dir.Corrupt(segmentName(0), func(b []byte) []byte { return b[:size] })
+		log, recovery := openLog(t, dir, Options{})
+		if fingerprint(t, recovery.State) != fingerprints[19] || recovery.NextEntry != 19 || recovery.TornBytes != size-start {
+			t.Fatalf("%d bytes of the last entry left: next entry %d, %d torn bytes", size-start, recovery.NextEntry, recovery.TornBytes)
 		}
-		n, err := l.Append(&Entry{What: &Entry_Life{Life: &Life{Number: 5}}})
-		if err != nil || n != 19 {
-			t.Fatal(n, err)
+		number, err := log.Append(&Entry{What: &Entry_Life{Life: &Life{Number: 5}}})
+		if err != nil || number != 19 {
+			t.Fatal(number, err)
 		}
-		if err := l.Close(); err != nil {
+		if err := log.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if g, err := Inspect(d); err != nil || g.NextEntry != 20 || g.State.Incarnation.GetNumber() != 5 || g.TornBytes != 0 {
-			t.Fatalf("%d bytes left: the next life is read as %+v, %v", size-start, g, err)
+		if recovered, err := Inspect(dir); err != nil || recovered.NextEntry != 20 || recovered.State.Incarnation.GetNumber() != 5 || recovered.TornBytes != 0 {
+			t.Fatalf("%d bytes of the last entry left: recovered %+v after an append, %v", size-start, recovered, err)
 		}
 	}
 }
 
-// Any bit flipped before the last entry is found: nothing is guessed, and the
-// place is named.
-func TestFlippedBitInTheMiddle(t *testing.T) {
-	whole, _ := filled(t, 12, Options{})
-	b, err := whole.ReadFile(segmentName(0))
+// A single flipped bit before the last entry must be detected: the log is not opened
+// with content that might be wrong.
+func TestFlippedBitIsDetected(t *testing.T) {
+	intact, _ := newFilledDir(t, 12, Options{})
+	content, err := intact.ReadFile(segmentName(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, _, _ := frames(b, 0, func(n uint64, e []byte) error {
-		if n == 11 {
-			return errors.New("here")
+	last, _, _ := readFrames(content, 0, func(number uint64, entry []byte) error {
+		if number == 11 {
+			return errors.New("last entry")
 		}
 		return nil
 	})
 	for bit := range 8 * last {
-		d, _ := filled(t, 12, Options{})
-		d.Corrupt(segmentName(0), func(b []byte) []byte {
+		dir, _ := newFilledDir(t, 12, Options{})
+		dir.Corrupt(segmentName(0), func(b []byte) []byte {
 			b = bytes.Clone(b)
 			b[bit/8] ^= 1 << (bit % 8)
 			return b
 		})
-		if _, _, err := Open(d, Options{}); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
+		if _, _, err := Open(dir, Options{}); !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnsupportedVersion) {
 			t.Fatalf("bit %d of byte %d: %v", bit%8, bit/8, err)
 		}
-		if _, _, err := Open(d, Options{}); errors.Is(err, disk.ErrLocked) {
-			t.Fatal("a log that was not opened is held")
+		if _, _, err := Open(dir, Options{}); errors.Is(err, disk.ErrLocked) {
+			t.Fatal("the directory stays locked after Open failed")
 		}
 	}
 }
 
-// Whatever is appended, synced, snapshot and lost in a crash: what comes back is
-// a beginning of what was appended, with all that was said to be durable. The
-// writer is held before each of its operations, so that the crash comes between
-// any two of them, the same each time.
-func TestCrashAnywhere(t *testing.T) {
+// After a crash between any two operations of the writer, the log recovers a prefix
+// of the appended entries that contains all entries reported as durable. The writer
+// is blocked before each operation, so that each run is reproducible.
+func TestCrashBetweenOperations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(struct{ testing.TB }{t}, crashAnywhere) // a bubble has no deadline to ask for
+		rapid.Check(struct{ testing.TB }{t}, checkCrashRecovery) // hides Deadline, which a synctest bubble does not support
 	})
 }
 
-func crashAnywhere(t *rapid.T) {
-	d := disk.NewMemoryDir()
-	held, gate := false, make(chan struct{})
-	d.InjectFault = func(op, _ string) error {
-		if held && (op == "write" || op == "sync") {
-			<-gate
+// checkCrashRecovery checks one drawn sequence of operations that ends with a crash.
+func checkCrashRecovery(t *rapid.T) {
+	dir := disk.NewMemoryDir()
+	blocked, proceed := false, make(chan struct{})
+	dir.InjectFault = func(op, _ string) error {
+		if blocked && (op == "write" || op == "sync") {
+			<-proceed
 		}
 		return nil
 	}
-	l, f := open(t, d, Options{SegmentBytes: 300})
+	log, recovery := openLog(t, dir, Options{SegmentBytes: 300})
 	synctest.Wait()
-	held = true
-	freely := func(do func() error) { // without holding the writer
-		held = false
+	blocked = true
+	runUnblocked := func(do func() error) { // runs do without blocking the writer
+		blocked = false
 		select {
-		case gate <- struct{}{}:
+		case proceed <- struct{}{}:
 		default:
 		}
 		if err := do(); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		held = true
+		blocked = true
 	}
-	h := newHistory(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
-	s := f.State
-	prints := []string{fingerprint(t, s)}
-	safe, snapped := uint64(0), map[uint64]bool{}
+	generator := newEntryGenerator(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
+	state := recovery.State
+	fingerprints := []string{fingerprint(t, state)}
+	durable, snapshotTaken := uint64(0), map[uint64]bool{}
 	for range rapid.IntRange(0, 60).Draw(t, "steps") {
-		n := uint64(len(prints) - 1)
+		n := uint64(len(fingerprints) - 1)
 		switch rapid.IntRange(0, 11).Draw(t, "step") {
 		case 0:
-			if snapped[n] {
+			if snapshotTaken[n] {
 				continue
 			}
-			snapped[n] = true
-			freely(func() error { return l.Snapshot(s, n) })
-			safe = n
+			snapshotTaken[n] = true
+			runUnblocked(func() error { return log.Snapshot(state, n) })
+			durable = n
 		case 1:
 			if n > 0 {
-				freely(func() error { return l.WaitDurable(context.Background(), n-1) })
-				safe = n
+				runUnblocked(func() error { return log.WaitDurable(context.Background(), n-1) })
+				durable = n
 			}
 		case 2, 3, 4, 5: // one operation of the writer
 			select {
-			case gate <- struct{}{}:
+			case proceed <- struct{}{}:
 			default:
 			}
 			synctest.Wait()
-			safe = l.Durable()
+			durable = log.Durable()
 		default:
-			e := h.entry()
-			if _, err := l.Append(e); err != nil {
+			entry := generator.nextEntry()
+			if _, err := log.Append(entry); err != nil {
 				t.Fatal(err)
 			}
 			synctest.Wait()
 			var err error
-			if s, err = s.Apply(e); err != nil {
+			if state, err = state.Apply(entry); err != nil {
 				t.Fatal(err)
 			}
-			prints = append(prints, fingerprint(t, s))
+			fingerprints = append(fingerprints, fingerprint(t, state))
 		}
 	}
-	crashed := d.Crash(func(string, int) int { return rapid.IntRange(0, 400).Draw(t, "kept") })
-	held = false
-	close(gate)
-	if err := l.Close(); err != nil {
+	crashed := dir.Crash(func(string, int) int { return rapid.IntRange(0, 400).Draw(t, "kept") })
+	blocked = false
+	close(proceed)
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for lives := range 2 { // what is found is found again
-		l2, g := open(t, crashed, Options{SegmentBytes: 300})
-		if g.NextEntry < safe || g.NextEntry >= uint64(len(prints)) || fingerprint(t, g.State) != prints[g.NextEntry] {
-			t.Fatalf("life %d: %d entries of %d, %d were safe", lives, g.NextEntry, len(prints)-1, safe)
+	for opened := range 2 { // recovery must be repeatable
+		reopened, recovered := openLog(t, crashed, Options{SegmentBytes: 300})
+		if recovered.NextEntry < durable || recovered.NextEntry >= uint64(len(fingerprints)) || fingerprint(t, recovered.State) != fingerprints[recovered.NextEntry] {
+			t.Fatalf("open %d: recovered %d entries of %d, %d were durable", opened, recovered.NextEntry, len(fingerprints)-1, durable)
 		}
-		if err := l2.Close(); err != nil {
+		if err := reopened.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// A snapshot newer than the log, one older, one spoilt, and a hole between them.
-func TestSnapshotsAndLogs(t *testing.T) {
-	make := func() (*disk.MemoryDir, []string) {
-		d := disk.NewMemoryDir()
-		l, f := open(t, d, Options{SegmentBytes: 150})
-		s, h := f.State, fixed()
-		prints := []string{fingerprint(t, s)}
+// Recovery with two snapshots; with the newer or both corrupt; with a snapshot newer
+// than the log; and with a missing segment.
+func TestRecoveryFromSnapshots(t *testing.T) {
+	newDirWithSnapshots := func() (*disk.MemoryDir, []string) {
+		dir := disk.NewMemoryDir()
+		log, recovery := openLog(t, dir, Options{SegmentBytes: 150})
+		state, generator := recovery.State, newFixedGenerator()
+		fingerprints := []string{fingerprint(t, state)}
 		for i := range 90 {
-			e := h.entry()
-			n, err := l.Append(e)
+			entry := generator.nextEntry()
+			n, err := log.Append(entry)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := l.WaitDurable(context.Background(), n); err != nil {
+			if err := log.WaitDurable(context.Background(), n); err != nil {
 				t.Fatal(err)
 			}
-			if s, err = s.Apply(e); err != nil {
+			if state, err = state.Apply(entry); err != nil {
 				t.Fatal(err)
 			}
-			prints = append(prints, fingerprint(t, s))
+			fingerprints = append(fingerprints, fingerprint(t, state))
 			if i == 29 || i == 59 {
-				if err := l.Snapshot(s, uint64(i+1)); err != nil {
+				if err := log.Snapshot(state, uint64(i+1)); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if err := l.Close(); err != nil {
+		if err := log.Close(); err != nil {
 			t.Fatal(err)
 		}
-		return d, prints
+		return dir, fingerprints
 	}
-	d, prints := make()
-	names, _ := d.List()
-	logs := numbers(names, "log")
-	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 60 || f.NextEntry != 90 || f.ReplayedEntries != 30 || fingerprint(t, f.State) != prints[90] {
-		t.Fatalf("%+v, %v", f, err)
+	dir, fingerprints := newDirWithSnapshots()
+	names, _ := dir.List()
+	segments := fileNumbers(names, "log")
+	if recovery, err := Inspect(dir); err != nil || recovery.SnapshotNumber != 60 || recovery.NextEntry != 90 || recovery.ReplayedEntries != 30 || fingerprint(t, recovery.State) != fingerprints[90] {
+		t.Fatalf("%+v, %v", recovery, err)
 	}
-	if logs[0] > 30 || logs[1] <= 30 {
-		t.Errorf("logs from %v are kept, the older snapshot needs them from 30", logs)
+	if segments[0] > 30 || segments[1] <= 30 {
+		t.Errorf("segments that start at %v are kept, the older snapshot needs entries from 30", segments)
 	}
-	spoil := func(b []byte) []byte { b = bytes.Clone(b); b[len(b)/2] ^= 4; return b }
-	d.Corrupt(snapshotName(60), spoil)
-	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 30 || f.NextEntry != 90 || len(f.UnreadableSnapshots) != 1 || fingerprint(t, f.State) != prints[90] {
-		t.Errorf("the newer snapshot spoilt: %+v, %v", f, err)
+	corrupt := func(content []byte) []byte {
+		content = bytes.Clone(content)
+		content[len(content)/2] ^= 4
+		return content
 	}
-	d.Corrupt(snapshotName(30), spoil)
-	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("both spoilt: %v", err)
+	dir.Corrupt(snapshotName(60), corrupt)
+	if recovery, err := Inspect(dir); err != nil || recovery.SnapshotNumber != 30 || recovery.NextEntry != 90 || len(recovery.UnreadableSnapshots) != 1 || fingerprint(t, recovery.State) != fingerprints[90] {
+		t.Errorf("newer snapshot corrupt: %+v, %v", recovery, err)
 	}
-	d, _ = make()
-	for _, n := range logs { // the logs behind the snapshot are gone
+	dir.Corrupt(snapshotName(30), corrupt)
+	if _, err := Inspect(dir); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("both snapshots corrupt: %v", err)
+	}
+	dir, _ = newDirWithSnapshots()
+	for _, n := range segments { // removes the segments after the snapshot
 		if n >= 60 {
-			if err := d.Remove(segmentName(n)); err != nil {
+			if err := dir.Remove(segmentName(n)); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if f, err := Inspect(d); err != nil || f.SnapshotNumber != 60 || f.NextEntry < 60 || f.NextEntry >= 90 || fingerprint(t, f.State) != prints[f.NextEntry] {
-		t.Errorf("a snapshot newer than the log: %+v, %v", f, err)
+	if recovery, err := Inspect(dir); err != nil || recovery.SnapshotNumber != 60 || recovery.NextEntry < 60 || recovery.NextEntry >= 90 || fingerprint(t, recovery.State) != fingerprints[recovery.NextEntry] {
+		t.Errorf("snapshot newer than the log: %+v, %v", recovery, err)
 	}
-	d, _ = make()
-	hole := logs[slices.IndexFunc(logs, func(n uint64) bool { return n > 62 })]
-	if err := d.Remove(segmentName(hole)); err != nil {
+	dir, _ = newDirWithSnapshots()
+	missing := segments[slices.IndexFunc(segments, func(n uint64) bool { return n > 62 })]
+	if err := dir.Remove(segmentName(missing)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("without %s: %v", segmentName(hole), err)
+	if _, err := Inspect(dir); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("without %s: %v", segmentName(missing), err)
 	}
 }
 
-// A full disk and a sync that fails: nothing is called durable that is not, the
-// log takes no more, and what was durable is there in the next life.
+// With a full disk or a failOperation write or sync, the log reports nothing as durable that
+// is not and accepts no further entries. What was durable is recovered afterwards.
 func TestFailingDisk(t *testing.T) {
-	for name, break_ := range map[string]func(*disk.MemoryDir){
-		"full":  func(d *disk.MemoryDir) { d.FreeBytes = 5 },
-		"sync":  func(d *disk.MemoryDir) { d.InjectFault = failing("sync", unix.EIO) },
-		"write": func(d *disk.MemoryDir) { d.InjectFault = failing("write", unix.EIO) },
+	for name, injectFault := range map[string]func(*disk.MemoryDir){
+		"full":  func(dir *disk.MemoryDir) { dir.FreeBytes = 5 },
+		"sync":  func(dir *disk.MemoryDir) { dir.InjectFault = failOperation("sync", unix.EIO) },
+		"write": func(dir *disk.MemoryDir) { dir.InjectFault = failOperation("write", unix.EIO) },
 	} {
-		d, prints := filled(t, 10, Options{})
-		l, f := open(t, d, Options{})
-		if f.NextEntry != 10 {
-			t.Fatal(f.NextEntry)
+		dir, fingerprints := newFilledDir(t, 10, Options{})
+		log, recovery := openLog(t, dir, Options{})
+		if recovery.NextEntry != 10 {
+			t.Fatal(recovery.NextEntry)
 		}
-		h := fixed()
+		generator := newFixedGenerator()
 		for range 10 {
-			h.entry()
+			generator.nextEntry()
 		}
-		break_(d)
-		n, err := l.Append(h.entry())
+		injectFault(dir)
+		n, err := log.Append(generator.nextEntry())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.WaitDurable(context.Background(), n); err == nil || l.Durable() != 10 {
-			t.Errorf("%s: durable up to %d, %v", name, l.Durable(), err)
+		if err := log.WaitDurable(context.Background(), n); err == nil || log.Durable() != 10 {
+			t.Errorf("%s: durable below %d, %v", name, log.Durable(), err)
 		}
-		d.InjectFault, d.FreeBytes = nil, -1 // it works again: the log does not trust it
-		if _, err := l.Append(h.entry()); err == nil {
-			t.Errorf("%s: the log goes on", name)
+		dir.InjectFault, dir.FreeBytes = nil, -1 // the disk works again, but the log must not write to it
+		if _, err := log.Append(generator.nextEntry()); err == nil {
+			t.Errorf("%s: Append succeeded after a failed write", name)
 		}
-		if err := l.Close(); err == nil {
-			t.Errorf("%s: closed without a word", name)
+		if err := log.Close(); err == nil {
+			t.Errorf("%s: Close returned no error after a failed write", name)
 		}
-		c := d.Crash(func(string, int) int { return 0 })
-		_, g := open(t, c, Options{})
-		if g.NextEntry != 10 || fingerprint(t, g.State) != prints[10] {
-			t.Errorf("%s: %d entries in the next life", name, g.NextEntry)
+		crashed := dir.Crash(func(string, int) int { return 0 })
+		_, recovered := openLog(t, crashed, Options{})
+		if recovered.NextEntry != 10 || fingerprint(t, recovered.State) != fingerprints[10] {
+			t.Errorf("%s: recovered %d entries", name, recovered.NextEntry)
 		}
 	}
 }
 
-func failing(op string, err error) func(string, string) error {
-	return func(o, _ string) error {
-		if o == op {
+// failOperation returns a fault injector that fails one kind of operation with err.
+func failOperation(operation string, err error) func(string, string) error {
+	return func(op, _ string) error {
+		if op == operation {
 			return err
 		}
 		return nil
 	}
 }
 
-// One directory has one holder; what waits is bounded; entries that can't follow
-// are told; a log of a later format is left alone.
-func TestEdges(t *testing.T) {
-	d := disk.NewMemoryDir()
-	l, f := open(t, d, Options{MaxPendingBytes: 10})
-	if _, _, err := Open(d, Options{}); !errors.Is(err, disk.ErrLocked) {
+// A directory is opened only once; the pending entries are bounded; entries that can't
+// follow the earlier ones are rejected; a log of a later format version is not read.
+func TestLimitsAndInvalidLogs(t *testing.T) {
+	dir := disk.NewMemoryDir()
+	log, recovery := openLog(t, dir, Options{MaxPendingBytes: 10})
+	if _, _, err := Open(dir, Options{}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("opened twice: %v", err)
 	}
-	block := make(chan struct{})
-	d.InjectFault = func(op, name string) error {
+	unblock := make(chan struct{})
+	dir.InjectFault = func(op, name string) error {
 		if op == "write" {
-			<-block
+			<-unblock
 		}
 		return nil
 	}
-	shed := 0
+	rejected := 0
 	for range 50 {
-		if _, err := l.Append(&Entry{What: &Entry_Word{Word: &Word{Exchange: 1, Cell: 300, At: 5}}}); errors.Is(err, ErrFull) {
-			shed++
+		if _, err := log.Append(&Entry{What: &Entry_Word{Word: &Word{Exchange: 1, Cell: 300, At: 5}}}); errors.Is(err, ErrFull) {
+			rejected++
 		}
 	}
-	if shed < 40 {
-		t.Errorf("%d of 50 refused where 10 bytes may wait", shed)
+	if rejected < 40 {
+		t.Errorf("%d of 50 entries rejected with a limit of 10 pending bytes", rejected)
 	}
-	close(block)
-	if err := l.Close(); err != nil {
+	close(unblock)
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := l.Append(&Entry{}); !errors.Is(err, ErrClosed) {
+	if _, err := log.Append(&Entry{}); !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
-	for _, e := range []*Entry{{What: &Entry_Sent{Sent: &Sent{Context: 1}}}, {What: &Entry_Stood{Stood: &Stood{Context: 1}}},
+	for _, entry := range []*Entry{{What: &Entry_Sent{Sent: &Sent{Context: 1}}}, {What: &Entry_Stood{Stood: &Stood{Context: 1}}},
 		{What: &Entry_Let{Let: &Let{Context: 1}}}, {What: &Entry_Over{Over: &Over{Context: 1}}}, {What: &Entry_Life{Life: &Life{}}}} {
-		if _, err := f.State.Apply(e); !errors.Is(err, ErrCorrupt) {
-			t.Errorf("%v: %v", e, err)
+		if _, err := recovery.State.Apply(entry); !errors.Is(err, ErrCorrupt) {
+			t.Errorf("%v: %v", entry, err)
 		}
 	}
-	d.Corrupt(segmentName(0), func([]byte) []byte { // as a later version would write it
-		b := appendHead(nil, 0)
+	dir.Corrupt(segmentName(0), func([]byte) []byte { // a header of a later format version
+		b := appendHeader(nil, 0)
 		b[8]++
-		return binary.LittleEndian.AppendUint32(b[:20], crc32.Checksum(b[:20], table))
+		return binary.LittleEndian.AppendUint32(b[:20], crc32.Checksum(b[:20], crcTable))
 	})
-	if _, err := Inspect(d); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Errorf("a later format: %v", err)
+	if _, err := Inspect(dir); !errors.Is(err, ErrUnsupportedVersion) {
+		t.Errorf("later format version: %v", err)
 	}
 }
 
-// words is a log of entries any of which could be missing unseen, but for their numbers.
-func words(t *testing.T, n int, o Options) *disk.MemoryDir {
+// newDirOfIndependentEntries returns a directory with a log of n entries that do not
+// depend on each other: a missing one is detected only by its number.
+func newDirOfIndependentEntries(t *testing.T, n int, options Options) *disk.MemoryDir {
 	t.Helper()
-	d := disk.NewMemoryDir()
-	l, _ := open(t, d, o)
+	dir := disk.NewMemoryDir()
+	log, _ := openLog(t, dir, options)
 	for i := range n {
-		number, err := l.Append(&Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(i + 1), At: 1e15}}})
+		number, err := log.Append(&Entry{What: &Entry_Word{Word: &Word{Exchange: uint32(i + 1), At: 1e15}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.WaitDurable(context.Background(), number); err != nil {
+		if err := log.WaitDurable(context.Background(), number); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return dir
 }
 
-// An entry cut out of the middle, one that stands twice, and a file that is gone.
-func TestMissingEntryIsSeen(t *testing.T) {
+// An entry removed from the middle, a duplicated entry and a missing segment must be
+// detected.
+func TestMissingEntryIsDetected(t *testing.T) {
 	size := 0
-	for name, spoil := range map[string]func(b []byte) []byte{
-		"cut out": func(b []byte) []byte { return append(bytes.Clone(b[:headSize+size]), b[headSize+2*size:]...) },
-		"twice": func(b []byte) []byte {
-			return append(bytes.Clone(b[:headSize+2*size]), b[headSize+size:]...)
+	for name, corrupt := range map[string]func(b []byte) []byte{
+		"removed": func(b []byte) []byte { return append(bytes.Clone(b[:headerSize+size]), b[headerSize+2*size:]...) },
+		"duplicated": func(b []byte) []byte {
+			return append(bytes.Clone(b[:headerSize+2*size]), b[headerSize+size:]...)
 		},
 	} {
-		d := words(t, 5, Options{})
-		b, err := d.ReadFile(segmentName(0))
+		dir := newDirOfIndependentEntries(t, 5, Options{})
+		content, err := dir.ReadFile(segmentName(0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		size = (len(b) - headSize) / 5
-		d.Corrupt(segmentName(0), spoil)
-		if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
+		size = (len(content) - headerSize) / 5
+		dir.Corrupt(segmentName(0), corrupt)
+		if _, err := Inspect(dir); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	d := words(t, 30, Options{SegmentBytes: 100})
-	names, err := d.List()
+	dir := newDirOfIndependentEntries(t, 30, Options{SegmentBytes: 100})
+	names, err := dir.List()
 	if err != nil {
 		t.Fatal(err)
 	}
-	logs := numbers(names, "log")
-	if len(logs) < 5 {
-		t.Fatalf("files from %v", logs)
+	segments := fileNumbers(names, "log")
+	if len(segments) < 5 {
+		t.Fatalf("segments start at %v, want at least 5", segments)
 	}
-	if err := d.Remove(segmentName(logs[2])); err != nil {
+	if err := dir.Remove(segmentName(segments[2])); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Inspect(d); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("without a file: %v", err)
+	if _, err := Inspect(dir); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("missing segment: %v", err)
 	}
 }
 
-// What gathered behind a write that failed is not written after it.
-func TestNothingBehindAFailure(t *testing.T) {
-	d := words(t, 3, Options{})
-	l, _ := open(t, d, Options{})
-	begun, gate := make(chan struct{}), make(chan struct{})
+// Entries that were queued while a write failed must not be written after it.
+func TestNoWriteAfterFailure(t *testing.T) {
+	dir := newDirOfIndependentEntries(t, 3, Options{})
+	log, _ := openLog(t, dir, Options{})
+	writeStarted, unblock := make(chan struct{}), make(chan struct{})
 	failed := false
-	d.InjectFault = func(op, _ string) error {
+	dir.InjectFault = func(op, _ string) error {
 		if op == "write" && !failed {
 			failed = true
-			close(begun)
-			<-gate
+			close(writeStarted)
+			<-unblock
 			return unix.EIO
 		}
 		return nil
 	}
-	word := &Entry{What: &Entry_Word{Word: &Word{Exchange: 9}}}
-	if _, err := l.Append(word); err != nil {
+	entry := &Entry{What: &Entry_Word{Word: &Word{Exchange: 9}}}
+	if _, err := log.Append(entry); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
-	second, err := l.Append(word)
+	<-writeStarted
+	second, err := log.Append(entry)
 	if err != nil {
 		t.Fatal(err)
 	}
-	close(gate)
-	if err := l.WaitDurable(context.Background(), second); err == nil || l.Durable() != 3 {
-		t.Errorf("durable up to %d, %v", l.Durable(), err)
+	close(unblock)
+	if err := log.WaitDurable(context.Background(), second); err == nil || log.Durable() != 3 {
+		t.Errorf("durable below %d, %v", log.Durable(), err)
 	}
-	if err := l.Close(); err == nil || l.Durable() != 3 {
-		t.Errorf("closed with %v, durable up to %d", err, l.Durable())
+	if err := log.Close(); err == nil || log.Durable() != 3 {
+		t.Errorf("Close: %v, durable below %d", err, log.Durable())
 	}
-	if f, err := Inspect(d); err != nil || f.NextEntry != 3 {
-		t.Errorf("%+v, %v", f, err)
+	if recovery, err := Inspect(dir); err != nil || recovery.NextEntry != 3 {
+		t.Errorf("%+v, %v", recovery, err)
 	}
 }
--- a/internal/calllog/state.go
+++ b/internal/calllog/state.go
@@ -6,127 +6,129 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// CallState is a call as the log knows it.
+// CallState is what the log records about one call.
 type CallState struct {
 	Accepted    *Taken
-	Attempts    []*Sent // that an exchange may hold, in the order of their sending
-	Established *Stood  // nil: it does not stand
-	CallerDone  bool    // its caller is owed nothing more
+	Attempts    []*Sent // that an exchange may still hold, in the order in which they were sent
+	Established *Stood  // nil if the call is not established
+	CallerDone  bool    // the caller expects no further message
 }
 
-// State is what the log's entries add up to. It is a value: Apply returns a new
-// one and leaves the old as it was, so that a snapshot is written of one while
-// calls go on in the next.
+// State is the result of applying all entries of the log. It is a value: Apply
+// returns a new State and leaves the old one unchanged, so that a snapshot of one
+// can be written while further entries are applied.
 type State struct {
 	Incarnation     *Life
 	Calls           *immutable.Map[uint32, CallState] // by context
 	ExchangeReports *immutable.Map[uint32, *Word]
 }
 
-// NewState is that of no entry.
+// NewState returns the state before the first entry.
 func NewState() State {
 	return State{Incarnation: &Life{}, Calls: immutable.NewMap[uint32, CallState](nil), ExchangeReports: immutable.NewMap[uint32, *Word](nil)}
 }
 
-// Apply takes one entry. The error is for entries that can't follow what came
-// before: a log that another program wrote, or none of ours.
-func (s State) Apply(e *Entry) (State, error) {
-	bad := func(context uint32, what string) (State, error) {
-		return s, fmt.Errorf("%s, context %d: %w", what, context, ErrCorrupt)
+// Apply returns the state after one more entry. It returns an error if the entry
+// can't follow the earlier ones: the log was then written by another program.
+func (s State) Apply(entry *Entry) (State, error) {
+	inconsistent := func(context uint32, problem string) (State, error) {
+		return s, fmt.Errorf("%s, context %d: %w", problem, context, ErrCorrupt)
 	}
-	switch w := e.GetWhat().(type) {
+	switch payload := entry.GetWhat().(type) {
 	case *Entry_Life:
-		if w.Life.GetNumber() <= s.Incarnation.GetNumber() {
-			return s, fmt.Errorf("life %d after life %d: %w", w.Life.GetNumber(), s.Incarnation.GetNumber(), ErrCorrupt)
+		if payload.Life.GetNumber() <= s.Incarnation.GetNumber() {
+			return s, fmt.Errorf("incarnation %d after incarnation %d: %w", payload.Life.GetNumber(), s.Incarnation.GetNumber(), ErrCorrupt)
 		}
-		s.Incarnation = w.Life
+		s.Incarnation = payload.Life
 	case *Entry_Taken:
-		id := w.Taken.GetContext()
+		id := payload.Taken.GetContext()
 		if _, ok := s.Calls.Get(id); ok {
-			return bad(id, "taken twice")
+			return inconsistent(id, "call accepted twice")
 		}
-		s.Calls = s.Calls.Set(id, CallState{Accepted: w.Taken})
+		s.Calls = s.Calls.Set(id, CallState{Accepted: payload.Taken})
 	case *Entry_Sent:
-		id := w.Sent.GetContext()
-		h, ok := s.Calls.Get(id)
-		if !ok || h.CallerDone {
-			return bad(id, "sent for a call that is not open")
+		id := payload.Sent.GetContext()
+		call, ok := s.Calls.Get(id)
+		if !ok || call.CallerDone {
+			return inconsistent(id, "attempt sent for a call that is not pending")
 		}
-		h.Attempts = append(h.Attempts[:len(h.Attempts):len(h.Attempts)], w.Sent)
-		s.Calls = s.Calls.Set(id, h)
+		call.Attempts = append(call.Attempts[:len(call.Attempts):len(call.Attempts)], payload.Sent)
+		s.Calls = s.Calls.Set(id, call)
 	case *Entry_Stood:
-		id := w.Stood.GetContext()
-		h, ok := s.Calls.Get(id)
-		if !ok || len(h.Attempts) == 0 || h.Established != nil {
-			return bad(id, "stands without an attempt")
+		id := payload.Stood.GetContext()
+		call, ok := s.Calls.Get(id)
+		if !ok || len(call.Attempts) == 0 || call.Established != nil {
+			return inconsistent(id, "call established without an attempt")
 		}
-		h.Established = w.Stood
-		s.Calls = s.Calls.Set(id, h)
+		call.Established = payload.Stood
+		s.Calls = s.Calls.Set(id, call)
 	case *Entry_Let:
-		id := w.Let.GetContext()
-		h, ok := s.Calls.Get(id)
-		at := -1
-		for i, a := range h.Attempts {
-			if a.GetAttempt() == w.Let.GetAttempt() {
-				at = i
+		id := payload.Let.GetContext()
+		call, ok := s.Calls.Get(id)
+		index := -1
+		for i, attempt := range call.Attempts {
+			if attempt.GetAttempt() == payload.Let.GetAttempt() {
+				index = i
 			}
 		}
-		if !ok || at < 0 {
-			return bad(id, "let go of an attempt that was not held")
+		if !ok || index < 0 {
+			return inconsistent(id, "release of an attempt that was not held")
 		}
-		h.Attempts = append(append([]*Sent(nil), h.Attempts[:at]...), h.Attempts[at+1:]...)
-		s.keep(id, h)
+		call.Attempts = append(append([]*Sent(nil), call.Attempts[:index]...), call.Attempts[index+1:]...)
+		s.storeCall(id, call)
 	case *Entry_Over:
-		id := w.Over.GetContext()
-		h, ok := s.Calls.Get(id)
-		if !ok || h.CallerDone {
-			return bad(id, "over without being open")
+		id := payload.Over.GetContext()
+		call, ok := s.Calls.Get(id)
+		if !ok || call.CallerDone {
+			return inconsistent(id, "end of a call that is not pending")
 		}
-		h.CallerDone = true
-		s.keep(id, h)
+		call.CallerDone = true
+		s.storeCall(id, call)
 	case *Entry_Word:
-		s.ExchangeReports = s.ExchangeReports.Set(w.Word.GetExchange(), w.Word)
-	default: // of a later version: it keeps what it knows
+		s.ExchangeReports = s.ExchangeReports.Set(payload.Word.GetExchange(), payload.Word)
+	default: // written by a later version: ignored
 	}
 	return s, nil
 }
 
-// keep puts a call back, or forgets it when nothing is owed and nothing held.
-func (s *State) keep(id uint32, h CallState) {
-	if h.CallerDone && len(h.Attempts) == 0 {
+// storeCall stores the new state of a call. It removes the call when its caller
+// expects no further message and no exchange holds an attempt.
+func (s *State) storeCall(id uint32, call CallState) {
+	if call.CallerDone && len(call.Attempts) == 0 {
 		s.Calls = s.Calls.Delete(id)
 		return
 	}
-	s.Calls = s.Calls.Set(id, h)
+	s.Calls = s.Calls.Set(id, call)
 }
 
-// picture is the state as a snapshot keeps it.
-func (s State) picture() *Picture {
-	p := &Picture{Life: s.Incarnation}
-	for it := s.Calls.Iterator(); !it.Done(); {
-		_, h, _ := it.Next()
-		p.Calls = append(p.Calls, &Call{Taken: h.Accepted, Held: h.Attempts, Stood: h.Established, Over: h.CallerDone})
+// snapshotMessage returns the state in the form that a snapshot stores.
+func (s State) snapshotMessage() *Picture {
+	snapshot := &Picture{Life: s.Incarnation}
+	for iterator := s.Calls.Iterator(); !iterator.Done(); {
+		_, call, _ := iterator.Next()
+		snapshot.Calls = append(snapshot.Calls, &Call{Taken: call.Accepted, Held: call.Attempts, Stood: call.Established, Over: call.CallerDone})
 	}
-	for it := s.ExchangeReports.Iterator(); !it.Done(); {
-		_, w, _ := it.Next()
-		p.Words = append(p.Words, w)
+	for iterator := s.ExchangeReports.Iterator(); !iterator.Done(); {
+		_, report, _ := iterator.Next()
+		snapshot.Words = append(snapshot.Words, report)
 	}
-	return p
+	return snapshot
 }
 
-func (p *Picture) restored() State {
-	s := NewState()
-	if p.GetLife() != nil {
-		s.Incarnation = p.GetLife()
+// toState returns the state that a snapshot stores.
+func (snapshot *Picture) toState() State {
+	state := NewState()
+	if snapshot.GetLife() != nil {
+		state.Incarnation = snapshot.GetLife()
 	}
 	calls := immutable.NewMapBuilder[uint32, CallState](nil)
-	for _, c := range p.GetCalls() {
-		calls.Set(c.GetTaken().GetContext(), CallState{c.GetTaken(), c.GetHeld(), c.GetStood(), c.GetOver()})
+	for _, call := range snapshot.GetCalls() {
+		calls.Set(call.GetTaken().GetContext(), CallState{call.GetTaken(), call.GetHeld(), call.GetStood(), call.GetOver()})
 	}
-	words := immutable.NewMapBuilder[uint32, *Word](nil)
-	for _, w := range p.GetWords() {
-		words.Set(w.GetExchange(), w)
+	reports := immutable.NewMapBuilder[uint32, *Word](nil)
+	for _, report := range snapshot.GetWords() {
+		reports.Set(report.GetExchange(), report)
 	}
-	s.Calls, s.ExchangeReports = calls.Map(), words.Map()
-	return s
+	state.Calls, state.ExchangeReports = calls.Map(), reports.Map()
+	return state
 }
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,5 +1,6 @@
-// Package disk is the files that durable state is kept in: the system's, or ones
-// in memory that fail as files do.
+// Package disk abstracts the directory in which durable state is stored. OSDir is
+// a directory of the operating system. MemoryDir is an in-memory directory for
+// tests that simulates write errors, a full disk and loss of power.
 package disk
 
 import (
@@ -17,34 +18,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is one open file, written at its end.
+// File is an open file. Writes append to its end.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Dir is a directory without folders in it. Names that were made or renamed are
-// durable after Sync of the directory.
+// Dir is a directory without subdirectories. A created, renamed or removed name is
+// durable only after Sync of the directory.
 type Dir interface {
-	Create(name string) (File, error)     // new and empty; fails if it is there
-	OpenAppend(name string) (File, error) // at the end of what is there
+	// Create creates an empty file and fails if the name exists.
+	Create(name string) (File, error)
+	// OpenAppend opens an existing file for writing at its end.
+	OpenAppend(name string) (File, error)
+	// ReadFile returns the content of a file.
 	ReadFile(name string) ([]byte, error)
-	Truncate(name string, size int64) error // and makes it durable
+	// Truncate shortens a file to size bytes and makes the change durable.
+	Truncate(name string, size int64) error
+	// Rename renames a file, replacing a file with the new name.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(name string) error
-	List() ([]string, error) // in order
+	// List returns the names of the files in lexical order.
+	List() ([]string, error)
+	// Sync makes the names in the directory durable.
 	Sync() error
-	Lock() (unlock func() error, err error) // one holder at a time, over all processes
+	// Lock locks the directory against all other processes and holders. It does
+	// not wait: it returns ErrLocked if the lock is held.
+	Lock() (unlock func() error, err error)
 }
 
-// ErrLocked says that another process holds a directory.
-var ErrLocked = errors.New("another process holds it")
+// ErrLocked is returned by Lock when the directory is already locked.
+var ErrLocked = errors.New("the directory is locked by another process")
 
-// OSDir is a directory of the system.
+// OSDir is the path of a directory of the operating system.
 type OSDir string
 
-// MakeDir opens a directory, and makes it if it is not there.
+// MakeDir returns the directory at path and creates it if it does not exist.
 func MakeDir(path string) (OSDir, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return "", fmt.Errorf("state directory: %w", err)
@@ -52,29 +63,37 @@
 	return OSDir(path), nil
 }
 
-func (d OSDir) at(name string) string { return filepath.Join(string(d), name) }
+func (d OSDir) path(name string) string { return filepath.Join(string(d), name) }
 
+// Create creates an empty file and fails if the name exists.
 func (d OSDir) Create(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 }
 
+// OpenAppend opens an existing file for writing at its end.
 func (d OSDir) OpenAppend(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o644)
+	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, 0o644)
 }
 
-func (d OSDir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+// ReadFile returns the content of a file.
+func (d OSDir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
+// Truncate shortens a file to size bytes and makes the change durable.
 func (d OSDir) Truncate(name string, size int64) error {
-	f, err := os.OpenFile(d.at(name), os.O_WRONLY, 0)
+	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
 		return err
 	}
 	return errors.Join(f.Truncate(size), f.Sync(), f.Close())
 }
 
-func (d OSDir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
-func (d OSDir) Remove(name string) error     { return os.Remove(d.at(name)) }
+// Rename renames a file, replacing a file with the new name.
+func (d OSDir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
+// Remove removes a file.
+func (d OSDir) Remove(name string) error { return os.Remove(d.path(name)) }
+
+// List returns the names of the regular files in lexical order.
 func (d OSDir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -89,6 +108,7 @@
 	return names, nil
 }
 
+// Sync makes the names in the directory durable.
 func (d OSDir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -97,10 +117,12 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
+// lockName is the file on which Lock takes an advisory lock.
 const lockName = "lock"
 
+// Lock takes an exclusive lock on the directory and returns ErrLocked if another process holds it.
 func (d OSDir) Lock() (func() error, error) {
-	f, err := os.OpenFile(d.at(lockName), os.O_RDWR|os.O_CREATE, 0o644)
+	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -111,204 +133,217 @@
 		}
 		return nil, err
 	}
-	return f.Close, nil // the system lets go of it, also when the process dies
+	return f.Close, nil // the operating system also releases the lock when the process dies
 }
 
-// MemoryDir is a directory in memory that loses what was not made durable when it
-// crashes, and fails on demand.
+// MemoryDir is an in-memory directory. Crash discards what was not made durable,
+// InjectFault and FreeBytes make operations fail.
 type MemoryDir struct {
 	mu      sync.Mutex
-	now     map[string]*data
-	durable map[string]*data // by the names as last made durable
+	files   map[string]*fileData
+	durable map[string]*fileData // by name, as of the last Sync of the directory
 	locked  bool
-	// InjectFault is asked before each operation; nil: nothing fails. It may hold a write or
-	// a sync for as long as it likes.
+	// InjectFault is called with most operations and returns the error of the
+	// operation; nil injects no error. It may block a write or a sync.
 	InjectFault func(op, name string) error
-	FreeBytes   int // bytes that may still be written; -1: no end
+	FreeBytes   int // remaining capacity for writes; -1 means unlimited
 }
 
-// data is a file's content and what of it is durable.
-type data struct {
-	bytes  []byte
-	synced int
+// fileData is the content of a file in a MemoryDir.
+type fileData struct {
+	content     []byte
+	syncedBytes int // length of the durable prefix of content
 }
 
-// NewMemoryDir makes an empty one without an end.
+// NewMemoryDir returns an empty directory of unlimited capacity.
 func NewMemoryDir() *MemoryDir {
-	return &MemoryDir{now: map[string]*data{}, durable: map[string]*data{}, FreeBytes: -1}
+	return &MemoryDir{files: map[string]*fileData{}, durable: map[string]*fileData{}, FreeBytes: -1}
 }
 
-func (m *MemoryDir) fail(op, name string) error {
+func (m *MemoryDir) injectedFault(op, name string) error {
 	if m.InjectFault != nil {
 		return m.InjectFault(op, name)
 	}
 	return nil
 }
 
-// Crash returns the directory as it is found after a loss of power: names as
-// last made durable; of each file what was synced, and of what was written
-// after that as much as keep says.
+// Crash returns the directory as a process finds it after a loss of power: the
+// names as of the last Sync of the directory, and of each file the synced bytes and
+// as many of its unsynced bytes as keep returns.
 func (m *MemoryDir) Crash(keep func(name string, unsynced int) int) *MemoryDir {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c := NewMemoryDir()
+	crashed := NewMemoryDir()
 	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
-		d := m.durable[name]
-		n := d.synced + min(max(keep(name, len(d.bytes)-d.synced), 0), len(d.bytes)-d.synced)
-		x := &data{bytes: slices.Clone(d.bytes[:n]), synced: n}
-		c.now[name], c.durable[name] = x, x
+		data := m.durable[name]
+		kept := data.syncedBytes + min(max(keep(name, len(data.content)-data.syncedBytes), 0), len(data.content)-data.syncedBytes)
+		copied := &fileData{content: slices.Clone(data.content[:kept]), syncedBytes: kept}
+		crashed.files[name], crashed.durable[name] = copied, copied
 	}
-	return c
+	return crashed
 }
 
-// Corrupt changes a file's content in place, as a bad disk would.
+// Corrupt replaces the content of a file by the result of change, as a faulty disk would.
 func (m *MemoryDir) Corrupt(name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.now[name]
-	d.bytes = change(d.bytes)
-	d.synced = len(d.bytes)
+	data := m.files[name]
+	data.content = change(data.content)
+	data.syncedBytes = len(data.content)
 }
 
-type handle struct {
-	m      *MemoryDir
+// memoryFile is an open file of a MemoryDir.
+type memoryFile struct {
+	dir    *MemoryDir
 	name   string
-	d      *data
+	data   *fileData
 	closed bool
 }
 
-func (h *handle) Write(p []byte) (int, error) {
-	if err := h.m.fail("write", h.name); err != nil { // which may take its time
+// Write appends p to the file and returns ENOSPC if the capacity of the directory is exceeded.
+func (f *memoryFile) Write(p []byte) (int, error) {
+	if err := f.dir.injectedFault("write", f.name); err != nil { // may block: called without the lock
 		return 0, err
 	}
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	if h.closed {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if f.closed {
 		return 0, fs.ErrClosed
 	}
 	n := len(p)
-	if h.m.FreeBytes >= 0 {
-		n = min(n, h.m.FreeBytes)
-		h.m.FreeBytes -= n
+	if f.dir.FreeBytes >= 0 {
+		n = min(n, f.dir.FreeBytes)
+		f.dir.FreeBytes -= n
 	}
-	h.d.bytes = append(h.d.bytes, p[:n]...)
+	f.data.content = append(f.data.content, p[:n]...)
 	if n < len(p) {
 		return n, unix.ENOSPC
 	}
 	return n, nil
 }
 
-func (h *handle) Sync() error {
-	if err := h.m.fail("sync", h.name); err != nil {
+// Sync makes the content of the file durable.
+func (f *memoryFile) Sync() error {
+	if err := f.dir.injectedFault("sync", f.name); err != nil {
 		return err
 	}
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	h.d.synced = len(h.d.bytes)
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	f.data.syncedBytes = len(f.data.content)
 	return nil
 }
 
-func (h *handle) Close() error {
-	h.closed = true
+// Close closes the file.
+func (f *memoryFile) Close() error {
+	f.closed = true
 	return nil
 }
 
+// Create creates an empty file and fails if the name exists.
 func (m *MemoryDir) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.fail("create", name); err != nil {
+	if err := m.injectedFault("create", name); err != nil {
 		return nil, err
 	}
-	if m.now[name] != nil {
+	if m.files[name] != nil {
 		return nil, fs.ErrExist
 	}
-	d := &data{}
-	m.now[name] = d
-	return &handle{m: m, name: name, d: d}, nil
+	data := &fileData{}
+	m.files[name] = data
+	return &memoryFile{dir: m, name: name, data: data}, nil
 }
 
+// OpenAppend opens an existing file for writing at its end.
 func (m *MemoryDir) OpenAppend(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.now[name]
-	if d == nil {
+	data := m.files[name]
+	if data == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &handle{m: m, name: name, d: d}, m.fail("open", name)
+	return &memoryFile{dir: m, name: name, data: data}, m.injectedFault("open", name)
 }
 
+// ReadFile returns the content of a file.
 func (m *MemoryDir) ReadFile(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.now[name]
-	if d == nil {
+	data := m.files[name]
+	if data == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(d.bytes), m.fail("read", name)
+	return slices.Clone(data.content), m.injectedFault("read", name)
 }
 
+// Truncate shortens a file to size bytes and makes the change durable.
 func (m *MemoryDir) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.now[name]
-	if d == nil {
+	data := m.files[name]
+	if data == nil {
 		return fs.ErrNotExist
 	}
-	d.bytes = d.bytes[:min(int(size), len(d.bytes))]
-	d.synced = len(d.bytes)
-	return m.fail("truncate", name)
+	data.content = data.content[:min(int(size), len(data.content))]
+	data.syncedBytes = len(data.content)
+	return m.injectedFault("truncate", name)
 }
 
+// Rename renames a file, replacing a file with the new name.
 func (m *MemoryDir) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.now[from] == nil {
+	if m.files[from] == nil {
 		return fs.ErrNotExist
 	}
-	if err := m.fail("rename", from); err != nil {
+	if err := m.injectedFault("rename", from); err != nil {
 		return err
 	}
-	m.now[to] = m.now[from]
-	delete(m.now, from)
+	m.files[to] = m.files[from]
+	delete(m.files, from)
 	return nil
 }
 
+// Remove removes a file.
 func (m *MemoryDir) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.now[name] == nil {
+	if m.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.now, name)
-	return m.fail("remove", name)
+	delete(m.files, name)
+	return m.injectedFault("remove", name)
 }
 
+// List returns the names of the files in lexical order. The lock file is not listed.
 func (m *MemoryDir) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var all []string
-	for name := range m.now {
+	var names []string
+	for name := range m.files {
 		if !strings.HasPrefix(name, lockName) {
-			all = append(all, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all, nil
+	slices.Sort(names)
+	return names, nil
 }
 
+// Sync makes the names in the directory durable.
 func (m *MemoryDir) Sync() error {
-	if err := m.fail("sync", ""); err != nil {
+	if err := m.injectedFault("sync", ""); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.durable = map[string]*data{}
-	for name, d := range m.now {
-		m.durable[name] = d
+	m.durable = map[string]*fileData{}
+	for name, data := range m.files {
+		m.durable[name] = data
 	}
 	return nil
 }
 
+// Lock locks the directory and returns ErrLocked if it is locked.
 func (m *MemoryDir) Lock() (func() error, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
