--- a/internal/collect/tally.go
+++ b/internal/collect/tally.go
@@ -1,5 +1,6 @@
-// Package collect implements a collector of flow records for tests and demos. It
-// compares the records that it received with the counts that the controllers report.
+// Package collect implements a simple collector of flow records that can simulate
+// faults. It compares the records that it received with the counts that the
+// controllers report.
 package collect
 
 import (
@@ -19,10 +20,10 @@
 // concurrent use.
 type Tally struct {
 	domains     map[uint32]*domain
-	decoders    map[string]*ipfix.Decoder                           // by source: templates belong to a stream
-	UnknownSets int                                                 // sets without a template
-	Unreadable  int                                                 // messages that can't be decoded
-	OnRecord    func(r *ipfix.Record, it *flow.Item, domain uint32) // called for each call, attempt or sum that is not a duplicate; may be nil
+	decoders    map[string]*ipfix.Decoder                                  // by source: templates belong to a stream
+	UnknownSets int                                                        // sets without a template
+	Unreadable  int                                                        // messages that can't be decoded
+	OnRecord    func(record *ipfix.Record, item *flow.Item, domain uint32) // called for each call, attempt or sum that is not a duplicate; may be nil
 }
 
 // domain holds what was received from one controller.
@@ -190,8 +191,8 @@
 		for _, inc := range d.incarnations { // order doesn't matter for sums
 			if !inc.final {
 				report.Unfinished++
-				for k := range flow.KindCount {
-					report.OrphanRecords += inc.received.Sum(k) + inc.folded.Sum(k)
+				for kind := range flow.KindCount {
+					report.OrphanRecords += inc.received.Sum(kind) + inc.folded.Sum(kind)
 				}
 				continue
 			}
@@ -203,7 +204,17 @@
 		for kind := range counted {
 			for class := range counted[kind] {
 				for outcome := range counted[kind][class] {
-					line := ReportLine{id, flow.Kind(kind).String(), uint8(class), flow.Outcome(outcome).String(), counted[kind][class][outcome], received[kind][class][outcome], folded[kind][class][outcome], dropped[kind][class][outcome], 0}
+					line := ReportLine{
+						id,
+						flow.Kind(kind).String(),
+						uint8(class),
+						flow.Outcome(outcome).String(),
+						counted[kind][class][outcome],
+						received[kind][class][outcome],
+						folded[kind][class][outcome],
+						dropped[kind][class][outcome],
+						0,
+					}
 					if line.Counted+line.Received+line.Folded+line.Dropped == 0 {
 						continue
 					}
@@ -225,8 +236,8 @@
 func addCounts(to, from *flow.Counts) {
 	for kind := range from {
 		for class := range from[kind] {
-			for outcome, n := range from[kind][class] {
-				to[kind][class][outcome] += n
+			for outcome, count := range from[kind][class] {
+				to[kind][class][outcome] += count
 			}
 		}
 	}
@@ -322,30 +333,33 @@
 	s.siftDown(0)
 }
 
+// swap swaps two entries of the heap.
 func (s *Sketch) swap(i, j int) {
 	s.minHeap[i], s.minHeap[j] = s.minHeap[j], s.minHeap[i]
 	s.minHeap[i].index, s.minHeap[j].index = i, j
 }
 
+// siftUp moves an entry towards the top until its parent is not larger.
 func (s *Sketch) siftUp(i int) {
 	for parent := (i - 1) / 2; i > 0 && s.minHeap[i].Count < s.minHeap[parent].Count; i, parent = parent, (parent-1)/2 {
 		s.swap(i, parent)
 	}
 }
 
+// siftDown moves an entry towards the bottom until no child is smaller.
 func (s *Sketch) siftDown(i int) {
 	for {
-		least := i
+		smallest := i
 		for _, child := range []int{2*i + 1, 2*i + 2} {
-			if child < len(s.minHeap) && s.minHeap[child].Count < s.minHeap[least].Count {
-				least = child
+			if child < len(s.minHeap) && s.minHeap[child].Count < s.minHeap[smallest].Count {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		s.swap(i, least)
-		i = least
+		s.swap(i, smallest)
+		i = smallest
 	}
 }
 
@@ -354,6 +368,8 @@
 	for _, e := range s.minHeap {
 		top = append(top, e.TopEntry)
 	}
-	slices.SortFunc(top, func(a, b TopEntry) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(top, func(a, b TopEntry) int {
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
+	})
 	return top[:min(count, len(top))], s.total / uint64(s.size)
 }
--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -134,7 +134,15 @@
 	for i := range count {
 		for _, kind := range []flow.Kind{flow.KindCall, flow.KindAttempt} {
 			p.seq++
-			record := flow.Record{Kind: kind, Seq: p.seq, Class: uint8(i % 2), Outcome: flow.CallEnded, Dest: int32(i % 9), CalledNumber: uint64(i), VerdictReason: "no circuit free"}
+			record := flow.Record{
+				Kind:          kind,
+				Seq:           p.seq,
+				Class:         uint8(i % 2),
+				Outcome:       flow.CallEnded,
+				Dest:          int32(i % 9),
+				CalledNumber:  uint64(i),
+				VerdictReason: "no circuit free",
+			}
 			if kind == flow.KindAttempt {
 				record.Outcome = flow.AttemptCompleted
 			}
@@ -333,7 +341,8 @@
 	process.putCalls(500, 500*time.Millisecond)
 	process.shutDown(t)
 	firstReport, secondReport := first.collector.Report(), second.collector.Report()
-	if firstReport.OrphanRecords == 0 && firstReport.Received == 0 || secondReport.Received == 0 || secondReport.Unfinished != 0 || int(firstReport.OrphanRecords+secondReport.Received) < 2000 {
+	if firstReport.OrphanRecords == 0 && firstReport.Received == 0 || secondReport.Received == 0 ||
+		secondReport.Unfinished != 0 || int(firstReport.OrphanRecords+secondReport.Received) < 2000 {
 		t.Errorf("failover: first %+v, second %+v", firstReport, secondReport)
 	}
 
@@ -341,7 +350,11 @@
 	defer first.stop()
 	defer third.stop()
 	spoolDirs := []spool.FS{createSpoolDir(t, filepath.Join(dir, "first")), createSpoolDir(t, filepath.Join(dir, "third"))}
-	config := Config{Collectors: []Collector{{Address: first.addr, Transport: "tcp"}, {Address: third.addr, Transport: "tcp"}}, SendToAll: true, ReplayRate: 50000}
+	config := Config{
+		Collectors: []Collector{{Address: first.addr, Transport: "tcp"}, {Address: third.addr, Transport: "tcp"}},
+		SendToAll:  true,
+		ReplayRate: 50000,
+	}
 	process = startProcess(t, config, spoolDirs)
 	process.putCalls(300, 200*time.Millisecond)
 	third.disconnect()
@@ -391,7 +404,8 @@
 			if err := collector.Close(); err != nil {
 				t.Fatal(err)
 			}
-			if lost := report.Difference; lost > 0 && report.SequenceGaps == 0 || report.Received < 1500 || report.Unreadable != 0 { // lost datagrams must appear as sequence gaps
+			if lost := report.Difference; lost > 0 && report.SequenceGaps == 0 ||
+				report.Received < 1500 || report.Unreadable != 0 { // lost datagrams must appear as sequence gaps
 				t.Errorf("unexpected report: %+v", report)
 			}
 		})
--- a/internal/export/exporter.go
+++ b/internal/export/exporter.go
@@ -88,8 +88,9 @@
 	}
 }
 
-// Exporter takes flow records and sends them to collectors. Put is called on the
-// call path; all other fields belong to Run.
+// Exporter takes flow records and sends them to collectors. Put is called on the call
+// path, by one goroutine at a time. Status may be called at any time. Everything else
+// belongs to Run.
 type Exporter struct {
 	config   Config
 	codec    *flow.Codec
@@ -103,14 +104,14 @@
 	summaries       map[destinationClass]*flow.Summary
 	summaryKeys     []destinationClass
 	intervalStart   time.Duration // start of the current summary interval
-	counted         flow.Counts
+	counted         flow.Counts   // all records taken from the call path
 	folded          flow.Counts
 	dropped         flow.Counts // dropped by the ring and by load shedding
 	ringFullCounted flow.Counts // the part of ringFull already in counted and dropped
-	lastSeq         uint64
+	lastSeq         uint64      // sequence number of the last sum, summary or counts
 	events          chan senderEvent
 	nextFlushAt     time.Duration
-	warnedAt        map[string]time.Duration
+	warnedAt        map[string]time.Duration // by message
 
 	mu     sync.Mutex
 	status Status
@@ -133,8 +134,17 @@
 	if len(config.Collectors) == 0 {
 		return nil, fmt.Errorf("export: no collector configured")
 	}
-	e := &Exporter{config: config, codec: codec, ring: ring.New[flow.Record](config.RingCapacity), shedder: shed.New(config.Shed),
-		foldedSums: map[shed.Key]*shed.Sum{}, summaries: map[destinationClass]*flow.Summary{}, intervalStart: config.Now(), events: make(chan senderEvent, 64), warnedAt: map[string]time.Duration{}}
+	e := &Exporter{
+		config:        config,
+		codec:         codec,
+		ring:          ring.New[flow.Record](config.RingCapacity),
+		shedder:       shed.New(config.Shed),
+		foldedSums:    map[shed.Key]*shed.Sum{},
+		summaries:     map[destinationClass]*flow.Summary{},
+		intervalStart: config.Now(),
+		events:        make(chan senderEvent, 64),
+		warnedAt:      map[string]time.Duration{},
+	}
 	pipelineCount := 1
 	if config.SendToAll {
 		pipelineCount = len(config.Collectors)
@@ -334,9 +344,9 @@
 		lost := p.spool.TakeLost()
 		for kind := range lost {
 			for class := range lost[kind] {
-				for outcome, n := range lost[kind][class] {
-					p.lost[kind][class][outcome] += n
-					p.lostCount += n
+				for outcome, count := range lost[kind][class] {
+					p.lost[kind][class][outcome] += count
+					p.lostCount += count
 				}
 			}
 		}
@@ -348,7 +358,12 @@
 	worst := shed.State{Reachable: true}
 	highest := -1.0
 	for _, p := range e.pipelines {
-		state := shed.State{QueueLength: len(p.queue), QueueCapacity: e.config.QueueCapacity, OldestAge: p.oldestAge(now), Reachable: p.active() != nil}
+		state := shed.State{
+			QueueLength:   len(p.queue),
+			QueueCapacity: e.config.QueueCapacity,
+			OldestAge:     p.oldestAge(now),
+			Reachable:     p.active() != nil,
+		}
 		if p.spool != nil {
 			state.SpoolBytes, state.MaxSpoolBytes = p.spool.Bytes(), p.spool.MaxBytes()
 		}
@@ -365,8 +380,19 @@
 	for _, key := range e.foldedKeys {
 		sum := e.foldedSums[key]
 		e.lastSeq++
-		folded := flow.Folded{Kind: key.Kind, Class: key.Class, Outcome: key.Outcome, Dest: key.Dest, Seq: e.lastSeq, Count: sum.Count,
-			FirstStart: sum.FirstStart, LastStart: sum.LastStart, SetUp: sum.SetUp, EstablishedFor: sum.EstablishedFor, Attempts: sum.Attempts}
+		folded := flow.Folded{
+			Kind:           key.Kind,
+			Class:          key.Class,
+			Outcome:        key.Outcome,
+			Dest:           key.Dest,
+			Seq:            e.lastSeq,
+			Count:          sum.Count,
+			FirstStart:     sum.FirstStart,
+			LastStart:      sum.LastStart,
+			SetUp:          sum.SetUp,
+			EstablishedFor: sum.EstablishedFor,
+			Attempts:       sum.Attempts,
+		}
 		for _, p := range e.pipelines {
 			p.enqueue(now, e.codec.FoldedItem(folded))
 		}
--- a/internal/export/pipeline.go
+++ b/internal/export/pipeline.go
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// summaryQueueReserve is the number of counts and statistics items that may be
+// countsQueueReserve is the number of counts and statistics items that may be
 // queued beyond QueueCapacity.
-const summaryQueueReserve = 2000
+const countsQueueReserve = 2000
 
 // enqueue adds items to the queue. It drops and counts those that don't fit.
 func (p *pipeline) enqueue(now time.Duration, items ...*flow.Item) {
@@ -75,7 +75,8 @@
 		case len(p.queue) >= p.config.QueueCapacity && item.HasRecords():
 			p.drop(item)
 			continue
-		case len(p.queue) >= p.config.QueueCapacity && item.Kind == flow.ItemSummary, len(p.queue) >= p.config.QueueCapacity+summaryQueueReserve:
+		case len(p.queue) >= p.config.QueueCapacity && item.Kind == flow.ItemSummary,
+			len(p.queue) >= p.config.QueueCapacity+countsQueueReserve:
 			p.undelivered++ // counts and statistics are cumulative: later ones include these
 			continue
 		}
@@ -230,7 +231,9 @@
 		return false
 	}
 	replayPending := p.spool != nil && p.spool.HasPending() && len(p.queue) == 0
-	return stream.unconfirmedBytes >= p.config.MaxUnconfirmedBytes/2 || now-stream.unconfirmedSince >= p.config.ConfirmAfter || replayPending && now-stream.unconfirmedSince >= p.config.ConfirmAfter/5
+	return stream.unconfirmedBytes >= p.config.MaxUnconfirmedBytes/2 ||
+		now-stream.unconfirmedSince >= p.config.ConfirmAfter ||
+		replayPending && now-stream.unconfirmedSince >= p.config.ConfirmAfter/5
 }
 
 // onConnected initializes the stream of a new connection. The templates are sent
--- a/internal/export/sender.go
+++ b/internal/export/sender.go
@@ -29,7 +29,11 @@
 
 // run connects to the collector again and again until ctx is done.
 func (s *sender) run(ctx context.Context) {
-	retry := guard.Backoff{Min: s.exporter.config.MinRetryDelay, Max: s.exporter.config.MaxRetryDelay, Random: rand.New(rand.NewPCG(s.exporter.codec.Incarnation, s.seed))}
+	retry := guard.Backoff{
+		Min:    s.exporter.config.MinRetryDelay,
+		Max:    s.exporter.config.MaxRetryDelay,
+		Random: rand.New(rand.NewPCG(s.exporter.codec.Incarnation, s.seed)),
+	}
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		conn, err := s.exporter.config.Dial(ctx, s.stream.collector)
 		if err == nil {
--- a/internal/export/tls_test.go
+++ b/internal/export/tls_test.go
@@ -140,7 +140,11 @@
 			dial := func(ctx context.Context, collector Collector) (net.Conn, error) {
 				return dialer.Dial(ctx, &net.Dialer{}, collector.Address)
 			}
-			process := startProcess(t, Config{Collectors: []Collector{{Address: listener.Addr().String(), Transport: "tls"}}, Dial: dial, ShutdownTimeout: time.Second}, nil)
+			process := startProcess(t, Config{
+				Collectors:      []Collector{{Address: listener.Addr().String(), Transport: "tls"}},
+				Dial:            dial,
+				ShutdownTimeout: time.Second,
+			}, nil)
 			process.putCalls(200, 300*time.Millisecond)
 			process.shutDown(t)
 			listener.Close()
--- a/internal/flow/codec.go
+++ b/internal/flow/codec.go
@@ -73,10 +73,14 @@
 
 // Elements returns all information elements that the templates use.
 func Elements() []ipfix.Element {
-	return append([]ipfix.Element{eStart, eEnd, eFlowID, eProcess, eNotSent, eExported, eIncarnation, eKind, eClass, eClassName, eOutcome, eFlags,
-		eSource, eDest, eVia, eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eExchange, eRoute, eAttemptNote,
-		eAttemptNumber, eContext, eRecordCount, eFoldedCount, eDroppedCount, eSetUpSum, eEstablishedSum, eAttemptsSum, eFormat, eCallCount, eEstablishedCount, eRefusedCount, eFailedCount, eAbandonedCount,
-		eAttemptCount, eCircuitTime}, ipfix.TypeInfoElements...)
+	return append([]ipfix.Element{
+		eStart, eEnd, eFlowID, eProcess, eNotSent, eExported, eIncarnation, eKind, eClass, eClassName,
+		eOutcome, eFlags, eSource, eDest, eVia, eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp,
+		eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eExchange, eRoute, eAttemptNote,
+		eAttemptNumber, eContext, eRecordCount, eFoldedCount, eDroppedCount, eSetUpSum, eEstablishedSum,
+		eAttemptsSum, eFormat, eCallCount, eEstablishedCount, eRefusedCount, eFailedCount, eAbandonedCount,
+		eAttemptCount, eCircuitTime,
+	}, ipfix.TypeInfoElements...)
 }
 
 // ItemKind is the kind of an Item. It selects the template of the item.
@@ -102,17 +106,30 @@
 
 // templates holds the template of each ItemKind.
 var templates = [itemKindCount]*ipfix.Template{
-	{ID: 256, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
-		eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason, eVerdictScope, eVerdictNumber, eRoute, eContext}},
-	{ID: 257, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest, eVia,
-		eNumberHash, eCircuits, eAttemptNumber, eExchange, eRoute, eAttemptNote, eSetUp, eEstablished, eContext}},
-	{ID: 258, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eDest, eRecordCount, eSetUpSum,
-		eEstablishedSum, eAttemptsSum}},
-	{ID: 259, ScopeCount: 2, Fields: []ipfix.Element{eIncarnation, eProcess, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eRecordCount, eFoldedCount, eDroppedCount}},
+	{ID: 256, Fields: []ipfix.Element{
+		eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest,
+		eVia, eNumberHash, eCircuits, eAttempts, eTandemAttempts, eSetUp, eEstablished, eVerdictReason,
+		eVerdictScope, eVerdictNumber, eRoute, eContext,
+	}},
+	{ID: 257, Fields: []ipfix.Element{
+		eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eSource, eDest,
+		eVia, eNumberHash, eCircuits, eAttemptNumber, eExchange, eRoute, eAttemptNote, eSetUp, eEstablished,
+		eContext,
+	}},
+	{ID: 258, Fields: []ipfix.Element{
+		eIncarnation, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eStart, eEnd, eDest,
+		eRecordCount, eSetUpSum, eEstablishedSum, eAttemptsSum,
+	}},
+	{ID: 259, ScopeCount: 2, Fields: []ipfix.Element{
+		eIncarnation, eProcess, eFlowID, eFlags, eKind, eClass, eClassName, eOutcome, eRecordCount,
+		eFoldedCount, eDroppedCount,
+	}},
 	{ID: 260, ScopeCount: 1, Fields: []ipfix.Element{eProcess, eNotSent, eExported}},
 	{ID: 261, ScopeCount: 1, Fields: []ipfix.Element{eProcess, eFormat}},
-	{ID: 263, Fields: []ipfix.Element{eIncarnation, eFlowID, eFlags, eClass, eClassName, eDest, eStart, eEnd, eCallCount, eEstablishedCount, eRefusedCount, eFailedCount,
-		eAbandonedCount, eAttemptCount, eCircuitTime}},
+	{ID: 263, Fields: []ipfix.Element{
+		eIncarnation, eFlowID, eFlags, eClass, eClassName, eDest, eStart, eEnd, eCallCount,
+		eEstablishedCount, eRefusedCount, eFailedCount, eAbandonedCount, eAttemptCount, eCircuitTime,
+	}},
 }
 
 // typeInfoTemplate describes this project's information elements to collectors.
@@ -245,7 +262,14 @@
 
 // RecordItem returns the item for a call or attempt record.
 func (c *Codec) RecordItem(record *Record) *Item {
-	item := &Item{Kind: ItemCall, RecordKind: record.Kind, Class: record.Class, Outcome: record.Outcome, RecordCount: 1, record: *record}
+	item := &Item{
+		Kind:        ItemCall,
+		RecordKind:  record.Kind,
+		Class:       record.Class,
+		Outcome:     record.Outcome,
+		RecordCount: 1,
+		record:      *record,
+	}
 	if record.Kind == KindAttempt {
 		item.Kind = ItemAttempt
 	}
@@ -258,18 +282,47 @@
 	if record.Repeat {
 		flags |= FlagRepeat
 	}
-	values = append(values, ipfix.Value{Num: c.Incarnation}, ipfix.Value{Num: record.Seq}, ipfix.Value{Num: flags},
-		ipfix.Value{Num: uint64(record.Kind)}, ipfix.Value{Num: uint64(record.Class)}, ipfix.Value{Str: c.className(record.Class)},
-		ipfix.Value{Num: uint64(record.Outcome)}, ipfix.Value{Num: milliseconds(record.Start)}, ipfix.Value{Num: milliseconds(record.Start + record.SetUp + record.EstablishedFor)},
-		ipfix.Value{Num: exchangeNumber(record.Source)}, ipfix.Value{Num: exchangeNumber(record.Dest)}, ipfix.Value{Num: exchangeNumber(record.Via)}, ipfix.Value{Num: c.hashNumber(record.CalledNumber)},
-		ipfix.Value{Num: uint64(record.Circuits)})
+	values = append(
+		values,
+		ipfix.Value{Num: c.Incarnation},
+		ipfix.Value{Num: record.Seq},
+		ipfix.Value{Num: flags},
+		ipfix.Value{Num: uint64(record.Kind)},
+		ipfix.Value{Num: uint64(record.Class)},
+		ipfix.Value{Str: c.className(record.Class)},
+		ipfix.Value{Num: uint64(record.Outcome)},
+		ipfix.Value{Num: milliseconds(record.Start)},
+		ipfix.Value{Num: milliseconds(record.Start + record.SetUp + record.EstablishedFor)},
+		ipfix.Value{Num: exchangeNumber(record.Source)},
+		ipfix.Value{Num: exchangeNumber(record.Dest)},
+		ipfix.Value{Num: exchangeNumber(record.Via)},
+		ipfix.Value{Num: c.hashNumber(record.CalledNumber)},
+		ipfix.Value{Num: uint64(record.Circuits)},
+	)
 	if record.Kind == KindAttempt {
-		return append(values, ipfix.Value{Num: uint64(record.Attempts)}, ipfix.Value{Num: uint64(record.Exchange)}, ipfix.Value{Num: uint64(record.Route)},
-			ipfix.Value{Num: uint64(record.Note)}, ipfix.Value{Num: milliseconds(record.SetUp)}, ipfix.Value{Num: milliseconds(record.EstablishedFor)}, ipfix.Value{Num: uint64(record.Context)})
+		return append(
+			values,
+			ipfix.Value{Num: uint64(record.Attempts)},
+			ipfix.Value{Num: uint64(record.Exchange)},
+			ipfix.Value{Num: uint64(record.Route)},
+			ipfix.Value{Num: uint64(record.Note)},
+			ipfix.Value{Num: milliseconds(record.SetUp)},
+			ipfix.Value{Num: milliseconds(record.EstablishedFor)},
+			ipfix.Value{Num: uint64(record.Context)},
+		)
 	}
-	return append(values, ipfix.Value{Num: uint64(record.Attempts)}, ipfix.Value{Num: uint64(record.TandemAttempts)}, ipfix.Value{Num: milliseconds(record.SetUp)},
-		ipfix.Value{Num: milliseconds(record.EstablishedFor)}, ipfix.Value{Str: record.VerdictReason}, ipfix.Value{Str: record.VerdictScope}, ipfix.Value{Num: exchangeNumber(record.VerdictNumber)},
-		ipfix.Value{Num: uint64(record.Route)}, ipfix.Value{Num: uint64(record.Context)})
+	return append(
+		values,
+		ipfix.Value{Num: uint64(record.Attempts)},
+		ipfix.Value{Num: uint64(record.TandemAttempts)},
+		ipfix.Value{Num: milliseconds(record.SetUp)},
+		ipfix.Value{Num: milliseconds(record.EstablishedFor)},
+		ipfix.Value{Str: record.VerdictReason},
+		ipfix.Value{Str: record.VerdictScope},
+		ipfix.Value{Num: exchangeNumber(record.VerdictNumber)},
+		ipfix.Value{Num: uint64(record.Route)},
+		ipfix.Value{Num: uint64(record.Context)},
+	)
 }
 
 // Folded is the sum of records that were not sent one by one.
@@ -287,9 +340,29 @@
 
 // FoldedItem returns the item for a sum of folded records.
 func (c *Codec) FoldedItem(folded Folded) *Item {
-	return &Item{Kind: ItemFolded, RecordKind: folded.Kind, Class: folded.Class, Outcome: folded.Outcome, RecordCount: folded.Count, values: []ipfix.Value{
-		{Num: c.Incarnation}, {Num: folded.Seq}, {}, {Num: uint64(folded.Kind)}, {Num: uint64(folded.Class)}, {Str: c.className(folded.Class)}, {Num: uint64(folded.Outcome)},
-		{Num: milliseconds(folded.FirstStart)}, {Num: milliseconds(folded.LastStart)}, {Num: exchangeNumber(folded.Dest)}, {Num: folded.Count}, {Num: milliseconds(folded.SetUp)}, {Num: milliseconds(folded.EstablishedFor)}, {Num: folded.Attempts}}}
+	return &Item{
+		Kind:        ItemFolded,
+		RecordKind:  folded.Kind,
+		Class:       folded.Class,
+		Outcome:     folded.Outcome,
+		RecordCount: folded.Count,
+		values: []ipfix.Value{
+			{Num: c.Incarnation},
+			{Num: folded.Seq},
+			{},
+			{Num: uint64(folded.Kind)},
+			{Num: uint64(folded.Class)},
+			{Str: c.className(folded.Class)},
+			{Num: uint64(folded.Outcome)},
+			{Num: milliseconds(folded.FirstStart)},
+			{Num: milliseconds(folded.LastStart)},
+			{Num: exchangeNumber(folded.Dest)},
+			{Num: folded.Count},
+			{Num: milliseconds(folded.SetUp)},
+			{Num: milliseconds(folded.EstablishedFor)},
+			{Num: folded.Attempts},
+		},
+	}
 }
 
 // Summary counts the calls to one destination in one class that ended in an interval.
@@ -323,9 +396,27 @@
 
 // SummaryItem returns the item for the summary of an interval.
 func (c *Codec) SummaryItem(seq uint64, class uint8, dest int32, from, to time.Duration, summary *Summary) *Item {
-	return &Item{Kind: ItemSummary, Class: class, values: []ipfix.Value{{Num: c.Incarnation}, {Num: seq}, {}, {Num: uint64(class)}, {Str: c.className(class)},
-		{Num: exchangeNumber(dest)}, {Num: milliseconds(from)}, {Num: milliseconds(to)}, {Num: summary.Calls}, {Num: summary.Established}, {Num: summary.Refused}, {Num: summary.Failed}, {Num: summary.Abandoned},
-		{Num: summary.Attempts}, {Num: milliseconds(summary.CircuitTime)}}}
+	return &Item{
+		Kind:  ItemSummary,
+		Class: class,
+		values: []ipfix.Value{
+			{Num: c.Incarnation},
+			{Num: seq},
+			{},
+			{Num: uint64(class)},
+			{Str: c.className(class)},
+			{Num: exchangeNumber(dest)},
+			{Num: milliseconds(from)},
+			{Num: milliseconds(to)},
+			{Num: summary.Calls},
+			{Num: summary.Established},
+			{Num: summary.Refused},
+			{Num: summary.Failed},
+			{Num: summary.Abandoned},
+			{Num: summary.Attempts},
+			{Num: milliseconds(summary.CircuitTime)},
+		},
+	}
 }
 
 // CountItems returns the items that report the records counted, folded and
@@ -342,9 +433,25 @@
 				if count == 0 {
 					continue
 				}
-				items = append(items, &Item{Kind: ItemCounts, RecordKind: Kind(kind), Class: uint8(class), Outcome: Outcome(outcome), values: []ipfix.Value{
-					{Num: c.Incarnation}, {Num: uint64(c.Domain)}, {Num: seq}, {Num: flags}, {Num: uint64(kind)}, {Num: uint64(class)}, {Str: c.className(uint8(class))},
-					{Num: uint64(outcome)}, {Num: count}, {Num: folded[kind][class][outcome]}, {Num: dropped[kind][class][outcome]}}})
+				items = append(items, &Item{
+					Kind:       ItemCounts,
+					RecordKind: Kind(kind),
+					Class:      uint8(class),
+					Outcome:    Outcome(outcome),
+					values: []ipfix.Value{
+						{Num: c.Incarnation},
+						{Num: uint64(c.Domain)},
+						{Num: seq},
+						{Num: flags},
+						{Num: uint64(kind)},
+						{Num: uint64(class)},
+						{Str: c.className(uint8(class))},
+						{Num: uint64(outcome)},
+						{Num: count},
+						{Num: folded[kind][class][outcome]},
+						{Num: dropped[kind][class][outcome]},
+					},
+				})
 			}
 		}
 	}
@@ -436,8 +543,22 @@
 	duration := func(element ipfix.Element) time.Duration {
 		return time.Duration(fieldValue(record, element)) * time.Millisecond
 	}
-	return Record{Kind: KindCall, Class: item.Class, Outcome: item.Outcome, Seq: fieldValue(record, eFlowID), CalledNumber: fieldValue(record, eNumberHash), Start: duration(eStart),
-		SetUp: duration(eSetUp), EstablishedFor: duration(eEstablished), Source: int32(fieldValue(record, eSource)), Dest: int32(fieldValue(record, eDest)), Via: int32(fieldValue(record, eVia)),
-		Circuits: uint16(fieldValue(record, eCircuits)), Attempts: uint8(fieldValue(record, eAttempts)), TandemAttempts: uint8(fieldValue(record, eTandemAttempts)), Route: Route(fieldValue(record, eRoute)),
-		Repeat: fieldValue(record, eFlags)&FlagRepeat != 0}, true
+	return Record{
+		Kind:           KindCall,
+		Class:          item.Class,
+		Outcome:        item.Outcome,
+		Seq:            fieldValue(record, eFlowID),
+		CalledNumber:   fieldValue(record, eNumberHash),
+		Start:          duration(eStart),
+		SetUp:          duration(eSetUp),
+		EstablishedFor: duration(eEstablished),
+		Source:         int32(fieldValue(record, eSource)),
+		Dest:           int32(fieldValue(record, eDest)),
+		Via:            int32(fieldValue(record, eVia)),
+		Circuits:       uint16(fieldValue(record, eCircuits)),
+		Attempts:       uint8(fieldValue(record, eAttempts)),
+		TandemAttempts: uint8(fieldValue(record, eTandemAttempts)),
+		Route:          Route(fieldValue(record, eRoute)),
+		Repeat:         fieldValue(record, eFlags)&FlagRepeat != 0,
+	}, true
 }
--- a/internal/ipfix/decode.go
+++ b/internal/ipfix/decode.go
@@ -27,9 +27,9 @@
 // Message is one decoded message.
 type Message struct {
 	Protocol      Protocol
-	ExportTime    int64 // export time, seconds since 1970
+	ExportTime    int64 // seconds since 1970
 	Sequence      uint32
-	Domain        uint32
+	Domain        uint32 // observation domain ID, or source ID in NetFlow version 9
 	Records       []Record
 	TemplateCount int // template records, including withdrawals
 	UnknownSets   int // sets whose template is not known
@@ -353,7 +353,14 @@
 	if element.Type == Unsigned64 {
 		semantics = 1 // quantity
 	}
-	return []Value{{Num: uint64(element.PEN)}, {Num: uint64(element.ID)}, {Num: uint64(element.Type)}, {Num: semantics}, {Num: uint64(units)}, {Str: element.Name}}
+	return []Value{
+		{Num: uint64(element.PEN)},
+		{Num: uint64(element.ID)},
+		{Num: uint64(element.Type)},
+		{Num: semantics},
+		{Num: uint64(units)},
+		{Str: element.Name},
+	}
 }
 
 // learnElement stores the element that a type information record describes. It
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -93,7 +93,8 @@
 				if err != nil {
 					t.Fatalf("error %v while decoding % x", err, data)
 				}
-				if message.Domain != 7 || message.ExportTime != 1_700_000_000 || message.Sequence != sequence || len(message.Records) != count || message.UnknownSets != 0 {
+				if message.Domain != 7 || message.ExportTime != 1_700_000_000 || message.Sequence != sequence ||
+					len(message.Records) != count || message.UnknownSets != 0 {
 					t.Fatalf("decoded %+v, want sequence %d and %d records", message, sequence, count)
 				}
 				if protocol == IPFIX && message.Sequence != uint32(recordsSent) {
@@ -205,7 +206,12 @@
 	template := &Template{ID: 301, Fields: []Element{element}}
 	writer := NewWriter(IPFIX, 1, 1400)
 	decoder := NewDecoder(TypeInfoElements...)
-	for _, err := range []error{writer.AddTemplate(typeInfo), writer.AddTemplate(template), writer.AddRecord(typeInfo, TypeInfoRecord(element, 0)), writer.AddRecord(template, []Value{{Str: "busy"}})} {
+	for _, err := range []error{
+		writer.AddTemplate(typeInfo),
+		writer.AddTemplate(template),
+		writer.AddRecord(typeInfo, TypeInfoRecord(element, 0)),
+		writer.AddRecord(template, []Value{{Str: "busy"}}),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,7 +231,8 @@
 	writer.AddTemplate(template)
 	writer.WithdrawTemplate(template)
 	writer.AddRecord(template, []Value{{Num: 1}})
-	if message, err := decoder.Decode(writer.Finish(0, 0)); err != nil || message.UnknownSets != 1 || message.TemplateCount != 2 || len(message.Records) != 0 {
+	if message, err := decoder.Decode(writer.Finish(0, 0)); err != nil || message.UnknownSets != 1 ||
+		message.TemplateCount != 2 || len(message.Records) != 0 {
 		t.Fatalf("decoded %+v, error %v", message, err)
 	}
 }
@@ -296,7 +303,10 @@
 	})
 }
 
-var benchmarkFields = []Element{testElements[0], testElements[1], testElements[2], testElements[3], testElements[4], testElements[5], testElements[4], testElements[4], testElements[2], testElements[2]}
+var benchmarkFields = []Element{
+	testElements[0], testElements[1], testElements[2], testElements[3], testElements[4],
+	testElements[5], testElements[4], testElements[4], testElements[2], testElements[2],
+}
 
 // benchmarkRecord returns a writer and a typical record with its template.
 func benchmarkRecord(protocol Protocol) (*Writer, *Template, []Value) {
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -30,7 +30,8 @@
 		lowAttempt, highAttempt := sends(s, flow.KindAttempt, 0), sends(s, flow.KindAttempt, 2)
 		lowCall, highCall := sends(s, flow.KindCall, 0), sends(s, flow.KindCall, 2)
 		if lowAttempt && !highAttempt || highAttempt && !lowCall || lowCall && !highCall {
-			t.Errorf("%v: sent: low-value attempts %v, high-value attempts %v, low-value calls %v, high-value calls %v", level, lowAttempt, highAttempt, lowCall, highCall)
+			t.Errorf("%v: sent: low-value attempts %v, high-value attempts %v, low-value calls %v, high-value calls %v",
+				level, lowAttempt, highAttempt, lowCall, highCall)
 		}
 		sent := 0
 		for _, kindSent := range []bool{lowAttempt, highAttempt, lowCall, highCall} {
@@ -223,9 +224,9 @@
 		oldestQueued++
 		return true
 	})
-	for _, left := range queue {
-		dropOldestWorth += left.worth
-		if left.otherDest {
+	for _, queued := range queue {
+		dropOldestWorth += queued.worth
+		if queued.otherDest {
 			dropOldestOthers++
 		}
 	}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -486,7 +486,9 @@
 	s.position.ReadBytes = max(s.position.ReadBytes, s.position.ConfirmedBytes)
 	for len(s.segments) > 0 {
 		oldest := s.segments[0]
-		if oldest.number > s.position.Segment || oldest.number == s.position.Segment && s.position.ConfirmedBytes < oldest.size || s.current != nil && len(s.segments) == 1 {
+		if oldest.number > s.position.Segment ||
+			oldest.number == s.position.Segment && s.position.ConfirmedBytes < oldest.size ||
+			s.current != nil && len(s.segments) == 1 {
 			break
 		}
 		s.closeReader(oldest.number)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -129,7 +129,12 @@
 func newItems(firstSeq, count int) []*flow.Item {
 	var records []*flow.Item
 	for i := range count {
-		records = append(records, testCodec.RecordItem(&flow.Record{Seq: uint64(firstSeq + i), Class: uint8(i % 2), Outcome: flow.CallRefused, VerdictReason: "no circuit free"}))
+		records = append(records, testCodec.RecordItem(&flow.Record{
+			Seq:           uint64(firstSeq + i),
+			Class:         uint8(i % 2),
+			Outcome:       flow.CallRefused,
+			VerdictReason: "no circuit free",
+		}))
 	}
 	return records
 }
@@ -211,15 +216,15 @@
 // A segment may be cut at any byte by a crash. Open keeps the complete messages and
 // truncates the rest.
 func TestSegmentTruncatedAtEveryByte(t *testing.T) {
-	whole := newMemoryDisk()
-	s := openSpool(t, whole, smallConfig)
+	intact := newMemoryDisk()
+	s := openSpool(t, intact, smallConfig)
 	for i := range 4 {
 		if err := s.Write(time.Hour, newItems(1+5*i, 5)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	name := segmentName(1)
-	data := whole.files[name].data
+	data := intact.files[name].data
 	previous := -1
 	for length := len(data); length >= 0; length-- {
 		disk := newMemoryDisk()
@@ -333,7 +338,8 @@
 	lostByAge := s.TakeLost()
 	replayed := replayAll(t, s)
 	kept = len(replayed)
-	if n := lostBySize.Sum(flow.KindCall) + lostByAge.Sum(flow.KindCall) + uint64(kept); n != 1001 || lostBySize.Sum(flow.KindCall) == 0 || lostByAge.Sum(flow.KindCall) == 0 {
+	if n := lostBySize.Sum(flow.KindCall) + lostByAge.Sum(flow.KindCall) + uint64(kept); n != 1001 ||
+		lostBySize.Sum(flow.KindCall) == 0 || lostByAge.Sum(flow.KindCall) == 0 {
 		t.Fatalf("%d lost by size, %d by age, %d kept", lostBySize.Sum(flow.KindCall), lostByAge.Sum(flow.KindCall), kept)
 	}
 }
