--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo plays a scenario: controllers as processes of their own, the
-// stand-ins in this one, a capture of all that passes, and the judgement of it.
+// Package demo runs a scenario with controllers in processes of their own and the
+// simulated network in this one, captures all messages and audits the captures.
 package demo
 
 import (
@@ -25,24 +25,24 @@
 	"dahliaspindle/internal/standin/world"
 )
 
-// Options of a play.
+// Options configures a demo run.
 type Options struct {
 	Scenario    *settings.Scenario
-	Policy      string // of the controllers
-	Dir         string // for settings, logs and the capture
-	ExportFlows bool   // export flow records to a collector of the demo's own
-	Executable  string // the program that runs a controller: EXE run FILE
-	Progress    func(passed time.Duration, calls int)
+	Policy      string                                 // routing policy of the controllers
+	Dir         string                                 // directory for settings, logs and captures
+	ExportFlows bool                                   // export flow records to a collector in this process
+	Executable  string                                 // program that runs a controller: EXECUTABLE run FILE
+	Progress    func(elapsed time.Duration, calls int) // may be nil
 }
 
-// Row is one line of a table.
+// Row is one row of a table of call outcomes.
 type Row struct {
 	Name         string           `json:"name"`
 	Tally        subscriber.Tally `json:"tally"`
 	ServiceRatio float64          `json:"service"`
 }
 
-// Result is what came of it.
+// Result is the result of a demo run.
 type Result struct {
 	Scenario      string          `json:"scenario"`
 	Seed          uint64          `json:"seed"`
@@ -62,7 +62,7 @@
 	ServiceRatio  float64         `json:"service"`
 }
 
-// RulesKept tells whether every rule held.
+// RulesKept reports whether no rule was broken.
 func (r *Result) RulesKept() bool {
 	for _, rule := range r.Rules {
 		if rule.Broken > 0 {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Run plays a scenario. Its error is for a play that could not be made; broken
-// rules stand in the result.
+// Run runs a scenario. It returns an error if the run fails; broken rules are
+// reported in the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -84,7 +84,9 @@
 	dialer := net.Dialer{Timeout: time.Second}
 	runner, err := world.New(options.Scenario, world.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
-		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
+		Dial: func(ctx context.Context, address string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", address)
+		},
 	}, captureWriter)
 	if err != nil {
 		return nil, errors.Join(err, captureWriter.Close())
@@ -103,21 +105,27 @@
 		go collector.Serve(listener)
 		collectorAddress = listener.Addr().String()
 	}
-	processes := &controllerProcesses{options: options, collectorAddress: collectorAddress, listAddress: runner.ListAddr(), captureWriter: captureWriter, processes: make([]process, options.Scenario.Fleet.Exchanges)}
-	for number := range processes.processes {
-		if err := processes.startController(number); err != nil {
-			processes.killAll()
+	controllers := &controllerProcesses{
+		options:          options,
+		collectorAddress: collectorAddress,
+		listAddress:      runner.ListAddr(),
+		captureWriter:    captureWriter,
+		processes:        make([]process, options.Scenario.Fleet.Exchanges),
+	}
+	for number := range controllers.processes {
+		if err := controllers.startController(number); err != nil {
+			controllers.killAll()
 			return nil, errors.Join(err, captureWriter.Close())
 		}
 	}
-	runErr := runner.Run(ctx, processes, options.Progress)
-	stopErr := processes.stopAll()
+	runErr := runner.Run(ctx, controllers, options.Progress)
+	stopErr := controllers.stopAll()
 	inUse := make(chan int, 1)
 	runner.Do(func() { inUse <- runner.Fleet.CircuitsInUse() })
 	circuitsInUse := <-inUse
 	runner.Close()
 	if err := errors.Join(runErr, stopErr, captureWriter.Close()); err != nil {
-		return nil, fmt.Errorf("playing %s: %w (logs in %s)", options.Scenario.Name, err, options.Dir)
+		return nil, fmt.Errorf("running scenario %s: %w (logs in %s)", options.Scenario.Name, err, options.Dir)
 	}
 	report, err := audit.Path(options.Dir)
 	if err != nil {
@@ -134,71 +142,84 @@
 	return result, nil
 }
 
-// newResult puts the judgement and the callers' tables together.
+// newResult combines the audit report with the tables of call outcomes.
 func newResult(options Options, report *audit.Report, simulation *scene.Simulation) *Result {
-	result := &Result{Scenario: options.Scenario.Name, Seed: options.Scenario.Seed, Policy: options.Policy, Exchanges: options.Scenario.Fleet.Exchanges,
-		Rules: report.Rules, Calls: report.Calls, Capture: options.Dir, Messages: report.Messages,
-		Fleet: simulation.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
+	result := &Result{
+		Scenario:  options.Scenario.Name,
+		Seed:      options.Scenario.Seed,
+		Policy:    options.Policy,
+		Exchanges: options.Scenario.Fleet.Exchanges,
+		Rules:     report.Rules,
+		Calls:     report.Calls,
+		Capture:   options.Dir,
+		Messages:  report.Messages,
+		Fleet:     simulation.Fleet.Counts,
+		Breaches:  report.Breaches,
+		Notes:     report.Notes,
+	}
 	AddTables(result, options.Scenario, simulation)
 	return result
 }
 
-// AddTables counts a scene's calls by class and by trouble.
+// AddTables adds the call outcomes of a simulation by class and by trouble to result.
 func AddTables(result *Result, scenario *settings.Scenario, simulation *scene.Simulation) {
 	add := func(name string, rows *[]Row, matches func(*subscriber.Call) bool) {
 		tally := simulation.Callers.Tally(matches)
 		*rows = append(*rows, Row{name, tally, tally.ServiceRatio()})
 	}
-	for i, c := range scenario.Classes {
-		add(c.Name, &result.Classes, func(call *subscriber.Call) bool { return call.Class == i && !call.ToHotNumber })
+	for i, class := range scenario.Classes {
+		add(class.Name, &result.Classes, func(call *subscriber.Call) bool { return call.Class == i && !call.ToHotNumber })
 	}
-	add("hot number", &result.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
+	add("hot number", &result.Classes, func(call *subscriber.Call) bool { return call.ToHotNumber })
 	add("all", &result.Classes, func(*subscriber.Call) bool { return true })
 	result.ServiceRatio = result.Classes[len(result.Classes)-1].ServiceRatio
 	for _, trouble := range simulation.Troubles() {
-		add(fmt.Sprintf("%s at %v: %s", trouble.Kind, trouble.At, trouble.Description), &result.Troubles, func(k *subscriber.Call) bool {
-			at := simulation.FirstAttemptTime(k)
-			return at >= trouble.Start && at < trouble.End
+		add(fmt.Sprintf("%s at %v: %s", trouble.Kind, trouble.At, trouble.Description), &result.Troubles, func(call *subscriber.Call) bool {
+			firstAttempt := simulation.FirstAttemptTime(call)
+			return firstAttempt >= trouble.Start && firstAttempt < trouble.End
 		})
 	}
 }
 
-// controllerProcesses is the controllers' processes.
+// controllerProcesses runs the controllers as processes. It implements
+// world.Controllers.
 type controllerProcesses struct {
 	options       Options
 	listAddress   string
 	captureWriter *capture.Writer
 
-	collectorAddress string // for flow records; none if empty
+	collectorAddress string // for flow records; empty: none are exported
 
 	mu        sync.Mutex
 	processes []process
 	stopping  bool
-	restarts  sync.WaitGroup
-	errs      []error
+	restarts  sync.WaitGroup // restarts in progress
+	errs      []error        // failed starts and failed controllers
 }
 
+// process is the process of one controller.
 type process struct {
 	command *exec.Cmd
 	address string
-	starts  int
+	starts  int // including restarts
 }
 
-// Addr is where a controller listens.
-func (f *controllerProcesses) Addr(number int) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.processes[number].address
+// Addr returns the address on which a controller listens.
+func (c *controllerProcesses) Addr(number int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.processes[number].address
 }
 
-// startController runs a controller on a listener that this process opens and passes on.
-func (f *controllerProcesses) startController(number int) error {
-	started := &f.processes[number]
-	addr := started.address
-	if addr == "" {
-		addr = "127.0.0.1:0"
+// startController starts a controller with a listener that this process opens and
+// passes on.
+func (c *controllerProcesses) startController(number int) error {
+	started := &c.processes[number]
+	address := started.address
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	listener, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("controller %d: %w", number, err)
 	}
@@ -210,14 +231,18 @@
 	}
 	defer listenerFile.Close()
 	started.starts++
-	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", number, started.starts))
-	controllerSettings := f.options.Scenario.Controller(number, f.listAddress)
+	base := filepath.Join(c.options.Dir, fmt.Sprintf("controller-%d.%d", number, started.starts))
+	controllerSettings := c.options.Scenario.Controller(number, c.listAddress)
 	controllerSettings.Seed += uint64(started.starts) << 32
-	controllerSettings.Listen, controllerSettings.Policy = "fd:3", f.options.Policy
+	controllerSettings.Listen, controllerSettings.Policy = "fd:3", c.options.Policy
 	controllerSettings.Capture.File = base + capture.FileSuffix
-	if f.collectorAddress != "" {
-		controllerSettings.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
-			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", number))}
+	if c.collectorAddress != "" {
+		controllerSettings.Flows = settings.Flows{
+			Collectors:      []settings.Collector{{Address: c.collectorAddress}},
+			SummaryInterval: 2 * time.Second,
+			ConfirmAfter:    5 * time.Second,
+			SpoolDirectory:  filepath.Join(c.options.Dir, fmt.Sprint("spool-", number)),
+		}
 	}
 	settingsFile, err := os.Create(base + ".xml")
 	if err != nil {
@@ -231,7 +256,7 @@
 		return fmt.Errorf("controller %d: %w", number, err)
 	}
 	defer logFile.Close()
-	started.command = exec.Command(f.options.Executable, "run", base+".xml")
+	started.command = exec.Command(c.options.Executable, "run", base+".xml")
 	started.command.Stdout, started.command.Stderr = logFile, logFile
 	started.command.ExtraFiles = []*os.File{listenerFile}
 	started.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -241,54 +266,56 @@
 	return nil
 }
 
-// Restart kills a controller and starts it again, without holding its caller up.
-func (f *controllerProcesses) Restart(number int) {
-	f.restarts.Go(func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.stopping {
+// Restart kills a controller and starts it again, without blocking the caller.
+func (c *controllerProcesses) Restart(number int) {
+	c.restarts.Go(func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.stopping {
 			return
 		}
-		restarted := &f.processes[number]
-		_ = restarted.command.Process.Kill() // fails only if it has ended
-		_ = restarted.command.Wait()         // killed: its status says so
-		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(number)})
-		if err := f.startController(number); err != nil {
-			f.errs = append(f.errs, err)
+		restarted := &c.processes[number]
+		_ = restarted.command.Process.Kill() // fails only if the process has ended
+		_ = restarted.command.Wait()         // the status only says that it was killed
+		c.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(number)})
+		if err := c.startController(number); err != nil {
+			c.errs = append(c.errs, err)
 		}
 	})
 }
 
-// shutdownTimeout is how long the controllers may take to answer what they have.
+// shutdownTimeout is how long the controllers may take to answer pending calls and
+// shut down.
 const shutdownTimeout = 15 * time.Second
 
-// stopAll lets all controllers end, and returns how they failed.
-func (f *controllerProcesses) stopAll() error {
-	f.restarts.Wait()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.stopping = true
-	for i := range f.processes {
-		_ = f.processes[i].command.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
+// stopAll shuts all controllers down, kills those that take longer than
+// shutdownTimeout, and returns all errors so far.
+func (c *controllerProcesses) stopAll() error {
+	c.restarts.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stopping = true
+	for i := range c.processes {
+		_ = c.processes[i].command.Process.Signal(syscall.SIGTERM) // if the process has ended, Wait reports it
 	}
 	timeout := time.AfterFunc(shutdownTimeout, func() {
-		for i := range f.processes {
-			_ = f.processes[i].command.Process.Kill()
+		for i := range c.processes {
+			_ = c.processes[i].command.Process.Kill()
 		}
 	})
 	defer timeout.Stop()
-	for i := range f.processes {
-		if err := f.processes[i].command.Wait(); err != nil {
-			f.errs = append(f.errs, fmt.Errorf("controller %d: %w", i, err))
+	for i := range c.processes {
+		if err := c.processes[i].command.Wait(); err != nil {
+			c.errs = append(c.errs, fmt.Errorf("controller %d: %w", i, err))
 		}
 	}
-	return errors.Join(f.errs...)
+	return errors.Join(c.errs...)
 }
 
-// killAll ends what was started of a fleet that could not be.
-func (f *controllerProcesses) killAll() {
-	for i := range f.processes {
-		if command := f.processes[i].command; command != nil && command.Process != nil {
+// killAll kills the controllers started so far, after a failed start.
+func (c *controllerProcesses) killAll() {
+	for i := range c.processes {
+		if command := c.processes[i].command; command != nil && command.Process != nil {
 			_ = command.Process.Kill()
 			_ = command.Wait()
 		}
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -11,8 +11,8 @@
 	"dahliaspindle/internal/virtual"
 )
 
-// RunVirtual plays a scenario in virtual time, without processes and sockets, and
-// judges it as Run does. Flows, Exe and Progress are not used.
+// RunVirtual runs a scenario in virtual time, without processes and sockets, and
+// audits it as Run does. ExportFlows, Executable and Progress are ignored.
 func RunVirtual(options Options) (*Result, error) {
 	var captureErr error
 	incarnations := map[string]int{}
@@ -24,7 +24,7 @@
 		return captureWriter
 	}})
 	if err := errors.Join(captureErr, err); err != nil {
-		return nil, fmt.Errorf("playing %s: %w", options.Scenario.Name, err)
+		return nil, fmt.Errorf("running scenario %s: %w", options.Scenario.Name, err)
 	}
 	report, err := audit.Path(options.Dir)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,7 @@
-// Package load calls controllers at a rate that waits for no answer (open
-// loop). A call's delay counts from the moment at which it was due, so that a
-// tool that falls behind does not hide the wait (coordinated omission).
+// Package load generates calls to controllers at a rate that does not depend on the
+// answers (open loop). The delay of a call counts from the time at which it was due,
+// so that delays are not hidden when the generator falls behind (coordinated
+// omission).
 package load
 
 import (
@@ -19,21 +20,21 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Addresses       []string
-	Rate            float64 // calls a second
+	Addresses       []string // of the controllers
+	Rate            float64  // calls per second
 	Duration        time.Duration
-	Classes         []string
-	Destinations    []int
-	Patience        time.Duration
-	MeanHoldingTime time.Duration // mean; 0: released at once
-	ConnsPerAddress int           // to each controller
+	Classes         []string      // names of the classes to draw from
+	Destinations    []int         // exchange numbers to draw from
+	Patience        time.Duration // time allowed for the set-up of a call
+	MeanHoldingTime time.Duration // 0: calls are released at once
+	ConnsPerAddress int           // connections to each controller
 	Seed            uint64
-	Dial            func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	Dial            func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 }
 
-// Row is the delays of the calls that ended alike.
+// Row holds the delays of the calls with the same outcome.
 type Row struct {
 	Name  string        `json:"name"`
 	Calls int64         `json:"calls"`
@@ -43,78 +44,92 @@
 	Max   time.Duration `json:"most"`
 }
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	Offered  int           `json:"offered"`
 	Duration time.Duration `json:"took"`
-	Rows     []Row         `json:"rows"` // stood, refused, failed, not taken, unanswered
+	Rows     []Row         `json:"rows"` // by outcome: established, refused, failed, not taken, unanswered
 }
 
+// Outcomes of calls, in the order of Result.Rows.
 const (
 	established = iota
 	refused
 	failed
-	notTaken
+	notTaken // not sent, or rejected without being handled
 	unanswered
 	outcomeCount
 )
 
+// outcomeNames holds the names of the outcomes in JSON output.
 var outcomeNames = [outcomeCount]string{"stood", "refused", "failed", "not taken", "unanswered"}
 
+// client is one connection to a controller.
 type client struct {
 	run             *run
 	conn            *transport.Conn[*signal.Message]
 	mu              sync.Mutex
 	lastTransaction uint32
-	pending         map[uint32]pendingCall
+	pending         map[uint32]pendingCall // unanswered calls by transaction
 }
 
+// pendingCall is a call that has not been answered.
 type pendingCall struct {
 	dueAt       time.Time
 	termination string
 	holdingTime time.Duration
 }
 
+// run is a run in progress.
 type run struct {
 	options       Options
-	mu            sync.Mutex
+	mu            sync.Mutex // protects histograms
 	histograms    [outcomeCount]*hdrhistogram.Histogram
 	random        *rand.Rand
-	releaseTimers sync.WaitGroup
+	releaseTimers sync.WaitGroup // established calls that wait for their release
 	clients       []*client
 }
 
-// maxRecordedDelay is the largest delay told apart.
+// maxRecordedDelay is the largest delay of the histograms in nanoseconds; longer ones
+// count as this.
 const maxRecordedDelay = int64(5 * time.Minute)
 
+// record adds the delay of a call to the histogram of its outcome.
 func (r *run) record(outcome int, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.histograms[outcome].RecordValue(min(max(int64(delay), 1), maxRecordedDelay)) // within range by min and max
+	_ = r.histograms[outcome].RecordValue(min(max(int64(delay), 1), maxRecordedDelay)) // can't fail: the value is within the range
 }
 
-// Run makes the calls and waits for the answers.
+// Run generates the calls and waits for their answers.
 func Run(ctx context.Context, options Options) (*Result, error) {
-	if options.Rate <= 0 || options.Duration <= 0 || options.ConnsPerAddress <= 0 || len(options.Addresses) == 0 || len(options.Classes) == 0 || len(options.Destinations) == 0 || options.Patience <= 0 {
+	if options.Rate <= 0 || options.Duration <= 0 || options.ConnsPerAddress <= 0 || len(options.Addresses) == 0 ||
+		len(options.Classes) == 0 || len(options.Destinations) == 0 || options.Patience <= 0 {
 		return nil, errors.New("load: rate, time, patience, connections, controllers, classes and numbers must all be given")
 	}
 	if options.Dial == nil {
 		var dialer net.Dialer
-		options.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
+		options.Dial = func(ctx context.Context, address string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", address)
+		}
 	}
 	current := &run{options: options, random: rand.New(rand.NewPCG(options.Seed, 0x10ad))}
 	for i := range current.histograms {
 		current.histograms[i] = hdrhistogram.New(1, maxRecordedDelay, 3)
 	}
-	for _, addr := range options.Addresses {
+	for _, address := range options.Addresses {
 		for range options.ConnsPerAddress {
-			conn, err := options.Dial(ctx, addr)
+			conn, err := options.Dial(ctx, address)
 			if err != nil {
 				current.close()
 				return nil, fmt.Errorf("load: %w", err)
 			}
 			added := &client{run: current, pending: map[uint32]pendingCall{}}
-			added.conn = transport.Start(conn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{}), Outbox: guard.Outbox{Capacity: 1 << 20}, WriteTimeout: time.Minute}, added)
+			added.conn = transport.Start(conn, transport.Options[*signal.Message]{
+				Reader:       signal.NewReadFunc(signal.Limits{}),
+				Outbox:       guard.Outbox{Capacity: 1 << 20},
+				WriteTimeout: time.Minute,
+			}, added)
 			current.clients = append(current.clients, added)
 		}
 	}
@@ -128,22 +143,29 @@
 	}
 	for _, c := range current.clients {
 		c.mu.Lock()
-		for id, b := range c.pending {
-			current.record(unanswered, time.Since(b.dueAt))
-			delete(c.pending, id)
+		for transaction, call := range c.pending {
+			current.record(unanswered, time.Since(call.dueAt))
+			delete(c.pending, transaction)
 		}
 		c.mu.Unlock()
 	}
 	current.releaseTimers.Wait()
 	result := &Result{Offered: offered, Duration: duration}
 	for i, histogram := range current.histograms {
-		result.Rows = append(result.Rows, Row{outcomeNames[i], histogram.TotalCount(), time.Duration(histogram.ValueAtQuantile(50)),
-			time.Duration(histogram.ValueAtQuantile(99)), time.Duration(histogram.ValueAtQuantile(99.9)), time.Duration(histogram.Max())})
+		result.Rows = append(result.Rows, Row{
+			outcomeNames[i],
+			histogram.TotalCount(),
+			time.Duration(histogram.ValueAtQuantile(50)),
+			time.Duration(histogram.ValueAtQuantile(99)),
+			time.Duration(histogram.ValueAtQuantile(99.9)),
+			time.Duration(histogram.Max()),
+		})
 	}
 	return result, nil
 }
 
-// placeCalls makes the calls at their times, several at once where the clock is behind.
+// placeCalls makes the calls at the times at which they are due, without a pause when
+// it is late, and returns their number.
 func (r *run) placeCalls(ctx context.Context, start time.Time) int {
 	due := start
 	for placed := 0; ; placed++ {
@@ -173,6 +195,7 @@
 	}
 }
 
+// countPending returns the number of unanswered calls.
 func (r *run) countPending() int {
 	pending := 0
 	for _, c := range r.clients {
@@ -183,6 +206,7 @@
 	return pending
 }
 
+// close closes all connections and waits for their end.
 func (r *run) close() {
 	for _, c := range r.clients {
 		c.conn.Close(transport.ErrClosed)
@@ -190,7 +214,7 @@
 	}
 }
 
-// Message takes a controller's word.
+// Message handles a message of the controller.
 func (c *client) Message(conn *transport.Conn[*signal.Message], message *signal.Message) {
 	if message.Kind == signal.Request {
 		conn.Send(message.NewReply(), 0)
@@ -236,10 +260,10 @@
 	})
 }
 
-// Unreadable is called for a message that can't be read: nothing waits for it.
+// Unreadable ignores a malformed message: no call waits for it.
 func (c *client) Unreadable(*transport.Conn[*signal.Message], transport.RecoverableError) {}
 
-// Unsent is a call that could not be sent.
+// Unsent counts a call that could not be sent.
 func (c *client) Unsent(_ *transport.Conn[*signal.Message], message *signal.Message) {
 	c.mu.Lock()
 	unsent, ok := c.pending[message.ID]
@@ -250,5 +274,5 @@
 	}
 }
 
-// Closed is the end of the connection.
+// Closed ignores the end of the connection: its calls remain unanswered.
 func (c *client) Closed(*transport.Conn[*signal.Message], error) {}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,8 +12,8 @@
 	"dahliaspindle/internal/transport"
 )
 
-// scriptedController answers every third Add well, every third with a refusal, the rest
-// never; it stops answering for a while in the middle.
+// scriptedController accepts a third of the calls, refuses a third and never answers
+// the others. It delays all answers of the second second to its end.
 type scriptedController struct {
 	setUps      int
 	startedAt   time.Time
@@ -38,7 +38,7 @@
 		}
 	case signal.Subtract:
 		if !s.established[message.Termination] {
-			s.t.Errorf("released %s, which did not stand", message.Termination)
+			s.t.Errorf("released %s, which was not established", message.Termination)
 		}
 		delete(s.established, message.Termination)
 	}
@@ -47,6 +47,9 @@
 func (*scriptedController) Unsent(*transport.Conn[*signal.Message], *signal.Message)                {}
 func (*scriptedController) Closed(*transport.Conn[*signal.Message], error)                          {}
 
+// Calls are generated in an open loop: a pause of the controller appears in the delays
+// in full, because later calls do not wait for it. All calls are counted, and all
+// established ones released.
 func TestDelayCountsFromDueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var network memnet.Network
@@ -54,16 +57,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		controller := &scriptedController{startedAt: time.Now(), established: map[string]bool{}, t: t}
+		server := &scriptedController{startedAt: time.Now(), established: map[string]bool{}, t: t}
 		go func() {
 			conn, err := listener.Accept()
 			if err == nil {
-				transport.Start(conn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, controller)
+				transport.Start(conn, transport.Options[*signal.Message]{Reader: signal.NewReadFunc(signal.Limits{})}, server)
 			}
 		}()
-		result, err := Run(t.Context(), Options{Addresses: []string{listener.Addr().String()}, Rate: 300, Duration: 3 * time.Second, Classes: []string{"x"},
-			Destinations: []int{1}, Patience: 2 * time.Second, MeanHoldingTime: 100 * time.Millisecond, ConnsPerAddress: 1, Seed: 7,
-			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return network.Dial(ctx, addr) }})
+		result, err := Run(t.Context(), Options{
+			Addresses:       []string{listener.Addr().String()},
+			Rate:            300,
+			Duration:        3 * time.Second,
+			Classes:         []string{"x"},
+			Destinations:    []int{1},
+			Patience:        2 * time.Second,
+			MeanHoldingTime: 100 * time.Millisecond,
+			ConnsPerAddress: 1,
+			Seed:            7,
+			Dial:            func(ctx context.Context, address string) (net.Conn, error) { return network.Dial(ctx, address) },
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,17 +84,18 @@
 			sum += row.Calls
 		}
 		if sum != int64(result.Offered) || result.Offered < 800 || result.Offered > 1000 {
-			t.Errorf("%d calls offered, %d booked", result.Offered, sum)
+			t.Errorf("%d calls offered, %d counted", result.Offered, sum)
 		}
-		// the second in which nothing was answered shows in full: arrivals did not wait for it
+		// The pause of one second appears in full.
+		// The median shows that calls outside the pause were not delayed.
 		if answered := result.Rows[established]; answered.Calls != int64(result.Offered/3) || answered.Max < 900*time.Millisecond || answered.P50 > 10*time.Millisecond {
-			t.Errorf("%+v", answered)
+			t.Errorf("established calls: %+v", answered)
 		}
 		if result.Rows[unanswered].Calls < int64(result.Offered/3) || result.Rows[refused].Calls == 0 {
-			t.Errorf("%+v", result.Rows)
+			t.Errorf("calls by outcome: %+v", result.Rows)
 		}
-		if len(controller.established) != 0 {
-			t.Errorf("%d calls were never released", len(controller.established))
+		if len(server.established) != 0 {
+			t.Errorf("%d calls were never released", len(server.established))
 		}
 	})
 }
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -1,7 +1,7 @@
-// Package exchange stands in for the exchanges: processors with one line, trunk
-// groups shared by both ends with real counts, set-ups direct and over tandems,
-// and what can go wrong with them. It knows the command language and nothing of
-// the controller; it has no socket and no clock.
+// Package exchange simulates the exchanges: single-server processors, trunk
+// groups with circuit counts shared by both ends, direct and tandem set-ups, and
+// faults of all of these. It depends on the command language but not on the
+// controller, and uses neither sockets nor a clock of its own.
 package exchange
 
 import (
@@ -14,120 +14,140 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Conn is one connection of a controller with an exchange; the owner of the
-// fleet makes them. Transit is the one that an exchange keeps to its own
-// controller for calls in transit.
+// Conn is a connection between a controller and an exchange. The owner of the
+// fleet creates it. A transit connection is the one that an exchange keeps to its
+// own controller for calls in transit.
 type Conn struct {
 	Exchange *Exchange
 	Transit  bool
 	Send     func(*signal.Message)
 
-	controllerNumber int // of the controller, once it has said so; -1 before
+	controllerNumber int // exchange number of the controller; -1 until it has introduced itself
 	reportsCircuits  bool
 	lastTransaction  uint32
-	legs             map[legKey]*leg // set up over it
-	pendingTransit   map[uint32]*leg // transit: Adds that wait for their reply, by transaction
-	transitLegs      map[string]*leg // transit: by name in use towards the own controller
+	legs             map[legKey]*leg // set up over this connection
+	pendingTransit   map[uint32]*leg // transit only: legs whose Add awaits its reply, by transaction
+	transitLegs      map[string]*leg // transit only: legs by the name used towards the own controller
 	closed           bool
 }
 
+// legKey identifies a leg within a connection.
 type legKey struct {
 	context uint32
 	attempt string
 }
 
-// Exchange is one exchange; a number that is replaced has two for a while.
+// Exchange is one incarnation of an exchange. While an exchange is being replaced,
+// two incarnations share its number.
 type Exchange struct {
 	ID              uint32
 	Number          int
 	Region          int
-	StartedAt       time.Duration // its start, 0 long ago
+	StartedAt       time.Duration // 0: started long ago, warm
 	Up              bool
-	Unresponsive    bool    // takes set-ups and answers none
-	UnansweredShare float64 // share of set-ups that get no answer
+	Unresponsive    bool    // accepts set-ups but answers none
+	UnansweredShare float64 // share of set-ups that are never answered
 	CutShare        float64 // share of set-ups that are cut before the answer
 	processor       processor
-	setUpWork       time.Duration // of one set-up
+	setUpWork       time.Duration // processor time of one set-up
 	conns           []*Conn
 	transitConn     *Conn
-	ownConn         *Conn // of the controller of its number
+	ownConn         *Conn // connection of the exchange's own controller
 }
 
-// Group is the circuits between two numbers.
+// Group is the trunk group between two exchange numbers.
 type Group struct {
 	LowNumber, HighNumber int
 	Size, Free            int
-	lostCircuits          int
+	lostCircuits          int // out of service by LoseCircuits
 }
 
-// Config are what a fleet is made of.
+// Config holds the parameters of a fleet. Work is given in multiples of the work
+// of one set-up.
 type Config struct {
-	IntraRegionDelay, InterRegionDelay time.Duration // one way within and between regions
-	MaxQueueWait                       time.Duration // longer waits turn set-ups away
-	ExamineWork                        float64       // work in set-ups
+	IntraRegionDelay, InterRegionDelay time.Duration // one way
+	MaxQueueWait                       time.Duration // set-ups that would wait longer are rejected
+	ExamineWork                        float64       // at the originating exchange, before a set-up is sent
 	RejectWork                         float64
-	FollowUpWork                       float64
+	FollowUpWork                       float64 // of an answer or a release
 	ResendWork                         float64
-	ResendAfter                        time.Duration
-	FinishFirst                        bool
-	ReportsWait                        bool
-	ReportsReduction                   bool
-	ColdCapacity                       float64
-	ColdDuration                       time.Duration
+	ResendAfter                        time.Duration // doubles with each resend; 0: set-ups are not resent
+	FinishFirst                        bool          // answers and releases are served before set-ups
+	ReportsWait                        bool          // rejections carry the expected wait
+	ReportsReduction                   bool          // replies carry the load reduction that the exchange asks for
+	ColdCapacity                       float64       // share of the capacity just after a start
+	ColdDuration                       time.Duration // until full capacity
 }
 
-// Fleet is all exchanges and the groups between them.
+// Fleet holds all exchanges and the trunk groups between them.
 type Fleet struct {
 	config            Config
 	scheduler         Scheduler
 	random            *rand.Rand
-	Exchanges         []*Exchange // in the order of their making
+	Exchanges         []*Exchange // in order of creation
 	exchangesByNumber map[int]*Exchange
 	groups            map[[2]int]*Group
 	orderedGroups     []*Group
-	changedGroups     map[int]map[int]bool // by number, whose groups changed
+	changedGroups     map[int]map[int]bool // groups to report: by exchange number, the numbers at the other ends
 	reportScheduled   bool
-	freeLines         map[string]int // free lines of numbers that have few
+	freeLines         map[string]int // free lines of the called numbers that LimitLines restricts
 
-	OnStart func(*Exchange) // told of each start of a processor
+	OnStart func(*Exchange) // called at each start of a processor
 	Counts  Counts
 }
 
-// Counts is what the fleet saw.
+// Counts holds the events of a fleet: set-ups received, calls established (Stood),
+// set-ups rejected for lack of processor capacity (TurnedAway), crankbacks of
+// tandem exchanges (TurnedBack), set-ups without a free circuit or line, legs cut,
+// and set-ups never answered (Swallowed). JSON output uses the field names.
 type Counts struct {
 	Setups, Stood, TurnedAway, TurnedBack, NoCircuit, LinesBusy, Cut, Swallowed int
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New(scheduler Scheduler, random *rand.Rand, config Config) *Fleet {
-	return &Fleet{config: config, scheduler: scheduler, random: random, exchangesByNumber: map[int]*Exchange{}, groups: map[[2]int]*Group{},
-		changedGroups: map[int]map[int]bool{}, freeLines: map[string]int{}, OnStart: func(*Exchange) {}}
-}
-
-// AddExchange brings an exchange into service; work is the time of one set-up on its
-// processor. One of the same number takes over from the one before.
-func (f *Fleet) AddExchange(id uint32, cell, region int, setUpWork time.Duration, cold bool) *Exchange {
-	added := &Exchange{ID: id, Number: cell, Region: region, Up: true, setUpWork: setUpWork}
-	added.processor = processor{scheduler: f.scheduler, answersFirst: f.config.FinishFirst, slowdown: 1, initialShare: f.config.ColdCapacity, warmUpTime: f.config.ColdDuration}
+	return &Fleet{
+		config:            config,
+		scheduler:         scheduler,
+		random:            random,
+		exchangesByNumber: map[int]*Exchange{},
+		groups:            map[[2]int]*Group{},
+		changedGroups:     map[int]map[int]bool{},
+		freeLines:         map[string]int{},
+		OnStart:           func(*Exchange) {},
+	}
+}
+
+// AddExchange brings an exchange into service. setUpWork is the processor time of
+// one set-up. An exchange with a number in use takes over from the previous one.
+func (f *Fleet) AddExchange(id uint32, number, region int, setUpWork time.Duration, cold bool) *Exchange {
+	added := &Exchange{ID: id, Number: number, Region: region, Up: true, setUpWork: setUpWork}
+	added.processor = processor{
+		scheduler:    f.scheduler,
+		answersFirst: f.config.FinishFirst,
+		slowdown:     1,
+		initialShare: f.config.ColdCapacity,
+		warmUpTime:   f.config.ColdDuration,
+	}
 	if cold {
 		added.StartedAt = f.scheduler.Now()
 		added.processor.startedAt = added.StartedAt
 	}
 	f.Exchanges = append(f.Exchanges, added)
-	f.exchangesByNumber[cell] = added
+	f.exchangesByNumber[number] = added
 	f.OnStart(added)
 	return added
 }
 
-// AddGroup makes a group between two numbers.
+// AddGroup creates a trunk group of size circuits between two exchange numbers.
 func (f *Fleet) AddGroup(a, b, size int) {
 	group := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
 	f.groups[[2]int{group.LowNumber, group.HighNumber}] = group
 	f.orderedGroups = append(f.orderedGroups, group)
 }
 
-// ResizeGroup gives a group another number of circuits, or makes or ends one, before
-// any call is up.
+// ResizeGroup sets the number of circuits of a group, creating the group or, with
+// size 0, removing it. It must not be called once calls have been set up.
 func (f *Fleet) ResizeGroup(a, b, size int) {
 	key := [2]int{min(a, b), max(a, b)}
 	existing := f.groups[key]
@@ -142,21 +162,21 @@
 	}
 }
 
-// Groups lists the groups in the order of their making.
+// Groups returns the groups in order of creation.
 func (f *Fleet) Groups() []*Group { return f.orderedGroups }
 
-// Current is the exchange that serves a number.
-func (f *Fleet) Current(cell int) *Exchange { return f.exchangesByNumber[cell] }
+// Current returns the exchange that currently serves a number.
+func (f *Fleet) Current(number int) *Exchange { return f.exchangesByNumber[number] }
 
 func (f *Fleet) groupBetween(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
 
-// LimitLines gives a number so few lines.
+// LimitLines limits a called number to the given number of lines.
 func (f *Fleet) LimitLines(number string, lines int) { f.freeLines[number] = lines }
 
-// SetUpsPerSecond is the set-ups that an exchange can do when warm.
+// SetUpsPerSecond returns the number of set-ups per second that a warm exchange can process.
 func (e *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(e.setUpWork) }
 
-// CircuitsInUse counts circuits in use over all groups.
+// CircuitsInUse returns the number of circuits in use in all groups.
 func (f *Fleet) CircuitsInUse() int {
 	inUse := 0
 	for _, group := range f.orderedGroups {
@@ -165,37 +185,46 @@
 	return inUse
 }
 
-// leg is one set-up at an exchange, over one group.
+// leg is one set-up, and the call that comes of it, over one trunk group.
 type leg struct {
 	conn         *Conn
 	key          legKey
 	termination  string
-	pendingAdd   uint32 // transaction that waits for the reply; 0 once answered
-	origin, peer *Exchange
+	pendingAdd   uint32    // transaction of the Add that awaits its reply; 0 once answered
+	origin, peer *Exchange // the ends of the group: where the set-up comes from and where it goes
 	group        *Group
 	circuits     int
 	request      *signal.Message
 	destination  int
 	deadline     time.Duration
-	lineNumber   string // it holds a line of this number
-	transitName  string // name of its call in transit at the far end's controller
+	lineNumber   string // called number of which the leg holds a line; empty if none
+	transitName  string // name of the transit call at the peer's controller; empty if none
 	established  bool
 	ended        bool
 }
 
-// OpenConn takes a new connection: of a controller, or the exchange's own for calls in transit.
-func (f *Fleet) OpenConn(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
-	conn := &Conn{Exchange: x, Transit: transit, Send: send, controllerNumber: -1, legs: map[legKey]*leg{},
-		pendingTransit: map[uint32]*leg{}, transitLegs: map[string]*leg{}}
+// OpenConn registers a new connection of an exchange: one from a controller or, with
+// transit set, the one to its own controller for calls in transit.
+func (f *Fleet) OpenConn(exchange *Exchange, transit bool, send func(*signal.Message)) *Conn {
+	conn := &Conn{
+		Exchange:         exchange,
+		Transit:          transit,
+		Send:             send,
+		controllerNumber: -1,
+		legs:             map[legKey]*leg{},
+		pendingTransit:   map[uint32]*leg{},
+		transitLegs:      map[string]*leg{},
+	}
 	if transit {
-		x.transitConn = conn
+		exchange.transitConn = conn
 	} else {
-		x.conns = append(x.conns, conn)
+		exchange.conns = append(exchange.conns, conn)
 	}
 	return conn
 }
 
-// ConnClosed ends a connection: what was set up over it is released.
+// ConnClosed handles the end of a connection: all legs set up over it are released,
+// and all transit legs over it fail.
 func (f *Fleet) ConnClosed(conn *Conn) {
 	if conn.closed {
 		return
@@ -207,9 +236,9 @@
 			closedAt.transitConn = nil
 		}
 		for _, name := range sortedKeys(conn.transitLegs) {
-			leg := conn.transitLegs[name]
-			leg.transitName = ""
-			f.failLeg(leg, "turned-back", true)
+			transitLeg := conn.transitLegs[name]
+			transitLeg.transitName = ""
+			f.failLeg(transitLeg, "turned-back", true)
 		}
 		return
 	}
@@ -218,13 +247,13 @@
 		closedAt.ownConn = nil
 	}
 	for _, key := range sortedLegKeys(conn.legs) {
-		l := conn.legs[key]
-		l.pendingAdd, l.established = 0, false // nobody to tell
-		f.releaseLeg(l)
+		released := conn.legs[key]
+		released.pendingAdd, released.established = 0, false // the controller can't be notified any more
+		f.releaseLeg(released)
 	}
 }
 
-// HandleMessage takes a message from a controller.
+// HandleMessage handles a message from a controller.
 func (f *Fleet) HandleMessage(conn *Conn, request *signal.Message) {
 	if conn.closed {
 		return
@@ -239,12 +268,12 @@
 	target := conn.Exchange
 	switch request.Command {
 	case signal.ServiceChange:
-		cell, err := request.Int("From", 0, 1<<20)
+		controllerNumber, err := request.Int("From", 0, 1<<20)
 		if err != nil {
 			conn.Send(request.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
-		if conn.controllerNumber = cell; cell == target.Number {
+		if conn.controllerNumber = controllerNumber; controllerNumber == target.Number {
 			target.ownConn = conn
 		}
 		conn.Send(request.NewReply().Put("Since", fmt.Sprint(target.StartedAt.Milliseconds())))
@@ -260,16 +289,18 @@
 	case signal.Subtract:
 		released := conn.legs[legKey{request.Context, request.Get("Attempt")}]
 		if released == nil {
-			conn.Send(request.NewReply()) // it is released, as was asked
+			conn.Send(request.NewReply()) // already released
 			return
 		}
-		released.pendingAdd = 0 // the release answers it
+		released.pendingAdd = 0 // the Subtract gets the only reply
 		f.processRelease(released, func() { conn.Send(request.NewReply()) })
 	default:
 		conn.Send(request.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
 	}
 }
 
+// propagationDelay draws the one-way delay between two exchanges: the configured
+// delay varied by up to 10%.
 func (f *Fleet) propagationDelay(a, b *Exchange) time.Duration {
 	delay := f.config.InterRegionDelay
 	if a.Region == b.Region {
@@ -278,18 +309,20 @@
 	return time.Duration(float64(delay) * (0.9 + 0.2*f.random.Float64()))
 }
 
+// scaleWork returns work multiplied by factor.
 func scaleWork(work time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(work) * factor)
 }
 
-// setUp begins a set-up: circuits at once, then the near and the far processor.
+// setUp starts a set-up: it seizes the circuits at once, then passes the set-up
+// through the processors of the originating and of the peer exchange.
 func (f *Fleet) setUp(conn *Conn, request *signal.Message) {
 	f.Counts.Setups++
 	peer := conn.Exchange
 	key := legKey{request.Context, request.Get("Attempt")}
 	destination, err := request.Int("Dest", 0, 1<<20)
 	circuits, circuitsErr := request.Int("Width", 1, 1024)
-	left, leftErr := request.Duration("Left")
+	timeLeft, leftErr := request.Duration("Left")
 	switch {
 	case err != nil || circuitsErr != nil || leftErr != nil || conn.controllerNumber < 0:
 		conn.Send(request.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, circuitsErr, leftErr)))
@@ -298,11 +331,22 @@
 		conn.Send(request.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
-	near, group := f.exchangesByNumber[conn.controllerNumber], f.groupBetween(conn.controllerNumber, peer.Number)
-	newLeg := &leg{conn: conn, key: key, termination: request.Termination, pendingAdd: request.ID, origin: near, peer: peer, group: group, circuits: circuits, request: request, destination: destination,
-		deadline: f.scheduler.Now() + left}
+	origin, group := f.exchangesByNumber[conn.controllerNumber], f.groupBetween(conn.controllerNumber, peer.Number)
+	newLeg := &leg{
+		conn:        conn,
+		key:         key,
+		termination: request.Termination,
+		pendingAdd:  request.ID,
+		origin:      origin,
+		peer:        peer,
+		group:       group,
+		circuits:    circuits,
+		request:     request,
+		destination: destination,
+		deadline:    f.scheduler.Now() + timeLeft,
+	}
 	switch {
-	case near == nil || !near.Up:
+	case origin == nil || !origin.Up:
 		f.sendReply(newLeg, "own-processor", signal.TemporaryFailure)
 		return
 	case group == nil || group.Free < circuits:
@@ -312,12 +356,12 @@
 	}
 	f.changeFreeCircuits(group, -circuits)
 	conn.legs[key] = newLeg
-	near.processor.enqueue(scaleWork(near.setUpWork, 1+f.config.ExamineWork), false, func() {
-		f.scheduler.After(f.propagationDelay(near, peer), func() { f.handleArrival(newLeg) })
+	origin.processor.enqueue(scaleWork(origin.setUpWork, 1+f.config.ExamineWork), false, func() {
+		f.scheduler.After(f.propagationDelay(origin, peer), func() { f.handleArrival(newLeg) })
 	})
 }
 
-// handleArrival is the set-up at the far exchange.
+// handleArrival handles a set-up that reaches the peer exchange.
 func (f *Fleet) handleArrival(arriving *leg) {
 	peer := arriving.peer
 	switch {
@@ -325,7 +369,7 @@
 		return
 	case peer.Unresponsive || f.random.Float64() < peer.UnansweredShare:
 		f.Counts.Swallowed++
-		return // held until it is called off
+		return // holds its circuits until the controller releases it
 	case f.random.Float64() < peer.CutShare:
 		f.failLeg(arriving, "cut", false)
 		return
@@ -346,7 +390,7 @@
 			return
 		}
 		number := arriving.request.Get("Number")
-		if free, few := f.freeLines[number]; few {
+		if free, limited := f.freeLines[number]; limited {
 			if free <= 0 {
 				f.Counts.LinesBusy++
 				f.failLeg(arriving, "lines-busy", false)
@@ -359,18 +403,20 @@
 	})
 }
 
-// scheduleResend is a set-up that waits and is sent again: work, and nothing else.
-func (f *Fleet) scheduleResend(waiting *leg, gap time.Duration) {
-	f.scheduler.After(gap, func() {
+// scheduleResend models the resending of an unanswered set-up, which only adds work
+// at the peer exchange. The interval doubles each time.
+func (f *Fleet) scheduleResend(waiting *leg, interval time.Duration) {
+	f.scheduler.After(interval, func() {
 		if waiting.ended || waiting.established || waiting.pendingAdd == 0 || !waiting.peer.Up {
 			return
 		}
 		waiting.peer.processor.enqueue(scaleWork(waiting.peer.setUpWork, f.config.ResendWork), false, func() {})
-		f.scheduleResend(waiting, 2*gap)
+		f.scheduleResend(waiting, 2*interval)
 	})
 }
 
-// returnAnswer brings the word that the call stands back through both processors.
+// returnAnswer passes the answer back through both processors and reports the call
+// as established.
 func (f *Fleet) returnAnswer(answered *leg) {
 	answered.peer.processor.enqueue(scaleWork(answered.peer.setUpWork, f.config.FollowUpWork), true, func() {
 		f.scheduler.After(f.propagationDelay(answered.peer, answered.origin), func() {
@@ -389,24 +435,24 @@
 	})
 }
 
-// forwardTransit gives a call in transit to the own controller.
+// forwardTransit passes a call in transit to the peer exchange's own controller.
 func (f *Fleet) forwardTransit(incoming *leg) {
 	transit := incoming.peer.transitConn
-	left := incoming.deadline - f.scheduler.Now()
-	if transit == nil || left <= 0 {
+	timeLeft := incoming.deadline - f.scheduler.Now()
+	if transit == nil || timeLeft <= 0 {
 		f.failLeg(incoming, "turned-back", false)
 		return
 	}
 	transit.lastTransaction++
 	incoming.transitName = fmt.Sprintf("%s/%d.%s", incoming.termination, incoming.origin.Number, incoming.key.attempt)
-	if transit.transitLegs[incoming.transitName] != nil { // its last try through here is not released yet
+	if transit.transitLegs[incoming.transitName] != nil { // the previous attempt of the same name is not released yet
 		incoming.transitName = ""
 		f.failLeg(incoming, "turned-back", false)
 		return
 	}
 	transit.pendingTransit[transit.lastTransaction], transit.transitLegs[incoming.transitName] = incoming, incoming
 	request := &signal.Message{ID: transit.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: incoming.transitName}
-	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).PutInt("Width", incoming.circuits).PutDuration("Left", left)
+	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).PutInt("Width", incoming.circuits).PutDuration("Left", timeLeft)
 	request.PutInt("Source", incoming.origin.Number).PutFlag("Again", incoming.request.Flag("Again"))
 	if number := incoming.request.Get("Number"); number != "" {
 		request.Put("Number", number)
@@ -414,7 +460,7 @@
 	transit.Send(request)
 }
 
-// handleTransitMessage is the word of the own controller on calls in transit.
+// handleTransitMessage handles a message of the own controller about calls in transit.
 func (f *Fleet) handleTransitMessage(conn *Conn, message *signal.Message) {
 	switch {
 	case message.Kind == signal.Reply && message.Command == signal.Add:
@@ -436,17 +482,18 @@
 		f.failLeg(handled, note, false)
 	case message.Kind == signal.Request && message.Command == signal.Notify:
 		conn.Send(message.NewReply())
-		if l := conn.transitLegs[message.Termination]; l != nil {
-			delete(conn.transitLegs, l.transitName)
-			l.transitName = ""
-			f.cutLeg(l)
+		if handled := conn.transitLegs[message.Termination]; handled != nil {
+			delete(conn.transitLegs, handled.transitName)
+			handled.transitName = ""
+			f.cutLeg(handled)
 		}
 	case message.Kind == signal.Request:
 		conn.Send(message.NewReply())
 	}
 }
 
-// sendReply answers the set-up, if somebody waits for it.
+// sendReply answers the Add of a leg unless it has been answered or its connection
+// is closed. An empty note means that the call is established.
 func (f *Fleet) sendReply(answered *leg, note string, code signal.Code) {
 	if answered.pendingAdd == 0 || answered.conn.closed {
 		return
@@ -470,7 +517,8 @@
 	answered.conn.Send(reply)
 }
 
-// failLeg ends a set-up that will not stand, or a call that was turned back later.
+// failLeg ends a set-up that fails. With late set, a call that is already
+// established is cut instead.
 func (f *Fleet) failLeg(failed *leg, note string, late bool) {
 	if failed.ended {
 		return
@@ -490,7 +538,7 @@
 	f.sendReply(failed, note, code)
 }
 
-// cutLeg ends a leg at once and tells its controller.
+// cutLeg ends a leg at once and notifies its controller.
 func (f *Fleet) cutLeg(target *leg) {
 	if target.ended {
 		return
@@ -507,7 +555,8 @@
 		Put("Event", "cut").Put("Attempt", target.key.attempt))
 }
 
-// releaseLeg frees what a leg holds, at once.
+// releaseLeg frees the circuits and the line of a leg at once, and releases its
+// transit call.
 func (f *Fleet) releaseLeg(released *leg) {
 	if released.ended {
 		return
@@ -526,7 +575,8 @@
 	}
 }
 
-// processRelease frees a leg behind the work that a release is.
+// processRelease releases a leg once the peer exchange has processed the release,
+// then calls done.
 func (f *Fleet) processRelease(released *leg, done func()) {
 	if !released.peer.Up {
 		f.releaseLeg(released)
@@ -542,7 +592,8 @@
 	})
 }
 
-// changeFreeCircuits books circuits of a group and tells both ends soon.
+// changeFreeCircuits changes the free circuits of a group and schedules reports to
+// the controllers of both ends. Changes within 2 ms share one report.
 func (f *Fleet) changeFreeCircuits(group *Group, change int) {
 	group.Free += change
 	for _, end := range [2][2]int{{group.LowNumber, group.HighNumber}, {group.HighNumber, group.LowNumber}} {
@@ -566,10 +617,11 @@
 	})
 }
 
-// lines of one report.
+// maxGroupsPerReport is the maximum number of groups in one report message.
 const maxGroupsPerReport = 100
 
-// reportCircuits tells the controller of an exchange its groups: some, or all.
+// reportCircuits reports the changed groups of an exchange, or all if changed is
+// nil, to its controller.
 func (f *Fleet) reportCircuits(exchange *Exchange, changed map[int]bool) {
 	conn := exchange.ownConn
 	if conn == nil || !conn.reportsCircuits || !exchange.Up {
@@ -598,15 +650,15 @@
 	}
 }
 
-// Crash kills a processor: all calls that touch it are cut. Its connections are
-// to be closed by who owns them.
+// Crash stops an exchange: all calls through it are cut. The owner of its
+// connections must close them.
 func (f *Fleet) Crash(crashed *Exchange) {
 	crashed.Up = false
 	crashed.processor.reset(f.scheduler.Now())
 	f.cutMatching(func(affected *leg) bool { return affected.origin == crashed || affected.peer == crashed })
 }
 
-// Restart brings a crashed processor back, cold.
+// Restart brings a crashed exchange back into service, cold.
 func (f *Fleet) Restart(restarted *Exchange) {
 	restarted.Up, restarted.Unresponsive = true, false
 	restarted.StartedAt = f.scheduler.Now()
@@ -614,12 +666,13 @@
 	f.OnStart(restarted)
 }
 
-// Retire ends an exchange that was replaced.
+// Retire takes a replaced exchange out of service and cuts the calls that reach it.
 func (f *Fleet) Retire(retired *Exchange) {
 	retired.Up = false
 	f.cutMatching(func(affected *leg) bool { return affected.peer == retired })
 }
 
+// allLegs returns the legs of all exchanges in a reproducible order.
 func (f *Fleet) allLegs() []*leg {
 	var all []*leg
 	for _, exchange := range f.Exchanges {
@@ -632,6 +685,7 @@
 	return all
 }
 
+// cutMatching cuts the legs that match and returns their number.
 func (f *Fleet) cutMatching(matches func(*leg) bool) int {
 	cuts := 0
 	for _, candidate := range f.allLegs() {
@@ -643,15 +697,16 @@
 	return cuts
 }
 
-// CutCalls cuts a share of the calls that stand and end here.
+// CutCalls cuts a share of the established calls at their destination exchanges and
+// returns the number of calls cut.
 func (f *Fleet) CutCalls(share float64) int {
 	return f.cutMatching(func(candidate *leg) bool {
 		return candidate.established && candidate.destination == candidate.peer.Number && f.random.Float64() < share
 	})
 }
 
-// LoseCircuits takes a share of the circuits between regions away, and the calls on
-// them; Regain brings them back.
+// LoseCircuits takes a share of the circuits between regions out of service and cuts
+// calls where more circuits are in use than remain.
 func (f *Fleet) LoseCircuits(share float64) {
 	for _, group := range f.orderedGroups {
 		a, b := f.exchangesByNumber[group.LowNumber], f.exchangesByNumber[group.HighNumber]
@@ -671,7 +726,7 @@
 	}
 }
 
-// RestoreCircuits ends Lose.
+// RestoreCircuits puts the circuits that LoseCircuits removed back into service.
 func (f *Fleet) RestoreCircuits() {
 	for _, group := range f.orderedGroups {
 		if group.lostCircuits > 0 {
@@ -681,12 +736,13 @@
 	}
 }
 
-// SetSlowdown makes a processor so many times slower; Pause lets it stand still.
+// SetSlowdown makes the processor slower by a factor; 1 is normal speed.
 func (e *Exchange) SetSlowdown(factor float64) { e.processor.slowdown = max(factor, 0.01) }
 
-// PauseUntil lets a processor stand still for a while.
+// PauseUntil stops the processor until the given time.
 func (e *Exchange) PauseUntil(end time.Duration) { e.processor.pausedUntil = end }
 
+// sortedKeys returns the keys of m in ascending order, so that runs are reproducible.
 func sortedKeys[K int | string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
@@ -696,6 +752,7 @@
 	return keys
 }
 
+// sortedLegKeys returns the keys of legs in order of context and attempt.
 func sortedLegKeys(legs map[legKey]*leg) []legKey {
 	keys := make([]legKey, 0, len(legs))
 	for k := range legs {
--- a/internal/standin/exchange/processor.go
+++ b/internal/standin/exchange/processor.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Scheduler is virtual or real time: stand-ins have no clock of their own.
+// Scheduler provides virtual or real time to the simulated exchanges.
 type Scheduler interface {
 	Now() time.Duration
-	After(d time.Duration, f func())
+	After(delay time.Duration, callback func())
 }
 
-// processor is one line on which work is time. It serves answers and releases
-// first, or in turn with set-ups.
+// processor is a single server that handles jobs one at a time. It serves answers
+// and releases before set-ups, or all in order of arrival.
 type processor struct {
 	scheduler    Scheduler
-	queues       [2][]job // first, then the rest
-	answersFirst bool     // answers go first
+	queues       [2][]job // index 0 is served first
+	answersFirst bool     // answers and releases use queue 0
 	busy         bool
-	jobEnd       time.Duration // end of the job on the line
-	backlog      time.Duration // work queued, at full speed
-	generation   int           // of its starts: jobs of an earlier one are lost
+	jobEnd       time.Duration // end of the job in progress
+	backlog      time.Duration // queued work, as its duration at full speed
+	generation   int           // incremented at each reset; jobs of earlier generations are dropped
 
-	slowdown     float64       // times slower
-	pausedUntil  time.Duration // stands still until then
-	startedAt    time.Duration // its start, 0 long ago
-	initialShare float64       // share of its capacity at the start
-	warmUpTime   time.Duration
+	slowdown     float64 // factor by which the processor is slower
+	pausedUntil  time.Duration
+	startedAt    time.Duration // 0: started long ago, warm
+	initialShare float64       // share of the capacity just after a start
+	warmUpTime   time.Duration // from initialShare to full capacity
 }
 
+// job is work to do and what follows it.
 type job struct {
 	work time.Duration
 	done func()
 }
 
-// capacityShare is the part of its capacity that it has now.
+// capacityShare returns the share of the full capacity that is available at now.
 func (p *processor) capacityShare(now time.Duration) float64 {
 	age := now - p.startedAt
 	if p.startedAt == 0 || age >= p.warmUpTime || p.warmUpTime <= 0 {
@@ -40,7 +41,7 @@
 	return (p.initialShare + (1-p.initialShare)*float64(age)/float64(p.warmUpTime)) / p.slowdown
 }
 
-// expectedWait is how long a set-up that comes now will expectedWait.
+// expectedWait returns how long a set-up that arrives now would wait.
 func (p *processor) expectedWait() time.Duration {
 	now := p.scheduler.Now()
 	wait := time.Duration(float64(p.backlog) / p.capacityShare(now))
@@ -50,7 +51,8 @@
 	return wait + max(p.pausedUntil-now, 0)
 }
 
-// enqueue queues work; done is called when it is through.
+// enqueue queues work and calls done when it is finished. followUp marks answers
+// and releases.
 func (p *processor) enqueue(work time.Duration, followUp bool, done func()) {
 	queue := 1
 	if followUp && p.answersFirst {
@@ -63,6 +65,7 @@
 	}
 }
 
+// startNext starts the next queued job, if any.
 func (p *processor) startNext() {
 	for queue := range p.queues {
 		if len(p.queues[queue]) == 0 {
@@ -90,7 +93,7 @@
 	}
 }
 
-// reset loses all work and starts cold.
+// reset discards all work and restarts the processor cold.
 func (p *processor) reset(now time.Duration) {
 	p.generation++
 	p.queues, p.backlog, p.busy, p.pausedUntil, p.startedAt = [2][]job{}, 0, false, 0, now
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -1,5 +1,6 @@
-// Package exlist stands in for the exchange list: it tells each controller of
-// changes, seconds late and in order. It has no socket and no clock.
+// Package exlist simulates the exchange list: it notifies each controller of
+// changes, in order and with a random delay. It uses neither sockets nor a clock of
+// its own.
 package exlist
 
 import (
@@ -10,34 +11,35 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Entry is one line of the list.
+// Entry is the list's entry for one exchange.
 type Entry struct {
 	ID        uint32
-	Number    int
+	Number    int           // exchange number
 	State     string        // in, draining or out
-	StartedAt time.Duration // since 1970, 0 long ago
+	StartedAt time.Duration // since 1970; 0: started long ago
 	Addr      string
 }
 
+// text returns the entry in the format of the Exchange descriptor.
 func (e Entry) text() string {
 	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Number, e.State, e.StartedAt.Milliseconds(), e.Addr)
 }
 
-// Scheduler is the time that the list lives in.
+// Scheduler provides virtual or real time to the list.
 type Scheduler interface {
 	Now() time.Duration
-	After(d time.Duration, f func())
+	After(delay time.Duration, callback func())
 }
 
-// Conn is one controller's connection.
+// Conn is the connection of one controller.
 type Conn struct {
 	Send            func(*signal.Message)
 	subscribed      bool
 	lastTransaction uint32
-	lastDelivery    time.Duration // nothing overtakes what was told before
+	lastDelivery    time.Duration // scheduled time of the last notification; later ones must not overtake it
 }
 
-// List is the exchange list.
+// List is the simulated exchange list.
 type List struct {
 	scheduler Scheduler
 	random    *rand.Rand
@@ -46,12 +48,13 @@
 	conns     []*Conn
 }
 
-// New makes a list that tells of changes late by notice, on average.
+// New returns an empty list that delays notifications by meanDelay on average.
 func New(scheduler Scheduler, random *rand.Rand, meanDelay time.Duration) *List {
 	return &List{scheduler: scheduler, random: random, meanDelay: meanDelay}
 }
 
-// Update changes a line, or adds one.
+// Update replaces or adds the entry of an exchange and notifies all subscribed
+// controllers.
 func (l *List) Update(entry Entry) {
 	found := false
 	for i := range l.entries {
@@ -79,14 +82,14 @@
 	}
 }
 
-// OpenConn takes a connection.
+// OpenConn registers a new connection of a controller.
 func (l *List) OpenConn(send func(*signal.Message)) *Conn {
 	conn := &Conn{Send: send}
 	l.conns = append(l.conns, conn)
 	return conn
 }
 
-// ConnClosed ends one.
+// ConnClosed removes a closed connection.
 func (l *List) ConnClosed(conn *Conn) {
 	conn.subscribed = false
 	for i := range l.conns {
@@ -97,10 +100,12 @@
 	}
 }
 
-// maxEntriesPerMessage bounds one message; further ones bring the rest as changes.
+// maxEntriesPerMessage limits the entries of one notification. The entries beyond it
+// follow in further notifications, as changes.
 const maxEntriesPerMessage = 100
 
-// HandleMessage takes a message from a controller.
+// HandleMessage handles a message from a controller. A first subscription is answered
+// with the whole list.
 func (l *List) HandleMessage(conn *Conn, request *signal.Message) {
 	if request.Kind != signal.Request {
 		return
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -7,11 +7,13 @@
 	"dahliaspindle/internal/standin/subscriber"
 )
 
-// settleTime is the time for links to come up before the first call, and for the
-// last calls to end.
+// settleTime is the time before the first call in which connections are set up and
+// controllers receive the exchange list and their circuits.
 const settleTime = 1500 * time.Millisecond
 
-// Start starts the calls when the controllers know the list and their circuits.
+// Start starts the calls and troubles of the scenario after settleTime. It calls
+// progress, if not nil, every 200 ms of the run with the elapsed time and the number
+// of calls so far, and finished at the end.
 func (sim *Simulation) Start(progress func(time.Duration, int), finished func()) {
 	sim.scheduler.After(settleTime, func() {
 		sim.startedAt = sim.scheduler.Now()
@@ -37,7 +39,7 @@
 			sim.dialling = false
 			var waitForAnswers func()
 			remainingChecks := 15
-			waitForAnswers = func() { // until nobody waits for an answer any more
+			waitForAnswers = func() { // until no caller waits for an answer, but not forever
 				if remainingChecks--; remainingChecks > 0 && sim.countPending() > 0 {
 					sim.scheduler.After(200*time.Millisecond, waitForAnswers)
 					return
@@ -52,6 +54,7 @@
 	})
 }
 
+// countPending returns the number of calls that are neither established nor ended.
 func (sim *Simulation) countPending() int {
 	pending := 0
 	for _, call := range sim.Callers.Calls {
@@ -62,8 +65,9 @@
 	return pending
 }
 
-// scheduleNextCall lets calls come as a Poisson stream that waits for nobody: a timer
-// that fires late makes one call late, not all that follow.
+// scheduleNextCall generates calls as a Poisson process (open loop). Intervals count
+// from the scheduled time of the previous call, so that a timer that fires late
+// delays one call and not all that follow.
 func (sim *Simulation) scheduleNextCall() {
 	if !sim.dialling {
 		return
@@ -79,6 +83,8 @@
 	})
 }
 
+// placeCall dials one call between exchanges drawn according to the traffic matrix
+// and the troubles in progress.
 func (sim *Simulation) placeCall() {
 	exchanges := sim.scenario.Fleet.Exchanges
 	source := sim.random.IntN(exchanges)
@@ -99,10 +105,11 @@
 	sim.Callers.Dial(source, (source+1)%exchanges, "")
 }
 
-// Troubles lists the troubles that came.
+// Troubles returns the troubles that have occurred, in order of their start.
 func (sim *Simulation) Troubles() []TroubleRecord { return sim.troubles }
 
-// FirstAttemptTime is when a call was first tried, counted from the day's begin.
+// FirstAttemptTime returns the time of a call's first attempt, counted from the start
+// of the run.
 func (sim *Simulation) FirstAttemptTime(call *subscriber.Call) time.Duration {
 	return call.FirstAttemptAt - sim.startedAt
 }
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -12,19 +12,22 @@
 	"dahliaspindle/scenarios"
 )
 
-// coarseClock is a clock whose timers fire a tick late, as real ones do.
+// coarseClock is a virtual clock whose timers fire up to a tick late, as real timers
+// may do.
 type coarseClock struct {
 	now, tick    time.Duration
 	pending      eventQueue
 	lastSequence int
 }
 
+// event is a pending timer.
 type event struct {
 	at       time.Duration
 	sequence int
 	callback func()
 }
 
+// eventQueue is a heap of events in order of time and creation.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -39,13 +42,13 @@
 	return last
 }
 
-func (clock *coarseClock) Now() time.Duration { return clock.now }
-func (clock *coarseClock) After(d time.Duration, callback func()) {
-	clock.lastSequence++
-	heap.Push(&clock.pending, event{(clock.now + max(d, 0) + clock.tick).Truncate(clock.tick), clock.lastSequence, callback})
+func (c *coarseClock) Now() time.Duration { return c.now }
+func (c *coarseClock) After(delay time.Duration, callback func()) {
+	c.lastSequence++
+	heap.Push(&c.pending, event{(c.now + max(delay, 0) + c.tick).Truncate(c.tick), c.lastSequence, callback})
 }
 
-// unreachableEnvironment is an edge that nobody reaches.
+// unreachableEnvironment is an environment without controllers.
 type unreachableEnvironment struct{}
 
 func (unreachableEnvironment) Listen(uint32) (string, error)                            { return "nowhere", nil }
@@ -57,9 +60,9 @@
 func (unreachableEnvironment) RestartController(int)                                    {}
 func (unreachableEnvironment) Record(string, any)                                       {}
 
-// Calls come as often as the scenario says, however late timers fire: an open
-// loop. (Intervals that each began at a late timer lost a third of the calls
-// at 30 exchanges.)
+// The callers generate calls at the rate of the scenario however late timers fire
+// (open loop). When each interval began at the late timer before it, a third of the
+// calls was missing at 30 exchanges.
 func TestCallsArriveAtConfiguredRate(t *testing.T) {
 	text, _ := scenarios.Text("bad-day")
 	scenario, err := settings.ParseScenario("bad-day", strings.NewReader(text))
@@ -79,9 +82,9 @@
 		clock.now = next.at
 		next.callback()
 	}
-	// 30 exchanges of 100 erlang of circuits; a call keeps 6.7 circuit-seconds on average
+	// 30 exchanges offer 100 erlang of circuits each; a call takes 6.7 circuit-seconds on average
 	want := 30 * 100 / 6.7 * scenario.Length.Seconds()
 	if got := float64(len(simulation.Callers.Calls)); got < 0.97*want || got > 1.03*want {
-		t.Errorf("%.0f calls, %.0f were to come", got, want)
+		t.Errorf("%.0f calls, want %.0f within 3%%", got, want)
 	}
 }
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -1,6 +1,6 @@
-// Package subscriber stands in for the callers: they dial as time goes by,
-// whether they are answered or not, wait, lose patience, hang up and dial
-// again. It has no socket and no clock.
+// Package subscriber simulates the callers. They dial regardless of how earlier
+// calls fare (open loop), wait, give up when their patience ends, hang up and redial.
+// It uses neither sockets nor a clock of its own.
 package subscriber
 
 import (
@@ -12,89 +12,90 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Scheduler is the time that callers live in.
+// Scheduler provides virtual or real time to the callers.
 type Scheduler interface {
 	Now() time.Duration
-	After(d time.Duration, f func())
+	After(delay time.Duration, callback func())
 }
 
 // Class is one class of calls.
 type Class struct {
 	Name        string
-	Share       float64
-	Worth       float64
-	LateWorth   float64
-	SetUpTarget time.Duration
-	Patience    time.Duration
-	HoldingTime time.Duration
+	Share       float64       // relative share of all calls
+	Worth       float64       // of a call established within SetUpTarget
+	LateWorth   float64       // of a call established later, as a factor of Worth
+	SetUpTarget time.Duration // set-up time that counts as in time
+	Patience    time.Duration // from the first attempt until the caller gives up
+	HoldingTime time.Duration // mean
 }
 
-// Behavior are what callers do.
+// Behavior describes how callers redial.
 type Behavior struct {
 	MaxRedials      int
 	MeanRedialDelay time.Duration
-	AttemptShare    float64
-	ImpatientShare  float64
-	HonourShare     float64
-	MarksRetries    bool
+	AttemptShare    float64 // share of the patience that one attempt may take
+	ImpatientShare  float64 // share of attempts that are abandoned early
+	HonourShare     float64 // share of redials that honour the controller's Backoff
+	MarksRetries    bool    // redials carry the Repeat flag
 }
 
 // Conn is a connection to a controller.
 type Conn struct {
 	Send            func(*signal.Message) bool
 	lastTransaction uint32
-	pendingAttempts map[uint32]*attempt // unanswered, by transaction
-	attemptsByName  map[string]*attempt // unanswered and standing
+	pendingAttempts map[uint32]*attempt // unanswered attempts by transaction
+	attemptsByName  map[string]*attempt // unanswered attempts and established calls
 }
 
-// ConnPool reaches a controller; it may have several connections.
+// ConnPool holds the connections to one controller, which are used in turn.
 type ConnPool struct {
 	Number int
 	conns  []*Conn
 	next   int
 }
 
-// Outcome is how a call ended for its caller.
+// Outcome is how a call ended from the caller's point of view.
 type Outcome uint8
 
 const (
-	Pending Outcome = iota // not yet
-	InTime                 // stood within the aim, to its end
-	Late                   // stood later, to its end
-	Refused                // the last word was a refusal
-	Failed                 // the last word was a failure
-	Cut                    // cut while it stood
-	GaveUp                 // the caller left, or nobody answered
-	Lost                   // the controller was gone
+	Pending Outcome = iota // not decided yet
+	InTime                 // established within the set-up target, and completed
+	Late                   // established later, and completed
+	Refused                // the last attempt was refused
+	Failed                 // the last attempt failed
+	Cut                    // cut while established
+	GaveUp                 // the caller gave up before an answer
+	Lost                   // the controller was not reachable
 )
 
-// Call is one first try with all that came of it.
+// Call is a first attempt together with its redials.
 type Call struct {
-	Class           int
-	FirstAttemptAt  time.Duration // first tried
-	Source          int
+	Class           int // index of the class
+	FirstAttemptAt  time.Duration
+	Source          int // exchange numbers
 	Dest            int
 	ToHotNumber     bool
 	Attempts        int
-	SetUpTime       time.Duration // how long after At it stood, 0 never
+	SetUpTime       time.Duration // from FirstAttemptAt until established; 0: never established
 	Outcome         Outcome
-	RetriedAfterCut bool // was cut and came again
+	RetriedAfterCut bool // was cut while established, and dialled again
 }
 
+// attempt is one attempt of a call, and the established call that comes of it.
 type attempt struct {
 	call           *Call
 	conn           *Conn
 	pool           *ConnPool
 	transaction    uint32
-	name           string
-	number         string
+	name           string // termination name
+	number         string // called number
 	established    bool
 	ended          bool
 	startedAt      time.Duration
-	firstAttemptAt time.Duration // of the call, or of its coming again
+	firstAttemptAt time.Duration // of the call, or of its retry after a cut
 }
 
-// Callers is all callers.
+// Callers simulates all callers.
 type Callers struct {
 	scheduler   Scheduler
 	random      *rand.Rand
@@ -105,13 +106,13 @@
 	Calls       []*Call
 	nameCount   uint64
 	openCalls   int
-	RouteAdvice func(from, dest int) int // the centre's advice; nil: none
+	RouteAdvice func(source, destination int) int // advised exchange to route over; nil: no advice
 
-	RetryCutCallsUntil time.Duration // calls cut before this come again
-	Finished           bool          // the day is over: what stands counts as it stands
+	RetryCutCallsUntil time.Duration // callers whose call is cut before this time dial again
+	Finished           bool          // the run is over: calls cut from now on keep the outcome of their set-up
 }
 
-// New makes a crowd without a line.
+// New returns callers without a connection.
 func New(scheduler Scheduler, random *rand.Rand, classes []Class, behavior Behavior) *Callers {
 	c := &Callers{scheduler: scheduler, random: random, classes: classes, behavior: behavior, pools: map[int]*ConnPool{}}
 	for _, class := range classes {
@@ -120,7 +121,7 @@
 	return c
 }
 
-// OpenConn brings a connection to a controller into use.
+// OpenConn registers a connection to the controller with the given exchange number.
 func (c *Callers) OpenConn(number int, send func(*signal.Message) bool) *Conn {
 	pool := c.pools[number]
 	if pool == nil {
@@ -132,7 +133,8 @@
 	return conn
 }
 
-// ConnClosed ends one: its calls are lost to their callers.
+// ConnClosed removes a closed connection. Its established calls are cut, its
+// unanswered attempts lost.
 func (c *Callers) ConnClosed(number int, conn *Conn) {
 	pool := c.pools[number]
 	for i := range pool.conns {
@@ -146,19 +148,19 @@
 		affected = append(affected, pending)
 	}
 	sortAttempts(affected)
-	for _, t := range affected {
-		if t.established {
-			c.callCut(t)
+	for _, lost := range affected {
+		if lost.established {
+			c.callCut(lost)
 		} else {
-			c.attemptFailed(t, Lost, 0)
+			c.attemptFailed(lost, Lost, 0)
 		}
 	}
 }
 
-// OpenCalls tells how many calls are unanswered or stand.
+// OpenCalls returns the number of calls that are unanswered or established.
 func (c *Callers) OpenCalls() int { return c.openCalls }
 
-// drawClass takes a class by its share.
+// drawClass draws a class according to the shares.
 func (c *Callers) drawClass() int {
 	remaining := c.random.Float64() * c.totalShare
 	for i, class := range c.classes {
@@ -169,9 +171,16 @@
 	return len(c.classes) - 1
 }
 
-// Dial makes a first try; number "" draws one that nobody else calls.
+// Dial makes the first attempt of a call. With an empty number it draws one that
+// practically nobody else calls; a given number is a hot number.
 func (c *Callers) Dial(source, destination int, number string) *Call {
-	call := &Call{Class: c.drawClass(), FirstAttemptAt: c.scheduler.Now(), Source: source, Dest: destination, ToHotNumber: number != ""}
+	call := &Call{
+		Class:          c.drawClass(),
+		FirstAttemptAt: c.scheduler.Now(),
+		Source:         source,
+		Dest:           destination,
+		ToHotNumber:    number != "",
+	}
 	c.Calls = append(c.Calls, call)
 	if number == "" {
 		number = fmt.Sprint(1e9 + c.random.Int64N(1e14))
@@ -180,12 +189,14 @@
 	return call
 }
 
+// dialAttempt makes one attempt of a call. firstAttemptAt is when the caller's
+// patience began.
 func (c *Callers) dialAttempt(call *Call, number string, firstAttemptAt time.Duration, afterCut bool) {
 	class := c.classes[call.Class]
 	now := c.scheduler.Now()
-	left := min(time.Duration(float64(class.Patience)*c.behavior.AttemptShare), firstAttemptAt+class.Patience-now)
+	timeLeft := min(time.Duration(float64(class.Patience)*c.behavior.AttemptShare), firstAttemptAt+class.Patience-now)
 	pool := c.pools[call.Source]
-	if left <= 0 || pool == nil || len(pool.conns) == 0 {
+	if timeLeft <= 0 || pool == nil || len(pool.conns) == 0 {
 		c.setOutcome(call, Lost)
 		return
 	}
@@ -193,11 +204,19 @@
 	conn := pool.conns[pool.next%len(pool.conns)]
 	c.nameCount++
 	conn.lastTransaction++
-	placed := &attempt{call: call, conn: conn, pool: pool, transaction: conn.lastTransaction, name: fmt.Sprintf("c%d-%d", call.Source, c.nameCount), number: number,
-		startedAt: now, firstAttemptAt: firstAttemptAt}
+	placed := &attempt{
+		call:           call,
+		conn:           conn,
+		pool:           pool,
+		transaction:    conn.lastTransaction,
+		name:           fmt.Sprintf("c%d-%d", call.Source, c.nameCount),
+		number:         number,
+		startedAt:      now,
+		firstAttemptAt: firstAttemptAt,
+	}
 	call.Attempts++
 	request := &signal.Message{ID: placed.transaction, Context: signal.ContextChoose, Command: signal.Add, Termination: placed.name}
-	request.Put("Class", class.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
+	request.Put("Class", class.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", timeLeft)
 	request.PutFlag("Repeat", c.behavior.MarksRetries && call.Attempts > 1 && !afterCut).PutFlag("Again", afterCut)
 	if c.RouteAdvice != nil {
 		request.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
@@ -208,9 +227,9 @@
 		c.attemptFailed(placed, Lost, 0)
 		return
 	}
-	patience := left
+	patience := timeLeft
 	if c.random.Float64() < c.behavior.ImpatientShare {
-		patience = time.Duration(c.random.Float64() * float64(left))
+		patience = time.Duration(c.random.Float64() * float64(timeLeft))
 	}
 	c.scheduler.After(patience, func() {
 		if !placed.ended && !placed.established {
@@ -220,19 +239,20 @@
 	})
 }
 
+// sendRelease asks the controller to release an attempt or call.
 func (c *Callers) sendRelease(released *attempt) {
 	released.conn.lastTransaction++
 	released.conn.Send(&signal.Message{ID: released.conn.lastTransaction, Command: signal.Subtract, Termination: released.name})
 }
 
-// HandleMessage takes a message from a controller.
+// HandleMessage handles a message from a controller.
 func (c *Callers) HandleMessage(conn *Conn, message *signal.Message) {
 	switch {
 	case message.Kind == signal.Reply && message.Command == signal.Add:
 		known := conn.pendingAttempts[message.ID]
 		delete(conn.pendingAttempts, message.ID)
 		if known == nil || known.ended {
-			return // it was given up in the same moment: the Subtract is under way
+			return // the caller gave up at the same time: the Subtract is on its way
 		}
 		if message.Code == 0 {
 			c.callEstablished(known)
@@ -246,11 +266,11 @@
 		c.attemptFailed(known, outcome, backoff)
 	case message.Kind == signal.Request && message.Command == signal.Notify:
 		conn.Send(message.NewReply())
-		if t := conn.attemptsByName[message.Termination]; t != nil && t.established {
+		if ended := conn.attemptsByName[message.Termination]; ended != nil && ended.established {
 			if message.Get("Event") == "cut" {
-				c.callCut(t)
+				c.callCut(ended)
 			} else {
-				c.callCompleted(t)
+				c.callCompleted(ended)
 			}
 		}
 	case message.Kind == signal.Request:
@@ -258,6 +278,8 @@
 	}
 }
 
+// callEstablished handles a positive answer: the call is released after its holding
+// time.
 func (c *Callers) callEstablished(answered *attempt) {
 	answered.established = true
 	now := c.scheduler.Now()
@@ -266,7 +288,7 @@
 	}
 	holdingTime := time.Duration(float64(c.classes[answered.call.Class].HoldingTime) * c.random.ExpFloat64())
 	if answered.call.RetriedAfterCut && now-answered.firstAttemptAt > c.classes[answered.call.Class].SetUpTarget {
-		answered.call.Outcome = Cut // it came again, and stood too late
+		answered.call.Outcome = Cut // the retry after the cut was established too late
 	}
 	c.scheduler.After(holdingTime, func() {
 		if !answered.ended {
@@ -276,7 +298,7 @@
 	})
 }
 
-// callCompleted ends a call that stood to its end.
+// callCompleted records the outcome of an established call that ended normally.
 func (c *Callers) callCompleted(completed *attempt) {
 	c.removeAttempt(completed)
 	call := completed.call
@@ -289,12 +311,15 @@
 	}
 }
 
+// removeAttempt ends an attempt.
 func (c *Callers) removeAttempt(removed *attempt) {
 	removed.ended = true
 	c.openCalls--
 	delete(removed.conn.attemptsByName, removed.name)
 }
 
+// callCut handles the cut of an established call: the caller dials again if the cut
+// comes before RetryCutCallsUntil.
 func (c *Callers) callCut(affected *attempt) {
 	c.removeAttempt(affected)
 	if c.Finished {
@@ -311,7 +336,8 @@
 	affected.call.Outcome = Cut
 }
 
-// attemptFailed is a try that did not stand: the caller may dial again.
+// attemptFailed handles an attempt that was not established: the caller redials, or
+// the call ends with the given outcome.
 func (c *Callers) attemptFailed(failed *attempt, outcome Outcome, backoff time.Duration) {
 	c.removeAttempt(failed)
 	call := failed.call
@@ -330,6 +356,8 @@
 	c.scheduler.After(redialDelay, func() { c.dialAttempt(call, failed.number, failed.firstAttemptAt, false) })
 }
 
+// setOutcome records the outcome of a call that is not established. A call that was
+// cut before counts as cut.
 func (c *Callers) setOutcome(call *Call, outcome Outcome) {
 	if call.RetriedAfterCut {
 		outcome = Cut
@@ -337,6 +365,7 @@
 	call.Outcome = outcome
 }
 
+// sortAttempts sorts attempts by name, so that runs are reproducible.
 func sortAttempts(attempts []*attempt) {
 	for i := 1; i < len(attempts); i++ {
 		for j := i; j > 0 && attempts[j].name < attempts[j-1].name; j-- {
@@ -345,21 +374,23 @@
 	}
 }
 
-// Tally is what became of a set of first tries.
+// Tally counts the outcomes of a set of calls. JSON output uses the field names.
 type Tally struct {
 	Offered, InTime, Late, Refused, Failed, Cut, GaveUp, Lost, Open int
 	Worth, Earned                                                   float64
 }
 
-// ServiceRatio is the worth earned over the worth offered; 1 where nothing was offered.
-func (tally Tally) ServiceRatio() float64 {
-	if tally.Worth == 0 {
+// ServiceRatio returns the worth earned divided by the worth offered, or 1 if nothing
+// was offered.
+func (t Tally) ServiceRatio() float64 {
+	if t.Worth == 0 {
 		return 1
 	}
-	return tally.Earned / tally.Worth
+	return t.Earned / t.Worth
 }
 
-// Tally counts the calls that which picks. A call still up counts by how it stood.
+// Tally counts the calls that match. A call that is still established counts as in
+// time or late.
 func (c *Callers) Tally(matches func(*Call) bool) Tally {
 	var tally Tally
 	for _, call := range c.Calls {
@@ -369,7 +400,7 @@
 		class := c.classes[call.Class]
 		worth := class.Worth
 		if call.ToHotNumber {
-			worth *= 0.1 // its callers want one number that has few lines
+			worth *= 0.1 // most calls to the hot number must fail, for it has few lines
 		}
 		tally.Offered++
 		tally.Worth += worth
@@ -397,17 +428,20 @@
 	return tally
 }
 
-func (call *Call) finalOutcome(class Class) Outcome {
-	if call.Outcome != Pending || call.SetUpTime == 0 {
-		return call.Outcome
+// finalOutcome returns the outcome of the call, taking an established call as
+// completed.
+func (c *Call) finalOutcome(class Class) Outcome {
+	if c.Outcome != Pending || c.SetUpTime == 0 {
+		return c.Outcome
 	}
-	if call.SetUpTime <= class.SetUpTarget {
+	if c.SetUpTime <= class.SetUpTarget {
 		return InTime
 	}
 	return Late
 }
 
-// ArrivalInterval draws the time to the next arrival at a rate a second.
+// ArrivalInterval draws the time until the next arrival of a Poisson process with
+// the given rate per second: at most 10 s, and 1 s if the rate is not positive.
 func ArrivalInterval(random *rand.Rand, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return time.Second
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -9,23 +9,23 @@
 	"dahliaspindle/internal/standin/scene"
 )
 
-// connFaults is what goes wrong with the sockets of one exchange.
+// connFaults holds the faults of the connections of one exchange.
 type connFaults struct {
-	stalled        atomic.Bool // reads nothing
-	halfOpen       atomic.Bool // half open: the connection stands, nothing comes and nothing is heard
-	fragments      atomic.Bool // writes in small pieces
-	disabled       atomic.Bool
+	stalled        atomic.Bool // nothing is read
+	halfOpen       atomic.Bool // connections stay open, but messages are lost in both directions
+	fragments      atomic.Bool // messages are written in small pieces
+	disabled       atomic.Bool // readers are not blocked any more
 	mu             sync.Mutex
 	blockedReaders []chan struct{}
 }
 
-// removeAll lets everything through, for good.
+// removeAll releases blocked readers and prevents further blocking.
 func (faults *connFaults) removeAll() {
 	faults.disabled.Store(true)
 	faults.releaseReaders()
 }
 
-// releaseReaders wakes readers that were held.
+// releaseReaders ends the stalled fault and wakes the blocked readers.
 func (faults *connFaults) releaseReaders() {
 	faults.stalled.Store(false)
 	faults.mu.Lock()
@@ -36,6 +36,8 @@
 	faults.blockedReaders = nil
 }
 
+// blockReader blocks a reader until the stalled fault ends or its connection is
+// closed.
 func (faults *connFaults) blockReader(closed <-chan struct{}) {
 	faults.mu.Lock()
 	if !faults.stalled.Load() || faults.disabled.Load() {
@@ -51,6 +53,7 @@
 	}
 }
 
+// faultyConn is a connection that is subject to the faults of its exchange.
 type faultyConn struct {
 	net.Conn
 	faults    *connFaults
@@ -58,6 +61,7 @@
 	closeOnce sync.Once
 }
 
+// wrap returns conn subject to the faults.
 func (faults *connFaults) wrap(conn net.Conn) net.Conn {
 	return &faultyConn{Conn: conn, faults: faults, closed: make(chan struct{})}
 }
@@ -92,7 +96,8 @@
 	return len(p), nil
 }
 
-// sendMalformed sends what can't be read to each controller.
+// sendMalformed sends malformed messages to each controller until the returned
+// function is called.
 func (runner *Runner) sendMalformed(perSecond float64) func() {
 	stop := make(chan struct{})
 	for number := range runner.scenario.Fleet.Exchanges {
@@ -102,10 +107,10 @@
 				return
 			}
 			defer conn.Close()
-			runner.wg.Go(func() { // answers are read and thrown away
-				buf := make([]byte, 4096)
+			runner.wg.Go(func() { // replies are discarded
+				buffer := make([]byte, 4096)
 				for {
-					if _, err := conn.Read(buf); err != nil {
+					if _, err := conn.Read(buffer); err != nil {
 						return
 					}
 				}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -1,5 +1,5 @@
-// Package world puts a scene on a network: sockets or memory, in real time. The
-// controllers are somebody else's.
+// Package world runs the simulation of a scenario in real time over a network of
+// sockets or in memory. The controllers are run by its user.
 package world
 
 import (
@@ -21,31 +21,35 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Network is how stand-ins are reached and reach controllers.
+// Network opens listeners for the simulated network elements and connections to the
+// controllers.
 type Network struct {
 	Listen func() (net.Listener, error)
-	Dial   func(ctx context.Context, addr string) (net.Conn, error)
+	Dial   func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Controllers runs the controllers; Restart kills one and starts it again.
+// Controllers gives access to the running controllers.
 type Controllers interface {
-	Addr(cell int) string
-	Restart(cell int)
+	// Addr returns the address of a controller.
+	Addr(number int) string
+	// Restart kills a controller and starts it again, without blocking.
+	Restart(number int)
 }
 
-// exchangeListener is the sockets of one exchange.
+// exchangeListener holds the listener and the connections of one exchange.
 type exchangeListener struct {
 	listener net.Listener
-	conns    []exchangeConn // in the order of their making
+	conns    []exchangeConn // in order of creation
 	faults   *connFaults
 }
 
+// exchangeConn is a connection of an exchange with its simulated end.
 type exchangeConn struct {
 	conn      *transport.Conn[*signal.Message]
 	simulated *exchange.Conn
 }
 
-// Runner is the stand-ins of one scenario on a network.
+// Runner runs the simulation of one scenario on a network.
 type Runner struct {
 	*scene.Simulation
 	scenario    *settings.Scenario
@@ -58,7 +62,7 @@
 	cancel           context.CancelFunc
 	wg               sync.WaitGroup
 	loopDone         chan struct{}
-	listeners        map[uint32]*exchangeListener // by exchange
+	listeners        map[uint32]*exchangeListener // by exchange ID
 	orderedListeners []*exchangeListener
 	listListener     net.Listener
 	listAddress      string
@@ -66,11 +70,19 @@
 	listConns        []*transport.Conn[*signal.Message]
 }
 
-// New draws a fleet and opens its listeners.
+// New draws the network of a scenario and opens its listeners.
 func New(scenario *settings.Scenario, network Network, captureWriter *capture.Writer) (*Runner, error) {
 	loopContext, cancel := context.WithCancel(context.Background())
-	runner := &Runner{scenario: scenario, loop: newEventLoop(), network: network, capture: captureWriter, ctx: loopContext, cancel: cancel, loopDone: make(chan struct{}),
-		listeners: map[uint32]*exchangeListener{}}
+	runner := &Runner{
+		scenario:  scenario,
+		loop:      newEventLoop(),
+		network:   network,
+		capture:   captureWriter,
+		ctx:       loopContext,
+		cancel:    cancel,
+		loopDone:  make(chan struct{}),
+		listeners: map[uint32]*exchangeListener{},
+	}
 	simulation, err := scene.New(scenario, runner.loop, environment{runner})
 	if err == nil {
 		runner.Simulation = simulation
@@ -78,13 +90,14 @@
 	}
 	if err != nil {
 		cancel()
-		return nil, fmt.Errorf("opening the stand-ins' doors: %w", err)
+		return nil, fmt.Errorf("opening the listeners of the simulation: %w", err)
 	}
 	runner.listAddress = runner.listListener.Addr().String()
 	return runner, nil
 }
 
-// environment is what the scene asks of its sockets. All but Open come in the loop.
+// environment implements scene.Environment. All methods but Listen are called in the
+// loop.
 type environment struct{ runner *Runner }
 
 func (env environment) Listen(id uint32) (string, error) {
@@ -92,9 +105,9 @@
 	if err != nil {
 		return "", err
 	}
-	port := &exchangeListener{listener: listener, faults: &connFaults{}}
-	env.runner.listeners[id], env.runner.orderedListeners = port, append(env.runner.orderedListeners, port)
-	env.runner.acceptConns(listener, func(conn net.Conn) { env.runner.acceptExchange(port, id, conn) })
+	opened := &exchangeListener{listener: listener, faults: &connFaults{}}
+	env.runner.listeners[id], env.runner.orderedListeners = opened, append(env.runner.orderedListeners, opened)
+	env.runner.acceptConns(listener, func(conn net.Conn) { env.runner.acceptExchange(opened, id, conn) })
 	return listener.Addr().String(), nil
 }
 
@@ -132,7 +145,7 @@
 	env.runner.listUnavailable.Store(unavailable)
 	if unavailable {
 		for _, conn := range env.runner.listConns {
-			conn.Close(fmt.Errorf("the list is away"))
+			conn.Close(fmt.Errorf("the exchange list is unavailable"))
 		}
 	}
 }
@@ -143,39 +156,42 @@
 func (env environment) RestartController(number int)  { env.runner.controllers.Restart(number) }
 func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
-func (runner *Runner) acceptExchange(port *exchangeListener, id uint32, conn net.Conn) {
+// acceptExchange serves a controller's connection to an exchange, or closes it if the
+// exchange is down.
+func (runner *Runner) acceptExchange(listener *exchangeListener, id uint32, conn net.Conn) {
 	if target := runner.ExchangeByID(id); target != nil && target.Up {
-		runner.serveExchange(port, target, port.faults.wrap(conn), false)
+		runner.serveExchange(listener, target, listener.faults.wrap(conn), false)
 	} else {
 		conn.Close()
 	}
 }
 
-// serveExchange serves a connection of an exchange: a controller's, or its own to its controller.
-func (runner *Runner) serveExchange(port *exchangeListener, served *exchange.Exchange, netConn net.Conn, transit bool) *transport.Conn[*signal.Message] {
+// serveExchange serves a connection of an exchange: one from a controller or, with
+// transit set, the one to its own controller.
+func (runner *Runner) serveExchange(listener *exchangeListener, served *exchange.Exchange, netConn net.Conn, transit bool) *transport.Conn[*signal.Message] {
 	var simulated *exchange.Conn
 	var conn *transport.Conn[*signal.Message]
 	conn = runner.serve(netConn, transit, exchangeOwner(served.ID), "controller",
 		func(message *signal.Message) {
-			if transit || !port.faults.halfOpen.Load() {
+			if transit || !listener.faults.halfOpen.Load() {
 				runner.Fleet.HandleMessage(simulated, message)
 			}
 		},
 		func() {
-			port.conns = slices.DeleteFunc(port.conns, func(candidate exchangeConn) bool { return candidate.conn == conn })
+			listener.conns = slices.DeleteFunc(listener.conns, func(candidate exchangeConn) bool { return candidate.conn == conn })
 			runner.Fleet.ConnClosed(simulated)
 		})
 	send := sendFunc(conn)
-	simulated = runner.Fleet.OpenConn(served, transit, func(m *signal.Message) { send(m) })
-	port.conns = append(port.conns, exchangeConn{conn, simulated})
+	simulated = runner.Fleet.OpenConn(served, transit, func(message *signal.Message) { send(message) })
+	listener.conns = append(listener.conns, exchangeConn{conn, simulated})
 	return conn
 }
 
-// ListAddr is where controllers find the exchange list.
+// ListAddr returns the address of the exchange list.
 func (runner *Runner) ListAddr() string { return runner.listAddress }
 
-// Run starts the callers and lets the day pass; progress is told now and then.
-func (runner *Runner) Run(ctx context.Context, controllers Controllers, progress func(passed time.Duration, calls int)) error {
+// Run runs the scenario to its end. progress, if not nil, is called at intervals.
+func (runner *Runner) Run(ctx context.Context, controllers Controllers, progress func(elapsed time.Duration, calls int)) error {
 	runner.controllers = controllers
 	runner.acceptConns(runner.listListener, func(netConn net.Conn) {
 		if runner.listUnavailable.Load() {
@@ -184,28 +200,29 @@
 		}
 		var listConn *exlist.Conn
 		var conn *transport.Conn[*signal.Message]
-		conn = runner.serve(netConn, false, "list", "controller", func(m *signal.Message) { runner.List.HandleMessage(listConn, m) }, func() {
+		conn = runner.serve(netConn, false, "list", "controller", func(message *signal.Message) { runner.List.HandleMessage(listConn, message) }, func() {
 			runner.listConns = slices.DeleteFunc(runner.listConns, func(other *transport.Conn[*signal.Message]) bool { return other == conn })
 			runner.List.ConnClosed(listConn)
 		})
 		send := sendFunc(conn)
-		listConn = runner.List.OpenConn(func(m *signal.Message) { send(m) })
+		listConn = runner.List.OpenConn(func(message *signal.Message) { send(message) })
 		runner.listConns = append(runner.listConns, conn)
 	})
 	for number := range runner.scenario.Fleet.Exchanges {
 		address := controllers.Addr(number)
 		for range runner.scenario.Callers.Connections {
-			runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
-				var sc *subscriber.Conn
-				c := runner.serve(nc, true, fmt.Sprintf("callers of %d", number), "controller",
-					func(m *signal.Message) { runner.Callers.HandleMessage(sc, m) }, func() { runner.Callers.ConnClosed(number, sc) })
-				sc = runner.Callers.OpenConn(number, sendFunc(c))
-				return c
+			runner.maintainConn(address, func(netConn net.Conn) *transport.Conn[*signal.Message] {
+				var callersConn *subscriber.Conn
+				conn := runner.serve(netConn, true, fmt.Sprintf("callers of %d", number), "controller",
+					func(message *signal.Message) { runner.Callers.HandleMessage(callersConn, message) },
+					func() { runner.Callers.ConnClosed(number, callersConn) })
+				callersConn = runner.Callers.OpenConn(number, sendFunc(conn))
+				return conn
 			})
 		}
-		runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
-			x := runner.Fleet.Current(number)
-			return runner.serveExchange(runner.listeners[x.ID], x, nc, true)
+		runner.maintainConn(address, func(netConn net.Conn) *transport.Conn[*signal.Message] {
+			current := runner.Fleet.Current(number)
+			return runner.serveExchange(runner.listeners[current.ID], current, netConn, true)
 		})
 	}
 	go func() {
@@ -218,19 +235,19 @@
 	case <-ended:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("the day was broken off: %w", ctx.Err())
+		return fmt.Errorf("the run was cancelled: %w", ctx.Err())
 	}
 }
 
-// Close ends all connections and goroutines.
+// Close stops the loop, closes all connections and waits for all goroutines.
 func (runner *Runner) Close() {
 	runner.cancel()
 	<-runner.loopDone
 	runner.listListener.Close()
-	for _, port := range runner.orderedListeners {
-		port.listener.Close()
-		port.faults.removeAll()
-		for _, established := range port.conns {
+	for _, listener := range runner.orderedListeners {
+		listener.listener.Close()
+		listener.faults.removeAll()
+		for _, established := range listener.conns {
 			established.conn.Close(errRunEnded)
 			<-established.conn.Done()
 		}
@@ -242,5 +259,6 @@
 	runner.wg.Wait()
 }
 
-// Do runs f among the stand-ins, which nobody else may touch while they live.
-func (w *Runner) Do(callback func()) { w.loop.post(w.ctx, callback) }
+// Do calls callback in the loop, the only place where the simulation may be accessed
+// during a run.
+func (runner *Runner) Do(callback func()) { runner.loop.post(runner.ctx, callback) }
--- a/internal/virtual/bench_test.go
+++ b/internal/virtual/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Simulated seconds a second, by the size of the fleet, on a quiet day at load 1.
+// Simulated seconds per second by number of exchanges, without troubles at load level 1.
 func BenchmarkDay(b *testing.B) {
 	for _, exchanges := range []int{7, 30, 80, 300} {
 		b.Run(fmt.Sprint(exchanges), func(b *testing.B) {
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -16,63 +16,71 @@
 	"dahliaspindle/internal/signal"
 )
 
-// node is one controller: its core and what the daemon does around it, without
-// goroutines. It dies with a restart; another takes its cell.
+// node is one incarnation of a controller: its core and what the daemon does around
+// it, without goroutines. After a restart another node takes over its number.
 type node struct {
 	runner      *Runner
-	cell        int
+	number      int // exchange number
 	settings    *settings.Controller
 	core        *controller.Controller
 	connections map[controller.Peer]*connection
 	links       map[controller.Peer]*peerLink
-	callerCount uint64 // connections taken
+	callerCount uint64 // connections of callers accepted so far
 	inputs      []controller.Input
-	stepping,
+	handling,
 	killed, stopped bool
-	timerAt time.Duration // the clock input that is set; 0: none
+	timerAt time.Duration // time of the scheduled timer input; 0: none
 	capture *capture.Writer
 }
 
-// peerLink keeps a link to a peer: dialled again when it is lost.
+// peerLink is a link that the controller keeps to a peer: it is redialled when lost.
 type peerLink struct {
 	address  string
-	attempts int
+	attempts int // consecutive attempts to connect, for the backoff
 	backoff  guard.Backoff
-	closed   bool
+	closed   bool // by the controller: not redialled any more
 }
 
+// newNode creates and starts a controller. The seed differs with each start.
 func (runner *Runner) newNode(number int, flowSink flow.Sink, captureWriter *capture.Writer) *node {
 	controllerSettings := runner.scenario.Controller(number, "list")
 	controllerSettings.Policy = runner.options.Policy
 	runner.startCounts[number]++
 	controllerSettings.Seed += runner.startCounts[number] << 32
 	controllerSettings.SetDefaults()
-	created := &node{runner: runner, cell: number, settings: controllerSettings, connections: map[controller.Peer]*connection{}, links: map[controller.Peer]*peerLink{}, capture: captureWriter}
+	created := &node{
+		runner:      runner,
+		number:      number,
+		settings:    controllerSettings,
+		connections: map[controller.Peer]*connection{},
+		links:       map[controller.Peer]*peerLink{},
+		capture:     captureWriter,
+	}
 	created.core = controller.New(runner.clock.now, setup.ControllerConfig(runner.clock.now, controllerSettings, flowSink))
 	created.maintainLink(controller.Peer{Role: controller.RoleExchangeList}, "list")
 	return created
 }
 
-// handleInput hands an input to the core and carries its effects out; what they bring
-// about at once waits its turn.
+// handleInput passes an input to the core and applies its effects. Inputs that these
+// cause are queued and handled next.
 func (n *node) handleInput(input controller.Input) {
 	n.inputs = append(n.inputs, input)
-	if n.stepping {
+	if n.handling {
 		return
 	}
-	n.stepping = true
+	n.handling = true
 	for len(n.inputs) > 0 && !n.killed {
-		in := n.inputs[0]
+		next := n.inputs[0]
 		n.inputs = n.inputs[1:]
-		for _, e := range n.core.Handle(n.runner.clock.now, in) {
-			n.applyEffect(e)
+		for _, effect := range n.core.Handle(n.runner.clock.now, next) {
+			n.applyEffect(effect)
 		}
 	}
-	n.inputs, n.stepping = nil, false
+	n.inputs, n.handling = nil, false
 	n.setTimer()
 }
 
-// setTimer sets the clock input that the core wants next.
+// setTimer schedules the timer input for the core's next deadline.
 func (n *node) setTimer() {
 	deadline, ok := n.core.NextDeadline()
 	if !ok || n.killed || n.timerAt != 0 && n.timerAt <= deadline {
@@ -88,6 +96,7 @@
 	})
 }
 
+// applyEffect carries out one effect of the core.
 func (n *node) applyEffect(effect controller.Effect) {
 	switch effect.Kind {
 	case controller.EffectSend:
@@ -100,8 +109,8 @@
 	case controller.EffectDisconnect:
 		n.closeLink(effect.Peer)
 	case controller.EffectClose:
-		if w := n.connections[effect.Peer]; w != nil {
-			w.close(effect.Text, true)
+		if conn := n.connections[effect.Peer]; conn != nil {
+			conn.close(effect.Text, true)
 		}
 	case controller.EffectVerdict:
 		if n.capture != nil {
@@ -109,21 +118,28 @@
 		}
 	case controller.EffectStopped:
 		n.stopped = true
-	case controller.EffectBlock, controller.EffectUnblock: // nothing waits to leave: what was said is on its way
+	case controller.EffectBlock, controller.EffectUnblock: // sent messages are already on their way
 	case controller.EffectLog:
 		n.runner.logCount++
 	}
 }
 
-// maintainLink starts to maintainLink a link, in place of one at another address.
+// maintainLink starts to maintain a link to a peer, replacing any previous one.
 func (n *node) maintainLink(peer controller.Peer, address string) {
 	n.closeLink(peer)
-	link := &peerLink{address: address, backoff: guard.Backoff{Min: n.settings.Peers.MinRetryDelay, Max: n.settings.Peers.MaxRetryDelay,
-		Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^peer.ID))}}
+	link := &peerLink{
+		address: address,
+		backoff: guard.Backoff{
+			Min:    n.settings.Peers.MinRetryDelay,
+			Max:    n.settings.Peers.MaxRetryDelay,
+			Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^peer.ID)),
+		},
+	}
 	n.links[peer] = link
 	n.dialPeer(peer, link)
 }
 
+// closeLink ends the link to a peer and closes its connection.
 func (n *node) closeLink(peer controller.Peer) {
 	if link := n.links[peer]; link != nil {
 		link.closed = true
@@ -134,7 +150,7 @@
 	}
 }
 
-// dialPeer tries once; a link that does not come to stand, or is lost, is tried again.
+// dialPeer makes one attempt to connect a link; if it fails, another one is scheduled.
 func (n *node) dialPeer(peer controller.Peer, link *peerLink) {
 	n.runner.clock.After(n.runner.hopDelay, func() {
 		if link.closed || n.killed {
@@ -150,11 +166,12 @@
 	})
 }
 
+// scheduleRedial schedules the next attempt to connect a link.
 func (n *node) scheduleRedial(peer controller.Peer, link *peerLink) {
 	n.runner.clock.After(link.backoff.Delay(link.attempts), func() { n.dialPeer(peer, link) })
 }
 
-// connectionLost is the end of a connection.
+// connectionLost handles the end of a connection.
 func (n *node) connectionLost(conn *connection) {
 	if n.connections[conn.peer] == conn {
 		delete(n.connections, conn.peer)
@@ -169,7 +186,7 @@
 	}
 }
 
-// acceptCaller takes a caller's connection.
+// acceptCaller accepts a connection of callers and returns its peer.
 func (n *node) acceptCaller() controller.Peer {
 	n.callerCount++
 	peer := controller.Peer{Role: controller.RoleCaller, ID: n.callerCount}
@@ -177,7 +194,7 @@
 	return peer
 }
 
-// kill ends a controller at once: its connections break.
+// kill ends the controller at once and closes its connections.
 func (n *node) kill() {
 	n.killed = true
 	for _, peer := range sortedPeers(n.connections) {
@@ -185,9 +202,13 @@
 	}
 }
 
-// receiveMalformed hands over what can't be read.
+// receiveMalformed parses a text as the daemon does and passes the message or the
+// syntax error to the core.
 func (n *node) receiveMalformed(peer controller.Peer, text string) {
-	message, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.settings.Limits.LineBytes, MaxMessageBytes: n.settings.Limits.MessageBytes}).Read()
+	message, err := signal.NewReader(strings.NewReader(text), signal.Limits{
+		MaxLineBytes:    n.settings.Limits.LineBytes,
+		MaxMessageBytes: n.settings.Limits.MessageBytes,
+	}).Read()
 	if err == nil {
 		n.handleInput(controller.Input{Kind: controller.InputMessage, Peer: peer, Message: message})
 		return
@@ -197,10 +218,10 @@
 	}
 }
 
-// parseExchangeAddress reads the address of an exchange's door.
+// parseExchangeAddress returns the exchange ID in an address that Listen returned.
 func parseExchangeAddress(address string) (uint32, bool) {
-	digits, ok := strings.CutPrefix(address, "exchange:")
-	if !ok {
+	digits, found := strings.CutPrefix(address, "exchange:")
+	if !found {
 		return 0, false
 	}
 	id, err := strconv.ParseUint(digits, 10, 32)
--- a/internal/virtual/queue.go
+++ b/internal/virtual/queue.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// queue is the events to come, in the order of their times, and of their
-// making at equal times. It is a heap with four branches a node, its entries in
-// one piece of memory: an event queue mostly takes from the front and adds a
-// little behind it, so a flat tree with few cache misses beats one that is half
-// as wide (measured in queue_test.go beside container/heap).
+// queue holds pending events in order of time, and of creation at equal times. It is
+// a heap with four children per node in one slice: event queues mostly remove the
+// first event and add one shortly behind it, for which a flat tree with few cache
+// misses is faster than a binary heap (see BenchmarkQueue).
 type queue struct {
 	entries      []entry
 	lastSequence uint64
 }
 
+// entry is a pending event.
 type entry struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // order of creation
 	callback func()
 }
 
+// before reports whether e comes before other.
 func (e *entry) before(other *entry) bool {
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
+// branchingFactor is the number of children per node.
 const branchingFactor = 4
 
 func (q *queue) len() int { return len(q.entries) }
 
-// next is the time of the first event; there must be one.
+// next returns the time of the first event. The queue must not be empty.
 func (q *queue) next() time.Duration { return q.entries[0].at }
 
+// push adds an event.
 func (q *queue) push(at time.Duration, callback func()) {
 	q.lastSequence++
 	added := entry{at, q.lastSequence, callback}
@@ -45,12 +48,12 @@
 	q.entries[position] = added
 }
 
-// pop takes the first event out.
+// pop removes and returns the first event. The queue must not be empty.
 func (q *queue) pop() (time.Duration, func()) {
 	first := q.entries[0]
 	last := len(q.entries) - 1
 	moved := q.entries[last]
-	q.entries[last] = entry{} // its closure is free to go
+	q.entries[last] = entry{} // lets the closure be garbage collected
 	q.entries = q.entries[:last]
 	position := 0
 	for last > 0 {
--- a/internal/virtual/queue_test.go
+++ b/internal/virtual/queue_test.go
@@ -9,20 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// referenceHeap is the reference: container/heap over the same entries.
+// referenceHeap implements heap.Interface with the same entries, as a reference.
 type referenceHeap []entry
 
-func (p referenceHeap) Len() int           { return len(p) }
-func (p referenceHeap) Less(i, j int) bool { return p[i].before(&p[j]) }
-func (p referenceHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *referenceHeap) Push(x any)        { *p = append(*p, x.(entry)) }
-func (p *referenceHeap) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
+func (h referenceHeap) Len() int           { return len(h) }
+func (h referenceHeap) Less(i, j int) bool { return h[i].before(&h[j]) }
+func (h referenceHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *referenceHeap) Push(x any)        { *h = append(*h, x.(entry)) }
+func (h *referenceHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Whatever is put in and taken out: the order is that of the plain heap, ties by their making.
+// The queue returns events in the order of container/heap for any sequence of pushes
+// and pops, with ties in order of creation.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
@@ -34,8 +35,8 @@
 				if q.next() != want.at {
 					t.Fatalf("next %v, want %v", q.next(), want.at)
 				}
-				eventTime, do := q.pop()
-				do()
+				eventTime, callback := q.pop()
+				callback()
 				if eventTime != want.at || got != int(want.sequence)-1 || q.len() != len(reference) {
 					t.Fatalf("popped %v number %d, want %v number %d", eventTime, got, want.at, want.sequence-1)
 				}
@@ -49,35 +50,36 @@
 	})
 }
 
-// The hold model: one taken, one put back later, over a queue of a size that a fleet has.
+// Hold model: each step removes the first event and adds a later one, with as many
+// pending events as a large simulation has.
 func BenchmarkQueue(b *testing.B) {
 	const size = 50000
-	nothing := func() {}
+	noop := func() {}
 	b.Run("four branches", func(b *testing.B) {
-		rnd := rand.New(rand.NewPCG(1, 1))
+		random := rand.New(rand.NewPCG(1, 1))
 		var q queue
 		for range size {
-			q.push(time.Duration(rnd.Int64N(1e10)), nothing)
+			q.push(time.Duration(random.Int64N(1e10)), noop)
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			at, do := q.pop()
-			q.push(at+time.Duration(rnd.ExpFloat64()*1e9), do)
+			at, callback := q.pop()
+			q.push(at+time.Duration(random.ExpFloat64()*1e9), callback)
 		}
 	})
 	b.Run("container heap", func(b *testing.B) {
-		rnd := rand.New(rand.NewPCG(1, 1))
+		random := rand.New(rand.NewPCG(1, 1))
 		var reference referenceHeap
-		seq := uint64(0)
+		sequence := uint64(0)
 		for range size {
-			seq++
-			heap.Push(&reference, entry{time.Duration(rnd.Int64N(1e10)), seq, nothing})
+			sequence++
+			heap.Push(&reference, entry{time.Duration(random.Int64N(1e10)), sequence, noop})
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			e := heap.Pop(&reference).(entry)
-			seq++
-			heap.Push(&reference, entry{e.at + time.Duration(rnd.ExpFloat64()*1e9), seq, e.callback})
+			first := heap.Pop(&reference).(entry)
+			sequence++
+			heap.Push(&reference, entry{first.at + time.Duration(random.ExpFloat64()*1e9), sequence, first.callback})
 		}
 	})
 }
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -1,11 +1,11 @@
-// Package virtual plays a scenario in virtual time: the controller core and the
-// module in as many instances as the fleet has exchanges, over the logic of the
-// stand-ins, with no socket, goroutine or wall clock. The same scenario, seed
-// and policy give the same day, to the call.
+// Package virtual runs a scenario in virtual time: one controller core with its
+// routing module per exchange, connected to the simulated network of package scene
+// without sockets, goroutines or a wall clock. Runs are deterministic: the same
+// scenario, seed and policy give the same result for every call.
 //
-// Files: queue.go the events to come; clock.go virtual time; node.go one
-// controller with what the daemon does around its core; wire.go one connection;
-// runner.go the day.
+// queue.go holds the pending events, clock.go the virtual clock, node.go a
+// controller with what the daemon does around its core, wire.go a connection, and
+// runner.go the run.
 package virtual
 
 import (
@@ -26,65 +26,67 @@
 	"dahliaspindle/internal/standin/subscriber"
 )
 
-// Options of a run. The zero value plays the module, without records or capture.
+// Options configures a run. The zero value uses the routing module and writes neither
+// flow records nor captures.
 type Options struct {
-	Policy      string                                             // of the controllers; empty: the module
-	HopDelay    time.Duration                                      // one way between a controller and a stand-in; 0: 50 us
-	NewFlowSink func(cell int) flow.Sink                           // takes the records of a controller's life; nil: none
-	NewCapture  func(who string, now func() int64) *capture.Writer // nil: none
-	Prepare     func(*scene.Simulation)                            // changes the scene before the day begins; nil: as drawn
+	Policy      string                                               // routing policy of the controllers; empty: the routing module
+	HopDelay    time.Duration                                        // one way, on all connections of controllers; 0: 50 us
+	NewFlowSink func(number int) flow.Sink                           // called at each start of a controller; nil: no flow records
+	NewCapture  func(owner string, now func() int64) *capture.Writer // nil: no captures
+	Prepare     func(*scene.Simulation)                              // changes the simulation before the start; may be nil
 }
 
-// startTime is the day on which every run starts.
+// startTime is the virtual time at which every run starts.
 var startTime = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// restartTime is how long a killed controller is away.
+// restartTime is how long a killed controller is down.
 const restartTime = 50 * time.Millisecond
 
-// redialDelay is how soon a stand-in dials again.
+// redialDelay is the time after which a simulated element redials its controller.
 const redialDelay = 50 * time.Millisecond
 
-// shutdownTimeout is how long the controllers may take to answer what they have.
+// shutdownTimeout is how long the controllers may take to answer pending calls and
+// shut down.
 const shutdownTimeout = 15 * time.Second
 
-// Runner is one day under way.
+// Runner is a run in progress.
 type Runner struct {
 	scenario        *settings.Scenario
 	options         Options
 	hopDelay        time.Duration
 	clock           *Clock
 	simulation      *scene.Simulation
-	nodes           []*node
-	startCounts     []uint64 // of each controller
-	ports           map[uint32]*exchangePort
-	listUnavailable bool // the list
+	nodes           []*node                  // by exchange number
+	startCounts     []uint64                 // by exchange number
+	ports           map[uint32]*exchangePort // by exchange ID
+	listUnavailable bool
 	listConnections []*connection
 	capture         *capture.Writer
 	connectionCount int
-	logCount        int
-	endedStats      []controller.Stats // of controllers that have ended
-	captureErr      error              // of the first capture that could not be written
+	logCount        int                // log entries of all controllers
+	endedStats      []controller.Stats // of ended controllers, in order of their end
+	captureErr      error              // first failure to write a capture
 }
 
-// exchangePort is where an exchange is reached.
+// exchangePort holds the connections of one exchange and their faults.
 type exchangePort struct {
-	connections       []*connection // in the order of their making
+	connections       []*connection // in order of creation
 	exchangeConns     map[*connection]*exchange.Conn
 	closed            bool
 	halfOpen, stalled bool
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	*scene.Simulation
-	CircuitsInUse   int                // circuits in use when all controllers have left
-	AllStopped      bool               // all controllers have answered what they had, and left
-	Events          uint64             // that happened
-	Duration        time.Duration      // virtual time from the first to the last
-	ControllerStats []controller.Stats // of each controller's life, in the order of their ends
+	CircuitsInUse   int                // after all controllers have shut down
+	AllStopped      bool               // all controllers shut down within the time allowed
+	Events          uint64             // number of events handled
+	Duration        time.Duration      // virtual time from the start to the last event
+	ControllerStats []controller.Stats // of each controller incarnation, in order of their end
 }
 
-// Run plays a scenario to its end.
+// Run runs a scenario to its end.
 func Run(scenario *settings.Scenario, options Options) (*Result, error) {
 	if options.Policy == "" {
 		options.Policy = "brain"
@@ -92,12 +94,18 @@
 	if options.HopDelay <= 0 {
 		options.HopDelay = 50 * time.Microsecond
 	}
-	runner := &Runner{scenario: scenario, options: options, hopDelay: options.HopDelay, clock: &Clock{now: startTime}, ports: map[uint32]*exchangePort{},
-		startCounts: make([]uint64, scenario.Fleet.Exchanges)}
+	runner := &Runner{
+		scenario:    scenario,
+		options:     options,
+		hopDelay:    options.HopDelay,
+		clock:       &Clock{now: startTime},
+		ports:       map[uint32]*exchangePort{},
+		startCounts: make([]uint64, scenario.Fleet.Exchanges),
+	}
 	runner.capture = runner.newCaptureWriter("stand-ins")
 	simulation, err := scene.New(scenario, runner.clock, environment{runner})
 	if err != nil {
-		return nil, fmt.Errorf("drawing the fleet of %s: %w", scenario.Name, err)
+		return nil, fmt.Errorf("scenario %s: creating the simulated network: %w", scenario.Name, err)
 	}
 	if runner.simulation = simulation; options.Prepare != nil {
 		options.Prepare(simulation)
@@ -113,7 +121,7 @@
 	ended := false
 	simulation.Start(nil, func() { ended = true })
 	if !runner.clock.Run(startTime+scenario.Length+time.Hour, func() bool { return ended }) {
-		return nil, fmt.Errorf("the day of %s does not end", scenario.Name)
+		return nil, fmt.Errorf("scenario %s: the run does not end", scenario.Name)
 	}
 	for _, node := range runner.nodes {
 		node.handleInput(controller.Input{Kind: controller.InputShutdown})
@@ -121,22 +129,28 @@
 	allStopped := runner.clock.Run(runner.clock.now+shutdownTimeout, func() bool {
 		return !slices.ContainsFunc(runner.nodes, func(n *node) bool { return !n.stopped })
 	})
-	result := &Result{Simulation: simulation, AllStopped: allStopped, Events: runner.clock.Events(), Duration: runner.clock.now - startTime}
-	for _, n := range runner.nodes {
-		n.kill()
-		runner.endedStats = append(runner.endedStats, n.core.Stats())
+	result := &Result{
+		Simulation: simulation,
+		AllStopped: allStopped,
+		Events:     runner.clock.Events(),
+		Duration:   runner.clock.now - startTime,
+	}
+	for _, node := range runner.nodes {
+		node.kill()
+		runner.endedStats = append(runner.endedStats, node.core.Stats())
 	}
-	runner.clock.Run(runner.clock.now+runner.hopDelay, func() bool { return false }) // the connections close
+	runner.clock.Run(runner.clock.now+runner.hopDelay, func() bool { return false }) // closes the connections
 	result.CircuitsInUse, result.ControllerStats = simulation.Fleet.CircuitsInUse(), runner.endedStats
-	for _, n := range runner.nodes {
-		runner.captureErr = cmp.Or(runner.captureErr, n.capture.Close())
+	for _, node := range runner.nodes {
+		runner.captureErr = cmp.Or(runner.captureErr, node.capture.Close())
 	}
 	if err := cmp.Or(runner.captureErr, runner.capture.Close()); err != nil {
-		return nil, fmt.Errorf("the capture of %s: %w", scenario.Name, err)
+		return nil, fmt.Errorf("scenario %s: writing the capture: %w", scenario.Name, err)
 	}
 	return result, nil
 }
 
+// newCaptureWriter returns a capture writer for an owner, nil without captures.
 func (runner *Runner) newCaptureWriter(owner string) *capture.Writer {
 	if runner.options.NewCapture == nil {
 		return nil
@@ -144,8 +158,10 @@
 	return runner.options.NewCapture(owner, func() int64 { return int64(runner.clock.now) })
 }
 
+// controllerOwner returns the name of a controller in captures.
 func controllerOwner(number int) string { return fmt.Sprint("controller ", number) }
 
+// startController starts a new incarnation of a controller.
 func (runner *Runner) startController(number int) {
 	var flowSink flow.Sink
 	if runner.options.NewFlowSink != nil {
@@ -154,19 +170,21 @@
 	runner.nodes[number] = runner.newNode(number, flowSink, runner.newCaptureWriter(controllerOwner(number)))
 }
 
-// newConnection makes a connection that both ends know of.
+// newConnection creates a connection between a controller and a remote. port is nil
+// unless the remote is an exchange.
 func (runner *Runner) newConnection(n *node, peer controller.Peer, remoteOwner string, dialed bool, port *exchangePort) *connection {
 	runner.connectionCount++
 	conn := &connection{runner: runner, node: n, peer: peer, controllerOpen: true, remoteOpen: true, port: port}
 	if runner.capture != nil {
 		key := fmt.Sprint("wire ", runner.connectionCount)
-		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.cell), Role: peer.Role.String(), Peer: peer.ID, Dialed: dialed})
+		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.number), Role: peer.Role.String(), Peer: peer.ID, Dialed: dialed})
 		conn.remoteRecorder = runner.capture.Open(key, capture.Endpoint{Owner: remoteOwner, Role: "controller", Dialed: !dialed})
 	}
 	return conn
 }
 
-// acceptDial is a controller's call at a door; nil if nobody opens.
+// acceptDial connects a controller with the peer that it dials. It returns nil if the
+// peer can't be reached.
 func (runner *Runner) acceptDial(n *node, peer controller.Peer, address string) *connection {
 	if peer.Role == controller.RoleExchangeList {
 		if runner.listUnavailable {
@@ -174,12 +192,12 @@
 		}
 		conn := runner.newConnection(n, peer, "list", true, nil)
 		var listConn *exlist.Conn
-		conn.onMessage = func(m *signal.Message) { runner.simulation.List.HandleMessage(listConn, m) }
+		conn.onMessage = func(message *signal.Message) { runner.simulation.List.HandleMessage(listConn, message) }
 		conn.onClosed = func() {
 			runner.listConnections = slices.DeleteFunc(runner.listConnections, func(other *connection) bool { return other == conn })
 			runner.simulation.List.ConnClosed(listConn)
 		}
-		listConn = runner.simulation.List.OpenConn(func(m *signal.Message) { conn.sendToController(m) })
+		listConn = runner.simulation.List.OpenConn(func(message *signal.Message) { conn.sendToController(message) })
 		runner.listConnections = append(runner.listConnections, conn)
 		return conn
 	}
@@ -192,16 +210,17 @@
 	if exchange == nil || !exchange.Up {
 		return nil
 	}
-	w := runner.newConnection(n, peer, fmt.Sprint("exchange ", id), true, port)
-	w.subjectToFaults = true
-	runner.serveExchange(port, exchange, w, false)
-	return w
+	conn := runner.newConnection(n, peer, fmt.Sprint("exchange ", id), true, port)
+	conn.subjectToFaults = true
+	runner.serveExchange(port, exchange, conn, false)
+	return conn
 }
 
-// serveExchange serves a connection of an exchange.
+// serveExchange attaches a connection to an exchange. With transit set, it is the
+// exchange's connection to its own controller, which is redialled when closed.
 func (runner *Runner) serveExchange(port *exchangePort, served *exchange.Exchange, conn *connection, transit bool) {
 	var exchangeConn *exchange.Conn
-	conn.onMessage = func(m *signal.Message) { runner.simulation.Fleet.HandleMessage(exchangeConn, m) }
+	conn.onMessage = func(message *signal.Message) { runner.simulation.Fleet.HandleMessage(exchangeConn, message) }
 	conn.onClosed = func() {
 		port.connections = slices.DeleteFunc(port.connections, func(other *connection) bool { return other == conn })
 		delete(port.exchangeConns, conn)
@@ -210,12 +229,13 @@
 			runner.clock.After(redialDelay, func() { runner.dialTransit(served.Number) })
 		}
 	}
-	exchangeConn = runner.simulation.Fleet.OpenConn(served, transit, func(m *signal.Message) { conn.sendToController(m) })
+	exchangeConn = runner.simulation.Fleet.OpenConn(served, transit, func(message *signal.Message) { conn.sendToController(message) })
 	port.connections = append(port.connections, conn)
 	port.exchangeConns[conn] = exchangeConn
 }
 
-// dialTransit connects the exchange of a cell with its controller.
+// dialTransit connects the current exchange with the given number to its controller
+// for calls in transit, and retries while the controller is down.
 func (runner *Runner) dialTransit(number int) {
 	runner.clock.After(runner.hopDelay, func() {
 		n, current := runner.nodes[number], runner.simulation.Fleet.Current(number)
@@ -230,7 +250,8 @@
 	})
 }
 
-// dialCallers connects subscribers with their controller.
+// dialCallers connects callers to their controller, and retries while the controller
+// is down.
 func (runner *Runner) dialCallers(number int) {
 	runner.clock.After(runner.hopDelay, func() {
 		redial := func() { runner.clock.After(redialDelay, func() { runner.dialCallers(number) }) }
@@ -242,7 +263,7 @@
 		conn := runner.newConnection(n, n.acceptCaller(), fmt.Sprint("callers of ", number), false, nil)
 		n.connections[conn.peer] = conn
 		var callersConn *subscriber.Conn
-		conn.onMessage = func(m *signal.Message) { runner.simulation.Callers.HandleMessage(callersConn, m) }
+		conn.onMessage = func(message *signal.Message) { runner.simulation.Callers.HandleMessage(callersConn, message) }
 		conn.onClosed = func() {
 			runner.simulation.Callers.ConnClosed(number, callersConn)
 			redial()
@@ -251,7 +272,7 @@
 	})
 }
 
-// environment is what the scene asks of its connections.
+// environment implements scene.Environment.
 type environment struct{ runner *Runner }
 
 func (env environment) Listen(id uint32) (string, error) {
@@ -275,7 +296,7 @@
 	return closed
 }
 
-// SetFault of an exchange's connections; pieces make no difference where messages arrive whole.
+// SetFault ignores FragmentedWrites, because messages always arrive whole.
 func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
 	port := env.runner.ports[id]
 	switch fault {
@@ -293,7 +314,7 @@
 func (env environment) SetListUnavailable(unavailable bool) {
 	if env.runner.listUnavailable = unavailable; unavailable {
 		for _, conn := range slices.Clone(env.runner.listConnections) {
-			conn.close("the list is away", false)
+			conn.close("the exchange list is unavailable", false)
 		}
 	}
 }
@@ -334,6 +355,7 @@
 
 func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
+// sortedPeers returns the peers of connections in a reproducible order.
 func sortedPeers(connections map[controller.Peer]*connection) []controller.Peer {
 	return slices.SortedFunc(maps.Keys(connections), func(a, b controller.Peer) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.ID, b.ID))
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -14,11 +14,12 @@
 	"dahliaspindle/scenarios"
 )
 
+// loadScenario returns a shipped scenario.
 func loadScenario(t testing.TB, name string) *settings.Scenario {
 	t.Helper()
 	text, ok := scenarios.Text(name)
 	if !ok {
-		t.Fatalf("no scenario %s", name)
+		t.Fatalf("scenario %s does not exist", name)
 	}
 	scenario, err := settings.ParseScenario(name, strings.NewReader(text))
 	if err != nil {
@@ -34,7 +35,7 @@
 
 func (*memoryFile) Close() error { return nil }
 
-// runAudited plays a day with a capture and lets the auditor judge it.
+// runAudited runs a scenario with captures and audits them.
 func runAudited(t testing.TB, scenario *settings.Scenario, options Options) (*Result, *audit.Report) {
 	t.Helper()
 	var files []*memoryFile
@@ -56,7 +57,8 @@
 	return result, audit.Judge(records)
 }
 
-// The bad day, with its killed controllers: every rule, no circuit left.
+// The bad-day scenario, in which controllers are killed, breaks no rule, leaves cases
+// of every rule, and leaves no circuit in use at the end.
 func TestBadDayKeepsRules(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		scenario := loadScenario(t, "bad-day")
@@ -67,18 +69,20 @@
 		}
 		for _, rule := range report.Rules {
 			if rule.Cases == 0 {
-				t.Errorf("seed %d, rule %d: nothing to examine", seed, rule.Rule)
+				t.Errorf("seed %d, rule %d: no case examined", seed, rule.Rule)
 			}
 		}
-		if !result.AllStopped || result.CircuitsInUse != 0 || report.Calls.Taken == 0 || report.Calls.Taken != report.Calls.Answered+report.Calls.Left+report.Calls.Killed {
-			t.Errorf("seed %d: left %v, %d circuits held, calls %+v", seed, result.AllStopped, result.CircuitsInUse, report.Calls)
+		if !result.AllStopped || result.CircuitsInUse != 0 || report.Calls.Taken == 0 ||
+			report.Calls.Taken != report.Calls.Answered+report.Calls.Left+report.Calls.Killed {
+			t.Errorf("seed %d: all controllers stopped: %v, %d circuits in use, calls %+v", seed, result.AllStopped, result.CircuitsInUse, report.Calls)
 		}
 		tally := result.Callers.Tally(anyCall)
 		t.Logf("seed %d: service %.3f, %d calls, %d events, %v", seed, tally.ServiceRatio(), tally.Offered, result.Events, result.Duration)
 	}
 }
 
-// The same scenario gives the same day to the call; another seed another one.
+// Two runs of the same scenario give identical results for every call; a run with
+// another seed differs.
 func TestRunIsDeterministic(t *testing.T) {
 	run := func(seed uint64) *Result {
 		scenario := loadScenario(t, "bad-day")
@@ -90,20 +94,22 @@
 		return result
 	}
 	first, repeated, otherSeed := run(4), run(4), run(5)
-	if first.Events != repeated.Events || len(first.Callers.Calls) != len(repeated.Callers.Calls) || !reflect.DeepEqual(first.ControllerStats, repeated.ControllerStats) || first.Fleet.Counts != repeated.Fleet.Counts {
-		t.Fatalf("%d and %d events, %d and %d calls", first.Events, repeated.Events, len(first.Callers.Calls), len(repeated.Callers.Calls))
+	if first.Events != repeated.Events || len(first.Callers.Calls) != len(repeated.Callers.Calls) ||
+		!reflect.DeepEqual(first.ControllerStats, repeated.ControllerStats) || first.Fleet.Counts != repeated.Fleet.Counts {
+		t.Fatalf("runs with the same seed differ: %d and %d events, %d and %d calls", first.Events, repeated.Events, len(first.Callers.Calls), len(repeated.Callers.Calls))
 	}
 	for i := range first.Callers.Calls {
 		if *first.Callers.Calls[i] != *repeated.Callers.Calls[i] {
-			t.Fatalf("call %d: %+v and %+v", i, *first.Callers.Calls[i], *repeated.Callers.Calls[i])
+			t.Fatalf("call %d differs between runs with the same seed: %+v and %+v", i, *first.Callers.Calls[i], *repeated.Callers.Calls[i])
 		}
 	}
 	if first.Events == otherSeed.Events {
-		t.Error("another seed gives the same day")
+		t.Error("runs with different seeds have the same number of events")
 	}
 }
 
-// Virtual time stands still within an event and never goes back.
+// Events run in order of time, then of creation; a negative delay counts as 0. Events
+// after the end of the run do not run.
 func TestClockOrder(t *testing.T) {
 	clock := &Clock{}
 	var order []string
@@ -114,7 +120,7 @@
 	})
 	clock.After(0, func() { order = append(order, "a") })
 	clock.After(time.Second, func() { order = append(order, "c") })
-	clock.After(2*time.Second, func() { t.Error("past the end") })
+	clock.After(2*time.Second, func() { t.Error("event after the end of the run") })
 	if clock.Run(1500*time.Millisecond, func() bool { return false }) || strings.Join(order, "") != "abcde" || clock.Now() != time.Second {
 		t.Fatal(order, clock.Now())
 	}
--- a/internal/virtual/wire.go
+++ b/internal/virtual/wire.go
@@ -6,31 +6,33 @@
 	"dahliaspindle/internal/signal"
 )
 
-// connection is one connection between a controller and a stand-in. What is said
-// arrives a hop later, in order; what is under way towards an end that has
-// closed is lost, as with a socket.
+// connection is a connection between a controller and a remote, which is a simulated
+// exchange, the exchange list, or callers. Messages arrive in order after the hop
+// delay. Messages in flight to an end that has closed are lost, as with a socket.
 type connection struct {
 	runner *Runner
 	node   *node
 	peer   controller.Peer
-	port   *exchangePort // of an exchange that a controller dialled, or that dialled for its calls in transit; nil else
+	port   *exchangePort // of the exchange at the remote end; nil if the remote is no exchange
 
-	onMessage          func(*signal.Message) // to the stand-in
-	onClosed           func()                // tells the stand-in
-	controllerOpen     bool                  // the controller's end is open
-	remoteOpen         bool                  // the stand-in's end is open
-	unread             []*signal.Message     // read by nobody: the stand-in's reader stalls
+	onMessage          func(*signal.Message) // delivers a message to the remote
+	onClosed           func()                // notifies the remote that its end is closed
+	controllerOpen     bool                  // the controller's end
+	remoteOpen         bool                  // the remote's end
+	unread             []*signal.Message     // arrived while the remote does not read
 	controllerRecorder *capture.ConnRecorder
 	remoteRecorder     *capture.ConnRecorder
-	subjectToFaults    bool // the door's faults hit it
+	subjectToFaults    bool // of the port
 }
 
-// maxUnreadMessages is how many messages fit between a controller and a stand-in that does
-// not read, before the controller's own queue fills: about a loopback socket's
-// buffers. What a full queue would do (refuse set-ups, then close) begins there.
+// maxUnreadMessages is the number of messages that a remote that does not read can
+// leave unread, about what the buffers of a loopback socket hold. Beyond it the
+// connection behaves like one with a full send queue: it rejects set-ups, and closes
+// at any other message.
 const maxUnreadMessages = 8192
 
-// sendToRemote takes a message of the controller; false if it does not leave.
+// sendToRemote sends a message of the controller. It returns false if the message
+// can't be sent.
 func (c *connection) sendToRemote(message *signal.Message) bool {
 	if !c.controllerOpen {
 		return false
@@ -48,7 +50,7 @@
 	return true
 }
 
-// arriveAtRemote is a message at the stand-in's end.
+// arriveAtRemote handles a message that reaches the remote's end.
 func (c *connection) arriveAtRemote(message *signal.Message) {
 	switch {
 	case !c.remoteOpen:
@@ -59,6 +61,7 @@
 	}
 }
 
+// deliverToRemote passes a message to the remote, unless the connection is half open.
 func (c *connection) deliverToRemote(message *signal.Message) {
 	if c.remoteRecorder != nil {
 		c.remoteRecorder.Received(message.Append(nil))
@@ -68,7 +71,7 @@
 	}
 }
 
-// resumeReading lets a reader that had stalled go on.
+// resumeReading delivers the unread messages of a remote that had stalled.
 func (c *connection) resumeReading() {
 	unread := c.unread
 	c.unread = nil
@@ -79,7 +82,8 @@
 	}
 }
 
-// sendToController takes a message of the stand-in.
+// sendToController sends a message of the remote. It returns false if the remote's end
+// is closed.
 func (c *connection) sendToController(message *signal.Message) bool {
 	if !c.remoteOpen || c.subjectToFaults && c.port.halfOpen {
 		return c.remoteOpen
@@ -98,7 +102,7 @@
 	return true
 }
 
-// close ends the connection from one side; the other hears of it a hop later.
+// close closes one end of the connection, and the other one after the hop delay.
 func (c *connection) close(reason string, byController bool) {
 	if byController {
 		c.closeControllerEnd(reason)
@@ -109,6 +113,7 @@
 	}
 }
 
+// closeRemoteEnd closes the remote's end unless it is closed.
 func (c *connection) closeRemoteEnd(reason string) {
 	if !c.remoteOpen {
 		return
@@ -118,6 +123,7 @@
 	c.onClosed()
 }
 
+// closeControllerEnd closes the controller's end unless it is closed.
 func (c *connection) closeControllerEnd(reason string) {
 	if !c.controllerOpen {
 		return
