--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -44,28 +44,28 @@
 
 // Result is the result of a demo run.
 type Result struct {
-	Scenario      string          `json:"scenario"`
-	Seed          uint64          `json:"seed"`
-	Policy        string          `json:"policy"`
-	Exchanges     int             `json:"exchanges"`
-	Rules         []audit.Rule    `json:"rules"`
-	Calls         audit.Calls     `json:"calls"`
-	Capture       string          `json:"capture"`
-	Messages      int             `json:"messages"`
-	Classes       []Row           `json:"classes"`
-	Troubles      []Row           `json:"troubles"`
-	CircuitsInUse int             `json:"circuits_held_at_end"`
-	Fleet         exchange.Counts `json:"fleet"`
-	Breaches      []audit.Breach  `json:"breaches,omitempty"`
-	Notes         []string        `json:"notes,omitempty"`
-	Flows         *collect.Report `json:"flows,omitempty"`
-	ServiceRatio  float64         `json:"service"`
+	Scenario      string             `json:"scenario"`
+	Seed          uint64             `json:"seed"`
+	Policy        string             `json:"policy"`
+	Exchanges     int                `json:"exchanges"`
+	Rules         []audit.RuleResult `json:"rules"`
+	Calls         audit.CallCounts   `json:"calls"`
+	Capture       string             `json:"capture"`
+	Messages      int                `json:"messages"`
+	Classes       []Row              `json:"classes"`
+	Troubles      []Row              `json:"troubles"`
+	CircuitsInUse int                `json:"circuits_held_at_end"`
+	Fleet         exchange.Counts    `json:"fleet"`
+	Breaches      []audit.Breach     `json:"breaches,omitempty"`
+	Notes         []string           `json:"notes,omitempty"`
+	Flows         *collect.Report    `json:"flows,omitempty"`
+	ServiceRatio  float64            `json:"service"`
 }
 
 // RulesKept reports whether no rule was broken.
 func (r *Result) RulesKept() bool {
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Breaches > 0 {
 			return false
 		}
 	}
@@ -127,7 +127,7 @@
 	if err := errors.Join(runErr, stopErr, captureWriter.Close()); err != nil {
 		return nil, fmt.Errorf("running scenario %s: %w (logs in %s)", options.Scenario.Name, err, options.Dir)
 	}
-	report, err := audit.Path(options.Dir)
+	report, err := audit.CheckPath(options.Dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/demo/virtual.go
+++ b/internal/demo/virtual.go
@@ -26,7 +26,7 @@
 	if err := errors.Join(captureErr, err); err != nil {
 		return nil, fmt.Errorf("running scenario %s: %w", options.Scenario.Name, err)
 	}
-	report, err := audit.Path(options.Dir)
+	report, err := audit.CheckPath(options.Dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/scene/scene_test.go
@@ -64,7 +64,7 @@
 // (open loop). When each interval began at the late timer before it, a third of the
 // calls was missing at 30 exchanges.
 func TestCallsArriveAtConfiguredRate(t *testing.T) {
-	text, _ := scenarios.Text("bad-day")
+	text, _ := scenarios.XML("bad-day")
 	scenario, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/virtual/runner_test.go
+++ b/internal/virtual/runner_test.go
@@ -17,7 +17,7 @@
 // loadScenario returns a shipped scenario.
 func loadScenario(t testing.TB, name string) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text(name)
+	text, ok := scenarios.XML(name)
 	if !ok {
 		t.Fatalf("scenario %s does not exist", name)
 	}
@@ -50,11 +50,11 @@
 	}
 	var records audit.Records
 	for i, memory := range files {
-		if err := capture.Read(bytes.NewReader(memory.Bytes()), "file", audit.Collect(&records, i)); err != nil {
+		if err := capture.Read(bytes.NewReader(memory.Bytes()), "file", audit.Collector(&records, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return result, audit.Judge(records)
+	return result, audit.Check(records)
 }
 
 // The bad-day scenario, in which controllers are killed, breaks no rule, leaves cases
@@ -69,11 +69,11 @@
 		}
 		for _, rule := range report.Rules {
 			if rule.Cases == 0 {
-				t.Errorf("seed %d, rule %d: no case examined", seed, rule.Rule)
+				t.Errorf("seed %d, rule %d: no case examined", seed, rule.Number)
 			}
 		}
-		if !result.AllStopped || result.CircuitsInUse != 0 || report.Calls.Taken == 0 ||
-			report.Calls.Taken != report.Calls.Answered+report.Calls.Left+report.Calls.Killed {
+		if !result.AllStopped || result.CircuitsInUse != 0 || report.Calls.Received == 0 ||
+			report.Calls.Received != report.Calls.Answered+report.Calls.Abandoned+report.Calls.Killed {
 			t.Errorf("seed %d: all controllers stopped: %v, %d circuits in use, calls %+v", seed, result.AllStopped, result.CircuitsInUse, report.Calls)
 		}
 		tally := result.Callers.Tally(anyCall)
