--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit judges a capture by the five rules. It knows the commands and
-// the rules, and nothing of the controller or the module.
+// Package audit checks a capture against the five rules of call control. It depends
+// only on the captured messages and the rules, not on the controller or the routing
+// module.
 package audit
 
 import (
@@ -16,19 +17,20 @@
 	"dahliaspindle/internal/signal"
 )
 
-// RuleTitles of the rules, by number; the first is not used.
-var RuleTitles = [6]string{"", "one final answer, in time", "never two attempts out", "nothing new past the drain grace",
-	"no cold exchange pushed over", "no resend within the release time"}
+// RuleTitles holds the titles of the rules, indexed by rule number from 1.
+var RuleTitles = [6]string{"", "one final answer, in time", "at most one attempt in flight", "no new set-up after the drain grace",
+	"no cold exchange overloaded", "no retry within the release time"}
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule        int           `json:"rule"`
-	Time        time.Duration `json:"at"` // since the capture's first record
+	Time        time.Duration `json:"at"` // since the first record of the capture
 	Controller  string        `json:"owner"`
 	Call        string        `json:"call,omitempty"`
 	Description string        `json:"what"`
 }
 
+// String formats the breach as one line of text.
 func (b Breach) String() string {
 	call := ""
 	if b.Call != "" {
@@ -37,85 +39,88 @@
 	return fmt.Sprintf("rule %d at %.3fs by %s%s: %s", b.Rule, b.Time.Seconds(), b.Controller, call, b.Description)
 }
 
-// RuleResult is what was found of one.
+// RuleResult is the result of one rule.
 type RuleResult struct {
 	Number   int    `json:"rule"`
 	Title    string `json:"title"`
-	Cases    int    `json:"cases"` // examined
+	Cases    int    `json:"cases"` // checked
 	Breaches int    `json:"broken"`
 }
 
-// CallCounts counts what controllers took and answered.
+// CallCounts counts the calls that controllers received and how they ended.
 type CallCounts struct {
 	Received    int `json:"taken"`
-	NotAccepted int `json:"not_taken"` // of these answered, but refused before they were taken
+	NotAccepted int `json:"not_taken"` // of Answered: rejected before they were accepted
 	Answered    int `json:"answered"`
-	Abandoned   int `json:"left"`   // their callers left first, or their connection broke
-	Killed      int `json:"killed"` // their controller was killed
+	Abandoned   int `json:"left"`   // the caller abandoned the call or its connection was closed
+	Killed      int `json:"killed"` // the controller was killed
 }
 
-// ControllerCalls is what one controller took.
+// ControllerCalls counts the calls that one controller accepted.
 type ControllerCalls struct {
 	Controller string `json:"owner"`
-	Accepted   int    `json:"taken"` // without those that it said it did not take
+	Accepted   int    `json:"taken"` // without the calls that it rejected as not accepted
 	Killed     bool   `json:"killed,omitempty"`
 }
 
-// Report is the judgement of a capture.
+// Report is the result of checking a capture.
 type Report struct {
-	Rules       []RuleResult      `json:"rules"` // the five, in order
+	Rules       []RuleResult      `json:"rules"` // the five rules, in order
 	Calls       CallCounts        `json:"calls"`
 	Controllers []ControllerCalls `json:"owners"`
 	Messages    int               `json:"messages"`
-	Breaches    []Breach          `json:"breaches,omitempty"` // the first hundred
-	Notes       []string          `json:"notes,omitempty"`    // what could not be read or seen
-	all         int
+	Breaches    []Breach          `json:"breaches,omitempty"` // the first maxReportedBreaches
+	Notes       []string          `json:"notes,omitempty"`    // parts of the capture that could not be checked
+	breachCount int
 }
 
-// OK tells whether no rule was broken.
-func (r *Report) OK() bool { return r.all == 0 }
+// OK reports whether no rule was broken.
+func (r *Report) OK() bool { return r.breachCount == 0 }
 
-// mostBreaches is how many are kept word for word.
-const mostBreaches = 100
+// maxReportedBreaches limits the breaches that a report lists.
+const maxReportedBreaches = 100
 
+// record is one record of a capture with its decoded message and its connection.
 type record struct {
 	capture.Record
-	file int
-	msg  *signal.Message
-	ends capture.Endpoint
-	key  connKey
+	file       int
+	message    *signal.Message // nil if the record holds no readable message
+	endpoint   capture.Endpoint
+	connection connectionKey
 }
 
-type connKey struct {
+// connectionKey identifies a connection of a capture.
+type connectionKey struct {
 	file int
 	conn uint64
 }
 
-// CheckPath judges the capture at a path: a directory of files, or one file.
+// CheckPath checks the capture at a path, which is one file or a directory of files.
 func CheckPath(path string) (*Report, error) {
 	files, err := capture.Files(path)
 	if err != nil {
 		return nil, err
 	}
-	recs, notes, err := load(files)
+	records, notes, err := loadRecords(files)
 	if err != nil {
 		return nil, err
 	}
-	r := Check(recs)
-	r.Notes = append(notes, r.Notes...)
-	return r, nil
+	report := Check(records)
+	report.Notes = append(notes, report.Notes...)
+	return report, nil
 }
 
-// Records are the records of a capture, by time.
+// Records holds the records of a capture, ordered by time.
 type Records []record
 
-// load reads files; a torn end is a note, as after a kill.
-func load(files []string) (Records, []string, error) {
+// loadRecords reads the files of a capture. An incomplete last record, as a killed
+// process leaves it, results in a note.
+func loadRecords(files []string) (Records, []string, error) {
 	var all Records
 	var notes []string
-	for i, f := range files {
+	for i, file := range files {
 		add := Collector(&all, i)
-		if err := capture.ReadFile(f, add); errors.Is(err, capture.ErrTruncated) {
+		if err := capture.ReadFile(file, add); errors.Is(err, capture.ErrTruncated) {
 			notes = append(notes, err.Error())
 		} else if err != nil {
 			return nil, nil, err
@@ -125,6 +130,7 @@
 	return all, notes, nil
 }
 
+// sort orders the records by time and keeps the order of records of equal time.
 func (rs Records) sort() {
 	slices.SortStableFunc(rs, func(a, b record) int {
 		switch {
@@ -137,475 +143,513 @@
 	})
 }
 
-// Collector returns what takes the records of one file, in their order.
+// Collector returns a function that appends the records of one file to all. It must
+// be called with the records in the order of the file.
 func Collector(all *Records, file int) func(capture.Record) {
-	conns := map[uint64]capture.Endpoint{}
-	who := ""
+	endpoints := map[uint64]capture.Endpoint{}
+	fileOwner := ""
 	return func(r capture.Record) {
 		if r.Kind == capture.Header {
-			who = r.Name
+			fileOwner = r.Name
 		}
-		rec := record{Record: r, file: file, key: connKey{file, r.Conn}}
+		rec := record{Record: r, file: file, connection: connectionKey{file, r.Conn}}
 		switch r.Kind {
 		case capture.Opened:
-			var e capture.Endpoint
-			if json.Unmarshal(r.Text, &e) == nil {
-				conns[r.Conn] = e
+			var endpoint capture.Endpoint
+			if json.Unmarshal(r.Text, &endpoint) == nil {
+				endpoints[r.Conn] = endpoint
 			}
 		case capture.Sent, capture.Received:
-			m, err := signal.NewReader(strings.NewReader(string(r.Text)), signal.Limits{MaxLineBytes: 1 << 16, MaxMessageBytes: 1 << 20, MaxDescriptors: 1 << 16}).Read()
+			message, err := signal.NewReader(strings.NewReader(string(r.Text)), signal.Limits{
+				MaxLineBytes:    1 << 16,
+				MaxMessageBytes: 1 << 20,
+				MaxDescriptors:  1 << 16,
+			}).Read()
 			if err == nil {
-				rec.msg = m
+				rec.message = message
 			}
 		}
-		if rec.ends = conns[r.Conn]; r.Conn == 0 {
-			rec.ends.Owner = who
+		if rec.endpoint = endpoints[r.Conn]; r.Conn == 0 {
+			rec.endpoint.Owner = fileOwner
 		}
 		*all = append(*all, rec)
 	}
 }
 
-// call is one Add of a caller's connection.
-type call struct {
-	owner    *owner
-	name     string
-	conn     connKey
-	at, due  int64
-	answered int64
-	left     bool
-	leftAt   int64
-	out      map[attempt]string // attempts that are out, by link and transaction; their number
-	blocked  int64              // no send before
-	why      string
+// auditedCall is one call that a controller received with an Add from a caller.
+type auditedCall struct {
+	controller *auditedController
+	name       string
+	connection connectionKey
+
+	receivedAt, deadline int64 // nanoseconds, as all times here; a deadline of 0 is unknown
+
+	answeredAt   int64 // 0 if not answered
+	abandoned    bool  // the caller abandoned the call
+	abandonedAt  int64
+	inFlight     map[attempt]string // attempts in flight, with their numbers
+	blockedUntil int64              // end of the release time: no set-up is allowed before
+	blockedBy    string             // what started the release time
 }
 
+// attempt identifies a set-up by its link and transaction.
 type attempt struct {
-	conn connKey
-	tx   uint32
+	connection    connectionKey
+	transactionID uint32
 }
 
-type tx struct {
-	conn connKey
-	id   uint32
+// transaction identifies a transaction of a connection.
+type transaction struct {
+	connection connectionKey
+	id         uint32
 }
 
-// owner is one controller.
-type owner struct {
-	name    string
-	byTx    map[tx]*call
-	byName  map[string]*call
-	byLink  map[connKey]map[uint32]*call // attempts that are out
-	drained map[uint64]int64             // exchange to the time of the word
-	listed  map[uint64]bool
-	told    map[uint64]map[int64]int64 // exchange, start: when the list told of it
+// auditedController is the state of one incarnation of a controller.
+type auditedController struct {
+	name          string
+	byTransaction map[transaction]*auditedCall
+	byName        map[string]*auditedCall
+	byLink        map[connectionKey]map[uint32]*auditedCall // calls with an attempt in flight, by transaction
+	draining      map[uint64]int64                          // by exchange: when the list reported it as draining or out
+	listed        map[uint64]bool                           // exchanges that the list has reported
+	startReported map[uint64]map[int64]int64                // by exchange and start time: when the list reported the start
 
-	taken, notTaken int
-	killed          bool
+	accepted, notAccepted int
+	killed                bool
 }
 
-func newOwner(name string) *owner {
-	return &owner{name: name, byTx: map[tx]*call{}, byName: map[string]*call{}, byLink: map[connKey]map[uint32]*call{},
-		drained: map[uint64]int64{}, listed: map[uint64]bool{}, told: map[uint64]map[int64]int64{}}
+// newAuditedController returns a controller without calls.
+func newAuditedController(name string) *auditedController {
+	return &auditedController{
+		name:          name,
+		byTransaction: map[transaction]*auditedCall{},
+		byName:        map[string]*auditedCall{},
+		byLink:        map[connectionKey]map[uint32]*auditedCall{},
+		draining:      map[uint64]int64{},
+		listed:        map[uint64]bool{},
+		startReported: map[uint64]map[int64]int64{},
+	}
 }
 
+// setup is one set-up that a controller sent.
 type setup struct {
-	at    int64
-	owner *owner
-}
-
-// judge is the state of one judgement.
-type judge struct {
-	rules  capture.Rules
-	report *Report
-	start  int64
-	owners map[string]*owner
-	order  []*owner
-	to     map[uint64][]setup // set-ups sent to an exchange
-	from   map[int][]setup    // and by the controller of a number, which pass its exchange
-	starts []capture.Capacity
-	began  []int64
-}
-
-// Check looks at records in the order of their time.
-func Check(recs Records) *Report {
-	recs.sort()
-	j := &judge{report: &Report{}, owners: map[string]*owner{}, to: map[uint64][]setup{}, from: map[int][]setup{}}
+	sentAt     int64
+	controller *auditedController
+}
+
+// checker is the state of checking one capture.
+type checker struct {
+	rules            capture.Rules
+	report           *Report
+	start            int64 // time of the first record
+	controllers      map[string]*auditedController
+	incarnations     []*auditedController // all incarnations, in the order of their first record
+	setupsToExchange map[uint64][]setup   // set-ups sent to an exchange, by its ID
+	setupsFromNumber map[int][]setup      // set-ups of the controller of an exchange, by exchange number; they load its processor too
+	starts           []capture.Capacity   // starts of exchanges
+	startTimes       []int64              // time of each start
+}
+
+// Check checks the records of a capture against the five rules.
+func Check(records Records) *Report {
+	records.sort()
+	c := &checker{
+		report:           &Report{},
+		controllers:      map[string]*auditedController{},
+		setupsToExchange: map[uint64][]setup{},
+		setupsFromNumber: map[int][]setup{},
+	}
 	for n := 1; n <= 5; n++ {
-		j.report.Rules = append(j.report.Rules, RuleResult{Number: n, Title: RuleTitles[n]})
+		c.report.Rules = append(c.report.Rules, RuleResult{Number: n, Title: RuleTitles[n]})
 	}
-	ruled := false
-	for i := range recs {
-		if r := &recs[i]; r.Kind == capture.Fact && r.Name == "rules" {
-			ruled = json.Unmarshal(r.Text, &j.rules) == nil
+	hasRules := false
+	for i := range records {
+		if r := &records[i]; r.Kind == capture.Fact && r.Name == "rules" {
+			hasRules = json.Unmarshal(r.Text, &c.rules) == nil
 		}
 	}
-	if !ruled {
-		j.report.Notes = append(j.report.Notes, "the capture does not tell the rules' figures: those of 0 were taken")
+	if !hasRules {
+		c.report.Notes = append(c.report.Notes, "the capture does not record the limits of the rules: 0 was used")
 	}
-	for i := range recs {
+	for i := range records {
 		if i == 0 {
-			j.start = recs[0].At
+			c.start = records[0].At
 		}
-		j.record(&recs[i])
+		c.record(&records[i])
 	}
-	for _, o := range j.order {
-		j.end(o)
-		if j.owners[o.name] == o {
-			j.report.Controllers = append(j.report.Controllers, ControllerCalls{o.name, o.taken - o.notTaken, o.killed})
+	for _, controller := range c.incarnations {
+		c.checkUnanswered(controller)
+		if c.controllers[controller.name] == controller {
+			c.report.Controllers = append(c.report.Controllers, ControllerCalls{controller.name, controller.accepted - controller.notAccepted, controller.killed})
 		}
 	}
-	j.cold()
-	return j.report
+	c.checkColdExchanges()
+	return c.report
 }
 
-func (j *judge) breach(rule int, at int64, o *owner, call, what string) {
-	j.report.all++
-	j.report.Rules[rule-1].Breaches++
-	if len(j.report.Breaches) < mostBreaches {
-		j.report.Breaches = append(j.report.Breaches, Breach{rule, time.Duration(at - j.start), o.name, call, what})
+// breach counts a breach of a rule and reports it if the limit is not reached.
+func (c *checker) breach(rule int, at int64, controller *auditedController, call, description string) {
+	c.report.breachCount++
+	c.report.Rules[rule-1].Breaches++
+	if len(c.report.Breaches) < maxReportedBreaches {
+		c.report.Breaches = append(c.report.Breaches, Breach{rule, time.Duration(at - c.start), controller.name, call, description})
 	}
 }
 
-func (j *judge) cases(rule int) { j.report.Rules[rule-1].Cases++ }
+// countCase counts one case in which a rule was checked.
+func (c *checker) countCase(rule int) { c.report.Rules[rule-1].Cases++ }
 
-func (j *judge) owner(name string) *owner {
-	o := j.owners[name]
-	if o == nil {
-		o = newOwner(name)
-		j.owners[name] = o
-		j.order = append(j.order, o)
+// controller returns the current incarnation of a controller.
+func (c *checker) controller(name string) *auditedController {
+	controller := c.controllers[name]
+	if controller == nil {
+		controller = newAuditedController(name)
+		c.controllers[name] = controller
+		c.incarnations = append(c.incarnations, controller)
 	}
-	return o
+	return controller
 }
 
-func (j *judge) record(r *record) {
+// record checks one record.
+func (c *checker) record(r *record) {
 	switch r.Kind {
 	case capture.Fact:
-		j.fact(r)
+		c.fact(r)
 		return
 	case capture.Sent, capture.Received, capture.Closed:
 	default:
 		return
 	}
-	if !strings.HasPrefix(r.ends.Owner, "controller") {
-		return // the rules bind controllers; what they sent and heard stands in their own files
+	if !strings.HasPrefix(r.endpoint.Owner, "controller") {
+		return // the rules bind controllers; the messages of a controller are in its own file
 	}
-	o := j.owner(r.ends.Owner)
+	controller := c.controller(r.endpoint.Owner)
 	if r.Kind == capture.Closed {
-		j.closed(o, r)
+		c.connectionClosed(controller, r)
 		return
 	}
-	j.report.Messages++
-	if r.msg == nil {
+	c.report.Messages++
+	if r.message == nil {
 		return
 	}
 	switch {
-	case r.ends.Role == "caller" && r.Kind == capture.Received:
-		j.fromCaller(o, r)
-	case r.ends.Role == "caller":
-		j.toCaller(o, r)
-	case r.ends.Role == "exchange" && r.Kind == capture.Sent:
-		j.toExchange(o, r)
-	case r.ends.Role == "exchange":
-		j.fromExchange(o, r)
-	case r.ends.Role == "list" && r.Kind == capture.Received:
-		j.fromList(o, r)
+	case r.endpoint.Role == "caller" && r.Kind == capture.Received:
+		c.fromCaller(controller, r)
+	case r.endpoint.Role == "caller":
+		c.toCaller(controller, r)
+	case r.endpoint.Role == "exchange" && r.Kind == capture.Sent:
+		c.toExchange(controller, r)
+	case r.endpoint.Role == "exchange":
+		c.fromExchange(controller, r)
+	case r.endpoint.Role == "list" && r.Kind == capture.Received:
+		c.fromList(controller, r)
 	}
 }
 
-func (j *judge) fact(r *record) {
+// fact handles the start of an exchange and the kill of a controller.
+func (c *checker) fact(r *record) {
 	switch r.Name {
 	case "capacity":
-		var c capture.Capacity
-		if json.Unmarshal(r.Text, &c) == nil {
-			j.starts, j.began = append(j.starts, c), append(j.began, r.At)
+		var capacity capture.Capacity
+		if json.Unmarshal(r.Text, &capacity) == nil {
+			c.starts, c.startTimes = append(c.starts, capacity), append(c.startTimes, r.At)
 		}
 	case "killed":
-		var k capture.Killed
-		if json.Unmarshal(r.Text, &k) != nil {
+		var killed capture.Killed
+		if json.Unmarshal(r.Text, &killed) != nil {
 			return
 		}
-		o := j.owner(k.Owner)
-		for _, c := range o.open() {
-			c.left = true
-			j.report.Calls.Killed++
+		controller := c.controller(killed.Owner)
+		for _, call := range controller.pendingCalls() {
+			call.abandoned = true
+			c.report.Calls.Killed++
 		}
-		fresh := newOwner(o.name)
-		fresh.killed = true
-		j.owners[o.name] = fresh
-		j.order = append(j.order, fresh)
+		restarted := newAuditedController(controller.name)
+		restarted.killed = true
+		c.controllers[controller.name] = restarted
+		c.incarnations = append(c.incarnations, restarted)
 	}
 }
 
-// open lists the calls that still want an answer, by time.
-func (o *owner) open() []*call {
-	var all []*call
-	for _, c := range o.byTx {
-		if c.answered == 0 && !c.left {
-			all = append(all, c)
+// pendingCalls returns the calls that still expect a final answer, ordered by time.
+func (controller *auditedController) pendingCalls() []*auditedCall {
+	var pending []*auditedCall
+	for _, call := range controller.byTransaction {
+		if call.answeredAt == 0 && !call.abandoned {
+			pending = append(pending, call)
 		}
 	}
-	slices.SortFunc(all, func(a, b *call) int {
-		if a.at != b.at {
-			return int(a.at - b.at)
+	slices.SortFunc(pending, func(a, b *auditedCall) int {
+		if a.receivedAt != b.receivedAt {
+			return int(a.receivedAt - b.receivedAt)
 		}
 		return strings.Compare(a.name, b.name)
 	})
-	return all
+	return pending
 }
 
-func (j *judge) fromCaller(o *owner, r *record) {
-	m := r.msg
-	if m.Kind != signal.Request {
+// fromCaller handles a message that a controller received from a caller.
+func (c *checker) fromCaller(controller *auditedController, r *record) {
+	message := r.message
+	if message.Kind != signal.Request {
 		return
 	}
-	switch m.Command {
+	switch message.Command {
 	case signal.Add:
-		key := tx{r.key, m.ID}
-		if o.byTx[key] != nil {
-			return // the id was used before: no new call
+		key := transaction{r.connection, message.ID}
+		if controller.byTransaction[key] != nil {
+			return // the transaction ID was used before: not a new call
 		}
-		j.cases(1)
-		j.report.Calls.Received++
-		o.taken++
-		c := &call{owner: o, name: m.Termination, conn: r.key, at: r.At, out: map[attempt]string{}}
-		if left, err := m.Duration("Left"); err == nil {
-			c.due = r.At + int64(left)
+		c.countCase(1)
+		c.report.Calls.Received++
+		controller.accepted++
+		call := &auditedCall{controller: controller, name: message.Termination, connection: r.connection, receivedAt: r.At, inFlight: map[attempt]string{}}
+		if left, err := message.Duration("Left"); err == nil {
+			call.deadline = r.At + int64(left)
 		}
-		o.byTx[key] = c
-		if was := o.byName[m.Termination]; was == nil || was.answered != 0 || was.left {
-			o.byName[m.Termination] = c
+		controller.byTransaction[key] = call
+		if earlier := controller.byName[message.Termination]; earlier == nil || earlier.answeredAt != 0 || earlier.abandoned {
+			controller.byName[message.Termination] = call
 		}
 	case signal.Subtract:
-		if c := o.byName[m.Termination]; c != nil && c.conn == r.key && c.answered == 0 && !c.left {
-			c.left, c.leftAt = true, r.At
-			j.report.Calls.Abandoned++
+		if call := controller.byName[message.Termination]; call != nil && call.connection == r.connection && call.answeredAt == 0 && !call.abandoned {
+			call.abandoned, call.abandonedAt = true, r.At
+			c.report.Calls.Abandoned++
 		}
 	}
 }
 
-func (j *judge) toCaller(o *owner, r *record) {
-	m := r.msg
-	c := o.byTx[tx{r.key, m.ID}]
+// toCaller checks rule 1 for a message that a controller sent to a caller.
+func (c *checker) toCaller(controller *auditedController, r *record) {
+	message := r.message
+	call := controller.byTransaction[transaction{r.connection, message.ID}]
 	switch {
-	case c == nil || m.Kind == signal.Request || m.Kind == signal.ErrorMessage:
-	case m.Kind == signal.Pending:
-		if c.answered != 0 {
-			j.breach(1, r.At, o, c.name, "Pending after the final answer")
-		}
-	case m.Kind == signal.Reply && m.Command == signal.Add:
-		if c.answered != 0 {
-			j.breach(1, r.At, o, c.name, "a second final answer")
+	case call == nil || message.Kind == signal.Request || message.Kind == signal.ErrorMessage:
+	case message.Kind == signal.Pending:
+		if call.answeredAt != 0 {
+			c.breach(1, r.At, controller, call.name, "Pending after the final answer")
+		}
+	case message.Kind == signal.Reply && message.Command == signal.Add:
+		if call.answeredAt != 0 {
+			c.breach(1, r.At, controller, call.name, "a second final answer")
 			return
 		}
-		c.answered = r.At
-		if m.Get("Taken") == "no" {
-			j.report.Calls.NotAccepted++
-			o.notTaken++
+		call.answeredAt = r.At
+		if message.Get("Taken") == "no" {
+			c.report.Calls.NotAccepted++
+			controller.notAccepted++
 		}
-		if !c.left {
-			j.report.Calls.Answered++
+		if !call.abandoned {
+			c.report.Calls.Answered++
 		}
-		if late := r.At + r.SendDuration - c.due - int64(j.rules.AnswerSlack); c.due > 0 && late > 0 && !c.left {
-			j.breach(1, r.At, o, c.name, fmt.Sprintf("answered %v past the caller's patience and the slack", time.Duration(late)))
+		if late := r.At + r.SendDuration - call.deadline - int64(c.rules.AnswerSlack); call.deadline > 0 && late > 0 && !call.abandoned {
+			c.breach(1, r.At, controller, call.name, fmt.Sprintf("answered %v past the caller's patience and the slack", time.Duration(late)))
 		}
 	}
 }
 
-func (j *judge) toExchange(o *owner, r *record) {
-	m := r.msg
-	if m.Kind != signal.Request {
+// toExchange checks rules 1, 2, 3 and 5 for a message that a controller sent to an exchange.
+func (c *checker) toExchange(controller *auditedController, r *record) {
+	message := r.message
+	if message.Kind != signal.Request {
 		return
 	}
-	c := o.byName[m.Termination]
-	switch m.Command {
+	call := controller.byName[message.Termination]
+	switch message.Command {
 	case signal.Add:
-		j.cases(2)
-		j.cases(3)
-		exchange := r.ends.Peer
-		if word, ok := o.drained[exchange]; ok {
-			if late := r.At + r.SendDuration - word - int64(j.rules.DrainGrace); late > 0 {
-				j.breach(3, r.At, o, m.Termination, fmt.Sprintf("set up at exchange %d, %v after the grace", exchange, time.Duration(late)))
+		c.countCase(2)
+		c.countCase(3)
+		exchange := r.endpoint.Peer
+		if drainingSince, ok := controller.draining[exchange]; ok {
+			if late := r.At + r.SendDuration - drainingSince - int64(c.rules.DrainGrace); late > 0 {
+				c.breach(3, r.At, controller, message.Termination, fmt.Sprintf("set up at exchange %d, %v after the grace", exchange, time.Duration(late)))
 			}
 		}
-		j.to[exchange] = append(j.to[exchange], setup{r.At, o})
-		if from, err := m.Int("From", 0, 1<<20); err == nil {
-			j.from[from] = append(j.from[from], setup{r.At, o})
+		c.setupsToExchange[exchange] = append(c.setupsToExchange[exchange], setup{r.At, controller})
+		if from, err := message.Int("From", 0, 1<<20); err == nil {
+			c.setupsFromNumber[from] = append(c.setupsFromNumber[from], setup{r.At, controller})
 		}
-		if c == nil {
-			j.breach(1, r.At, o, m.Termination, "set up without a caller who asked")
+		if call == nil {
+			c.breach(1, r.At, controller, message.Termination, "set up without a caller's request")
 			return
 		}
 		switch {
-		case c.answered != 0:
-			j.breach(1, r.At, o, c.name, "set up after the final answer")
-		case c.left && r.At > c.leftAt+int64(j.rules.AnswerSlack):
-			j.breach(1, r.At, o, c.name, "set up after the caller left")
-		}
-		if len(c.out) > 0 {
-			j.breach(2, r.At, o, c.name, fmt.Sprintf("set up while %d attempts are out", len(c.out)))
-		}
-		if c.blocked > 0 {
-			j.cases(5)
-			if early := c.blocked - r.At; early > 0 {
-				j.breach(5, r.At, o, c.name, fmt.Sprintf("set up %v before the release time after it was %s", time.Duration(early), c.why))
+		case call.answeredAt != 0:
+			c.breach(1, r.At, controller, call.name, "set up after the final answer")
+		case call.abandoned && r.At > call.abandonedAt+int64(c.rules.AnswerSlack):
+			c.breach(1, r.At, controller, call.name, "set up after the caller left")
+		}
+		if len(call.inFlight) > 0 {
+			c.breach(2, r.At, controller, call.name, fmt.Sprintf("set up with %d attempts in flight", len(call.inFlight)))
+		}
+		if call.blockedUntil > 0 {
+			c.countCase(5)
+			if early := call.blockedUntil - r.At; early > 0 {
+				c.breach(5, r.At, controller, call.name, fmt.Sprintf("set up %v before the release time after it was %s", time.Duration(early), call.blockedBy))
 			}
 		}
-		c.out[attempt{r.key, m.ID}] = m.Get("Attempt")
-		if o.byLink[r.key] == nil {
-			o.byLink[r.key] = map[uint32]*call{}
+		call.inFlight[attempt{r.connection, message.ID}] = message.Get("Attempt")
+		if controller.byLink[r.connection] == nil {
+			controller.byLink[r.connection] = map[uint32]*auditedCall{}
 		}
-		o.byLink[r.key][m.ID] = c
+		controller.byLink[r.connection][message.ID] = call
 	case signal.Subtract:
-		if c == nil {
+		if call == nil {
 			return
 		}
-		for a, n := range c.out { // one at the most, unless the second rule is broken
-			if a.conn == r.key && n == m.Get("Attempt") {
-				j.ended(o, c, a, r.At, "withdrawn")
+		for attempt, number := range call.inFlight { // at most one, unless rule 2 is broken
+			if attempt.connection == r.connection && number == message.Get("Attempt") {
+				c.attemptEnded(controller, call, attempt, r.At, "withdrawn")
 			}
 		}
 	}
 }
 
-// ended takes an attempt that is out no more; unclear ones start the release time.
-func (j *judge) ended(o *owner, c *call, a attempt, at int64, why string) {
-	delete(c.out, a)
-	delete(o.byLink[a.conn], a.tx)
-	if why != "" {
-		c.blocked, c.why = at+int64(j.rules.ReleaseTime), why
+// attemptEnded removes an attempt from those in flight. If its outcome at the
+// exchange is uncertain, cause is set and the release time starts.
+func (c *checker) attemptEnded(controller *auditedController, call *auditedCall, ended attempt, at int64, cause string) {
+	delete(call.inFlight, ended)
+	delete(controller.byLink[ended.connection], ended.transactionID)
+	if cause != "" {
+		call.blockedUntil, call.blockedBy = at+int64(c.rules.ReleaseTime), cause
 	}
 }
 
-func (j *judge) fromExchange(o *owner, r *record) {
-	m := r.msg
-	if m.Kind != signal.Reply || m.Command != signal.Add {
+// fromExchange handles a message that a controller received from an exchange.
+func (c *checker) fromExchange(controller *auditedController, r *record) {
+	message := r.message
+	if message.Kind != signal.Reply || message.Command != signal.Add {
 		return
 	}
-	c := o.byLink[r.key][m.ID]
-	if c == nil {
+	call := controller.byLink[r.connection][message.ID]
+	if call == nil {
 		return
 	}
-	why := ""
-	if note := m.Get("Note"); m.Code != 0 && (note == "cut" || note == "withdrawn") {
-		why = note
+	cause := ""
+	if note := message.Get("Note"); message.Code != 0 && (note == "cut" || note == "withdrawn") {
+		cause = note
 	}
-	j.ended(o, c, attempt{r.key, m.ID}, r.At, why)
+	c.attemptEnded(controller, call, attempt{r.connection, message.ID}, r.At, cause)
 }
 
-func (j *judge) closed(o *owner, r *record) {
-	if r.ends.Role == "exchange" {
-		for id, c := range o.byLink[r.key] { // each by itself: the order does not matter
-			j.ended(o, c, attempt{r.key, id}, r.At, "reset with the connection")
+// connectionClosed ends the attempts of a closed link, or abandons the calls of a
+// closed caller's connection.
+func (c *checker) connectionClosed(controller *auditedController, r *record) {
+	if r.endpoint.Role == "exchange" {
+		for id, call := range controller.byLink[r.connection] { // independent of each other: the order does not matter
+			c.attemptEnded(controller, call, attempt{r.connection, id}, r.At, "reset with the connection")
 		}
 	}
-	if r.ends.Role == "caller" {
-		for _, c := range o.open() {
-			if c.conn == r.key {
-				c.left, c.leftAt = true, r.At
-				j.report.Calls.Abandoned++
+	if r.endpoint.Role == "caller" {
+		for _, call := range controller.pendingCalls() {
+			if call.connection == r.connection {
+				call.abandoned, call.abandonedAt = true, r.At
+				c.report.Calls.Abandoned++
 			}
 		}
 	}
 }
 
-func (j *judge) fromList(o *owner, r *record) {
-	m := r.msg
-	if m.Kind != signal.Request || m.Command != signal.Notify {
+// fromList handles a notification of the exchange list. An exchange that a complete
+// list no longer names counts as draining.
+func (c *checker) fromList(controller *auditedController, r *record) {
+	message := r.message
+	if message.Kind != signal.Request || message.Command != signal.Notify {
 		return
 	}
 	named := map[uint64]bool{}
-	for _, line := range m.All("Exchange") {
-		f := strings.Fields(line)
-		if len(f) == 0 {
+	for _, line := range message.All("Exchange") {
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
-		id, err := strconv.ParseUint(f[0], 10, 32)
+		id, err := strconv.ParseUint(fields[0], 10, 32)
 		if err != nil {
 			continue
 		}
 		named[id] = true
-		o.listed[id] = true
-		for _, p := range f[1:] {
-			switch name, v, _ := strings.Cut(p, "="); name {
+		controller.listed[id] = true
+		for _, parameter := range fields[1:] {
+			switch name, value, _ := strings.Cut(parameter, "="); name {
 			case "state":
-				if v == "in" {
-					delete(o.drained, id)
-				} else if _, known := o.drained[id]; !known {
-					o.drained[id] = r.At
+				if value == "in" {
+					delete(controller.draining, id)
+				} else if _, known := controller.draining[id]; !known {
+					controller.draining[id] = r.At
 				}
 			case "since":
-				since, _ := strconv.ParseInt(v, 10, 64)
-				if o.told[id] == nil {
-					o.told[id] = map[int64]int64{}
+				since, _ := strconv.ParseInt(value, 10, 64)
+				if controller.startReported[id] == nil {
+					controller.startReported[id] = map[int64]int64{}
 				}
-				if _, known := o.told[id][since]; !known {
-					o.told[id][since] = r.At
+				if _, known := controller.startReported[id][since]; !known {
+					controller.startReported[id][since] = r.At
 				}
 			}
 		}
 	}
-	if m.Flag("Complete") {
-		for id := range o.listed {
-			if _, known := o.drained[id]; !named[id] && !known {
-				o.drained[id] = r.At
+	if message.Flag("Complete") {
+		for id := range controller.listed {
+			if _, known := controller.draining[id]; !named[id] && !known {
+				controller.draining[id] = r.At
 			}
 		}
 	}
 }
 
-// end looks for calls that were never answered.
-func (j *judge) end(o *owner) {
-	for _, c := range o.open() {
-		j.breach(1, c.at, o, c.name, "no final answer")
+// checkUnanswered reports the calls that were never answered.
+func (c *checker) checkUnanswered(controller *auditedController) {
+	for _, call := range controller.pendingCalls() {
+		c.breach(1, call.receivedAt, controller, call.name, "no final answer")
 	}
 }
 
-// cold holds what was sent to each started processor against what it could do:
-// in every window of the stated length, no more than the stated multiple of it,
-// and a root of that for chance. Work that mostly came from controllers that had
-// not been told of the start is nobody's breach.
-func (j *judge) cold() {
-	w := int64(j.rules.OverloadDuration)
-	for i, s := range j.starts {
-		if s.WarmUpTime <= 0 || w <= 0 {
+// checkColdExchanges checks rule 4. It compares the set-ups sent to each started
+// processor with its capacity: in every window of OverloadDuration, at most
+// OverloadFactor times the capacity, plus the square root of that for random
+// variation. It is no breach if more than a third of the set-ups came from
+// controllers to which the list had not yet reported the start.
+func (c *checker) checkColdExchanges() {
+	window := int64(c.rules.OverloadDuration)
+	for i, start := range c.starts {
+		if start.WarmUpTime <= 0 || window <= 0 {
 			continue
 		}
-		j.cases(4)
-		until := j.began[i] + int64(s.WarmUpTime)
-		for k := i + 1; k < len(j.starts); k++ {
-			if j.starts[k].ExchangeID == s.ExchangeID {
-				until = min(until, j.began[k])
+		c.countCase(4)
+		until := c.startTimes[i] + int64(start.WarmUpTime)
+		for later := i + 1; later < len(c.starts); later++ {
+			if c.starts[later].ExchangeID == start.ExchangeID {
+				until = min(until, c.startTimes[later])
 			}
 		}
-		var all []setup
-		for _, group := range [][]setup{j.to[uint64(s.ExchangeID)], j.from[s.ExchangeNumber]} {
-			for _, u := range group {
-				if u.at >= j.began[i] && u.at <= until {
-					all = append(all, u)
+		var setups []setup
+		for _, group := range [][]setup{c.setupsToExchange[uint64(start.ExchangeID)], c.setupsFromNumber[start.ExchangeNumber]} {
+			for _, s := range group {
+				if s.sentAt >= c.startTimes[i] && s.sentAt <= until {
+					setups = append(setups, s)
 				}
 			}
 		}
-		slices.SortStableFunc(all, func(a, b setup) int { return int(a.at - b.at) })
+		slices.SortStableFunc(setups, func(a, b setup) int { return int(a.sentAt - b.sentAt) })
 		first, informed := 0, 0
-		knows := func(u setup) bool {
-			at, ok := u.owner.told[uint64(s.ExchangeID)][s.Since]
-			return ok && at <= u.at
+		isInformed := func(s setup) bool {
+			at, ok := s.controller.startReported[uint64(start.ExchangeID)][start.Since]
+			return ok && at <= s.sentAt
 		}
-		for n, u := range all {
-			if knows(u) {
+		for n, s := range setups {
+			if isInformed(s) {
 				informed++
 			}
-			for ; all[first].at <= u.at-w; first++ {
-				if knows(all[first]) {
+			for ; setups[first].sentAt <= s.sentAt-window; first++ {
+				if isInformed(setups[first]) {
 					informed--
 				}
 			}
 			count := n - first + 1
-			budget := j.rules.OverloadFactor * between(s, float64(u.at-w-j.began[i])/1e9, float64(u.at-j.began[i])/1e9)
+			budget := c.rules.OverloadFactor * setupCapacity(start, float64(s.sentAt-window-c.startTimes[i])/1e9, float64(s.sentAt-c.startTimes[i])/1e9)
 			if float64(count) > budget+math.Sqrt(budget)+1 && 3*informed >= 2*count {
-				j.breach(4, u.at, u.owner, "", fmt.Sprintf("exchange %d, started %.1fs before, was sent %d set-ups within %v and could do %.0f",
-					s.ExchangeID, float64(u.at-j.began[i])/1e9, count, j.rules.OverloadDuration, budget/j.rules.OverloadFactor))
+				c.breach(4, s.sentAt, s.controller, "", fmt.Sprintf("exchange %d, started %.1fs before, was sent %d set-ups within %v; its capacity is %.0f",
+					start.ExchangeID, float64(s.sentAt-c.startTimes[i])/1e9, count, c.rules.OverloadDuration, budget/c.rules.OverloadFactor))
 				break
 			}
 		}
--- a/internal/audit/trace.go
+++ b/internal/audit/trace.go
@@ -9,88 +9,91 @@
 	"dahliaspindle/internal/signal"
 )
 
-// between is the set-ups that a processor can do from a to b seconds after its start.
-func between(c capture.Capacity, a, b float64) float64 {
-	a = max(a, 0)
-	warm := c.WarmUpTime.Seconds()
-	sum := func(t float64) float64 { // from the start to t
-		if warm <= 0 || c.InitialShare >= 1 {
+// setupCapacity returns the number of set-ups that a processor can handle between
+// from and to, in seconds after its start. During the warm-up time the capacity rises
+// linearly from the initial share to the full rate.
+func setupCapacity(capacity capture.Capacity, from, to float64) float64 {
+	from = max(from, 0)
+	warmUp := capacity.WarmUpTime.Seconds()
+	integral := func(t float64) float64 { // of the capacity share, from the start to t
+		if warmUp <= 0 || capacity.InitialShare >= 1 {
 			return t
 		}
-		x := min(t, warm)
-		return c.InitialShare*x + (1-c.InitialShare)*x*x/(2*warm) + max(t-warm, 0)
+		x := min(t, warmUp)
+		return capacity.InitialShare*x + (1-capacity.InitialShare)*x*x/(2*warmUp) + max(t-warmUp, 0)
 	}
-	return c.SetUpsPerSecond * (sum(b) - sum(a))
+	return capacity.SetUpsPerSecond * (integral(to) - integral(from))
 }
 
-// Trace writes all that a capture tells of one call, as a person would read it:
-// what was sent and received at each end, the module's word, the calls in
-// transit that came of it. It returns the number of lines.
+// Trace writes the events of one call in a capture, one per line: the messages sent
+// and received at each controller, the decisions of the routing module and the
+// transit calls that belong to the call. It returns the number of lines.
 func Trace(w io.Writer, path, name string) (int, error) {
 	files, err := capture.Files(path)
 	if err != nil {
 		return 0, err
 	}
-	recs, _, err := load(files)
+	records, _, err := loadRecords(files)
 	if err != nil {
 		return 0, err
 	}
-	mine := func(term string) bool { return term == name || strings.HasPrefix(term, name+"/") }
-	var first int64
-	pending := map[tx]bool{}
+	belongs := func(termination string) bool { return termination == name || strings.HasPrefix(termination, name+"/") }
+	var start int64
+	pending := map[transaction]bool{}
 	lines := 0
-	for _, r := range recs {
+	for _, r := range records {
 		line := ""
 		switch {
-		case r.Kind == capture.Verdict && mine(r.Name):
-			line = fmt.Sprintf("%-16s decides: %s", r.ends.Owner, r.Text)
-		case r.msg == nil:
+		case r.Kind == capture.Verdict && belongs(r.Name):
+			line = fmt.Sprintf("%-16s decides: %s", r.endpoint.Owner, r.Text)
+		case r.message == nil:
 			continue
-		case r.msg.Kind == signal.Pending && pending[tx{r.key, r.msg.ID}]:
-			line = told(&r) + "Pending"
-		case mine(r.msg.Termination):
-			if r.msg.Kind == signal.Request && r.msg.Command == signal.Add {
-				pending[tx{r.key, r.msg.ID}] = true
+		case r.message.Kind == signal.Pending && pending[transaction{r.connection, r.message.ID}]:
+			line = direction(&r) + "Pending"
+		case belongs(r.message.Termination):
+			if r.message.Kind == signal.Request && r.message.Command == signal.Add {
+				pending[transaction{r.connection, r.message.ID}] = true
 			}
-			line = told(&r) + words(r.msg)
+			line = direction(&r) + formatMessage(r.message)
 		default:
 			continue
 		}
-		if first == 0 {
-			first = r.At
+		if start == 0 {
+			start = r.At
 		}
 		lines++
-		if _, err := fmt.Fprintf(w, "%9.1f ms  %s\n", float64(r.At-first)/1e6, line); err != nil {
-			return lines, fmt.Errorf("writing the trace: %w", err)
+		if _, err := fmt.Fprintf(w, "%9.1f ms  %s\n", float64(r.At-start)/1e6, line); err != nil {
+			return lines, fmt.Errorf("write trace: %w", err)
 		}
 	}
 	return lines, nil
 }
 
-func told(r *record) string {
-	verb, word := "sends", "to"
+// direction formats who sent a message to whom.
+func direction(r *record) string {
+	verb, preposition := "sends   ", "to  " // padded to the width of "receives from"
 	if r.Kind == capture.Received {
-		verb, word = "hears", "of"
+		verb, preposition = "receives", "from"
 	}
-	peer := r.ends.Role
-	if r.ends.Peer != 0 {
-		peer = fmt.Sprintf("%s %d", peer, r.ends.Peer)
+	peer := r.endpoint.Role
+	if r.endpoint.Peer != 0 {
+		peer = fmt.Sprintf("%s %d", peer, r.endpoint.Peer)
 	}
-	return fmt.Sprintf("%-16s %s %s %-20s ", r.ends.Owner, verb, word, peer)
+	return fmt.Sprintf("%-16s %s %s %-20s ", r.endpoint.Owner, verb, preposition, peer)
 }
 
-// words is a message on one line.
-func words(m *signal.Message) string {
-	var b strings.Builder
-	if m.Kind == signal.Reply {
-		b.WriteString("Reply to ")
+// formatMessage formats a message on one line.
+func formatMessage(message *signal.Message) string {
+	var text strings.Builder
+	if message.Kind == signal.Reply {
+		text.WriteString("Reply to ")
 	}
-	fmt.Fprintf(&b, "%s %s", m.Command, m.Termination)
-	if m.Code != 0 {
-		fmt.Fprintf(&b, ": error %d %s", m.Code, m.Text)
+	fmt.Fprintf(&text, "%s %s", message.Command, message.Termination)
+	if message.Code != 0 {
+		fmt.Fprintf(&text, ": error %d %s", message.Code, message.Text)
 	}
-	for _, f := range m.Descriptors {
-		fmt.Fprintf(&b, "; %s %s", f.Name, f.Value)
+	for _, descriptor := range message.Descriptors {
+		fmt.Fprintf(&text, "; %s %s", descriptor.Name, descriptor.Value)
 	}
-	return b.String()
+	return text.String()
 }
