--- a/cmd/dahliaspindle/curve.go
+++ b/cmd/dahliaspindle/curve.go
@@ -16,110 +16,113 @@
 	"dahliaspindle/internal/measure"
 )
 
+// dimensionCurveCmd stores and prints day curves of the offered traffic.
 type dimensionCurveCmd struct {
-	Store    string        `arg:"" help:"The curve's file; made if it is not there." type:"path"`
-	Add      []string      `help:"IPFIX files of flow records to add first. One that was added before is told and left out." type:"existingfile"`
-	Patience time.Duration `help:"A try so soon after a lost one of the same caller's number is its repeat." default:"9s"`
-	Step     string        `help:"Slots of: ${enum}." enum:"15m,1h,24h" default:"1h"`
-	Last     time.Duration `help:"Only so long before the newest slot; 0: all."`
+	Store    string        `arg:"" help:"File of the curves; created if it does not exist." type:"path"`
+	Add      []string      `help:"IPFIX files of flow records to add first. A file that was added before is reported and skipped." type:"existingfile"`
+	Patience time.Duration `help:"An attempt within this time after a lost one of the same caller's number counts as its repeat." default:"9s"`
+	Step     string        `help:"Slot length: ${enum}." enum:"15m,1h,24h" default:"1h"`
+	Last     time.Duration `help:"Only this time before the newest slot; 0: all."`
 	From     int           `help:"Only from this exchange; -1: all." default:"-1"`
 	To       int           `help:"Only to this exchange; -1: all." default:"-1"`
-	Busiest  bool          `help:"Only each day's busiest slot, all pairs together."`
+	Busiest  bool          `help:"Only the busiest slot of each day, for all pairs together."`
 	JSON     bool          `help:"Print one JSON object."`
 }
 
-func hashOf(path string) (sum [sha256.Size]byte, err error) {
-	f, err := os.Open(path)
+// hashFile returns the SHA-256 hash of a file.
+func hashFile(path string) (sum [sha256.Size]byte, err error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return sum, err
 	}
-	defer f.Close()
-	h := sha256.New()
-	if _, err := io.Copy(h, f); err != nil {
-		return sum, fmt.Errorf("reading %s: %w", path, err)
+	defer file.Close()
+	hash := sha256.New()
+	if _, err := io.Copy(hash, file); err != nil {
+		return sum, fmt.Errorf("read %s: %w", path, err)
 	}
-	return [sha256.Size]byte(h.Sum(nil)), nil
+	return [sha256.Size]byte(hash.Sum(nil)), nil
 }
 
+// Run executes the command.
 func (c *dimensionCurveCmd) Run() (err error) {
-	s, err := curve.Open(c.Store)
+	store, err := curve.Open(c.Store)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
-	defer func() { err = errors.Join(err, s.Close()) }()
+	defer func() { err = errors.Join(err, store.Close()) }()
 	for _, path := range c.Add {
-		sum, err := hashOf(path)
+		sum, err := hashFile(path)
 		if err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
-		m, err := readTries(path)
+		calls, err := readCalls(path)
 		if err != nil {
 			return err
 		}
-		switch err := s.Add(sum, m.tries, measure.Options{Patience: c.Patience}, m.names); {
+		switch err := store.Add(sum, calls.attempts, measure.Options{Patience: c.Patience}, calls.classNames); {
 		case errors.Is(err, curve.ErrSeen):
 			fmt.Fprintf(os.Stderr, "%s: %v\n", path, curve.ErrSeen)
 		case err != nil:
-			return exit{2, fmt.Errorf("%s: %w", path, err)}
+			return exitError{2, fmt.Errorf("%s: %w", path, err)}
 		}
 	}
 	step, err := time.ParseDuration(c.Step)
 	if err != nil {
-		return exit{2, err}
+		return exitError{2, err}
 	}
-	lines, err := s.Lines(step, 0, math.MaxInt64, func(k curve.Key) bool {
-		return (c.From < 0 || int(k.Source) == c.From) && (c.To < 0 || int(k.Dest) == c.To)
+	lines, err := store.Lines(step, 0, math.MaxInt64, func(key curve.Key) bool {
+		return (c.From < 0 || int(key.Source) == c.From) && (c.To < 0 || int(key.Dest) == c.To)
 	})
 	if err != nil {
 		return err
 	}
 	newest := time.Duration(0)
-	for _, l := range lines {
-		newest = max(newest, l.Slots[len(l.Slots)-1].At)
+	for _, line := range lines {
+		newest = max(newest, line.Slots[len(line.Slots)-1].At)
 	}
 	if c.JSON {
 		return c.json(lines, newest)
 	}
-	day := func(at time.Duration) string { return time.Unix(0, int64(at)).UTC().Format("2006-01-02 15:04") }
+	formatTime := func(at time.Duration) string { return time.Unix(0, int64(at)).UTC().Format("2006-01-02 15:04") }
 	if c.Busiest {
-		t := newTable("Busiest " + c.Step + " of each day (UTC), all together")
-		t.AppendHeader(table.Row{"begin", "first tries", "lost tries"})
-		for _, x := range curve.Busiest(lines) {
-			t.AppendRow(table.Row{day(x.At), x.First, x.Lost})
+		t := newTable("Busiest " + c.Step + " of each day (UTC), all pairs together")
+		t.AppendHeader(table.Row{"begin", "first attempts", "lost attempts"})
+		for _, slot := range curve.Busiest(lines) {
+			t.AppendRow(table.Row{formatTime(slot.At), slot.First, slot.Lost})
 		}
 		t.Render()
 		return nil
 	}
 	t := newTable("Offered by " + c.Step + " (UTC)")
-	t.AppendHeader(table.Row{"from", "to", "class", "begin", "watched", "tries", "first", "lost", "erlang"})
-	for _, l := range lines {
-		for i, x := range l.Slots {
-			if c.Last > 0 && x.At < newest-c.Last {
+	t.AppendHeader(table.Row{"from", "to", "class", "begin", "measured", "attempts", "first", "lost", "erlang"})
+	for _, line := range lines {
+		for i, slot := range line.Slots {
+			if c.Last > 0 && slot.At < newest-c.Last {
 				continue
 			}
-			if i > 0 && x.At > l.Slots[i-1].At+step {
-				t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(l.Slots[i-1].At + step), "nobody watched"})
+			if i > 0 && slot.At > line.Slots[i-1].At+step {
+				t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(line.Slots[i-1].At + step), "not measured"})
 			}
 			erlang := "unknown"
-			if e, ok := x.Erlang(); ok {
-				erlang = fmt.Sprintf("%.2f", e)
+			if traffic, ok := slot.Erlang(); ok {
+				erlang = fmt.Sprintf("%.2f", traffic)
 			}
-			t.AppendRow(table.Row{l.Source, l.Dest, l.Class, day(x.At), time.Duration(x.Watched * 1e9).Round(time.Second), x.Tries, x.First, x.Lost, erlang})
+			t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(slot.At), time.Duration(slot.Watched * 1e9).Round(time.Second), slot.Tries, slot.First, slot.Lost, erlang})
 		}
 	}
 	t.Render()
 	return nil
 }
 
-// json prints the slots; one that nobody watched is not there.
+// json prints the slots as JSON. Slots without a measurement are left out.
 func (c *dimensionCurveCmd) json(lines []curve.Line, newest time.Duration) error {
 	type slot struct {
-		Begin   time.Time `json:"begin"`
-		Watched float64   `json:"watched_s"`
-		Tries   int       `json:"tries"`
-		First   int       `json:"first"`
-		Lost    int       `json:"lost"`
-		Erlang  *float64  `json:"erlang"`
+		Begin          time.Time `json:"begin"`
+		WatchedSeconds float64   `json:"watched_s"`
+		Attempts       int       `json:"tries"`
+		FirstAttempts  int       `json:"first"`
+		Lost           int       `json:"lost"`
+		Erlang         *float64  `json:"erlang"`
 	}
 	type line struct {
 		From  int32  `json:"from"`
@@ -127,22 +130,22 @@
 		Class string `json:"class"`
 		Slots []slot `json:"slots"`
 	}
-	all := []line{}
-	for _, l := range lines {
-		x := line{From: l.Source, To: l.Dest, Class: l.Class}
-		for _, s := range l.Slots {
-			if c.Last > 0 && s.At < newest-c.Last {
+	output := []line{}
+	for _, source := range lines {
+		converted := line{From: source.Source, To: source.Dest, Class: source.Class}
+		for _, measured := range source.Slots {
+			if c.Last > 0 && measured.At < newest-c.Last {
 				continue
 			}
-			o := slot{Begin: time.Unix(0, int64(s.At)).UTC(), Watched: s.Watched, Tries: s.Tries, First: s.First, Lost: s.Lost}
-			if e, ok := s.Erlang(); ok {
-				o.Erlang = &e
+			encoded := slot{Begin: time.Unix(0, int64(measured.At)).UTC(), WatchedSeconds: measured.Watched, Attempts: measured.Tries, FirstAttempts: measured.First, Lost: measured.Lost}
+			if erlang, ok := measured.Erlang(); ok {
+				encoded.Erlang = &erlang
 			}
-			x.Slots = append(x.Slots, o)
+			converted.Slots = append(converted.Slots, encoded)
 		}
-		all = append(all, x)
+		output = append(output, converted)
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"step": c.Step, "lines": all}); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"step": c.Step, "lines": output}); err != nil {
 		return fmt.Errorf("dimension curve: %w", err)
 	}
 	return nil
--- a/cmd/dahliaspindle/dimension.go
+++ b/cmd/dahliaspindle/dimension.go
@@ -15,36 +15,39 @@
 	"dahliaspindle/internal/measure"
 )
 
+// dimensionCmd groups the commands that measure traffic and size trunk groups.
 type dimensionCmd struct {
-	Table   dimensionTableCmd   `cmd:"" help:"The traffic that groups carry at a loss, by Erlang's first formula."`
-	Measure dimensionMeasureCmd `cmd:"" help:"The traffic that pairs offer, from flow records, with redials joined to their first try."`
-	Live    dimensionLiveCmd    `cmd:"" help:"The traffic that a running controller's own callers offer."`
-	Curve   dimensionCurveCmd   `cmd:"" help:"Day curves of offered traffic in a file of their own, from many files of flow records."`
-	Plan    dimensionPlanCmd    `cmd:"" help:"The circuits that groups need for a loss, beside a bound and proportional sizing."`
-	Advise  dimensionAdviseCmd  `cmd:"" help:"Group by group: what stands, what is advised, what to buy or move first."`
-	Prove   dimensionProveCmd   `cmd:"" help:"Plan, then simulate the plan with the same decisions on many seeds. Exits 1 if a promise is refuted."`
+	Table   dimensionTableCmd   `cmd:"" help:"Print the traffic that trunk groups carry at a given loss, by the Erlang B formula."`
+	Measure dimensionMeasureCmd `cmd:"" help:"Estimate the traffic offered between exchanges from flow records; redials count with their first attempt."`
+	Live    dimensionLiveCmd    `cmd:"" help:"Print the traffic that the callers of a running controller offer."`
+	Curve   dimensionCurveCmd   `cmd:"" help:"Store and print day curves of the offered traffic, from many files of flow records."`
+	Plan    dimensionPlanCmd    `cmd:"" help:"Compute the circuits that trunk groups need for a target loss, compared with a lower bound and with proportional sizing."`
+	Advise  dimensionAdviseCmd  `cmd:"" help:"Print the current and advised circuits of each trunk group, and what to buy or move first."`
+	Prove   dimensionProveCmd   `cmd:"" help:"Plan, then simulate the plan with the routing module on many seeds. Exits with status 1 if a promised loss is refuted."`
 }
 
+// dimensionTableCmd prints a table of the Erlang B formula.
 type dimensionTableCmd struct {
 	Loss     float64 `help:"Share of calls lost." default:"0.01"`
-	Circuits []int   `help:"Groups." default:"1,2,5,10,20,30,50,100"`
-	JSON     bool    `help:"Print a list."`
+	Circuits []int   `help:"Sizes of the trunk groups in circuits." default:"1,2,5,10,20,30,50,100"`
+	JSON     bool    `help:"Print a JSON list."`
 }
 
-// tableRow is one line of the table.
+// tableRow is one row of the table.
 type tableRow struct {
 	Circuits int     `json:"circuits"`
 	Erlang   float64 `json:"erlang"`
 }
 
+// Run executes the command.
 func (c *dimensionTableCmd) Run() error {
 	rows := make([]tableRow, 0, len(c.Circuits))
-	for _, n := range c.Circuits {
-		a, err := loss.Traffic(n, c.Loss)
+	for _, circuits := range c.Circuits {
+		traffic, err := loss.Traffic(circuits, c.Loss)
 		if err != nil {
-			return exit{2, fmt.Errorf("dimension table: %w", err)}
+			return exitError{2, fmt.Errorf("dimension table: %w", err)}
 		}
-		rows = append(rows, tableRow{n, a})
+		rows = append(rows, tableRow{circuits, traffic})
 	}
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(rows); err != nil {
@@ -53,142 +56,144 @@
 		return nil
 	}
 	t := newTable(fmt.Sprintf("Traffic at a loss of %g", c.Loss))
-	t.AppendHeader(table.Row{"circuits", "erlang", "a circuit"})
-	for _, r := range rows {
-		each := 0.0
-		if r.Circuits > 0 {
-			each = r.Erlang / float64(r.Circuits)
+	t.AppendHeader(table.Row{"circuits", "erlang", "per circuit"})
+	for _, row := range rows {
+		perCircuit := 0.0
+		if row.Circuits > 0 {
+			perCircuit = row.Erlang / float64(row.Circuits)
 		}
-		t.AppendRow(table.Row{r.Circuits, fmt.Sprintf("%.4g", r.Erlang), fmt.Sprintf("%.3f", each)})
+		t.AppendRow(table.Row{row.Circuits, fmt.Sprintf("%.4g", row.Erlang), fmt.Sprintf("%.3f", perCircuit)})
 	}
 	t.Render()
 	return nil
 }
 
+// dimensionMeasureCmd estimates the offered traffic from flow records.
 type dimensionMeasureCmd struct {
-	File     string        `arg:"" help:"An IPFIX file of flow records." type:"existingfile"`
-	Patience time.Duration `help:"A try so soon after a lost one of the same caller's number is its repeat." default:"9s"`
-	Busy     time.Duration `help:"Only the busiest so long counts, the same for all pairs; 0: all time."`
-	Loss     float64       `help:"Circuits are told for this share of calls lost." default:"0.01"`
+	File     string        `arg:"" help:"IPFIX file of flow records." type:"existingfile"`
+	Patience time.Duration `help:"An attempt within this time after a lost one of the same caller's number counts as its repeat." default:"9s"`
+	Busy     time.Duration `help:"Only the busiest period of this length counts, the same for all pairs; 0: all time."`
+	Loss     float64       `help:"Share of calls lost for which the circuits are computed." default:"0.01"`
 	JSON     bool          `help:"Print one JSON object."`
 }
 
-// pairRow is one estimate with what it asks for.
+// pairRow is one estimate with the circuits that it needs.
 type pairRow struct {
 	measure.Estimate
 	ClassName string `json:"class_name"`
-	Circuits  int    `json:"circuits"` // for the first tries alone on a group of their own
+	Circuits  int    `json:"circuits"` // for the first attempts on a trunk group that carries only them
 }
 
-// measured is what a file of flow records tells.
-type measured struct {
+// trafficEstimate is the estimate from a file of flow records.
+type trafficEstimate struct {
 	*measure.Result
-	names   map[uint8]string // of classes
-	missing uint64           // records that went into sums or were dropped
-	of      uint64
+	classNames     map[uint8]string
+	missingRecords uint64 // records that were folded into sums or dropped
+	allRecords     uint64
 }
 
-// read is the calls of a file of flow records, each once.
-type read struct {
-	tries   []measure.Try
-	names   map[uint8]string
-	missing uint64
-	of      uint64
+// recordedCalls is the calls in a file of flow records, each of them once.
+type recordedCalls struct {
+	attempts       []measure.Try
+	classNames     map[uint8]string
+	missingRecords uint64 // records that were folded into sums or dropped
+	allRecords     uint64
 }
 
-// readTries reads a file of flow records.
-func readTries(file string) (*read, error) {
+// readCalls reads the calls in a file of flow records.
+func readCalls(file string) (*recordedCalls, error) {
 	tally := collect.NewTally()
 	if err := tally.File(file); err != nil {
-		return nil, exit{2, err}
+		return nil, exitError{2, err}
 	}
-	m := &read{names: map[uint8]string{}}
-	seen := map[[2]uint64]bool{} // by life and number: a record may have come twice
-	if err := readFlows(file, func(_ uint32, r *ipfix.Record) error {
-		k, ok := flow.CallOf(r)
-		if !ok || k.Route == flow.Transit { // a call in transit is counted where it begins
+	calls := &recordedCalls{classNames: map[uint8]string{}}
+	seen := map[[2]uint64]bool{} // by incarnation and number, because a record may be received twice
+	if err := readFlows(file, func(_ uint32, record *ipfix.Record) error {
+		call, ok := flow.CallOf(record)
+		if !ok || call.Route == flow.Transit { // a transit call is counted at its originating exchange
 			return nil
 		}
-		life, id, _ := flow.Identity(r)
-		if key := [2]uint64{life<<16 ^ uint64(uint32(k.Source)), id}; !seen[key] {
+		incarnation, id, _ := flow.Identity(record)
+		if key := [2]uint64{incarnation<<16 ^ uint64(uint32(call.Source)), id}; !seen[key] {
 			seen[key] = true
-			_, m.names[k.Class], _ = flow.Far(r)
-			m.tries = append(m.tries, measure.Try{At: k.Start, Source: k.Source, Dest: k.Dest, Via: k.Via, Class: k.Class,
-				Circuits: int(k.Circuits), Number: k.Number, Repeat: k.Repeat, Lost: k.Outcome != flow.Ended && k.Outcome != flow.Cut,
-				Cut: k.Outcome == flow.Cut, Stood: k.Stood, Life: life})
+			_, calls.classNames[call.Class], _ = flow.Far(record)
+			calls.attempts = append(calls.attempts, measure.Try{At: call.Start, Source: call.Source, Dest: call.Dest, Via: call.Via, Class: call.Class,
+				Circuits: int(call.Circuits), Number: call.Number, Repeat: call.Repeat, Lost: call.Outcome != flow.Ended && call.Outcome != flow.Cut,
+				Cut: call.Outcome == flow.Cut, Stood: call.Stood, Life: incarnation})
 		}
 		return nil
 	}); err != nil {
 		return nil, err
 	}
-	if len(m.tries) == 0 {
-		return nil, exit{2, fmt.Errorf("%s holds no call", file)}
+	if len(calls.attempts) == 0 {
+		return nil, exitError{2, fmt.Errorf("%s contains no calls", file)}
 	}
-	rep := tally.Report()
-	m.missing, m.of = rep.Folded+rep.Dropped, rep.Counted
-	return m, nil
+	report := tally.Report()
+	calls.missingRecords, calls.allRecords = report.Folded+report.Dropped, report.Counted
+	return calls, nil
 }
 
-// measureFile estimates the traffic that a file of flow records tells of.
-func measureFile(file string, o measure.Options) (*measured, error) {
-	m, err := readTries(file)
+// measureFile estimates the offered traffic from a file of flow records.
+func measureFile(file string, options measure.Options) (*trafficEstimate, error) {
+	calls, err := readCalls(file)
 	if err != nil {
 		return nil, err
 	}
-	if m.of > 0 {
-		o.Missing = min(float64(m.missing)/float64(m.of), 0.99)
+	if calls.allRecords > 0 {
+		options.Missing = min(float64(calls.missingRecords)/float64(calls.allRecords), 0.99)
 	}
-	return &measured{measure.Batch(m.tries, o), m.names, m.missing, m.of}, nil
+	return &trafficEstimate{measure.Batch(calls.attempts, options), calls.classNames, calls.missingRecords, calls.allRecords}, nil
 }
 
+// Run executes the command.
 func (c *dimensionMeasureCmd) Run() error {
-	m, err := measureFile(c.File, measure.Options{Patience: c.Patience, Window: c.Busy})
+	estimate, err := measureFile(c.File, measure.Options{Patience: c.Patience, Window: c.Busy})
 	if err != nil {
 		return err
 	}
 	var rows []pairRow
-	for _, x := range m.Pairs {
-		row := pairRow{Estimate: x, ClassName: m.names[x.Class]}
-		if x.Known {
-			n, err := loss.Circuits(x.Erlang, c.Loss)
+	for _, pair := range estimate.Pairs {
+		row := pairRow{Estimate: pair, ClassName: estimate.classNames[pair.Class]}
+		if pair.Known {
+			circuits, err := loss.Circuits(pair.Erlang, c.Loss)
 			if err != nil {
-				return exit{2, fmt.Errorf("dimension measure: %w", err)}
+				return exitError{2, fmt.Errorf("dimension measure: %w", err)}
 			}
-			row.Circuits = n
+			row.Circuits = circuits
 		}
 		rows = append(rows, row)
 	}
 	if c.JSON {
-		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": (m.To - m.From).String(), "pairs": rows, "groups": m.Groups,
-			"missing": m.missing, "of": m.of, "lives": m.Lives, "hot_tries": m.HotTries, "hot_numbers": len(m.Hot), "unended": m.Unended}); err != nil {
+		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": (estimate.To - estimate.From).String(), "pairs": rows, "groups": estimate.Groups,
+			"missing": estimate.missingRecords, "of": estimate.allRecords, "lives": estimate.Lives, "hot_tries": estimate.HotTries, "hot_numbers": len(estimate.Hot), "unended": estimate.Unended}); err != nil {
 			return fmt.Errorf("dimension measure: %w", err)
 		}
 		return nil
 	}
-	t := newTable(fmt.Sprintf("Offered in %v", (m.To - m.From).Round(time.Millisecond)))
-	t.AppendHeader(table.Row{"from", "to", "class", "tries", "first", "lost", "erlang", "95 %", "tries by themselves", fmt.Sprintf("circuits at %g", c.Loss)})
-	for _, r := range rows {
-		erl, interval, naive := "unknown", "", ""
-		if r.Known {
-			erl, interval, naive = fmt.Sprintf("%.2f", r.Erlang), fmt.Sprintf("%.2f to %.2f", r.Low, r.High), fmt.Sprintf("%.2f", r.Naive)
+	t := newTable(fmt.Sprintf("Offered in %v", (estimate.To - estimate.From).Round(time.Millisecond)))
+	t.AppendHeader(table.Row{"from", "to", "class", "attempts", "first", "lost", "erlang", "95 %", "erlang of all attempts", fmt.Sprintf("circuits at %g", c.Loss)})
+	for _, row := range rows {
+		erlang, interval, naive := "unknown", "", ""
+		if row.Known {
+			erlang, interval, naive = fmt.Sprintf("%.2f", row.Erlang), fmt.Sprintf("%.2f to %.2f", row.Low, row.High), fmt.Sprintf("%.2f", row.Naive)
 		}
-		t.AppendRow(table.Row{r.Source, r.Dest, r.ClassName, r.Tries, r.First, r.Lost, erl, interval, naive, r.Circuits})
+		t.AppendRow(table.Row{row.Source, row.Dest, row.ClassName, row.Tries, row.First, row.Lost, erlang, interval, naive, row.Circuits})
 	}
 	t.Render()
-	g := newTable("Carried by group, both ways")
-	g.AppendHeader(table.Row{"between", "direct", "over tandems", "circuits taken, on average"})
-	for _, x := range m.Groups {
-		g.AppendRow(table.Row{fmt.Sprintf("%d and %d", x.A, x.B), fmt.Sprintf("%.2f", x.Direct), fmt.Sprintf("%.2f", x.Transit), fmt.Sprintf("%.2f", x.Direct+x.Transit)})
+	groups := newTable("Carried by trunk group, both directions")
+	groups.AppendHeader(table.Row{"between", "direct", "via tandems", "mean occupied circuits"})
+	for _, group := range estimate.Groups {
+		groups.AppendRow(table.Row{fmt.Sprintf("%d and %d", group.A, group.B), fmt.Sprintf("%.2f", group.Direct), fmt.Sprintf("%.2f", group.Transit), fmt.Sprintf("%.2f", group.Direct+group.Transit)})
 	}
-	g.Render()
-	if m.missing > 0 {
-		fmt.Printf("%d of %d records are missing here: they went into sums or were dropped; the rest stands for them\n", m.missing, m.of)
+	groups.Render()
+	if estimate.missingRecords > 0 {
+		fmt.Printf("%d of %d records were folded into sums or dropped; the others stand for them in the estimate\n", estimate.missingRecords, estimate.allRecords)
 	}
-	if m.HotTries > 0 {
-		fmt.Printf("%d lost tries for %d numbers that very many call are left out: their lines are short, not circuits\n", m.HotTries, len(m.Hot))
+	if estimate.HotTries > 0 {
+		fmt.Printf("%d lost attempts for %d numbers with very many callers are left out: they were lost to busy lines, not to a lack of circuits\n", estimate.HotTries, len(estimate.Hot))
 	}
-	if m.Unended > 0 {
-		fmt.Printf("%d calls at the ends of %d lives of controllers are left out: of their like only the short have ended\n", m.Unended, m.Lives)
+	if estimate.Unended > 0 {
+		fmt.Printf("%d calls at the ends of %d controller incarnations are left out: only the short calls of these periods had ended\n", estimate.Unended, estimate.Lives)
 	}
 	return nil
 }
--- a/cmd/dahliaspindle/flows.go
+++ b/cmd/dahliaspindle/flows.go
@@ -157,7 +157,7 @@
 func readFlows(path string, each func(domain uint32, r *ipfix.Record) error) error {
 	f, err := os.Open(path)
 	if err != nil {
-		return exit{2, fmt.Errorf("flows: %w", err)}
+		return exitError{2, fmt.Errorf("flows: %w", err)}
 	}
 	defer f.Close()
 	d := ipfix.NewDecoder(flow.Elements()...)
@@ -173,7 +173,7 @@
 		}
 		return nil
 	}); err != nil {
-		return exit{2, fmt.Errorf("flows: %s: %w", path, err)}
+		return exitError{2, fmt.Errorf("flows: %s: %w", path, err)}
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 	t := collect.NewTally()
 	for _, f := range c.Files {
 		if err := t.File(f); err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 	}
 	r := t.Report()
@@ -244,14 +244,14 @@
 	if c.Capture != "" {
 		rep, err := audit.CheckPath(c.Capture)
 		if err != nil {
-			return exit{2, err}
+			return exitError{2, err}
 		}
 		for _, line := range against(r, rep) {
 			bad = append(bad, errors.New(line))
 		}
 	}
 	if len(bad) > 0 {
-		return exit{1, errors.Join(bad...)}
+		return exitError{1, errors.Join(bad...)}
 	}
 	return nil
 }
--- a/cmd/dahliaspindle/live.go
+++ b/cmd/dahliaspindle/live.go
@@ -13,90 +13,92 @@
 	"dahliaspindle/internal/signal"
 )
 
+// dimensionLiveCmd prints the traffic that a running controller measures.
 type dimensionLiveCmd struct {
-	Address string        `arg:"" help:"A controller's host:port."`
-	Within  time.Duration `help:"It has so long to answer." default:"3s"`
+	Address string        `arg:"" help:"Address of a controller, as HOST:PORT."`
+	Within  time.Duration `help:"Time limit for the answer." default:"3s"`
 	JSON    bool          `help:"Print one JSON object."`
 }
 
-// offeredLine is what a controller tells of one destination and class.
-type offeredLine struct {
-	Dest   int     `json:"dest"`
-	Class  string  `json:"class"`
-	Tries  int     `json:"tries"`
-	First  int     `json:"first"`
-	Lost   int     `json:"lost"`
-	Known  bool    `json:"known"`
-	Erlang float64 `json:"erlang"`
-	Low    float64 `json:"low"`
-	High   float64 `json:"high"`
+// offeredTraffic is the traffic that a controller reports for one destination and class.
+type offeredTraffic struct {
+	Dest          int     `json:"dest"`
+	Class         string  `json:"class"`
+	Attempts      int     `json:"tries"`
+	FirstAttempts int     `json:"first"`
+	Lost          int     `json:"lost"`
+	Known         bool    `json:"known"`
+	Erlang        float64 `json:"erlang"`
+	Low           float64 `json:"low"`
+	High          float64 `json:"high"`
 }
 
-// readOffered reads one line of an audit of traffic (docs/protocol.md).
-func readOffered(line string) (offeredLine, error) {
-	var o offeredLine
-	head, erlang, ok := strings.Cut(line, " erlang=")
+// parseOffered parses one line of a traffic audit (docs/protocol.md).
+func parseOffered(line string) (offeredTraffic, error) {
+	var offered offeredTraffic
+	counts, erlang, ok := strings.Cut(line, " erlang=")
 	if !ok {
-		return o, fmt.Errorf("%.80q tells no traffic", line)
+		return offered, fmt.Errorf("%.80q reports no traffic", line)
 	}
-	if _, err := fmt.Sscanf(head, "%d %s tries=%d first=%d lost=%d", &o.Dest, &o.Class, &o.Tries, &o.First, &o.Lost); err != nil {
-		return o, fmt.Errorf("%.80q: %w", line, err)
+	if _, err := fmt.Sscanf(counts, "%d %s tries=%d first=%d lost=%d", &offered.Dest, &offered.Class, &offered.Attempts, &offered.FirstAttempts, &offered.Lost); err != nil {
+		return offered, fmt.Errorf("%.80q: %w", line, err)
 	}
 	if erlang == "unknown" {
-		return o, nil
+		return offered, nil
 	}
-	o.Known = true
-	if _, err := fmt.Sscanf(erlang, "%f %f %f", &o.Erlang, &o.Low, &o.High); err != nil {
-		return o, fmt.Errorf("%.80q: %w", line, err)
+	offered.Known = true
+	if _, err := fmt.Sscanf(erlang, "%f %f %f", &offered.Erlang, &offered.Low, &offered.High); err != nil {
+		return offered, fmt.Errorf("%.80q: %w", line, err)
 	}
-	return o, nil
+	return offered, nil
 }
 
+// Run executes the command.
 func (c *dimensionLiveCmd) Run() error {
-	nc, err := net.DialTimeout("tcp", c.Address, c.Within)
+	conn, err := net.DialTimeout("tcp", c.Address, c.Within)
 	if err != nil {
 		return fmt.Errorf("dimension live: %w", err)
 	}
-	defer nc.Close()
-	if err := nc.SetDeadline(time.Now().Add(c.Within)); err != nil {
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(c.Within)); err != nil {
 		return fmt.Errorf("dimension live: %w", err)
 	}
-	ask := &signal.Message{ID: 1, Command: signal.AuditValue, Termination: "TRAFFIC"}
-	if _, err := nc.Write(ask.Append(nil)); err != nil {
-		return fmt.Errorf("dimension live: asking %s: %w", c.Address, err)
+	request := &signal.Message{ID: 1, Command: signal.AuditValue, Termination: "TRAFFIC"}
+	if _, err := conn.Write(request.Append(nil)); err != nil {
+		return fmt.Errorf("dimension live: send request to %s: %w", c.Address, err)
 	}
-	in := signal.NewReader(nc, signal.Limits{MaxMessageBytes: 64 << 10})
-	var m *signal.Message
-	for m == nil || m.Kind != signal.Reply || m.ID != 1 {
-		if m, err = in.Read(); err != nil {
-			return fmt.Errorf("dimension live: the answer of %s: %w", c.Address, err)
+	reader := signal.NewReader(conn, signal.Limits{MaxMessageBytes: 64 << 10})
+	var reply *signal.Message
+	for reply == nil || reply.Kind != signal.Reply || reply.ID != 1 {
+		if reply, err = reader.Read(); err != nil {
+			return fmt.Errorf("dimension live: read reply of %s: %w", c.Address, err)
 		}
 	}
-	if m.Code != 0 {
-		return fmt.Errorf("dimension live: %s says %d %s", c.Address, m.Code, m.Text)
+	if reply.Code != 0 {
+		return fmt.Errorf("dimension live: %s replied with error %d: %s", c.Address, reply.Code, reply.Text)
 	}
-	var all []offeredLine
-	for _, line := range m.All("Offered") {
-		o, err := readOffered(line)
+	var rows []offeredTraffic
+	for _, line := range reply.All("Offered") {
+		offered, err := parseOffered(line)
 		if err != nil {
 			return fmt.Errorf("dimension live: %w", err)
 		}
-		all = append(all, o)
+		rows = append(rows, offered)
 	}
 	if c.JSON {
-		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": m.Get("Span"), "offered": all, "left": m.Get("Left")}); err != nil {
+		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": reply.Get("Span"), "offered": rows, "left": reply.Get("Left")}); err != nil {
 			return fmt.Errorf("dimension live: %w", err)
 		}
 		return nil
 	}
-	t := newTable("Offered in " + m.Get("Span"))
+	t := newTable("Offered in " + reply.Get("Span"))
 	t.AppendHeader(table.Row{"to", "class", "tries", "first", "lost", "erlang", "95 %"})
-	for _, o := range all {
+	for _, row := range rows {
 		erlang, interval := "unknown", ""
-		if o.Known {
-			erlang, interval = fmt.Sprintf("%.2f", o.Erlang), fmt.Sprintf("%.2f to %.2f", o.Low, o.High)
+		if row.Known {
+			erlang, interval = fmt.Sprintf("%.2f", row.Erlang), fmt.Sprintf("%.2f to %.2f", row.Low, row.High)
 		}
-		t.AppendRow(table.Row{o.Dest, o.Class, o.Tries, o.First, o.Lost, erlang, interval})
+		t.AppendRow(table.Row{row.Dest, row.Class, row.Attempts, row.FirstAttempts, row.Lost, erlang, interval})
 	}
 	t.Render()
 	return nil
--- a/cmd/dahliaspindle/main.go
+++ b/cmd/dahliaspindle/main.go
@@ -1,4 +1,5 @@
-// Command dahliaspindle sets calls up over trunk groups, and proves that it does.
+// Command dahliaspindle is a call router: it sets up calls over trunk groups. It also
+// contains the tools to simulate, audit, measure and dimension such a network.
 package main
 
 import (
@@ -12,39 +13,41 @@
 	"dahliaspindle/scenarios"
 )
 
+// cli is the command line as kong parses it.
 var cli struct {
-	Run       runCmd       `cmd:"" help:"Run one controller in the foreground; SIGTERM lets it answer what it has and leave."`
-	Node      nodeCmd      `cmd:"" help:"Run one controller on the platform, as its variables tell; docs/operators/platform.md."`
-	Check     checkCmd     `cmd:"" help:"Read a controller's or a scenario's file and say every fault with its line."`
-	Schema    schemaCmd    `cmd:"" help:"Print the XSD of the files."`
-	Demo      demoCmd      `cmd:"" help:"Play a scenario on loopback: controllers, stand-ins, troubles; judge it by the five rules."`
-	Audit     auditCmd     `cmd:"" help:"Judge a capture by the five rules."`
-	Trace     traceCmd     `cmd:"" help:"Tell one call's way: its caller, the choice, the exchanges and back."`
-	Rate      rateCmd      `cmd:"" help:"Measure the calls a second that one controller bears here, beside a bare echo of the same lines."`
-	Echo      echoCmd      `cmd:"" hidden:"" help:"The echo that rate measures beside."`
-	Dimension dimensionCmd `cmd:"" help:"Size trunk groups."`
-	Flows     flowsCmd     `cmd:"" help:"Flow records: collect, show, top, verify."`
-	Load      loadCmd      `cmd:"" help:"Call a controller at a rate that waits for nobody, and show how long answers took."`
+	Run       runCmd       `cmd:"" help:"Run one controller in the foreground; on SIGTERM it answers its pending calls and exits."`
+	Node      nodeCmd      `cmd:"" help:"Run one controller on the platform, configured by environment variables; see docs/operators/platform.md."`
+	Check     checkCmd     `cmd:"" help:"Validate settings or scenario files and print every error with its line."`
+	Schema    schemaCmd    `cmd:"" help:"Print the XML schema of the settings and scenario files."`
+	Demo      demoCmd      `cmd:"" help:"Run a scenario on loopback with controllers, stand-ins and troubles, and audit it by the five rules."`
+	Audit     auditCmd     `cmd:"" help:"Check a capture against the five rules."`
+	Trace     traceCmd     `cmd:"" help:"Print the messages and decisions of one call in a capture."`
+	Rate      rateCmd      `cmd:"" help:"Measure the calls per second that one controller sustains on this machine, compared with a bare echo of the same lines."`
+	Echo      echoCmd      `cmd:"" hidden:"" help:"The echo server that rate compares with."`
+	Dimension dimensionCmd `cmd:"" help:"Measure traffic and dimension trunk groups."`
+	Flows     flowsCmd     `cmd:"" help:"Collect, show, rank and verify flow records."`
+	Load      loadCmd      `cmd:"" help:"Call a controller at a fixed rate, independent of its answers, and show the answer times."`
 }
 
-// exit carries a status that is no failure of the command itself.
-type exit struct {
-	code int
-	what error
+// exitError is an error that sets the exit status of the process.
+type exitError struct {
+	status int
+	err    error
 }
 
-func (e exit) Error() string { return e.what.Error() }
+// Error returns the text of the error.
+func (e exitError) Error() string { return e.err.Error() }
 
 func main() {
-	k := kong.Parse(&cli, kong.Name("dahliaspindle"), kong.Description("A call router that sets up calls over trunk groups."),
+	command := kong.Parse(&cli, kong.Name("dahliaspindle"), kong.Description("A call router that sets up calls over trunk groups."),
 		kong.UsageOnError(), kong.Vars{"names": strings.Join(scenarios.Names(), ", ")})
-	if err := k.Run(); err != nil {
-		var e exit
-		code := 1
-		if errors.As(err, &e) {
-			code = e.code
+	if err := command.Run(); err != nil {
+		var exit exitError
+		status := 1
+		if errors.As(err, &exit) {
+			status = exit.status
 		}
 		fmt.Fprintln(os.Stderr, "dahliaspindle:", err)
-		os.Exit(code)
+		os.Exit(status)
 	}
 }
--- a/cmd/dahliaspindle/node.go
+++ b/cmd/dahliaspindle/node.go
@@ -7,20 +7,22 @@
 	"dahliaspindle/internal/node"
 )
 
+// nodeCmd runs one controller on the platform.
 type nodeCmd struct {
-	Log slog.Level `help:"Least level of log lines: debug, info, warn or error." default:"info"`
+	Log slog.Level `help:"Minimum level of log lines: debug, info, warn or error." default:"info"`
 }
 
+// Run executes the command.
 func (c *nodeCmd) Run() error { return node.Run(os.Getenv, os.Stderr, c.Log) }
 
-// Help names the variables.
+// Help describes the environment variables.
 func (*nodeCmd) Help() string {
-	return `The platform tells a controller where it is by variables:
+	return `The platform configures a controller by environment variables:
 
-  ROUTER_CONFIG   the configuration file, JSON; needed
-  ROUTER_LISTEN   where callers connect; else "listen" of that file
-  ROUTER_NAME     the controller's name; else "name" of that file
+  ROUTER_CONFIG   the configuration file, JSON; required
+  ROUTER_LISTEN   the address for callers; default: "listen" of that file
+  ROUTER_NAME     the controller's name; default: "name" of that file
 
-SIGHUP reads the file again and asks the resolver that it names.
-SIGTERM answers what was taken and ends.`
+On SIGHUP, the controller reads the file again and queries the resolver that it names.
+On SIGTERM, it answers the accepted calls and exits.`
 }
--- a/cmd/dahliaspindle/rate.go
+++ b/cmd/dahliaspindle/rate.go
@@ -15,14 +15,16 @@
 	"dahliaspindle/internal/rate"
 )
 
+// rateCmd measures the call rate that one controller sustains.
 type rateCmd struct {
-	Rates  []float64     `help:"Calls a second, rising." default:"1000,2000,4000,6800,8000,10000,12000,14000,17000,20000,25000,30000,40000,50000"`
-	Each   time.Duration `help:"Time at each." default:"3s"`
-	Bound  time.Duration `help:"A rate is good while p99 stays within this." default:"5ms"`
-	Export bool          `help:"Beside it a controller that exports flow records to a collector that never reads."`
+	Rates  []float64     `help:"Call rates to measure, in calls per second, ascending." default:"1000,2000,4000,6800,8000,10000,12000,14000,17000,20000,25000,30000,40000,50000"`
+	Each   time.Duration `help:"Duration of each rate." default:"3s"`
+	Bound  time.Duration `help:"Maximum p99 answer time of a good rate." default:"5ms"`
+	Export bool          `help:"Also measure a controller that exports flow records to a collector that never reads."`
 	JSON   bool          `help:"Print one JSON object."`
 }
 
+// Run executes the command.
 func (c *rateCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -35,39 +37,41 @@
 		return fmt.Errorf("rate: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	t := newTable("One call: an Add that stands and its Subtract")
+	t := newTable("One call: an Add that is established and its Subtract")
 	t.AppendHeader(table.Row{"server", "calls/s", "stood", "other", "p50", "p99", "good"})
-	r, err := rate.Run(ctx, rate.Options{Exe: exe, Dir: dir, Each: c.Each, Rates: c.Rates, Bound: c.Bound, Export: c.Export}, func(s rate.Step) {
-		t.AppendRow(table.Row{s.Server, s.Rate, s.Stood, s.Other, s.P50, s.P99, s.Good})
+	result, err := rate.Run(ctx, rate.Options{Exe: exe, Dir: dir, Each: c.Each, Rates: c.Rates, Bound: c.Bound, Export: c.Export}, func(step rate.Step) {
+		t.AppendRow(table.Row{step.Server, step.Rate, step.Stood, step.Other, step.P50, step.P99, step.Good})
 	})
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
+		if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
 			return fmt.Errorf("rate: %w", err)
 		}
 		return nil
 	}
 	t.Render()
 	if c.Export {
-		fmt.Printf("exporting to a collector that never reads: %.0f\n", r.Exporting)
+		fmt.Printf("exporting to a collector that never reads: %.0f\n", result.Exporting)
 	}
-	fmt.Printf("controller %.0f, echo %.0f calls a second: ratio %.2f\n", r.Controller, r.Echo, r.Controller/max(r.Echo, 1))
+	fmt.Printf("controller %.0f, echo %.0f calls per second: ratio %.2f\n", result.Controller, result.Echo, result.Controller/max(result.Echo, 1))
 	return nil
 }
 
+// echoCmd runs the echo server that rate compares with.
 type echoCmd struct {
-	Listen string `help:"HOST:PORT or fd:N." default:"127.0.0.1:0"`
+	Listen string `help:"Listen address, as HOST:PORT or fd:N." default:"127.0.0.1:0"`
 }
 
+// Run executes the command.
 func (c *echoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	ln, err := daemon.Listen(ctx, c.Listen)
+	listener, err := daemon.Listen(ctx, c.Listen)
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(ctx, func() { ln.Close() })
-	return rate.Echo(ln)
+	context.AfterFunc(ctx, func() { listener.Close() })
+	return rate.Echo(listener)
 }
