--- a/cmd/dahliaspindle/commands.go
+++ b/cmd/dahliaspindle/commands.go
@@ -127,10 +127,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	progress, done := showProgress(scenario, c.JSON)
-	options := demo.Options{Scenario: scenario, Policy: c.Policy, Flows: c.Flows, Dir: c.Dir, Exe: exe, Progress: progress}
+	options := demo.Options{Scenario: scenario, Policy: c.Policy, ExportFlows: c.Flows, Dir: c.Dir, Executable: exe, Progress: progress}
 	var result *demo.Result
 	if c.Virtual {
-		result, err = demo.Virtual(options)
+		result, err = demo.RunVirtual(options)
 	} else {
 		result, err = demo.Run(ctx, options)
 	}
@@ -154,7 +154,7 @@
 	if result.Flows != nil && !result.Flows.OK() {
 		return exitError{1, errors.New("flow records are not all accounted for")}
 	}
-	if !result.OK() {
+	if !result.RulesKept() {
 		return exitError{1, errors.New("a rule was broken")}
 	}
 	return nil
@@ -201,7 +201,7 @@
 	t.AppendHeader(table.Row{"", "offered", "in time", "late", "refused", "failed", "cut", "gave up", "lost", "service"})
 	for _, row := range rows {
 		tally := row.Tally
-		t.AppendRow(table.Row{row.Name, tally.Offered, tally.InTime, tally.Late, tally.Refused, tally.Failed, tally.Cut, tally.GaveUp, tally.Lost, fmt.Sprintf("%.3f", row.Service)})
+		t.AppendRow(table.Row{row.Name, tally.Offered, tally.InTime, tally.Late, tally.Refused, tally.Failed, tally.Cut, tally.GaveUp, tally.Lost, fmt.Sprintf("%.3f", row.ServiceRatio)})
 	}
 	t.Render()
 }
@@ -212,7 +212,7 @@
 	printTallies("First attempts during each trouble", result.Troubles)
 	printRules(result.Rules, result.Breaches, result.Notes)
 	fmt.Printf("%d calls received, %d answered, %d abandoned by their callers or closed connections, %d with killed controllers; %d messages; %d circuits held at the end\n",
-		result.Calls.Received, result.Calls.Answered, result.Calls.Abandoned, result.Calls.Killed, result.Messages, result.Held)
+		result.Calls.Received, result.Calls.Answered, result.Calls.Abandoned, result.Calls.Killed, result.Messages, result.CircuitsInUse)
 	fmt.Printf("capture: %s\n", result.Capture)
 }
 
@@ -295,8 +295,8 @@
 func (c *loadCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result, err := load.Run(ctx, load.Options{To: c.To, Rate: c.Rate, For: c.For, Classes: c.Class, Dests: c.Dest, Patience: c.Patience,
-		Holding: c.Holding, Conns: c.Conns, Seed: c.Seed})
+	result, err := load.Run(ctx, load.Options{Addresses: c.To, Rate: c.Rate, Duration: c.For, Classes: c.Class, Destinations: c.Dest, Patience: c.Patience,
+		MeanHoldingTime: c.Holding, ConnsPerAddress: c.Conns, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
@@ -306,10 +306,10 @@
 		}
 		return nil
 	}
-	t := newTable(fmt.Sprintf("%d calls in %v, %.0f per second", result.Offered, result.Took.Round(time.Millisecond), float64(result.Offered)/result.Took.Seconds()))
+	t := newTable(fmt.Sprintf("%d calls in %v, %.0f per second", result.Offered, result.Duration.Round(time.Millisecond), float64(result.Offered)/result.Duration.Seconds()))
 	t.AppendHeader(table.Row{"", "calls", "p50", "p99", "p99.9", "most"})
 	for _, row := range result.Rows {
-		t.AppendRow(table.Row{row.Name, row.Calls, row.P50, row.P99, row.P999, row.Most})
+		t.AppendRow(table.Row{row.Name, row.Calls, row.P50, row.P99, row.P999, row.Max})
 	}
 	t.Render()
 	return nil
--- a/cmd/dahliaspindle/dimension.go
+++ b/cmd/dahliaspindle/dimension.go
@@ -103,23 +103,23 @@
 // readCalls reads the calls in a file of flow records.
 func readCalls(file string) (*recordedCalls, error) {
 	tally := collect.NewTally()
-	if err := tally.File(file); err != nil {
+	if err := tally.AddFile(file); err != nil {
 		return nil, exitError{2, err}
 	}
 	calls := &recordedCalls{classNames: map[uint8]string{}}
 	seen := map[[2]uint64]bool{} // by incarnation and number, because a record may be received twice
 	if err := readFlows(file, func(_ uint32, record *ipfix.Record) error {
-		call, ok := flow.CallOf(record)
-		if !ok || call.Route == flow.Transit { // a transit call is counted at its originating exchange
+		call, ok := flow.CallRecordOf(record)
+		if !ok || call.Route == flow.RouteTransit { // a transit call is counted at its originating exchange
 			return nil
 		}
 		incarnation, id, _ := flow.Identity(record)
 		if key := [2]uint64{incarnation<<16 ^ uint64(uint32(call.Source)), id}; !seen[key] {
 			seen[key] = true
-			_, calls.classNames[call.Class], _ = flow.Far(record)
+			_, calls.classNames[call.Class], _ = flow.CallAttributes(record)
 			calls.attempts = append(calls.attempts, measure.Try{At: call.Start, Source: call.Source, Dest: call.Dest, Via: call.Via, Class: call.Class,
-				Circuits: int(call.Circuits), Number: call.Number, Repeat: call.Repeat, Lost: call.Outcome != flow.Ended && call.Outcome != flow.Cut,
-				Cut: call.Outcome == flow.Cut, Stood: call.Stood, Life: incarnation})
+				Circuits: int(call.Circuits), Number: call.CalledNumber, Repeat: call.Repeat, Lost: call.Outcome != flow.CallEnded && call.Outcome != flow.CallCut,
+				Cut: call.Outcome == flow.CallCut, Stood: call.EstablishedFor, Life: incarnation})
 		}
 		return nil
 	}); err != nil {
--- a/cmd/dahliaspindle/rate.go
+++ b/cmd/dahliaspindle/rate.go
@@ -39,8 +39,8 @@
 	defer os.RemoveAll(dir)
 	t := newTable("One call: an Add that is established and its Subtract")
 	t.AppendHeader(table.Row{"server", "calls/s", "stood", "other", "p50", "p99", "good"})
-	result, err := rate.Run(ctx, rate.Options{Exe: exe, Dir: dir, Each: c.Each, Rates: c.Rates, Bound: c.Bound, Export: c.Export}, func(step rate.Step) {
-		t.AppendRow(table.Row{step.Server, step.Rate, step.Stood, step.Other, step.P50, step.P99, step.Good})
+	result, err := rate.Run(ctx, rate.Options{Executable: exe, Dir: dir, StepDuration: c.Each, Rates: c.Rates, MaxP99: c.Bound, ExportFlows: c.Export}, func(step rate.Step) {
+		t.AppendRow(table.Row{step.Server, step.Rate, step.Established, step.NotEstablished, step.P50, step.P99, step.Passed})
 	})
 	if err != nil {
 		return err
@@ -73,5 +73,5 @@
 		return err
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
-	return rate.Echo(listener)
+	return rate.ServeEcho(listener)
 }
