--- a/internal/curve/curve.go
+++ b/internal/curve/curve.go
@@ -42,13 +42,13 @@
 	ObservedSeconds float64       `cbor:"6,keyasint"` // seconds
 }
 
-func (s *Slot) add(o Slot) {
-	s.Attempts += o.Attempts
-	s.FirstAttempts += o.FirstAttempts
-	s.Lost += o.Lost
-	s.Completed += o.Completed
-	s.HeldSeconds += o.HeldSeconds
-	s.ObservedSeconds += o.ObservedSeconds
+func (s *Slot) add(other Slot) {
+	s.Attempts += other.Attempts
+	s.FirstAttempts += other.FirstAttempts
+	s.Lost += other.Lost
+	s.Completed += other.Completed
+	s.HeldSeconds += other.HeldSeconds
+	s.ObservedSeconds += other.ObservedSeconds
 }
 
 // Erlang is the traffic of first tries; false where it is not known.
@@ -66,11 +66,11 @@
 type Store struct{ db *bolt.DB }
 
 var (
-	files = []byte("files")
-	names = []byte("classes")
+	filesBucket   = []byte("files")
+	classesBucket = []byte("classes")
 )
 
-func bucket(step int) []byte { return []byte(Resolutions[step].String()) }
+func slotsBucket(step int) []byte { return []byte(Resolutions[step].String()) }
 
 // Open opens or makes a file. It fails within a second if another process has it.
 func Open(path string) (*Store, error) {
@@ -80,11 +80,11 @@
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
 		for i := range Resolutions {
-			if _, err := tx.CreateBucketIfNotExists(bucket(i)); err != nil {
+			if _, err := tx.CreateBucketIfNotExists(slotsBucket(i)); err != nil {
 				return err
 			}
 		}
-		for _, b := range [][]byte{files, names} {
+		for _, b := range [][]byte{filesBucket, classesBucket} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
@@ -105,40 +105,40 @@
 	return nil
 }
 
-// place is a slot's key: pair and class first, so that a curve lies together, in order of time.
-func place(k Key, at time.Duration) []byte {
+// slotKey is a slot's key: pair and class first, so that a curve lies together, in order of time.
+func slotKey(k Key, at time.Duration) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(k.Source))
 	b = binary.BigEndian.AppendUint32(b, uint32(k.Dest))
 	b = append(b, k.Class)
 	return binary.BigEndian.AppendUint64(b, uint64(at))
 }
 
-const prefix = 9 // of a place, without its time
+const keyPrefixBytes = 9 // of a place, without its time
 
 // Add books the tries of one file of records, all or nothing: what source is the
 // content of the file, by its hash, is taken once only. class names the classes.
-func (s *Store) Add(content [sha256.Size]byte, tries []measure.CallAttempt, o measure.Options, class map[uint8]string) error {
+func (s *Store) Add(content [sha256.Size]byte, attempts []measure.CallAttempt, options measure.Options, classNames map[uint8]string) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		if tx.Bucket(files).Get(content[:]) != nil {
+		if tx.Bucket(filesBucket).Get(content[:]) != nil {
 			return ErrDuplicate
 		}
-		if err := tx.Bucket(files).Put(content[:], []byte{1}); err != nil {
+		if err := tx.Bucket(filesBucket).Put(content[:], []byte{1}); err != nil {
 			return err
 		}
-		for _, n := range sorted(class) {
-			if was := tx.Bucket(names).Get([]byte{n}); was != nil && string(was) != class[n] {
-				return fmt.Errorf("class %d is %q here and %q in the curve", n, class[n], was)
+		for _, number := range sortedKeys(classNames) {
+			if known := tx.Bucket(classesBucket).Get([]byte{number}); known != nil && string(known) != classNames[number] {
+				return fmt.Errorf("class %d is %q here and %q in the curve", number, classNames[number], known)
 			}
-			if err := tx.Bucket(names).Put([]byte{n}, []byte(class[n])); err != nil {
+			if err := tx.Bucket(classesBucket).Put([]byte{number}, []byte(classNames[number])); err != nil {
 				return err
 			}
 		}
 		newest := time.Duration(0)
-		for _, x := range measure.Slots(tries, o, Resolutions[0]) {
+		for _, x := range measure.Slots(attempts, options, Resolutions[0]) {
 			k := Key(x.Key)
 			slot := Slot{Attempts: x.Attempts, FirstAttempts: x.FirstAttempts, Lost: x.Lost, Completed: x.Completed, HeldSeconds: x.HeldTime.Seconds(), ObservedSeconds: x.Observed.Seconds()}
 			for i, step := range Resolutions {
-				if err := put(tx.Bucket(bucket(i)), place(k, x.Begin-x.Begin%step), slot); err != nil {
+				if err := addToSlot(tx.Bucket(slotsBucket(i)), slotKey(k, x.Begin-x.Begin%step), slot); err != nil {
 					return err
 				}
 			}
@@ -152,19 +152,19 @@
 	return nil
 }
 
-func put(b *bolt.Bucket, at []byte, add Slot) error {
-	if old := b.Get(at); old != nil {
-		var s Slot
-		if err := cbor.Unmarshal(old, &s); err != nil {
+func addToSlot(bucket *bolt.Bucket, key []byte, added Slot) error {
+	if stored := bucket.Get(key); stored != nil {
+		var sum Slot
+		if err := cbor.Unmarshal(stored, &sum); err != nil {
 			return fmt.Errorf("a slot that can't be read: %w", err)
 		}
-		add.add(s)
+		added.add(sum)
 	}
-	v, err := cbor.Marshal(add)
+	encoded, err := cbor.Marshal(added)
 	if err != nil {
 		return err
 	}
-	return b.Put(at, v)
+	return bucket.Put(key, encoded)
 }
 
 // prune forgets what is older than it is kept.
@@ -173,16 +173,16 @@
 		if keep == 0 {
 			continue
 		}
-		b := tx.Bucket(bucket(i))
-		var old [][]byte // deleting under a cursor makes it miss its next
-		err := b.ForEach(func(k, _ []byte) error {
-			if time.Duration(binary.BigEndian.Uint64(k[prefix:])) < newest-keep {
-				old = append(old, bytes.Clone(k))
+		bucket := tx.Bucket(slotsBucket(i))
+		var expired [][]byte // deleting under a cursor makes it miss its next
+		err := bucket.ForEach(func(k, _ []byte) error {
+			if time.Duration(binary.BigEndian.Uint64(k[keyPrefixBytes:])) < newest-keep {
+				expired = append(expired, bytes.Clone(k))
 			}
 			return nil
 		})
-		for _, k := range old {
-			err = errors.Join(err, b.Delete(k))
+		for _, k := range expired {
+			err = errors.Join(err, bucket.Delete(k))
 		}
 		if err != nil {
 			return err
@@ -191,13 +191,13 @@
 	return nil
 }
 
-func sorted(m map[uint8]string) []uint8 {
-	var all []uint8
+func sortedKeys(m map[uint8]string) []uint8 {
+	var keys []uint8
 	for k := range m {
-		all = append(all, k)
+		keys = append(keys, k)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
 
 // Series is the curve of one key.
@@ -208,17 +208,17 @@
 }
 
 // ReadSeries tells curves by one of the Steps, from a time to before another; want picks keys.
-func (s *Store) ReadSeries(step time.Duration, from, to time.Duration, want func(Key) bool) ([]Series, error) {
-	i := slices.Index(Resolutions, step)
-	if i < 0 {
+func (s *Store) ReadSeries(step time.Duration, from, to time.Duration, include func(Key) bool) ([]Series, error) {
+	resolution := slices.Index(Resolutions, step)
+	if resolution < 0 {
 		return nil, fmt.Errorf("curve: slots of %v are not kept, those of %v are", step, Resolutions)
 	}
-	var all []Series
+	var series []Series
 	err := s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucket(i)).ForEach(func(at, v []byte) error {
-			k := Key{int32(binary.BigEndian.Uint32(at)), int32(binary.BigEndian.Uint32(at[4:])), at[8]}
-			t := time.Duration(binary.BigEndian.Uint64(at[prefix:]))
-			if t < from || t >= to || !want(k) {
+		return tx.Bucket(slotsBucket(resolution)).ForEach(func(at, v []byte) error {
+			key := Key{int32(binary.BigEndian.Uint32(at)), int32(binary.BigEndian.Uint32(at[4:])), at[8]}
+			t := time.Duration(binary.BigEndian.Uint64(at[keyPrefixBytes:]))
+			if t < from || t >= to || !include(key) {
 				return nil
 			}
 			slot := Slot{}
@@ -226,29 +226,29 @@
 				return fmt.Errorf("a slot that can't be read: %w", err)
 			}
 			slot.Begin = t
-			if len(all) == 0 || all[len(all)-1].Key != k {
-				all = append(all, Series{Key: k, Class: string(bytes.Clone(tx.Bucket(names).Get([]byte{k.Class})))})
+			if len(series) == 0 || series[len(series)-1].Key != key {
+				series = append(series, Series{Key: key, Class: string(bytes.Clone(tx.Bucket(classesBucket).Get([]byte{key.Class})))})
 			}
-			l := &all[len(all)-1]
-			l.Slots = append(l.Slots, slot)
+			current := &series[len(series)-1]
+			current.Slots = append(current.Slots, slot)
 			return nil
 		})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("reading the curve: %w", err)
 	}
-	return all, nil
+	return series, nil
 }
 
 // BusiestSlots is the slot of each day in which all lines together offered most, the
 // time-consistent busy hour where slots are hours; days are those of UTC.
-func BusiestSlots(lines []Series) []Slot {
-	sums := map[time.Duration]float64{}
+func BusiestSlots(series []Series) []Slot {
+	traffic := map[time.Duration]float64{}
 	slots := map[time.Duration]Slot{}
-	for _, l := range lines {
-		for _, s := range l.Slots {
-			if e, ok := s.Erlang(); ok {
-				sums[s.Begin] += e
+	for _, line := range series {
+		for _, s := range line.Slots {
+			if erlang, ok := s.Erlang(); ok {
+				traffic[s.Begin] += erlang
 			}
 			at := slots[s.Begin]
 			at.add(s)
@@ -256,17 +256,17 @@
 			slots[s.Begin] = at
 		}
 	}
-	best := map[time.Duration]time.Duration{}
-	for at, e := range sums {
+	busiest := map[time.Duration]time.Duration{}
+	for at, e := range traffic {
 		day := at - at%(24*time.Hour)
-		if was, ok := best[day]; !ok || e > sums[was] || e == sums[was] && at < was {
-			best[day] = at
+		if previous, ok := busiest[day]; !ok || e > traffic[previous] || e == traffic[previous] && at < previous {
+			busiest[day] = at
 		}
 	}
-	var all []Slot
-	for _, at := range best {
-		all = append(all, slots[at])
+	var sorted []Slot
+	for _, at := range busiest {
+		sorted = append(sorted, slots[at])
 	}
-	slices.SortFunc(all, func(a, b Slot) int { return cmp.Compare(a.Begin, b.Begin) })
-	return all
+	slices.SortFunc(sorted, func(a, b Slot) int { return cmp.Compare(a.Begin, b.Begin) })
+	return sorted
 }
--- a/internal/curve/curve_test.go
+++ b/internal/curve/curve_test.go
@@ -16,19 +16,19 @@
 
 var start = time.Duration(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// tries are calls of 90 s at a traffic that follows the hour.
-func tries(from, to time.Duration, life uint64, seed uint64, erlang func(hour float64) float64) []measure.CallAttempt {
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	var all []measure.CallAttempt
+// generateAttempts are calls of 90 s at a traffic that follows the hour.
+func generateAttempts(from, to time.Duration, life uint64, seed uint64, erlang func(hour float64) float64) []measure.CallAttempt {
+	random := rand.New(rand.NewPCG(seed, 1))
+	var attempts []measure.CallAttempt
 	for at := from; at < to; {
-		e := erlang(math.Mod((at - start).Hours(), 24))
-		at += time.Duration(rnd.ExpFloat64() * 90 / max(e, 0.01) * 1e9)
-		t := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: rnd.Uint64(), Incarnation: life, EstablishedFor: time.Duration(rnd.ExpFloat64() * 90e9)}
-		if t.Start+t.EstablishedFor <= to {
-			all = append(all, t)
+		traffic := erlang(math.Mod((at - start).Hours(), 24))
+		at += time.Duration(random.ExpFloat64() * 90 / max(traffic, 0.01) * 1e9)
+		attempt := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: random.Uint64(), Incarnation: life, EstablishedFor: time.Duration(random.ExpFloat64() * 90e9)}
+		if attempt.Start+attempt.EstablishedFor <= to {
+			attempts = append(attempts, attempt)
 		}
 	}
-	return all
+	return attempts
 }
 
 func open(t *testing.T, path string) *Store {
@@ -40,26 +40,26 @@
 	return s
 }
 
-func lines(t *testing.T, s *Store, step time.Duration) []Slot {
+func slotsOf(t *testing.T, s *Store, step time.Duration) []Slot {
 	t.Helper()
-	all, err := s.ReadSeries(step, 0, math.MaxInt64, func(Key) bool { return true })
-	if err != nil || len(all) != 1 || all[0].Class != "fetch" {
-		t.Fatalf("%+v, %v", all, err)
+	series, err := s.ReadSeries(step, 0, math.MaxInt64, func(Key) bool { return true })
+	if err != nil || len(series) != 1 || series[0].Class != "fetch" {
+		t.Fatalf("%+v, %v", series, err)
 	}
-	return all[0].Slots
+	return series[0].Slots
 }
 
-var class = map[uint8]string{0: "fetch"}
+var classNames = map[uint8]string{0: "fetch"}
 
 // Two days with a gap between them, the file closed and opened on the way: hours
 // tell the traffic of the hour, days that of their watched time, the gap has no
 // slot, the busy hour is the one of most traffic. The same file counts once.
 func TestCurveOfDays(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "curve")
-	wave := func(hour float64) float64 { return 10 + 8*math.Sin((hour-8)*math.Pi/12) } // busiest at 14
+	dailyTraffic := func(hour float64) float64 { return 10 + 8*math.Sin((hour-8)*math.Pi/12) } // busiest at 14
 	s := open(t, path)
-	first := tries(start, start+14*time.Hour, 1, 1, wave)
-	if err := s.Add(sha256.Sum256([]byte("one")), first, measure.Options{}, class); err != nil {
+	attempts := generateAttempts(start, start+14*time.Hour, 1, 1, dailyTraffic)
+	if err := s.Add(sha256.Sum256([]byte("one")), attempts, measure.Options{}, classNames); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -67,21 +67,21 @@
 	}
 	s = open(t, path)
 	defer s.Close()
-	if err := s.Add(sha256.Sum256([]byte("one")), first, measure.Options{}, class); !errors.Is(err, ErrDuplicate) {
+	if err := s.Add(sha256.Sum256([]byte("one")), attempts, measure.Options{}, classNames); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("the same file again: %v", err)
 	}
-	if err := s.Add(sha256.Sum256([]byte("two")), tries(start+20*time.Hour, start+2*day, 2, 2, wave), measure.Options{}, class); err != nil {
+	if err := s.Add(sha256.Sum256([]byte("two")), generateAttempts(start+20*time.Hour, start+2*day, 2, 2, dailyTraffic), measure.Options{}, classNames); err != nil {
 		t.Fatal(err)
 	}
-	hours := lines(t, s, time.Hour)
+	hours := slotsOf(t, s, time.Hour)
 	seen := map[int]bool{}
 	for _, h := range hours {
-		n := int((h.Begin - start) / time.Hour)
-		seen[n] = true
-		e, ok := h.Erlang()
-		want := (wave(math.Mod(float64(n), 24)) + wave(math.Mod(float64(n)+1, 24))) / 2
-		if h.ObservedSeconds > 3500 && (!ok || math.Abs(e-want) > 5*math.Sqrt(2*want*90/3600)) {
-			t.Errorf("hour %d: %.2f erlang, %.2f were offered", n, e, want)
+		hour := int((h.Begin - start) / time.Hour)
+		seen[hour] = true
+		traffic, ok := h.Erlang()
+		want := (dailyTraffic(math.Mod(float64(hour), 24)) + dailyTraffic(math.Mod(float64(hour)+1, 24))) / 2
+		if h.ObservedSeconds > 3500 && (!ok || math.Abs(traffic-want) > 5*math.Sqrt(2*want*90/3600)) {
+			t.Errorf("hour %d: %.2f erlang, %.2f were offered", hour, traffic, want)
 		}
 	}
 	for n := range 48 {
@@ -89,42 +89,42 @@
 			t.Errorf("hour %d: told %v", n, seen[n])
 		}
 	}
-	quarters, watched := lines(t, s, 15*time.Minute), 0.0
+	quarters, watched := slotsOf(t, s, 15*time.Minute), 0.0
 	for _, q := range quarters {
 		watched += q.ObservedSeconds
 	}
-	days := lines(t, s, day)
+	days := slotsOf(t, s, day)
 	if len(days) != 2 || math.Abs(days[0].ObservedSeconds+days[1].ObservedSeconds-watched) > 1e-6 || days[0].ObservedSeconds > 18*3600 {
 		t.Errorf("days %+v, %v s watched in quarters", days, watched)
 	}
-	all, err := s.ReadSeries(time.Hour, 0, math.MaxInt64, func(Key) bool { return true })
+	series, err := s.ReadSeries(time.Hour, 0, math.MaxInt64, func(Key) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	busy := BusiestSlots(all)
-	if len(busy) != 2 || busy[1].Begin < start+day+11*time.Hour || busy[1].Begin > start+day+16*time.Hour {
-		t.Errorf("busiest %+v", busy)
+	busiest := BusiestSlots(series)
+	if len(busiest) != 2 || busiest[1].Begin < start+day+11*time.Hour || busiest[1].Begin > start+day+16*time.Hour {
+		t.Errorf("busiest %+v", busiest)
 	}
 }
 
 // Old quarters go, days stay; a class of another name is refused and nothing of it is kept.
-func TestCurveForgets(t *testing.T) {
+func TestRetention(t *testing.T) {
 	s := open(t, filepath.Join(t.TempDir(), "curve"))
 	defer s.Close()
-	flat := func(float64) float64 { return 5 }
+	constantTraffic := func(float64) float64 { return 5 }
 	for i, at := range []time.Duration{start, start + 40*day, start + 130*day} {
-		if err := s.Add(sha256.Sum256([]byte{byte(i)}), tries(at, at+2*time.Hour, uint64(i), 3, flat), measure.Options{}, class); err != nil {
+		if err := s.Add(sha256.Sum256([]byte{byte(i)}), generateAttempts(at, at+2*time.Hour, uint64(i), 3, constantTraffic), measure.Options{}, classNames); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if q, h, d := len(lines(t, s, 15*time.Minute)), len(lines(t, s, time.Hour)), len(lines(t, s, day)); q != 8 || h != 4 || d != 3 {
+	if q, h, d := len(slotsOf(t, s, 15*time.Minute)), len(slotsOf(t, s, time.Hour)), len(slotsOf(t, s, day)); q != 8 || h != 4 || d != 3 {
 		t.Errorf("%d quarters, %d hours, %d days are kept", q, h, d)
 	}
-	more := tries(start+131*day, start+131*day+time.Hour, 9, 3, flat)
-	if err := s.Add(sha256.Sum256([]byte("x")), more, measure.Options{}, map[uint8]string{0: "other"}); err == nil {
+	rejected := generateAttempts(start+131*day, start+131*day+time.Hour, 9, 3, constantTraffic)
+	if err := s.Add(sha256.Sum256([]byte("x")), rejected, measure.Options{}, map[uint8]string{0: "other"}); err == nil {
 		t.Error("a class of two names")
 	}
-	if d := len(lines(t, s, day)); d != 3 {
+	if d := len(slotsOf(t, s, day)); d != 3 {
 		t.Errorf("%d days after a refused file", d)
 	}
 	if _, err := s.ReadSeries(time.Minute, 0, 1, nil); err == nil {
--- a/internal/loss/seed_test.go
+++ b/internal/loss/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// Properties are drawn from one seed: the same verdict every time.
+// A fixed seed makes the property tests reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/loss/several.go
+++ b/internal/loss/several.go
@@ -5,30 +5,30 @@
 	"math"
 )
 
-// Stream is one class of calls on a group that several share.
+// Stream is one class of calls on a group that several classes share.
 type Stream struct {
-	Traffic     float64 // offered, in calls at the same time (erlang of calls, not of circuits)
-	Circuits    int     // circuits of one call
-	Reservation int     // circuits that it must leave free beyond its own
-	Peakedness  float64 // variance over mean of the traffic on an unlimited group; 0 stands for 1, Poisson
+	Traffic     float64 // offered, in erlang of calls (not of circuits)
+	Circuits    int     // per call
+	Reservation int     // trunk reservation: circuits that must stay free after a call is accepted
+	Peakedness  float64 // variance-to-mean ratio of the traffic on an unlimited group; 0 means 1 (Poisson)
 }
 
-// Congestion is what becomes of a stream.
+// Congestion is the congestion that a stream meets.
 type Congestion struct {
-	Time    float64 // of the time in which a call of it would find no room
-	Traffic float64 // of its traffic that is lost; the same for Poisson traffic
+	Time    float64 // time congestion: share of the time in which a call of the stream would be blocked
+	Traffic float64 // traffic congestion: share of the stream's traffic that is lost; equal to Time for Poisson traffic
 }
 
-func checkStreams(circuits int, all []Stream) error {
-	if err := check(0, circuits); err != nil {
+func validateStreams(circuits int, all []Stream) error {
+	if err := validateGroup(0, circuits); err != nil {
 		return err
 	}
 	for i, s := range all {
 		switch {
-		case check(s.Traffic, 0) != nil:
-			return fmt.Errorf("stream %d: %w", i, check(s.Traffic, 0))
+		case validateGroup(s.Traffic, 0) != nil:
+			return fmt.Errorf("stream %d: %w", i, validateGroup(s.Traffic, 0))
 		case s.Circuits < 1 || s.Reservation < 0:
-			return fmt.Errorf("stream %d: %d circuits wide, a reserve of %d: %w", i, s.Circuits, s.Reservation, ErrDomain)
+			return fmt.Errorf("stream %d: %d circuits per call with a trunk reservation of %d: %w", i, s.Circuits, s.Reservation, ErrDomain)
 		case s.Peakedness != 0 && !(s.Peakedness >= 1 && !math.IsInf(s.Peakedness, 0)):
 			return fmt.Errorf("stream %d: a peakedness of %v: %w", i, s.Peakedness, ErrDomain)
 		}
@@ -36,174 +36,177 @@
 	return nil
 }
 
-// KaufmanRoberts is the losses of streams that share a group: the recursion of J. S.
-// Kaufman ("Blocking in a shared resource environment", 1981) and J. W. Roberts
-// (1981), exact for Poisson streams without reserve; with reserve by Roberts'
-// approximation (1983), which takes a stream to be absent from the states that
-// it may not enter; peaky streams by L. E. N. Delbrouck's extension (1983).
-func KaufmanRoberts(circuits int, all []Stream) ([]Congestion, error) {
-	if err := checkStreams(circuits, all); err != nil {
+// KaufmanRoberts returns the congestion of each stream on a shared group, by the
+// recursion of J. S. Kaufman ("Blocking in a shared resource environment", 1981)
+// and J. W. Roberts (1981). It is exact for Poisson streams without trunk
+// reservation. Trunk reservation uses Roberts' approximation (1983), which
+// assumes that a stream is absent from the states that it may not enter; peaked
+// streams use L. E. N. Delbrouck's extension (1983).
+func KaufmanRoberts(circuits int, streams []Stream) ([]Congestion, error) {
+	if err := validateStreams(circuits, streams); err != nil {
 		return nil, err
 	}
-	q := make([]float64, circuits+1) // states by circuits taken, not normed
-	q[0] = 1
-	sum := 1.0
-	carried := make([]float64, len(all)) // circuits, not normed
-	// r[k][n] is the geometric sum of a peaky stream's states below n
-	r := make([][]float64, len(all))
-	for k := range r {
-		r[k] = make([]float64, circuits+1)
+	weights := make([]float64, circuits+1) // of the states by number of circuits taken, not normalized
+	weights[0] = 1
+	totalWeight := 1.0
+	carried := make([]float64, len(streams)) // circuits, not normalized
+	// classWeights[k][n] is the geometric sum of a peaked stream's states below n.
+	classWeights := make([][]float64, len(streams))
+	for k := range classWeights {
+		classWeights[k] = make([]float64, circuits+1)
 	}
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
-		for k, s := range all {
+		for k, s := range streams {
 			from := n - s.Circuits
 			if from < 0 || from > circuits-s.Circuits-s.Reservation {
 				continue
 			}
-			z := max(s.Peakedness, 1)
-			x := s.Traffic / z * float64(s.Circuits) * q[from]
-			r[k][n] = x
-			if z > 1 {
-				r[k][n] += (z - 1) / z * r[k][from]
+			peakedness := max(s.Peakedness, 1)
+			term := s.Traffic / peakedness * float64(s.Circuits) * weights[from]
+			classWeights[k][n] = term
+			if peakedness > 1 {
+				classWeights[k][n] += (peakedness - 1) / peakedness * classWeights[k][from]
 			}
-			total += r[k][n]
+			total += classWeights[k][n]
 		}
-		q[n] = total / float64(n)
-		for k := range all {
+		weights[n] = total / float64(n)
+		for k := range streams {
 			if total > 0 {
-				carried[k] += r[k][n]
+				carried[k] += classWeights[k][n]
 			}
 		}
-		if sum += q[n]; sum > 1e250 { // norm on the way: large groups have states beyond any number
+		if totalWeight += weights[n]; totalWeight > 1e250 { // normalize early: the weights of large groups overflow a float64
 			for i := 0; i <= n; i++ {
-				q[i] /= sum
-				for k := range r {
-					r[k][i] /= sum
+				weights[i] /= totalWeight
+				for k := range classWeights {
+					classWeights[k][i] /= totalWeight
 				}
 			}
 			for k := range carried {
-				carried[k] /= sum
+				carried[k] /= totalWeight
 			}
-			sum = 1
+			totalWeight = 1
 		}
 	}
-	out := make([]Congestion, len(all))
-	for k, s := range all {
+	result := make([]Congestion, len(streams))
+	for k, s := range streams {
 		for n := max(circuits-s.Circuits-s.Reservation+1, 0); n <= circuits; n++ {
-			out[k].Time += q[n] / sum
+			result[k].Time += weights[n] / totalWeight
 		}
 		if s.Traffic > 0 {
-			// circuits held by the stream: the states' shares of it, n q(n) split by r
-			held := carried[k] / sum
-			out[k].Traffic = min(max(1-held/(s.Traffic*float64(s.Circuits)), 0), 1)
+			// Mean number of circuits that the stream holds, from its share of each state.
+			meanCircuits := carried[k] / totalWeight
+			result[k].Traffic = min(max(1-meanCircuits/(s.Traffic*float64(s.Circuits)), 0), 1)
 		}
 	}
-	return out, nil
+	return result, nil
 }
 
-// Overflow is the mean and variance of what a group of Poisson traffic turns
-// away (J. Riordan's formula, in R. I. Wilkinson, "Theories for toll traffic
-// engineering in the U.S.A.", 1956).
+// Overflow returns the mean and the variance of the overflow traffic of a group
+// to which Poisson traffic is offered (J. Riordan's formula, in R. I. Wilkinson,
+// "Theories for toll traffic engineering in the U.S.A.", 1956).
 func Overflow(traffic float64, circuits int) (mean, variance float64, err error) {
-	b, err := ErlangB(traffic, circuits)
+	blocking, err := ErlangB(traffic, circuits)
 	if err != nil {
 		return 0, 0, err
 	}
-	m := traffic * b
-	return m, m * (1 - m + traffic/(float64(circuits)+1-traffic+m)), nil
+	overflow := traffic * blocking
+	return overflow, overflow * (1 - overflow + traffic/(float64(circuits)+1-traffic+overflow)), nil
 }
 
-// EquivalentRandom is the one group of Poisson traffic whose overflow has a mean and
-// a variance (Wilkinson's equivalent random method), by Y. Rapp's approximation
-// (1964). The variance must not be under the mean.
+// EquivalentRandom returns the Poisson traffic and the group whose overflow has
+// the given mean and variance (Wilkinson's equivalent random method), by Y.
+// Rapp's approximation (1964). The variance must be at least the mean.
 func EquivalentRandom(mean, variance float64) (traffic, circuits float64, err error) {
 	if !(mean > 0) || !(variance >= mean) || math.IsInf(variance, 0) {
 		return 0, 0, fmt.Errorf("a mean of %v with a variance of %v: %w", mean, variance, ErrDomain)
 	}
-	z := variance / mean
-	traffic = variance + 3*z*(z-1)
-	return traffic, max(traffic*(mean+z)/(mean+z-1)-mean-1, 0), nil
+	peakedness := variance / mean
+	traffic = variance + 3*peakedness*(peakedness-1)
+	return traffic, max(traffic*(mean+peakedness)/(mean+peakedness-1)-mean-1, 0), nil
 }
 
-// Wilkinson is the share of peaky traffic that a group loses, by the equivalent
-// random method.
+// Wilkinson returns the share of peaked traffic that a group loses, by the
+// equivalent random method.
 func Wilkinson(mean, variance float64, circuits int) (float64, error) {
-	if err := check(mean, circuits); err != nil {
+	if err := validateGroup(mean, circuits); err != nil {
 		return 0, err
 	}
-	a, n, err := EquivalentRandom(mean, variance)
+	equivalentTraffic, equivalentCircuits, err := EquivalentRandom(mean, variance)
 	if err != nil {
 		return 0, err
 	}
-	b, err := ErlangBContinuous(a, n+float64(circuits))
+	blocking, err := ErlangBContinuous(equivalentTraffic, equivalentCircuits+float64(circuits))
 	if err != nil {
 		return 0, err
 	}
-	return min(a*b/mean, 1), nil
+	return min(equivalentTraffic*blocking/mean, 1), nil
 }
 
-// Hayward is the same by A. A. Fredericks and W. S. Hayward (1980): Erlang's
-// formula with traffic and circuits both divided by the peakedness.
+// Hayward returns the share of peaked traffic that a group loses, by the
+// approximation of A. A. Fredericks and W. S. Hayward (1980): ErlangB with the
+// traffic and the circuits both divided by the peakedness.
 func Hayward(mean, variance float64, circuits int) (float64, error) {
 	if !(mean > 0) || !(variance > 0) || math.IsInf(variance, 0) {
 		return 0, fmt.Errorf("a mean of %v with a variance of %v: %w", mean, variance, ErrDomain)
 	}
-	if err := check(mean, circuits); err != nil {
+	if err := validateGroup(mean, circuits); err != nil {
 		return 0, err
 	}
-	z := variance / mean
-	return ErlangBContinuous(mean/z, float64(circuits)/z)
+	peakedness := variance / mean
+	return ErlangBContinuous(mean/peakedness, float64(circuits)/peakedness)
 }
 
-// MeanAttempts is how often a caller tries, on average, when each try is lost with b
-// and a lost one is followed by another with probability again, most times.
-func MeanAttempts(b, again float64, most int) float64 {
-	sum, x := 0.0, 1.0
-	for range most + 1 {
-		sum += x
-		x *= b * again
+// MeanAttempts returns the mean number of attempts per caller when each attempt
+// is lost with probability blocking and a lost one is retried with probability
+// retryProbability, at most maxRetries times.
+func MeanAttempts(blocking, retryProbability float64, maxRetries int) float64 {
+	sum, probability := 0.0, 1.0
+	for range maxRetries + 1 {
+		sum += probability
+		probability *= blocking * retryProbability
 	}
 	return sum
 }
 
-// ExtendedErlangB is the loss of a try and the traffic of all tries when lost callers
-// dial again: the fixed point of B = ErlangB(first * Tries(B)), from below, so
-// that of two that there may be the lower one is found. ok is false if it did
-// not settle.
-func ExtendedErlangB(first float64, circuits int, again float64, most int) (b, offered float64, ok bool, err error) {
-	if err := check(first, circuits); err != nil {
+// ExtendedErlangB returns the blocking of an attempt and the traffic of all
+// attempts when lost callers dial again. It iterates from zero to the fixed point
+// of B = ErlangB(firstTraffic * MeanAttempts(B)), so that it finds the lower one
+// if there are two. converged is false if the iteration did not converge.
+func ExtendedErlangB(firstTraffic float64, circuits int, retryProbability float64, maxRetries int) (blocking, offered float64, converged bool, err error) {
+	if err := validateGroup(firstTraffic, circuits); err != nil {
 		return 0, 0, false, err
 	}
-	if !(again >= 0 && again <= 1) || most < 0 || most > 1000 {
-		return 0, 0, false, fmt.Errorf("%d further tries with a probability of %v: %w", most, again, ErrDomain)
+	if !(retryProbability >= 0 && retryProbability <= 1) || maxRetries < 0 || maxRetries > 1000 {
+		return 0, 0, false, fmt.Errorf("%d retries with a probability of %v: %w", maxRetries, retryProbability, ErrDomain)
 	}
 	for range 10000 {
-		offered = first * MeanAttempts(b, again, most)
+		offered = firstTraffic * MeanAttempts(blocking, retryProbability, maxRetries)
 		next, err := ErlangB(offered, circuits)
 		if err != nil {
 			return 0, 0, false, err
 		}
-		if math.Abs(next-b) < 1e-13 {
+		if math.Abs(next-blocking) < 1e-13 {
 			return next, offered, true, nil
 		}
-		b = next
+		blocking = next
 	}
-	return b, offered, false, nil
+	return blocking, offered, false, nil
 }
 
-// FirstAttemptTraffic is the traffic of first tries behind the traffic of all tries, of which
-// a share b was lost.
-func FirstAttemptTraffic(offered, b, again float64, most int) float64 {
-	return offered / MeanAttempts(b, again, most)
+// FirstAttemptTraffic returns the traffic of first attempts, given the traffic of
+// all attempts and the share of them that was lost.
+func FirstAttemptTraffic(offered, blocking, retryProbability float64, maxRetries int) float64 {
+	return offered / MeanAttempts(blocking, retryProbability, maxRetries)
 }
 
-// ErlangA is the share of calls lost by a full group at which each call waits
-// for a circuit and leaves after a time that is exponential with a mean of so
-// many holding times (C. Palm's model, often called Erlang A). Patience 0 is
-// Erlang's first formula.
+// ErlangA returns the share of calls lost by a group at which a call without a
+// circuit waits and abandons after an exponentially distributed time (C. Palm's
+// model). patience is the mean of that time in mean holding times; with a
+// patience of 0, ErlangA equals ErlangB.
 func ErlangA(traffic float64, circuits int, patience float64) (float64, error) {
-	b, err := ErlangB(traffic, circuits)
+	blocking, err := ErlangB(traffic, circuits)
 	if err != nil {
 		return 0, err
 	}
@@ -211,21 +214,21 @@
 		return 0, fmt.Errorf("a patience of %v holding times: %w", patience, ErrDomain)
 	}
 	if patience == 0 || traffic == 0 {
-		return b, nil
+		return blocking, nil
 	}
-	// states with a queue, by the weight of the full group's own state
-	x, queue, waiting := 1.0, 0.0, 0.0
+	// Weights of the states with a queue, relative to the full group without a queue.
+	weight, queueWeight, weightedQueue := 1.0, 0.0, 0.0
 	for n := 1.0; n <= 1e7; n++ {
-		x *= traffic / (float64(circuits) + n/patience)
-		queue += x
-		waiting += x * n
-		if x < 1e-15*(1+queue) && n/patience+float64(circuits) > traffic {
+		weight *= traffic / (float64(circuits) + n/patience)
+		queueWeight += weight
+		weightedQueue += weight * n
+		if weight < 1e-15*(1+queueWeight) && n/patience+float64(circuits) > traffic {
 			break
 		}
-		if math.IsInf(queue, 0) {
-			return math.Max(1-float64(circuits)/traffic, 0), nil // a flood: all circuits are taken
+		if math.IsInf(queueWeight, 0) {
+			return math.Max(1-float64(circuits)/traffic, 0), nil // overload: all circuits are always taken
 		}
 	}
-	full := b / (1 + b*queue)
-	return full * waiting / patience / traffic, nil
+	allTaken := blocking / (1 + blocking*queueWeight)
+	return allTaken * weightedQueue / patience / traffic, nil
 }
--- a/internal/measure/batch.go
+++ b/internal/measure/batch.go
@@ -27,18 +27,18 @@
 
 // A life is watched from its first try on. Records come when calls end, so that
 // of those that began shortly before the life did, only the short ones are seen;
-// the last tailTimes mean holding times of a life therefore don't count, so that
+// the last tailHoldingTimes mean holding times of a life therefore don't count, so that
 // all but exp(-4), 2 % of calls' time is.
-const tailTimes = 4
+const tailHoldingTimes = 4
 
-// toldEnd is how close to a life's last moment a call was cut that the life itself ended.
-const toldEnd = time.Second
+// shutdownTolerance is how close to a life's last moment a call was cut that the life itself ended.
+const shutdownTolerance = time.Second
 
-// hotTries is how many tries a number needs, hotLost the share of them lost, to
+// minHotAttempts is how many tries a number needs, minHotLossShare the share of them lost, to
 // be one that many callers want and whose lines, not circuits, are short.
 const (
-	hotTries = 30
-	hotLost  = 0.5
+	minHotAttempts  = 30
+	minHotLossShare = 0.5
 )
 
 // Group is what one trunk group carried, both ways, in circuits taken on average.
@@ -49,15 +49,15 @@
 	Transit float64 `json:"transit"` // of calls over a tandem, on either of their legs
 }
 
-// groupsOf adds up what groups carried; each call counts over the time that its source was watched.
-func groupsOf(tries []CallAttempt, watched map[int32]time.Duration) []Group {
-	sums := map[[2]int32]*Group{}
-	book := func(a, b int32, transit bool, circuits float64) {
-		k := [2]int32{min(a, b), max(a, b)}
-		g := sums[k]
+// carriedByGroup adds up what groups carried; each call counts over the time that its source was watched.
+func carriedByGroup(attempts []CallAttempt, observed map[int32]time.Duration) []Group {
+	groups := map[[2]int32]*Group{}
+	addCarried := func(a, b int32, transit bool, circuits float64) {
+		pair := [2]int32{min(a, b), max(a, b)}
+		g := groups[pair]
 		if g == nil {
-			g = &Group{A: k[0], B: k[1]}
-			sums[k] = g
+			g = &Group{A: pair[0], B: pair[1]}
+			groups[pair] = g
 		}
 		if transit {
 			g.Transit += circuits
@@ -65,25 +65,25 @@
 			g.Direct += circuits
 		}
 	}
-	for _, t := range tries {
-		w := watched[t.Source]
-		if t.Lost || w <= 0 || t.Via < 0 {
+	for _, attempt := range attempts {
+		period := observed[attempt.Source]
+		if attempt.Lost || period <= 0 || attempt.Via < 0 {
 			continue
 		}
-		circuits := float64(max(t.Circuits, 1)) * t.EstablishedFor.Seconds() / w.Seconds()
-		if t.Via == t.Dest {
-			book(t.Source, t.Dest, false, circuits)
+		circuits := float64(max(attempt.Circuits, 1)) * attempt.EstablishedFor.Seconds() / period.Seconds()
+		if attempt.Via == attempt.Dest {
+			addCarried(attempt.Source, attempt.Dest, false, circuits)
 		} else {
-			book(t.Source, t.Via, true, circuits)
-			book(t.Via, t.Dest, true, circuits)
+			addCarried(attempt.Source, attempt.Via, true, circuits)
+			addCarried(attempt.Via, attempt.Dest, true, circuits)
 		}
 	}
-	all := make([]Group, 0, len(sums))
-	for _, g := range sums {
-		all = append(all, *g)
+	sorted := make([]Group, 0, len(groups))
+	for _, g := range groups {
+		sorted = append(sorted, *g)
 	}
-	slices.SortFunc(all, func(a, b Group) int { return cmp.Or(cmp.Compare(a.A, b.A), cmp.Compare(a.B, b.B)) })
-	return all
+	slices.SortFunc(sorted, func(a, b Group) int { return cmp.Or(cmp.Compare(a.A, b.A), cmp.Compare(a.B, b.B)) })
+	return sorted
 }
 
 // EstimateBatch estimates offered traffic from the tries of one or more lives of each
@@ -91,91 +91,91 @@
 // traffic nor as quiet. A number that very many call in vain is left out but for
 // the calls to it that stood. If Window is set, the result is that of the busiest
 // window: the time-consistent busy hour of ITU-T E.600 where it is an hour.
-func EstimateBatch(tries []CallAttempt, o Options) *Result {
-	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
-	r := &Result{Observed: map[int32]time.Duration{}}
-	if len(tries) == 0 {
-		return r
+func EstimateBatch(attempts []CallAttempt, options Options) *Result {
+	attempts = slices.Clone(attempts)
+	slices.SortStableFunc(attempts, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
+	result := &Result{Observed: map[int32]time.Duration{}}
+	if len(attempts) == 0 {
+		return result
 	}
-	hot := hotNumbers(tries)
-	r.HotNumbers = hot
-	lives := livesOf(tries)
-	r.Incarnations = len(lives)
-	r.From, r.To = tries[0].Start, tries[len(tries)-1].Start
-	if o.BusyWindow > 0 && r.To-r.From > o.BusyWindow {
-		r.From = busiest(tries, o.BusyWindow)
-		r.To = r.From + o.BusyWindow
+	hot := hotNumbers(attempts)
+	result.HotNumbers = hot
+	observations := observationsOf(attempts)
+	result.Incarnations = len(observations)
+	result.From, result.To = attempts[0].Start, attempts[len(attempts)-1].Start
+	if options.BusyWindow > 0 && result.To-result.From > options.BusyWindow {
+		result.From = busiestWindow(attempts, options.BusyWindow)
+		result.To = result.From + options.BusyWindow
 	}
-	for k := range lives {
-		r.Observed[k.source] += max(min(lives[k].until, r.To)-max(lives[k].from, r.From), 0)
+	for k := range observations {
+		result.Observed[k.source] += max(min(observations[k].until, result.To)-max(observations[k].from, result.From), 0)
 	}
-	e := NewEstimator(r.From, o.RetryWindow)
+	estimator := NewEstimator(result.From, options.RetryWindow)
 	var counted []CallAttempt
-	for _, t := range tries {
-		_, isHot := slices.BinarySearch(hot, t.Number)
+	for _, attempt := range attempts {
+		_, isHot := slices.BinarySearch(hot, attempt.Number)
 		switch {
-		case isHot && t.Lost:
-			r.HotAttempts++
-		case t.Start >= r.From && t.Start > lives[lifeKey{t.Source, t.Incarnation}].until:
-			r.TailAttempts++
-		case t.Start < r.From || t.Start > r.To:
-			if t.Lost && t.Start < r.From && t.Start >= r.From-o.RetryWindow {
-				e.remember(caller{t.Source, t.Number}, t.Start) // its repeat may come within
+		case isHot && attempt.Lost:
+			result.HotAttempts++
+		case attempt.Start >= result.From && attempt.Start > observations[incarnationKey{attempt.Source, attempt.Incarnation}].until:
+			result.TailAttempts++
+		case attempt.Start < result.From || attempt.Start > result.To:
+			if attempt.Lost && attempt.Start < result.From && attempt.Start >= result.From-options.RetryWindow {
+				estimator.rememberLost(caller{attempt.Source, attempt.Number}, attempt.Start) // its repeat may come within
 			}
 		default:
-			e.Add(t)
-			counted = append(counted, t)
+			estimator.Add(attempt)
+			counted = append(counted, attempt)
 		}
 	}
-	r.Groups = groupsOf(counted, r.Observed)
-	r.Pairs = e.over(func(source int32) time.Duration { return r.Observed[source] })
-	if o.MissingShare > 0 && o.MissingShare < 1 {
-		for i := range r.Pairs {
-			p := &r.Pairs[i]
-			for _, x := range []*float64{&p.Erlang, &p.Low, &p.High, &p.AllAttemptsErlang, &p.Carried} {
-				*x /= 1 - o.MissingShare
+	result.Groups = carriedByGroup(counted, result.Observed)
+	result.Pairs = estimator.estimates(func(source int32) time.Duration { return result.Observed[source] })
+	if options.MissingShare > 0 && options.MissingShare < 1 {
+		for i := range result.Pairs {
+			estimate := &result.Pairs[i]
+			for _, value := range []*float64{&estimate.Erlang, &estimate.Low, &estimate.High, &estimate.AllAttemptsErlang, &estimate.Carried} {
+				*value /= 1 - options.MissingShare
 			}
 		}
-		for i := range r.Groups {
-			r.Groups[i].Direct /= 1 - o.MissingShare
-			r.Groups[i].Transit /= 1 - o.MissingShare
+		for i := range result.Groups {
+			result.Groups[i].Direct /= 1 - options.MissingShare
+			result.Groups[i].Transit /= 1 - options.MissingShare
 		}
 	}
-	return r
+	return result
 }
 
-type lifeKey struct {
-	source int32
-	life   uint64
+type incarnationKey struct {
+	source      int32
+	incarnation uint64
 }
 
-// life is how long a controller's life was watched.
-type life struct{ from, last, cut, until time.Duration }
+// observation is how long a controller's observation was watched.
+type observation struct{ from, lastEnd, lastCut, until time.Duration }
 
-// livesOf works out how long each life of each controller can be relied on.
-func livesOf(tries []CallAttempt) map[lifeKey]*life {
-	tail := tailTimes * longest(tries)
-	lives := map[lifeKey]*life{}
-	for _, t := range tries {
-		k := lifeKey{t.Source, t.Incarnation}
-		l := lives[k]
-		if l == nil {
-			l = &life{from: t.Start}
-			lives[k] = l
+// observationsOf works out how long each life of each controller can be relied on.
+func observationsOf(attempts []CallAttempt) map[incarnationKey]*observation {
+	tail := tailHoldingTimes * longestHoldingTime(attempts)
+	observations := map[incarnationKey]*observation{}
+	for _, attempt := range attempts {
+		key := incarnationKey{attempt.Source, attempt.Incarnation}
+		observed := observations[key]
+		if observed == nil {
+			observed = &observation{from: attempt.Start}
+			observations[key] = observed
 		}
-		l.last = max(l.last, t.Start+t.EstablishedFor)
-		if t.Cut {
-			l.cut = max(l.cut, t.Start+t.EstablishedFor)
+		observed.lastEnd = max(observed.lastEnd, attempt.Start+attempt.EstablishedFor)
+		if attempt.Cut {
+			observed.lastCut = max(observed.lastCut, attempt.Start+attempt.EstablishedFor)
 		}
 	}
-	for _, l := range lives {
-		l.until = l.last - min(tail, (l.last-l.from)/2)
-		if l.cut > 0 && l.cut >= l.last-toldEnd { // it left in order, and told what it cut
-			l.until = l.last
+	for _, l := range observations {
+		l.until = l.lastEnd - min(tail, (l.lastEnd-l.from)/2)
+		if l.lastCut > 0 && l.lastCut >= l.lastEnd-shutdownTolerance { // it left in order, and told what it cut
+			l.until = l.lastEnd
 		}
 	}
-	return lives
+	return observations
 }
 
 // Slot is what one pair and class showed in one step of time.
@@ -190,13 +190,13 @@
 // Slots cuts tries into steps of time by when they were made, as Batch would
 // take them. A pair and class that showed itself in a life has a slot for each
 // step in which that life was watched, also where nothing was tried.
-func Slots(tries []CallAttempt, o Options, step time.Duration) []Slot {
-	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
-	if len(tries) == 0 || step <= 0 {
+func Slots(attempts []CallAttempt, options Options, step time.Duration) []Slot {
+	attempts = slices.Clone(attempts)
+	slices.SortStableFunc(attempts, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
+	if len(attempts) == 0 || step <= 0 {
 		return nil
 	}
-	hot, lives := hotNumbers(tries), livesOf(tries)
+	hot, observations := hotNumbers(attempts), observationsOf(attempts)
 	type slotKey struct {
 		key Key
 		at  time.Duration
@@ -211,101 +211,101 @@
 		}
 		return s
 	}
-	shown := map[lifeKey]map[Key]bool{}
-	e := NewEstimator(tries[0].Start, o.RetryWindow) // knows redials
-	for _, t := range tries {
-		k, l := Key{t.Source, t.Dest, t.Class}, lifeKey{t.Source, t.Incarnation}
-		if _, isHot := slices.BinarySearch(hot, t.Number); isHot && t.Lost || t.Start > lives[l].until {
+	active := map[incarnationKey]map[Key]bool{}
+	estimator := NewEstimator(attempts[0].Start, options.RetryWindow) // knows redials
+	for _, attempt := range attempts {
+		k, incarnation := Key{attempt.Source, attempt.Dest, attempt.Class}, incarnationKey{attempt.Source, attempt.Incarnation}
+		if _, isHot := slices.BinarySearch(hot, attempt.Number); isHot && attempt.Lost || attempt.Start > observations[incarnation].until {
 			continue
 		}
-		if shown[l] == nil {
-			shown[l] = map[Key]bool{}
+		if active[incarnation] == nil {
+			active[incarnation] = map[Key]bool{}
 		}
-		shown[l][k] = true
-		s := get(k, t.Start)
+		active[incarnation][k] = true
+		s := get(k, attempt.Start)
 		s.Attempts++
-		c := caller{t.Source, t.Number}
-		if !t.MarkedRetry && !e.again(c, t.Start) {
+		c := caller{attempt.Source, attempt.Number}
+		if !attempt.MarkedRetry && !estimator.isRetry(c, attempt.Start) {
 			s.FirstAttempts++
 		}
-		if t.Lost {
+		if attempt.Lost {
 			s.Lost++
-			e.remember(c, t.Start)
+			estimator.rememberLost(c, attempt.Start)
 			continue
 		}
-		s.HeldTime += t.EstablishedFor
-		if !t.Cut {
+		s.HeldTime += attempt.EstablishedFor
+		if !attempt.Cut {
 			s.Completed++
 		}
 	}
-	for id, l := range lives {
-		for k := range shown[id] {
+	for id, l := range observations {
+		for k := range active[id] {
 			for at := l.from - l.from%step; at < l.until; at += step {
 				get(k, at).Observed += min(at+step, l.until) - max(at, l.from)
 			}
 		}
 	}
-	all := make([]Slot, 0, len(slots))
+	sorted := make([]Slot, 0, len(slots))
 	for _, s := range slots {
-		all = append(all, *s)
+		sorted = append(sorted, *s)
 	}
-	slices.SortFunc(all, func(a, b Slot) int {
+	slices.SortFunc(sorted, func(a, b Slot) int {
 		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Begin, b.Begin))
 	})
-	return all
+	return sorted
 }
 
-// longest is the longest mean holding time of a class.
-func longest(tries []CallAttempt) time.Duration {
-	held, ended := map[uint8]time.Duration{}, map[uint8]int{}
-	for _, t := range tries {
-		if !t.Lost {
-			held[t.Class] += t.EstablishedFor
-			if !t.Cut {
-				ended[t.Class]++
+// longestHoldingTime is the longestHoldingTime mean holding time of a class.
+func longestHoldingTime(attempts []CallAttempt) time.Duration {
+	held, completed := map[uint8]time.Duration{}, map[uint8]int{}
+	for _, attempt := range attempts {
+		if !attempt.Lost {
+			held[attempt.Class] += attempt.EstablishedFor
+			if !attempt.Cut {
+				completed[attempt.Class]++
 			}
 		}
 	}
-	most := time.Duration(0)
-	for c, n := range ended {
-		most = max(most, held[c]/time.Duration(n))
+	longest := time.Duration(0)
+	for class, count := range completed {
+		longest = max(longest, held[class]/time.Duration(count))
 	}
-	return most
+	return longest
 }
 
 // hotNumbers lists numbers that very many call in vain, in order.
-func hotNumbers(tries []CallAttempt) []uint64 {
-	all, lost := map[uint64]int{}, map[uint64]int{}
-	for _, t := range tries {
-		all[t.Number]++
-		if t.Lost {
-			lost[t.Number]++
+func hotNumbers(attempts []CallAttempt) []uint64 {
+	total, lost := map[uint64]int{}, map[uint64]int{}
+	for _, attempt := range attempts {
+		total[attempt.Number]++
+		if attempt.Lost {
+			lost[attempt.Number]++
 		}
 	}
 	var hot []uint64
-	for n, k := range all {
-		if k >= hotTries && float64(lost[n]) >= hotLost*float64(k) {
-			hot = append(hot, n)
+	for number, count := range total {
+		if count >= minHotAttempts && float64(lost[number]) >= minHotLossShare*float64(count) {
+			hot = append(hot, number)
 		}
 	}
 	slices.Sort(hot)
 	return hot
 }
 
-// busiest is the begin of the window in which tries ask for most circuits, all
+// busiestWindow is the begin of the window in which tries ask for most circuits, all
 // pairs together.
-func busiest(tries []CallAttempt, window time.Duration) time.Duration {
-	at, most, sum, from := tries[0].Start, 0.0, 0.0, 0
-	weight := func(t CallAttempt) float64 { return float64(max(t.Circuits, 1)) }
-	for _, t := range tries {
-		sum += weight(t)
-		for tries[from].Start <= t.Start-window {
-			sum -= weight(tries[from])
-			from++
+func busiestWindow(attempts []CallAttempt, window time.Duration) time.Duration {
+	begin, maxWeight, windowWeight, first := attempts[0].Start, 0.0, 0.0, 0
+	weight := func(attempt CallAttempt) float64 { return float64(max(attempt.Circuits, 1)) }
+	for _, t := range attempts {
+		windowWeight += weight(t)
+		for attempts[first].Start <= t.Start-window {
+			windowWeight -= weight(attempts[first])
+			first++
 		}
-		if t.Start-tries[0].Start >= window && sum > most {
-			most, at = sum, t.Start-window
+		if t.Start-attempts[0].Start >= window && windowWeight > maxWeight {
+			maxWeight, begin = windowWeight, t.Start-window
 		}
 	}
-	return at
+	return begin
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -48,12 +48,12 @@
 	Known              bool          // Erlang is valid: at least one call ended uncut, so that the holding time is known
 }
 
-// mostNumbers bounds what is remembered of callers who may dial again, in each
+// maxLostCallers bounds what is remembered of callers who may dial again, in each
 // of two generations.
-const mostNumbers = 1 << 16
+const maxLostCallers = 1 << 16
 
-// mostKeys bounds the pairs and classes that are told apart.
-const mostKeys = 1 << 16
+// maxKeys bounds the pairs and classes that are told apart.
+const maxKeys = 1 << 16
 
 type caller struct {
 	source int32
@@ -62,122 +62,122 @@
 
 // Estimator adds tries up, in about the order of their time.
 type Estimator struct {
-	patience       time.Duration
+	retryWindow    time.Duration
 	from, to       time.Duration
-	sums           map[Key]*sum
-	lost           [2]map[caller]time.Duration // when a caller was lost last
-	turned         time.Duration
+	sums           map[Key]*totals
+	lastLost       [2]map[caller]time.Duration // when a caller was lost last
+	rotatedAt      time.Duration
 	EarlyRotations int // generations turned early, for want of room
 	ShedAttempts   int // tries of further keys than are kept
 }
 
-type sum struct {
-	tries, first, lost, stood int
-	ended                     int     // of those that stood: not cut
-	held                      float64 // seconds of all that stood
-	whole, squares            float64 // seconds of those that ended, and their squares
-	circuits                  float64 // circuit-seconds
+type totals struct {
+	attempts, firstAttempts, lost, established int
+	completed                                  int     // of those that stood: not cut
+	heldSeconds                                float64 // seconds of all that stood
+	completedSeconds, completedSquares         float64 // seconds of those that ended, and their squares
+	circuitSeconds                             float64 // circuit-seconds
 }
 
 // NewEstimator starts an estimator for calls that began from a time on. A try within the
 // patience of a lost one for the same number counts as its repeat.
-func NewEstimator(from, patience time.Duration) *Estimator {
-	return &Estimator{patience: patience, from: from, to: from, sums: map[Key]*sum{},
-		lost: [2]map[caller]time.Duration{{}, {}}, turned: from}
+func NewEstimator(from, retryWindow time.Duration) *Estimator {
+	return &Estimator{retryWindow: retryWindow, from: from, to: from, sums: map[Key]*totals{},
+		lastLost: [2]map[caller]time.Duration{{}, {}}, rotatedAt: from}
 }
 
 // Meter is what a running controller keeps: an estimator that begins anew when
 // its time is over, and the one of the time before.
 type Meter struct {
-	span, patience time.Duration
-	now, before    *Estimator
+	period, retryWindow time.Duration
+	current, previous   *Estimator
 }
 
 // NewMeter starts one whose figures are those of the last span or two.
-func NewMeter(from, span, patience time.Duration) *Meter {
-	return &Meter{span: span, patience: patience, now: NewEstimator(from, patience)}
+func NewMeter(from, period, retryWindow time.Duration) *Meter {
+	return &Meter{period: period, retryWindow: retryWindow, current: NewEstimator(from, retryWindow)}
 }
 
 // Add books a try that ended just now. It counts where it ends.
-func (l *Meter) Add(at time.Duration, t CallAttempt) {
-	l.turn(at)
-	l.now.Add(t)
+func (m *Meter) Add(at time.Duration, t CallAttempt) {
+	m.rotate(at)
+	m.current.Add(t)
 }
 
-func (l *Meter) turn(at time.Duration) {
-	if at-l.now.from < l.span {
+func (m *Meter) rotate(at time.Duration) {
+	if at-m.current.from < m.period {
 		return
 	}
-	next := NewEstimator(at, l.patience)
-	next.lost, next.turned = l.now.lost, l.now.turned // redials are still to be known
-	l.before, l.now = l.now, next
+	next := NewEstimator(at, m.retryWindow)
+	next.lastLost, next.rotatedAt = m.current.lastLost, m.current.rotatedAt // redials are still to be known
+	m.previous, m.current = m.current, next
 }
 
 // Estimates lists what was offered in the last whole span, or since the start
 // where none is over, and from when to when that was.
-func (l *Meter) Estimates(at time.Duration) (all []Estimate, from, to time.Duration) {
-	l.turn(at)
-	if e := l.before; e != nil {
-		return e.Estimates(l.now.from), e.from, l.now.from
+func (m *Meter) Estimates(at time.Duration) (all []Estimate, from, to time.Duration) {
+	m.rotate(at)
+	if e := m.previous; e != nil {
+		return e.Estimates(m.current.from), e.from, m.current.from
 	}
-	return l.now.Estimates(at), l.now.from, at
+	return m.current.Estimates(at), m.current.from, at
 }
 
 // Add books a try.
-func (e *Estimator) Add(t CallAttempt) {
-	k := Key{t.Source, t.Dest, t.Class}
-	s := e.sums[k]
-	if s == nil {
-		if len(e.sums) >= mostKeys {
+func (e *Estimator) Add(attempt CallAttempt) {
+	key := Key{attempt.Source, attempt.Dest, attempt.Class}
+	pairTotals := e.sums[key]
+	if pairTotals == nil {
+		if len(e.sums) >= maxKeys {
 			e.ShedAttempts++
 			return
 		}
-		s = &sum{}
-		e.sums[k] = s
+		pairTotals = &totals{}
+		e.sums[key] = pairTotals
 	}
-	e.to = max(e.to, t.Start)
-	s.tries++
-	c := caller{t.Source, t.Number}
-	if !t.MarkedRetry && !e.again(c, t.Start) {
-		s.first++
+	e.to = max(e.to, attempt.Start)
+	pairTotals.attempts++
+	c := caller{attempt.Source, attempt.Number}
+	if !attempt.MarkedRetry && !e.isRetry(c, attempt.Start) {
+		pairTotals.firstAttempts++
 	}
-	if t.Lost {
-		s.lost++
-		e.remember(c, t.Start)
+	if attempt.Lost {
+		pairTotals.lost++
+		e.rememberLost(c, attempt.Start)
 		return
 	}
-	s.stood++
-	h := t.EstablishedFor.Seconds()
-	s.held += h
-	if !t.Cut {
-		s.ended++
-		s.whole += h
-		s.squares += h * h
+	pairTotals.established++
+	seconds := attempt.EstablishedFor.Seconds()
+	pairTotals.heldSeconds += seconds
+	if !attempt.Cut {
+		pairTotals.completed++
+		pairTotals.completedSeconds += seconds
+		pairTotals.completedSquares += seconds * seconds
 	}
-	s.circuits += h * float64(max(t.Circuits, 1))
-	for _, g := range e.lost {
-		delete(g, c)
+	pairTotals.circuitSeconds += seconds * float64(max(attempt.Circuits, 1))
+	for _, generation := range e.lastLost {
+		delete(generation, c)
 	}
 }
 
-func (e *Estimator) again(c caller, at time.Duration) bool {
-	for _, g := range e.lost {
-		if was, ok := g[c]; ok && at >= was && at-was <= e.patience {
+func (e *Estimator) isRetry(c caller, at time.Duration) bool {
+	for _, generation := range e.lastLost {
+		if lostAt, ok := generation[c]; ok && at >= lostAt && at-lostAt <= e.retryWindow {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Estimator) remember(c caller, at time.Duration) {
-	full := len(e.lost[0]) >= mostNumbers
-	if full || at-e.turned > e.patience {
-		if full && at-e.turned <= e.patience {
+func (e *Estimator) rememberLost(c caller, at time.Duration) {
+	full := len(e.lastLost[0]) >= maxLostCallers
+	if full || at-e.rotatedAt > e.retryWindow {
+		if full && at-e.rotatedAt <= e.retryWindow {
 			e.EarlyRotations++
 		}
-		e.lost[1], e.lost[0], e.turned = e.lost[0], map[caller]time.Duration{}, at
+		e.lastLost[1], e.lastLost[0], e.rotatedAt = e.lastLost[0], map[caller]time.Duration{}, at
 	}
-	e.lost[0][c] = at
+	e.lastLost[0][c] = at
 }
 
 // z95 is the normal distribution's value for a two-sided interval of 95 %.
@@ -188,37 +188,37 @@
 // tries and holding times with a coefficient of variation c.
 func (e *Estimator) Estimates(until time.Duration) []Estimate {
 	span := max(until, e.to) - e.from
-	return e.over(func(int32) time.Duration { return span })
+	return e.estimates(func(int32) time.Duration { return span })
 }
 
-// over is Estimates for sources that were each watched for some time.
-func (e *Estimator) over(watched func(source int32) time.Duration) []Estimate {
-	var all []Estimate
-	for k, s := range e.sums {
-		span := watched(k.Source)
+// estimates is Estimates for sources that were each watched for some time.
+func (e *Estimator) estimates(observed func(source int32) time.Duration) []Estimate {
+	var estimates []Estimate
+	for key, totals := range e.sums {
+		span := observed(key.Source)
 		if span <= 0 {
 			continue
 		}
-		x := Estimate{Key: k, Tries: s.tries, First: s.first, Lost: s.lost, Established: s.stood, Loss: float64(s.lost) / float64(s.tries),
-			Carried: s.circuits / span.Seconds()}
-		if s.ended > 0 {
+		estimate := Estimate{Key: key, Tries: totals.attempts, First: totals.firstAttempts, Lost: totals.lost, Established: totals.established, Loss: float64(totals.lost) / float64(totals.attempts),
+			Carried: totals.circuitSeconds / span.Seconds()}
+		if totals.completed > 0 {
 			// calls that were cut would have gone on: their time counts, their ends don't (the
 			// likeliest mean of exponential times of which some were broken off)
-			mean := s.held / float64(s.ended)
-			whole := s.whole / float64(s.ended)
-			cv2 := max(s.squares/float64(s.ended)/(whole*whole)-1, 0)
-			x.Known, x.HoldingTime = mean > 0, time.Duration(mean*float64(time.Second))
-			x.Erlang = float64(s.first) * mean / span.Seconds()
-			x.AllAttemptsErlang = float64(s.tries) * mean / span.Seconds()
-			if s.first > 0 {
-				half := z95 * math.Sqrt((1+cv2)/float64(s.first))
-				x.Low, x.High = x.Erlang*max(1-half, 0), x.Erlang*(1+half)
+			mean := totals.heldSeconds / float64(totals.completed)
+			completedMean := totals.completedSeconds / float64(totals.completed)
+			cv2 := max(totals.completedSquares/float64(totals.completed)/(completedMean*completedMean)-1, 0)
+			estimate.Known, estimate.HoldingTime = mean > 0, time.Duration(mean*float64(time.Second))
+			estimate.Erlang = float64(totals.firstAttempts) * mean / span.Seconds()
+			estimate.AllAttemptsErlang = float64(totals.attempts) * mean / span.Seconds()
+			if totals.firstAttempts > 0 {
+				relativeHalfWidth := z95 * math.Sqrt((1+cv2)/float64(totals.firstAttempts))
+				estimate.Low, estimate.High = estimate.Erlang*max(1-relativeHalfWidth, 0), estimate.Erlang*(1+relativeHalfWidth)
 			}
 		}
-		all = append(all, x)
+		estimates = append(estimates, estimate)
 	}
-	slices.SortFunc(all, func(a, b Estimate) int {
+	slices.SortFunc(estimates, func(a, b Estimate) int {
 		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Class, b.Class))
 	})
-	return all
+	return estimates
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -12,10 +12,10 @@
 
 // dialling is a group with callers who dial again, played event by event.
 type event struct {
-	at     float64
-	number uint64
-	tries  int
-	ends   bool
+	at      float64
+	number  uint64
+	retries int
+	ends    bool
 }
 type events []event
 
@@ -29,17 +29,17 @@
 	return x
 }
 
-// play offers so much traffic of first tries to a group for a time; each lost
+// simulateGroup offers so much traffic of first tries to a group for a time; each lost
 // caller dials again up to most times, and marks it or not.
-func play(erlang float64, circuits, most int, marks bool, seconds float64, seed uint64, each func(CallAttempt)) {
+func simulateGroup(erlang float64, circuits, maxRetries int, markRetries bool, seconds float64, seed uint64, report func(CallAttempt)) {
 	const holding = 10.0
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	q := &events{}
-	free, n := circuits, uint64(0)
-	next := rnd.ExpFloat64() * holding / erlang
-	heap.Push(q, event{at: next, number: 1})
-	for q.Len() > 0 {
-		e := heap.Pop(q).(event)
+	random := rand.New(rand.NewPCG(seed, 7))
+	queue := &events{}
+	free, callers := circuits, uint64(0)
+	next := random.ExpFloat64() * holding / erlang
+	heap.Push(queue, event{at: next, number: 1})
+	for queue.Len() > 0 {
+		e := heap.Pop(queue).(event)
 		if e.ends {
 			free++
 			continue
@@ -47,78 +47,78 @@
 		if e.at > seconds {
 			break
 		}
-		if e.tries == 0 { // the next first try
-			n++
-			heap.Push(q, event{at: e.at + rnd.ExpFloat64()*holding/erlang, number: n + 1})
+		if e.retries == 0 { // the next first try
+			callers++
+			heap.Push(queue, event{at: e.at + random.ExpFloat64()*holding/erlang, number: callers + 1})
 		}
-		t := CallAttempt{Start: time.Duration(e.at * 1e9), Dest: 1, Number: e.number, MarkedRetry: marks && e.tries > 0, Lost: free == 0, Circuits: 1}
+		attempt := CallAttempt{Start: time.Duration(e.at * 1e9), Dest: 1, Number: e.number, MarkedRetry: markRetries && e.retries > 0, Lost: free == 0, Circuits: 1}
 		if free == 0 {
-			if e.tries < most {
-				heap.Push(q, event{at: e.at + 1 + rnd.ExpFloat64(), number: e.number, tries: e.tries + 1})
+			if e.retries < maxRetries {
+				heap.Push(queue, event{at: e.at + 1 + random.ExpFloat64(), number: e.number, retries: e.retries + 1})
 			}
 		} else {
-			h := rnd.ExpFloat64() * holding
+			held := random.ExpFloat64() * holding
 			free--
-			t.EstablishedFor = time.Duration(h * 1e9)
-			heap.Push(q, event{at: e.at + h, ends: true})
+			attempt.EstablishedFor = time.Duration(held * 1e9)
+			heap.Push(queue, event{at: e.at + held, ends: true})
 		}
-		each(t)
+		report(attempt)
 	}
 }
 
 // Callers who dial again twice: first tries are found within 3 %, where
 // counting every try is far off; marked or not.
-func TestRedialsDontInflateDemand(t *testing.T) {
-	for _, marks := range []bool{true, false} {
-		e := NewEstimator(0, 30*time.Second)
-		play(1, 1, 2, marks, 400000, 3, e.Add)
-		got := e.Estimates(400000 * time.Second)
-		if len(got) != 1 || !got[0].Known {
-			t.Fatalf("%+v", got)
+func TestRetriesAreNotDemand(t *testing.T) {
+	for _, markRetries := range []bool{true, false} {
+		estimator := NewEstimator(0, 30*time.Second)
+		simulateGroup(1, 1, 2, markRetries, 400000, 3, estimator.Add)
+		estimates := estimator.Estimates(400000 * time.Second)
+		if len(estimates) != 1 || !estimates[0].Known {
+			t.Fatalf("%+v", estimates)
 		}
-		x := got[0]
-		t.Logf("marked %v: %.4f (%.3f to %.3f), each try by itself %.3f, loss %.3f", marks, x.Erlang, x.Low, x.High, x.AllAttemptsErlang, x.Loss)
-		if math.Abs(x.Erlang-1) > 0.03 || x.Low > 1 || x.High < 1 {
-			t.Errorf("offered 1, measured %.4f (%.4f to %.4f)", x.Erlang, x.Low, x.High)
+		estimate := estimates[0]
+		t.Logf("marked %v: %.4f (%.3f to %.3f), each try by itself %.3f, loss %.3f", markRetries, estimate.Erlang, estimate.Low, estimate.High, estimate.AllAttemptsErlang, estimate.Loss)
+		if math.Abs(estimate.Erlang-1) > 0.03 || estimate.Low > 1 || estimate.High < 1 {
+			t.Errorf("offered 1, measured %.4f (%.4f to %.4f)", estimate.Erlang, estimate.Low, estimate.High)
 		}
-		if x.AllAttemptsErlang < 1.4 {
-			t.Errorf("each try by itself says %.3f", x.AllAttemptsErlang)
+		if estimate.AllAttemptsErlang < 1.4 {
+			t.Errorf("each try by itself says %.3f", estimate.AllAttemptsErlang)
 		}
 	}
 }
 
 // Known traffic without redials: the interval holds it in about 95 of 100 days,
 // and the loss is the table's.
-func TestIntervalHolds(t *testing.T) {
-	const a, n, days = 4.46, 10, 200
-	in, lost, tries := 0, 0, 0
+func TestConfidenceIntervalCoverage(t *testing.T) {
+	const traffic, circuits, days = 4.46, 10, 200
+	covered, lost, attempts := 0, 0, 0
 	for seed := range uint64(days) {
-		e := NewEstimator(0, 30*time.Second)
-		play(a, n, 0, false, 4000, 100+seed, e.Add)
-		x := e.Estimates(4000 * time.Second)[0]
-		lost, tries = lost+x.Lost, tries+x.Tries
-		if x.Low <= a && a <= x.High {
-			in++
+		estimator := NewEstimator(0, 30*time.Second)
+		simulateGroup(traffic, circuits, 0, false, 4000, 100+seed, estimator.Add)
+		estimate := estimator.Estimates(4000 * time.Second)[0]
+		lost, attempts = lost+estimate.Lost, attempts+estimate.Tries
+		if estimate.Low <= traffic && traffic <= estimate.High {
+			covered++
 		}
 	}
-	if in < days*90/100 || in == days {
-		t.Errorf("%d of %d intervals hold the traffic", in, days)
+	if covered < days*90/100 || covered == days {
+		t.Errorf("%d of %d intervals hold the traffic", covered, days)
 	}
-	want, err := loss.ErlangB(a, n)
-	if got := float64(lost) / float64(tries); err != nil || math.Abs(got-want) > 0.002 {
+	want, err := loss.ErlangB(traffic, circuits)
+	if got := float64(lost) / float64(attempts); err != nil || math.Abs(got-want) > 0.002 {
 		t.Errorf("loss %.4f, by the formula %.4f", got, want)
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	e := NewEstimator(0, time.Hour)
-	for i := range uint64(5 * mostNumbers) {
-		e.Add(CallAttempt{Start: time.Duration(i) * time.Millisecond, Number: i, Lost: true})
+	estimator := NewEstimator(0, time.Hour)
+	for i := range uint64(5 * maxLostCallers) {
+		estimator.Add(CallAttempt{Start: time.Duration(i) * time.Millisecond, Number: i, Lost: true})
 	}
-	if n := len(e.lost[0]) + len(e.lost[1]); n > 2*mostNumbers || e.EarlyRotations == 0 {
-		t.Errorf("%d numbers are kept, %d generations turned early", n, e.EarlyRotations)
+	if n := len(estimator.lastLost[0]) + len(estimator.lastLost[1]); n > 2*maxLostCallers || estimator.EarlyRotations == 0 {
+		t.Errorf("%d numbers are kept, %d generations turned early", n, estimator.EarlyRotations)
 	}
-	if x := e.Estimates(time.Hour)[0]; x.Known || x.Loss != 1 {
+	if x := estimator.Estimates(time.Hour)[0]; x.Known || x.Loss != 1 {
 		t.Errorf("traffic of calls that never stood: %+v", x)
 	}
 	if got := NewEstimator(0, time.Second).Estimates(0); got != nil {
--- a/internal/network/group.go
+++ b/internal/network/group.go
@@ -8,148 +8,153 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// side is one end's traffic on a group, by class, in calls at the same time.
-type side struct {
-	direct  []float64
-	transit []float64   // offered to the group: of its own callers turned this way, and passing through
-	waits   []float64   // of direct: the share that waits here when the group has no room, for want of a tandem
-	reserve []float64   // owed to its direct calls: values that are equally likely
-	dear    [][]float64 // by class: owed to those worth far more, in the same way; nil: none
+// sideTraffic is the traffic that one side offers to a group, by class, in erlang
+// of calls.
+type sideTraffic struct {
+	direct      []float64
+	transit     []float64   // alternative calls of the side's own callers, and calls in transit
+	waitShare   []float64   // share of direct calls that wait for this group when it is full because no tandem is available
+	reservation []float64   // circuits reserved for direct calls, as equally likely values
+	highValue   [][]float64 // by class: circuits reserved for classes of much higher value, likewise; nil: none
 }
 
-// state is what is known of a group.
-type state struct {
-	full    [2][]float64 // by side and class: share of the time without room for a direct call
-	shut    [2][]float64 // the same for transit
-	left    []float64    // by class: share of those waiting that leave without a circuit
-	free    [2][]float64 // by side: probability that so many circuits are free beyond what is owed
-	share   [2][]float64 // by side and class: part of the carried circuits that is direct
-	busy    float64      // share of the time without a free circuit
-	carried float64
-	transit float64
-	entry   float64 // per second: the group becomes full, but for the base reserve
+// groupState is the computed state of a group.
+type groupState struct {
+	directBlocking  [2][]float64 // by side and class: share of the time in which a direct call is blocked
+	transitBlocking [2][]float64 // likewise for transit and alternative calls
+	abandoned       []float64    // by class: share of waiting calls that are abandoned without a circuit
+	freeProbability [2][]float64 // by side: distribution of the number of circuits that are free and not reserved
+	directShare     [2][]float64 // by side and class: share of the carried circuits that direct calls hold
+	timeCongestion  float64      // share of the time without a free circuit
+	carried         float64
+	transit         float64
+	fullRate        float64 // per second: how often the group becomes full except for the base reservation
 }
 
-// enoughRun are, by circuits taken, the probabilities that at least so many of
-// them are calls of one kind, each with the same chance and by itself.
-type enoughRun struct {
-	share float64
-	rows  map[int][]float64
+// binomialTails caches, by number of circuits taken, the probabilities that at
+// least a given number of them belong to calls of one kind, independently and
+// with equal probability.
+type binomialTails struct {
+	probability float64
+	byTaken     map[int][]float64
 }
 
-// atLeast is the probability that k of n taken circuits are of the kind.
-func (b *enoughRun) atLeast(n, k int) float64 {
+// atLeast returns the probability that at least count of the taken circuits
+// belong to calls of the kind.
+func (b *binomialTails) atLeast(taken, count int) float64 {
 	switch {
-	case k <= 0:
+	case count <= 0:
 		return 1
-	case k > n || b.share <= 0:
+	case count > taken || b.probability <= 0:
 		return 0
-	case b.share >= 1:
+	case b.probability >= 1:
 		return 1
 	}
-	row := b.rows[n]
-	if row == nil {
-		row = make([]float64, n+2)
-		p := math.Exp(float64(n) * math.Log1p(-b.share))
+	tail := b.byTaken[taken]
+	if tail == nil {
+		tail = make([]float64, taken+2)
+		p := math.Exp(float64(taken) * math.Log1p(-b.probability))
 		if p > 0 {
-			odds := b.share / (1 - b.share)
+			odds := b.probability / (1 - b.probability)
 			cdf := 0.0
-			for i := 0; i <= n; i++ {
-				row[i] = max(1-cdf, 0)
+			for i := 0; i <= taken; i++ {
+				tail[i] = max(1-cdf, 0)
 				cdf += p
-				p *= odds * float64(n-i) / float64(i+1)
+				p *= odds * float64(taken-i) / float64(i+1)
 			}
-		} else { // too many to begin at none
-			bin := distuv.Binomial{N: float64(n), P: b.share}
-			for i := 1; i <= n; i++ {
-				row[i] = 1 - bin.CDF(float64(i-1))
+		} else { // the probability of none underflows
+			distribution := distuv.Binomial{N: float64(taken), P: b.probability}
+			for i := 1; i <= taken; i++ {
+				tail[i] = 1 - distribution.CDF(float64(i-1))
 			}
-			row[0] = 1
+			tail[0] = 1
 		}
-		b.rows[n] = row
+		b.byTaken[taken] = tail
 	}
-	return row[k]
+	return tail[count]
 }
 
-// admit is the probability that a call is let in when it would leave so many
-// circuits spare of n taken now: at least as many calls of those that are owed
-// run as the reserve asks beyond the spare ones. A reserve between two whole
-// numbers lies between their values, so that the fixed point moves smoothly.
-func (b *enoughRun) admit(n, spare int, reserve []float64) float64 {
+// admissionProbability returns the probability that a call is admitted when taken
+// circuits are taken and the call would leave spare circuits free: the protected
+// calls must hold at least the part of the reservation that the spare circuits do
+// not cover. A fractional reservation interpolates between the two integers, so
+// that the fixed point moves smoothly.
+func (b *binomialTails) admissionProbability(taken, spare int, reservations []float64) float64 {
 	if spare < 0 {
 		return 0
 	}
-	if len(reserve) == 0 {
+	if len(reservations) == 0 {
 		return 1
 	}
 	sum := 0.0
-	for _, r := range reserve {
-		low := math.Floor(r)
-		part := r - low
-		sum += (1 - part) * b.atLeast(n, int(low)-spare)
-		if part > 0 {
-			sum += part * b.atLeast(n, int(low)+1-spare)
+	for _, reservation := range reservations {
+		low := math.Floor(reservation)
+		fraction := reservation - low
+		sum += (1 - fraction) * b.atLeast(taken, int(low)-spare)
+		if fraction > 0 {
+			sum += fraction * b.atLeast(taken, int(low)+1-spare)
 		}
 	}
-	return sum / float64(len(reserve))
+	return sum / float64(len(reservations))
 }
 
-func most(all []float64) float64 {
-	if len(all) == 0 {
+func maxOrZero(values []float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	return slices.Max(all)
+	return slices.Max(values)
 }
 
-// solveGroup works a group out: the recursion of Kaufman and Roberts over the
-// circuits taken, calls for which a reserve is kept let in by chance that
-// depends on the state, and behind the full group a queue of calls that wait and
-// leave (Erlang's formula with impatience, after C. Palm; exact for calls of one
-// circuit and length), the dearest served first. share is each side's part of
-// the carried circuits by class, as last known.
-func solveGroup(circuits int, classes []Class, sides *[2]side, share [2][]float64, wait float64) state {
-	k := len(classes)
-	s := state{left: make([]float64, k), share: share}
+// solveGroup computes the state of one group by the recursion of Kaufman and
+// Roberts over the circuits taken. Calls subject to trunk reservation are admitted
+// with a probability that depends on the state. Behind the full group, calls wait
+// in order of decreasing worth and are abandoned (Erlang's formula with impatience,
+// after C. Palm; exact for calls of one circuit and equal holding times).
+// directShare is each side's share of the carried circuits by class, from the
+// previous iteration.
+func solveGroup(circuits int, classes []Class, sides *[2]sideTraffic, directShare [2][]float64, meanWait float64) groupState {
+	classCount := len(classes)
+	result := groupState{abandoned: make([]float64, classCount), directShare: directShare}
 	for e := range sides {
-		s.full[e], s.shut[e] = make([]float64, k), make([]float64, k)
-		s.free[e] = make([]float64, circuits+1)
+		result.directBlocking[e], result.transitBlocking[e] = make([]float64, classCount), make([]float64, classCount)
+		result.freeProbability[e] = make([]float64, circuits+1)
 	}
-	// let in by circuits taken, by side and class; 1 but near the full group
-	direct, transit := make([][2][]float64, k), make([][2][]float64, k)
+	// Admission probabilities by class, side and circuits taken; 1 except near the full group.
+	direct, transit := make([][2][]float64, classCount), make([][2][]float64, classCount)
 	for e := range sides {
-		own := &enoughRun{rows: map[int][]float64{}}
-		for _, p := range share[e] {
-			own.share += p
+		ownCalls := &binomialTails{byTaken: map[int][]float64{}}
+		for _, p := range directShare[e] {
+			ownCalls.probability += p
 		}
-		own.share = min(own.share, 1)
+		ownCalls.probability = min(ownCalls.probability, 1)
 		for c, cl := range classes {
-			dears := &enoughRun{rows: map[int][]float64{}}
+			highValueCalls := &binomialTails{byTaken: map[int][]float64{}}
 			for d := range classes {
-				if dearer(classes, d, c) {
-					dears.share += share[e][d]
+				if muchHigherValue(classes, d, c) {
+					highValueCalls.probability += directShare[e][d]
 				}
 			}
-			var dear []float64
-			if sides[e].dear != nil {
-				dear = sides[e].dear[c]
+			var highValueReservation []float64
+			if sides[e].highValue != nil {
+				highValueReservation = sides[e].highValue[c]
 			}
-			reach := circuits - cl.Circuits - int(math.Ceil(max(most(dear), most(sides[e].reserve))))
+			maxUnrestricted := circuits - cl.Circuits - int(math.Ceil(max(maxOrZero(highValueReservation), maxOrZero(sides[e].reservation))))
 			d, t := make([]float64, circuits+1), make([]float64, circuits+1)
 			for n := range d {
 				spare := circuits - n - cl.Circuits
-				if n <= reach {
+				if n <= maxUnrestricted {
 					d[n], t[n] = 1, 1
 					continue
 				}
-				d[n] = dears.admit(n, spare, dear)
-				t[n] = min(d[n], own.admit(n, spare, sides[e].reserve))
+				d[n] = highValueCalls.admissionProbability(n, spare, highValueReservation)
+				t[n] = min(d[n], ownCalls.admissionProbability(n, spare, sides[e].reservation))
 			}
 			direct[c][e], transit[c][e] = d, t
 		}
 	}
-	q := make([]float64, circuits+1)
-	q[0] = 1
-	sum := 1.0
+	weights := make([]float64, circuits+1)
+	weights[0] = 1
+	totalWeight := 1.0
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
 		for c, cl := range classes {
@@ -158,157 +163,159 @@
 				continue
 			}
 			for e := range sides {
-				w := float64(cl.Circuits) * q[from]
+				w := float64(cl.Circuits) * weights[from]
 				total += w * (sides[e].direct[c]*direct[c][e][from] + sides[e].transit[c]*transit[c][e][from])
 			}
 		}
-		q[n] = total / float64(n)
-		sum += q[n]
-		if sum > 1e250 {
-			for i := range q[:n+1] {
-				q[i] /= sum
+		weights[n] = total / float64(n)
+		totalWeight += weights[n]
+		if totalWeight > 1e250 {
+			for i := range weights[:n+1] {
+				weights[i] /= totalWeight
 			}
-			sum = 1
+			totalWeight = 1
 		}
 	}
-	ends, all := 0.0, 0.0
+	releaseRate, offered := 0.0, 0.0
 	for c, cl := range classes {
 		for e := range sides {
-			a := (sides[e].direct[c] + sides[e].transit[c]) * float64(cl.Circuits)
-			ends += a / cl.HoldingTime
-			all += a
+			circuitsOffered := (sides[e].direct[c] + sides[e].transit[c]) * float64(cl.Circuits)
+			releaseRate += circuitsOffered / cl.HoldingTime
+			offered += circuitsOffered
 		}
 	}
-	queue := 0.0
-	if all > 0 {
-		queue = s.wait(q, classes, sides, ends/all, wait)
+	queueWeight := 0.0
+	if offered > 0 {
+		queueWeight = result.solveQueue(weights, classes, sides, releaseRate/offered, meanWait)
 	} else {
-		for c := range s.left {
-			s.left[c] = 1
+		for c := range result.abandoned {
+			result.abandoned[c] = 1
 		}
 	}
-	sum += queue
-	for i := range q {
-		q[i] /= sum
+	totalWeight += queueWeight
+	for i := range weights {
+		weights[i] /= totalWeight
 	}
-	queue /= sum
-	for n := range q {
-		p := q[n]
-		if n == circuits { // with those who wait behind it
-			p += queue
-			s.busy = p
+	queueWeight /= totalWeight
+	for n := range weights {
+		p := weights[n]
+		if n == circuits { // including the states with a queue
+			p += queueWeight
+			result.timeCongestion = p
 		}
-		s.carried += p * float64(n)
+		result.carried += p * float64(n)
 		for c := range classes {
 			for e := range sides {
-				s.full[e][c] += p * (1 - direct[c][e][n])
-				s.shut[e][c] += p * (1 - transit[c][e][n])
+				result.directBlocking[e][c] += p * (1 - direct[c][e][n])
+				result.transitBlocking[e][c] += p * (1 - transit[c][e][n])
 			}
 		}
 	}
-	s.settle(circuits, classes, sides)
+	result.divideCarried(circuits, classes, sides)
 	for e := range sides {
-		owed := 0.0 // on average, less what runs
-		for _, r := range sides[e].reserve {
-			owed += r / float64(len(sides[e].reserve))
+		meanReservation := 0.0 // mean over the equally likely values
+		for _, r := range sides[e].reservation {
+			meanReservation += r / float64(len(sides[e].reservation))
 		}
 		own := 0.0
-		for _, p := range s.share[e] {
+		for _, p := range result.directShare[e] {
 			own += p
 		}
-		for n := range q {
-			p := q[n]
+		for n := range weights {
+			p := weights[n]
 			if n == circuits {
-				p += queue
+				p += queueWeight
 			}
-			beyond := max(float64(circuits-n)-max(owed-own*float64(n), 0), 0)
-			f := int(beyond)
-			part := beyond - float64(f) // between two whole numbers: in parts to both
-			s.free[e][f] += p * (1 - part)
-			s.free[e][min(f+1, circuits)] += p * part
+			unreserved := max(float64(circuits-n)-max(meanReservation-own*float64(n), 0), 0)
+			whole := int(unreserved)
+			fraction := unreserved - float64(whole) // a fractional number is split between both neighbours
+			result.freeProbability[e][whole] += p * (1 - fraction)
+			result.freeProbability[e][min(whole+1, circuits)] += p * fraction
 		}
 	}
-	if last := circuits - 2; last >= 0 {
-		s.entry = q[last] * ends
+	if nearlyFull := circuits - 2; nearlyFull >= 0 {
+		result.fullRate = weights[nearlyFull] * releaseRate
 	}
-	return s
+	return result
 }
 
-// wait works out who waits behind the full group and leaves; it returns the
-// weight of the states with a queue, not normed. A class meets in the queue what
-// is as dear as itself or dearer.
-func (s *state) wait(q []float64, classes []Class, sides *[2]side, each, wait float64) float64 {
-	circuits := len(q) - 1
+// solveQueue computes the share of waiting calls of each class that are abandoned.
+// It returns the weight of the states with a queue, not normalized. Calls of a
+// class wait behind calls of the same or higher worth.
+func (s *groupState) solveQueue(weights []float64, classes []Class, sides *[2]sideTraffic, releasePerCircuit, meanWait float64) float64 {
+	circuits := len(weights) - 1
 	order := make([]int, len(classes))
 	for c := range order {
 		order[c] = c
-		s.left[c] = 1
+		s.abandoned[c] = 1
 	}
-	if wait <= 0 || circuits == 0 {
+	if meanWait <= 0 || circuits == 0 {
 		return 0
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(classes[b].Worth, classes[a].Worth) })
-	free := float64(circuits) * each // circuits that become free in a second
-	arrive, before, queue := 0.0, 0.0, 0.0
+	releaseRate := float64(circuits) * releasePerCircuit // circuits released per second
+	arrivalRate, previousAbandonRate, queueWeight := 0.0, 0.0, 0.0
 	for i := 0; i < len(order); {
-		j, more := i, 0.0
+		j, classRate := i, 0.0
 		for ; j < len(order) && classes[order[j]].Worth == classes[order[i]].Worth; j++ {
 			c := order[j]
 			for e := range sides {
-				more += sides[e].direct[c] * sides[e].waits[c] / classes[c].HoldingTime
+				classRate += sides[e].direct[c] * sides[e].waitShare[c] / classes[c].HoldingTime
 			}
 		}
-		arrive += more
-		x, waiting := q[circuits], 0.0
-		queue = 0
-		for n := 1; n <= 10000 && arrive > 0; n++ {
-			x *= arrive / (free + float64(n)/wait)
-			queue += x
-			waiting += x * float64(n)
-			if x < 1e-14*(q[circuits]+queue) {
+		arrivalRate += classRate
+		weight, weightedQueue := weights[circuits], 0.0
+		queueWeight = 0
+		for n := 1; n <= 10000 && arrivalRate > 0; n++ {
+			weight *= arrivalRate / (releaseRate + float64(n)/meanWait)
+			queueWeight += weight
+			weightedQueue += weight * float64(n)
+			if weight < 1e-14*(weights[circuits]+queueWeight) {
 				break
 			}
 		}
-		leaves := waiting / wait
+		abandonRate := weightedQueue / meanWait
 		for ; i < j; i++ {
-			if asked := more * (q[circuits] + queue); asked > 0 {
-				s.left[order[i]] = min(max(leaves-before, 0)/asked, 1)
+			if waitingArrivals := classRate * (weights[circuits] + queueWeight); waitingArrivals > 0 {
+				s.abandoned[order[i]] = min(max(abandonRate-previousAbandonRate, 0)/waitingArrivals, 1)
 			}
 		}
-		before = leaves
+		previousAbandonRate = abandonRate
 	}
-	return queue
+	return queueWeight
 }
 
-// settle works out whose the carried circuits are.
-func (s *state) settle(circuits int, classes []Class, sides *[2]side) {
+// divideCarried divides the carried circuits between transit and the direct calls
+// of each side and class.
+func (s *groupState) divideCarried(circuits int, classes []Class, sides *[2]sideTraffic) {
 	var direct [2][]float64
-	all, transit := 0.0, 0.0
+	carriedTotal, transit := 0.0, 0.0
 	for e := range sides {
 		direct[e] = make([]float64, len(classes))
 		for c, cl := range classes {
-			w := float64(cl.Circuits)
-			d := sides[e].direct[c] * (1 - s.full[e][c] + s.full[e][c]*sides[e].waits[c]*(1-s.left[c]))
-			direct[e][c] = w * d
-			transit += w * sides[e].transit[c] * (1 - s.shut[e][c])
-			all += w * d
+			width := float64(cl.Circuits)
+			carriedCalls := sides[e].direct[c] * (1 - s.directBlocking[e][c] + s.directBlocking[e][c]*sides[e].waitShare[c]*(1-s.abandoned[c]))
+			direct[e][c] = width * carriedCalls
+			transit += width * sides[e].transit[c] * (1 - s.transitBlocking[e][c])
+			carriedTotal += width * carriedCalls
 		}
 	}
-	all += transit
-	if s.carried <= 0 || all <= 0 || circuits == 0 {
+	carriedTotal += transit
+	if s.carried <= 0 || carriedTotal <= 0 || circuits == 0 {
 		return
 	}
-	s.transit = s.carried * transit / all
+	s.transit = s.carried * transit / carriedTotal
 	for e := range direct {
 		for c := range direct[e] {
-			direct[e][c] /= all
+			direct[e][c] /= carriedTotal
 		}
 	}
-	s.share = direct
+	s.directShare = direct
 }
 
-// dearer tells whether class d is worth far more by the circuit and second than c.
-func dearer(classes []Class, d, c int) bool {
+// muchHigherValue reports whether class higher is worth more than highValueRatio
+// times class lower per circuit-second.
+func muchHigherValue(classes []Class, higher, lower int) bool {
 	value := func(x Class) float64 { return x.Worth / (float64(x.Circuits) * x.HoldingTime) }
-	return value(classes[d]) > dearFactor*value(classes[c])
+	return value(classes[higher]) > highValueRatio*value(classes[lower])
 }
--- a/internal/network/solve.go
+++ b/internal/network/solve.go
@@ -9,429 +9,438 @@
 
 // Limits of the iteration.
 const (
-	mostSteps = 1500
-	enough    = 1e-7 // change of a probability in a step
-	apart     = 1e-3 // two solutions differ by so much in a class's loss
+	maxIterations        = 1500
+	convergenceTolerance = 1e-7 // maximum change of a probability in one iteration
+	bistableTolerance    = 1e-3 // difference of a class's loss above which two solutions are distinct
 )
 
-// start is the state of mind with which the iteration begins.
-type start uint8
+// startState is the state of the network with which the iteration starts.
+type startState uint8
 
 const (
-	empty start = iota // no group is ever full
-	full               // half of the calls are turned elsewhere, and let in there
+	emptyNetwork startState = iota // all groups are free
+	fullNetwork                    // half of the direct calls are blocked and admitted on alternative routes
 )
 
-// Solve finds the fixed point from an empty and from a full network. A network
-// whose alternative calls crowd out direct ones can have two; which it is in
-// then depends on what happened to it.
+// Solve computes the fixed points reached from an empty and from a full network.
+// A network whose alternative calls displace direct calls can have two; its
+// history then determines which one it is in.
 func Solve(m *Mesh) (*Result, error) {
 	if err := m.Validate(); err != nil {
 		return nil, fmt.Errorf("solving a network: %w", err)
 	}
-	low, high := newWork(m, empty).run(), newWork(m, full).run()
-	a := &Result{Solution: low, FromFull: high}
+	fromEmpty, fromFull := newSolver(m, emptyNetwork).run(), newSolver(m, fullNetwork).run()
+	result := &Result{Solution: fromEmpty, FromFull: fromFull}
 	for c := range m.Classes {
-		if math.Abs(low.LossByClass[c]-high.LossByClass[c]) > apart {
-			a.Bistable = true
+		if math.Abs(fromEmpty.LossByClass[c]-fromFull.LossByClass[c]) > bistableTolerance {
+			result.Bistable = true
 		}
 	}
-	return a, nil
+	return result, nil
 }
 
-// SolveFrom finds the fixed point from an empty network only, or from a full one.
+// SolveFrom computes only the fixed point reached from an empty network, or from
+// a full one.
 func SolveFrom(m *Mesh, fromFull bool) (*Solution, error) {
 	if err := m.Validate(); err != nil {
 		return nil, fmt.Errorf("solving a network: %w", err)
 	}
-	s := empty
+	start := emptyNetwork
 	if fromFull {
-		s = full
+		start = fullNetwork
 	}
-	return newWork(m, s).run(), nil
+	return newSolver(m, start).run(), nil
 }
 
-// link is a group with its two ends, lower number first.
-type link struct {
-	a, b     int
-	circuits int
-	sides    [2]side
-	state    state
-	late     float64 // share of the time in which it counts as full of late
-	mean     [2]float64
-	asked    [2][]float64 // by end: what the meter tells of a direct demand of that mean
+// trunkGroup is a group between exchanges a and b, with a < b.
+type trunkGroup struct {
+	a, b            int
+	circuits        int
+	sides           [2]sideTraffic
+	state           groupState
+	recentlyFull    float64 // share of the time in which the group counts as recently full
+	meanDirect      [2]float64
+	demandQuantiles [2][]float64 // by side: quantiles of the measured demand with the mean meanDirect
 }
 
-// work is an iteration under way.
-type work struct {
-	m     *Mesh
-	n, k  int
-	links []link
-	at    [][]int // index of a pair's link; -1 without a group
+// solver holds the state of an iteration.
+type solver struct {
+	mesh               *Mesh
+	exchanges, classes int
+	groups             []trunkGroup
+	groupIndex         [][]int // by pair, into groups; -1: no group
 
-	turned []float64 // by processors
-	use    []float64
-	demand []float64 // work a second, in set-ups, in this step
-	// by exchange and tandem: the chance that it is the one with most room
-	pick [][]float64
-	// by exchange and class: the chance that no tandem has room on the first leg, in logarithm, all counted
-	none [][]float64
+	rejected        []float64 // share of set-ups that each processor rejects
+	utilization     []float64
+	processorDemand []float64 // in set-ups per second, in this iteration
+	// by exchange and tandem: probability that the group to it has the most free circuits
+	tandemShare [][]float64
+	// by exchange and class: logarithm of the probability that all first legs are blocked
+	logAllBlocked [][]float64
 
-	over [][][]float64 // share over a tandem
-	lost [][][]float64
+	overTandem [][][]float64 // share of calls set up over a tandem
+	lost       [][][]float64
 }
 
-func cube(n, k int) [][][]float64 {
-	x := make([][][]float64, n)
-	for i := range x {
-		x[i] = make([][]float64, n)
-		for j := range x[i] {
-			x[i][j] = make([]float64, k)
+func newPairValues(exchanges, classes int) [][][]float64 {
+	values := make([][][]float64, exchanges)
+	for i := range values {
+		values[i] = make([][]float64, exchanges)
+		for j := range values[i] {
+			values[i][j] = make([]float64, classes)
 		}
 	}
-	return x
+	return values
 }
 
-func newWork(m *Mesh, s start) *work {
-	n, k := len(m.Circuits), len(m.Classes)
-	w := &work{m: m, n: n, k: k, turned: make([]float64, n), use: make([]float64, n), demand: make([]float64, n),
-		over: cube(n, k), lost: cube(n, k)}
-	for i := range n {
-		w.at = append(w.at, make([]int, n))
-		w.pick = append(w.pick, make([]float64, n))
-		w.none = append(w.none, make([]float64, k))
-		for j := range n {
-			w.at[i][j] = -1
+func newSolver(m *Mesh, start startState) *solver {
+	exchanges, classes := len(m.Circuits), len(m.Classes)
+	s := &solver{mesh: m, exchanges: exchanges, classes: classes, rejected: make([]float64, exchanges), utilization: make([]float64, exchanges), processorDemand: make([]float64, exchanges),
+		overTandem: newPairValues(exchanges, classes), lost: newPairValues(exchanges, classes)}
+	for i := range exchanges {
+		s.groupIndex = append(s.groupIndex, make([]int, exchanges))
+		s.tandemShare = append(s.tandemShare, make([]float64, exchanges))
+		s.logAllBlocked = append(s.logAllBlocked, make([]float64, classes))
+		for j := range exchanges {
+			s.groupIndex[i][j] = -1
 		}
 	}
-	for i := range n {
-		for j := i + 1; j < n; j++ {
-			c := m.Circuits[i][j]
-			if c == 0 {
+	for i := range exchanges {
+		for j := i + 1; j < exchanges; j++ {
+			circuits := m.Circuits[i][j]
+			if circuits == 0 {
 				continue
 			}
-			l := link{a: i, b: j, circuits: c}
-			l.state.left = make([]float64, k)
+			group := trunkGroup{a: i, b: j, circuits: circuits}
+			group.state.abandoned = make([]float64, classes)
 			for e := range 2 {
-				l.sides[e] = side{direct: make([]float64, k), transit: make([]float64, k), waits: make([]float64, k)}
-				l.state.full[e], l.state.shut[e], l.state.share[e] = make([]float64, k), make([]float64, k), make([]float64, k)
-				l.state.free[e] = make([]float64, c+1)
-				l.state.free[e][c] = 1
+				group.sides[e] = sideTraffic{direct: make([]float64, classes), transit: make([]float64, classes), waitShare: make([]float64, classes)}
+				group.state.directBlocking[e], group.state.transitBlocking[e], group.state.directShare[e] = make([]float64, classes), make([]float64, classes), make([]float64, classes)
+				group.state.freeProbability[e] = make([]float64, circuits+1)
+				group.state.freeProbability[e][circuits] = 1
 			}
-			for x := range k {
-				l.state.left[x] = 1
+			for class := range classes {
+				group.state.abandoned[class] = 1
 				for e := range 2 {
-					l.state.share[e][x] = 0.5 / float64(k)
-					if s == full {
-						l.state.full[e][x] = 0.5
+					group.state.directShare[e][class] = 0.5 / float64(classes)
+					if start == fullNetwork {
+						group.state.directBlocking[e][class] = 0.5
 					}
 				}
 			}
-			w.at[i][j], w.at[j][i] = len(w.links), len(w.links)
-			w.links = append(w.links, l)
+			s.groupIndex[i][j], s.groupIndex[j][i] = len(s.groups), len(s.groups)
+			s.groups = append(s.groups, group)
 		}
 	}
-	return w
+	return s
 }
 
-// end is which side of a link an exchange is.
-func (l *link) end(i int) int {
-	if i == l.a {
+// endOf returns the side of the group that an exchange is on.
+func (g *trunkGroup) endOf(exchange int) int {
+	if exchange == g.a {
 		return 0
 	}
 	return 1
 }
 
-func (w *work) shut(i, j, c int) float64 {
-	x := w.at[i][j]
-	if x < 0 {
+func (s *solver) transitBlocking(from, to, class int) float64 {
+	index := s.groupIndex[from][to]
+	if index < 0 {
 		return 1
 	}
-	l := &w.links[x]
-	return l.state.shut[l.end(i)][c]
+	group := &s.groups[index]
+	return group.state.transitBlocking[group.endOf(from)][class]
 }
 
-// choose works out which tandem has most room, for every exchange: the group
-// states are taken to be independent, ties go to each in equal parts.
-func (w *work) choose() {
-	for i := range w.n {
-		most := 0
-		for j := range w.n {
-			if x := w.at[i][j]; x >= 0 {
-				most = max(most, w.links[x].circuits)
+// selectTandems computes, for each exchange, the probability that a tandem has the
+// most free circuits. Group states are assumed to be independent; ties are divided
+// equally.
+func (s *solver) selectTandems() {
+	for i := range s.exchanges {
+		maxCircuits := 0
+		for j := range s.exchanges {
+			if x := s.groupIndex[i][j]; x >= 0 {
+				maxCircuits = max(maxCircuits, s.groups[x].circuits)
 			}
 		}
-		// cdf[j][f]: at most f free on the way to j; its product over all j is that of the most
-		below := make([]float64, w.n) // cdf up to f-1
-		for j := range w.pick[i] {
-			w.pick[i][j] = 0
+		// The product over all j of the probabilities that at most f circuits are free
+		// towards j is the distribution of the maximum.
+		below := make([]float64, s.exchanges) // probability of fewer than free circuits, by tandem
+		for j := range s.tandemShare[i] {
+			s.tandemShare[i][j] = 0
 		}
-		for f := 1; f <= most; f++ {
-			// chance that all have at most f, in logarithm, and each one's own part of it
-			all, none := 0.0, 0
-			here := make([]float64, w.n)
-			for j := range w.n {
-				x := w.at[i][j]
+		for free := 1; free <= maxCircuits; free++ {
+			// Logarithm of the probability that all have at most free circuits, and the
+			// probability of exactly free circuits for each.
+			logProduct, impossible := 0.0, 0
+			exactly := make([]float64, s.exchanges)
+			for j := range s.exchanges {
+				x := s.groupIndex[i][j]
 				if x < 0 {
 					continue
 				}
-				l := &w.links[x]
-				if f == 1 {
-					below[j] = l.state.free[l.end(i)][0]
+				group := &s.groups[x]
+				if free == 1 {
+					below[j] = group.state.freeProbability[group.endOf(i)][0]
 				}
-				if f <= l.circuits {
-					here[j] = l.state.free[l.end(i)][f]
+				if free <= group.circuits {
+					exactly[j] = group.state.freeProbability[group.endOf(i)][free]
 				}
-				if c := below[j] + here[j]; c > 0 {
-					all += math.Log(c)
+				if atMost := below[j] + exactly[j]; atMost > 0 {
+					logProduct += math.Log(atMost)
 				} else {
-					none++
+					impossible++
 				}
 			}
-			if none == 0 {
-				top := math.Exp(all) // all at most f
-				under := 1.0         // all below f
-				parts := 0.0
-				for j := range w.n {
-					if w.at[i][j] >= 0 {
-						under *= below[j] / (below[j] + here[j])
-						parts += here[j] / (below[j] + here[j])
+			if impossible == 0 {
+				allAtMost := math.Exp(logProduct) // probability that all have at most free circuits
+				allBelow := 1.0                   // that all have fewer, given at most
+				sumOfShares := 0.0
+				for j := range s.exchanges {
+					if s.groupIndex[i][j] >= 0 {
+						allBelow *= below[j] / (below[j] + exactly[j])
+						sumOfShares += exactly[j] / (below[j] + exactly[j])
 					}
 				}
-				if parts > 0 {
-					for j := range w.n {
-						if w.at[i][j] >= 0 {
-							w.pick[i][j] += top * (1 - under) * here[j] / (below[j] + here[j]) / parts
+				if sumOfShares > 0 {
+					for j := range s.exchanges {
+						if s.groupIndex[i][j] >= 0 {
+							s.tandemShare[i][j] += allAtMost * (1 - allBelow) * exactly[j] / (below[j] + exactly[j]) / sumOfShares
 						}
 					}
 				}
 			}
-			for j := range w.n {
-				below[j] += here[j]
+			for j := range s.exchanges {
+				below[j] += exactly[j]
 			}
 		}
-		for c := range w.k {
-			w.none[i][c] = 0
-			for j := range w.n {
-				if s := w.shut(i, j, c); w.at[i][j] >= 0 {
-					w.none[i][c] += math.Log(max(s, 1e-300))
+		for c := range s.classes {
+			s.logAllBlocked[i][c] = 0
+			for j := range s.exchanges {
+				if blocking := s.transitBlocking(i, j, c); s.groupIndex[i][j] >= 0 {
+					s.logAllBlocked[i][c] += math.Log(max(blocking, 1e-300))
 				}
 			}
 		}
 	}
 }
 
-// step lets the traffic flow through the network as it was last known, and
-// works every group and processor out anew; it returns the greatest change.
-func (w *work) step(damp float64) float64 {
-	m := w.m
-	for x := range w.links {
+// iterate routes the traffic according to the previous state, recomputes every
+// group and processor, and returns the maximum change of a probability.
+func (s *solver) iterate(damping float64) float64 {
+	m := s.mesh
+	for x := range s.groups {
 		for e := range 2 {
-			s := &w.links[x].sides[e]
-			clear(s.direct)
-			clear(s.transit)
-			clear(s.waits)
+			traffic := &s.groups[x].sides[e]
+			clear(traffic.direct)
+			clear(traffic.transit)
+			clear(traffic.waitShare)
 		}
 	}
-	clear(w.demand)
+	clear(s.processorDemand)
 	if m.MaxTandems > 0 {
-		w.choose()
+		s.selectTandems()
 	}
-	for i := range w.n {
-		for j := range w.n {
-			for c := range w.k {
+	for i := range s.exchanges {
+		for j := range s.exchanges {
+			for c := range s.classes {
 				if i != j && m.Offered[i][j][c] > 0 {
-					w.flow(i, j, c)
+					s.routeTraffic(i, j, c)
 				}
 			}
 		}
 	}
-	w.reserves()
+	s.updateReservations()
 	change := 0.0
-	mix := func(old, now float64) float64 {
-		change = max(change, math.Abs(now-old))
-		return old + damp*(now-old)
-	}
-	for x := range w.links {
-		l := &w.links[x]
-		now := solveGroup(l.circuits, m.Classes, &l.sides, l.state.share, m.MeanWait)
-		for c := range w.k {
-			now.left[c] = mix(l.state.left[c], now.left[c])
+	dampedUpdate := func(old, next float64) float64 {
+		change = max(change, math.Abs(next-old))
+		return old + damping*(next-old)
+	}
+	for x := range s.groups {
+		group := &s.groups[x]
+		now := solveGroup(group.circuits, m.Classes, &group.sides, group.state.directShare, m.MeanWait)
+		for c := range s.classes {
+			now.abandoned[c] = dampedUpdate(group.state.abandoned[c], now.abandoned[c])
 			for e := range 2 {
-				now.full[e][c] = mix(l.state.full[e][c], now.full[e][c])
-				now.shut[e][c] = mix(l.state.shut[e][c], now.shut[e][c])
-				now.share[e][c] = mix(l.state.share[e][c], now.share[e][c])
+				now.directBlocking[e][c] = dampedUpdate(group.state.directBlocking[e][c], now.directBlocking[e][c])
+				now.transitBlocking[e][c] = dampedUpdate(group.state.transitBlocking[e][c], now.transitBlocking[e][c])
+				now.directShare[e][c] = dampedUpdate(group.state.directShare[e][c], now.directShare[e][c])
 			}
 		}
 		for e := range 2 {
-			for f := range now.free[e] {
-				now.free[e][f] = mix(l.state.free[e][f], now.free[e][f])
+			for f := range now.freeProbability[e] {
+				now.freeProbability[e][f] = dampedUpdate(group.state.freeProbability[e][f], now.freeProbability[e][f])
 			}
 		}
-		l.late = mix(l.late, 1-math.Exp(-m.Reservation.Window*now.entry))
-		l.state = now
+		group.recentlyFull = dampedUpdate(group.recentlyFull, 1-math.Exp(-m.Reservation.Window*now.fullRate))
+		group.state = now
 	}
-	if p := m.Processors; p != nil {
-		for i := range w.n {
-			use, lost := processor(w.demand[i], p.SetupsPerSecond[i], p.MaxQueueWait)
-			w.use[i], w.turned[i] = use, mix(w.turned[i], lost)
+	if processors := m.Processors; processors != nil {
+		for i := range s.exchanges {
+			utilization, rejected := processorLoss(s.processorDemand[i], processors.SetupsPerSecond[i], processors.MaxQueueWait)
+			s.utilization[i], s.rejected[i] = utilization, dampedUpdate(s.rejected[i], rejected)
 		}
 	}
 	return change
 }
 
-// processor is the use and the share turned away of a line with bounded wait:
-// M/M/1 with as many places as fit into the queue's time.
-func processor(demand, perSecond, queue float64) (use, lost float64) {
-	rho := demand / perSecond
-	places := 1 + queue*perSecond
+// processorLoss returns the utilization and the share of rejected set-ups of a
+// processor with a bounded waiting time: M/M/1 with as many queue places as it
+// serves in that time.
+func processorLoss(demand, setupsPerSecond, maxQueueWait float64) (utilization, rejected float64) {
+	rho := demand / setupsPerSecond
+	places := 1 + maxQueueWait*setupsPerSecond
 	switch {
 	case rho <= 0:
 		return 0, 0
 	case math.Abs(rho-1) < 1e-9:
-		lost = 1 / (places + 1)
+		rejected = 1 / (places + 1)
 	case rho < 1:
-		x := math.Pow(rho, places)
-		lost = (1 - rho) * x / (1 - x*rho)
-	default: // the same, turned round so that it does not overflow
+		power := math.Pow(rho, places)
+		rejected = (1 - rho) * power / (1 - power*rho)
+	default: // the same formula with the reciprocal power, which does not overflow
 		x := math.Pow(rho, -places)
-		lost = (rho - 1) / (rho - x)
+		rejected = (rho - 1) / (rho - x)
 	}
-	return rho, min(max(lost, 0), 1)
+	return rho, min(max(rejected, 0), 1)
 }
 
-// flow sends one pair's class through the network.
-func (w *work) flow(i, j, c int) {
-	m := w.m
-	cl := m.Classes[c]
-	a := m.Offered[i][j][c]
-	through := (1 - w.turned[i]) * (1 - w.turned[j]) // the processors at both ends
-	in := a * through
-	x := w.at[i][j]
-	blocked, left := 1.0, 1.0
-	if x >= 0 {
-		l := &w.links[x]
-		e := l.end(i)
-		l.sides[e].direct[c] += in
-		blocked, left = l.state.full[e][c], l.state.left[c]
-	}
-	over, back := 0.0, 0.0
+// routeTraffic adds the traffic of one pair and class to the groups and processors.
+func (s *solver) routeTraffic(from, to, class int) {
+	m := s.mesh
+	callClass := m.Classes[class]
+	offered := m.Offered[from][to][class]
+	accepted := (1 - s.rejected[from]) * (1 - s.rejected[to]) // by the processors at both ends
+	arriving := offered * accepted
+	index := s.groupIndex[from][to]
+	blocked, abandoned := 1.0, 1.0
+	if index >= 0 {
+		group := &s.groups[index]
+		end := group.endOf(from)
+		group.sides[end].direct[class] += arriving
+		blocked, abandoned = group.state.directBlocking[end][class], group.state.abandoned[class]
+	}
+	overTandem, crankbacks := 0.0, 0.0
 	if m.MaxTandems > 0 && blocked > 0 {
-		over, back = w.tandems(i, j, c, in*blocked)
-	}
-	waits := 1 - over
-	if x >= 0 {
-		l := &w.links[x]
-		l.sides[l.end(i)].waits[c] = waits
-	}
-	w.over[i][j][c] = through * blocked * over
-	w.lost[i][j][c] = 1 - through*(1-blocked*waits*left)
-	if p := m.Processors; p != nil {
-		// what a processor turns away itself is demand for it too; what the far one turns away is a look lost
-		rate := a / cl.HoldingTime
-		stood := 1 - blocked*waits*left
-		w.demand[i] += rate * ((1-w.turned[j])*(stood*(1+p.ExamineWork+2*p.FollowUpWork)+blocked*back*(1+p.ExamineWork)) + w.turned[j]*(1+p.ExamineWork))
-		w.demand[j] += rate * (1 - w.turned[i]) * stood * (1 + 2*p.FollowUpWork)
+		overTandem, crankbacks = s.routeOverTandems(from, to, class, arriving*blocked)
+	}
+	waitShare := 1 - overTandem
+	if index >= 0 {
+		group := &s.groups[index]
+		group.sides[group.endOf(from)].waitShare[class] = waitShare
+	}
+	s.overTandem[from][to][class] = accepted * blocked * overTandem
+	s.lost[from][to][class] = 1 - accepted*(1-blocked*waitShare*abandoned)
+	if processors := m.Processors; processors != nil {
+		// Set-ups that the processor itself rejects count towards its demand as well. A
+		// set-up that the destination's processor rejects costs the origin the examination.
+		rate := offered / callClass.HoldingTime
+		established := 1 - blocked*waitShare*abandoned
+		s.processorDemand[from] += rate * ((1-s.rejected[to])*(established*(1+processors.ExamineWork+2*processors.FollowUpWork)+blocked*crankbacks*(1+processors.ExamineWork)) + s.rejected[to]*(1+processors.ExamineWork))
+		s.processorDemand[to] += rate * (1 - s.rejected[from]) * established * (1 + 2*processors.FollowUpWork)
 	}
 }
 
-// tandems offers calls to the tandems of most room, one after the other; it
-// returns the share that gets through and the set-ups turned back for each.
-func (w *work) tandems(i, j, c int, offered float64) (over, back float64) {
-	m := w.m
-	cl := m.Classes[c]
-	sum, second := 0.0, 0.0
-	for t := range w.n {
-		if w.able(i, t, j) {
-			sum += w.pick[i][t]
-			second += w.pick[i][t] * w.refuses(t, j, c)
+// routeOverTandems offers calls to the tandems with the most free circuits, one
+// after the other. It returns the share of calls set up over a tandem and the mean
+// number of crankbacks per call.
+func (s *solver) routeOverTandems(from, to, class int, offered float64) (overTandem, crankbacks float64) {
+	m := s.mesh
+	callClass := m.Classes[class]
+	totalShare, blockedShare := 0.0, 0.0
+	for tandem := range s.exchanges {
+		if s.isTandem(from, tandem, to) {
+			totalShare += s.tandemShare[from][tandem]
+			blockedShare += s.tandemShare[from][tandem] * s.tandemBlocking(tandem, to, class)
 		}
 	}
-	if sum <= 1e-12 {
+	if totalShare <= 1e-12 {
 		return 0, 0
 	}
-	// the chance that some first leg has room; the destination is no tandem
-	none := w.none[i][c]
-	if w.at[i][j] >= 0 {
-		none -= math.Log(max(w.shut(i, j, c), 1e-300))
+	// Probability that some first leg is free; the destination is not a tandem.
+	logAllBlocked := s.logAllBlocked[from][class]
+	if s.groupIndex[from][to] >= 0 {
+		logAllBlocked -= math.Log(max(s.transitBlocking(from, to, class), 1e-300))
 	}
-	some := -math.Expm1(none)
-	u := second / sum
-	rounds, r := 0.0, 1.0
+	anyFirstLeg := -math.Expm1(logAllBlocked)
+	secondLegBlocking := blockedShare / totalShare
+	rounds, allFailed := 0.0, 1.0
 	for range m.MaxTandems {
-		rounds += r
-		r *= u
+		rounds += allFailed
+		allFailed *= secondLegBlocking
 	}
-	for t := range w.n {
-		if !w.able(i, t, j) {
+	for tandem := range s.exchanges {
+		if !s.isTandem(from, tandem, to) {
 			continue
 		}
-		part := some * rounds * w.pick[i][t] / sum // set-ups sent this way, for each call
-		ok := 1 - w.refuses(t, j, c)
-		if part*ok > 0 {
-			w.carry(i, t, c, offered*part*ok)
-			w.carry(t, j, c, offered*part*ok)
+		setups := anyFirstLeg * rounds * s.tandemShare[from][tandem] / totalShare // per call, over this tandem
+		reached := 1 - s.tandemBlocking(tandem, to, class)
+		if setups*reached > 0 {
+			s.offerTransit(from, tandem, class, offered*setups*reached)
+			s.offerTransit(tandem, to, class, offered*setups*reached)
 		}
-		if p := m.Processors; p != nil {
-			rate := offered * part / cl.HoldingTime
-			w.demand[t] += rate*ok*(2+p.ExamineWork+4*p.FollowUpWork) + rate*(1-ok)
+		if processors := m.Processors; processors != nil {
+			rate := offered * setups / callClass.HoldingTime
+			s.processorDemand[tandem] += rate*reached*(2+processors.ExamineWork+4*processors.FollowUpWork) + rate*(1-reached)
 		}
 	}
-	return some * (1 - r), some * rounds * u
+	return anyFirstLeg * (1 - allFailed), anyFirstLeg * rounds * secondLegBlocking
 }
 
-// able tells whether t may be a tandem from i to j.
-func (w *work) able(i, t, j int) bool {
-	return t != i && t != j && w.at[i][t] >= 0 && w.at[t][j] >= 0
+// isTandem reports whether an exchange can be a tandem for calls between two others.
+func (s *solver) isTandem(from, tandem, to int) bool {
+	return tandem != from && tandem != to && s.groupIndex[from][tandem] >= 0 && s.groupIndex[tandem][to] >= 0
 }
 
-// refuses is the chance that a tandem turns a call back: for its second leg or its processor.
-func (w *work) refuses(t, j, c int) float64 {
-	return 1 - (1-w.shut(t, j, c))*(1-w.turned[t])
+// tandemBlocking returns the probability of a crankback at a tandem, because its
+// second leg or its processor is full.
+func (s *solver) tandemBlocking(tandem, to, class int) float64 {
+	return 1 - (1-s.transitBlocking(tandem, to, class))*(1-s.rejected[tandem])
 }
 
-// carry books transit that a group is to carry; what is offered is more by what it refuses.
-func (w *work) carry(i, j, c int, x float64) {
-	l := &w.links[w.at[i][j]]
-	e := l.end(i)
-	l.sides[e].transit[c] += x / max(1-l.state.shut[e][c], 1e-6)
+// offerTransit adds transit traffic that a group is to carry. The offered traffic
+// is larger by the part that the group blocks.
+func (s *solver) offerTransit(from, to, class int, carried float64) {
+	group := &s.groups[s.groupIndex[from][to]]
+	end := group.endOf(from)
+	group.sides[end].transit[class] += carried / max(1-group.state.transitBlocking[end][class], 1e-6)
 }
 
-// reserves works out what each side of each group is owed.
-func (w *work) reserves() {
-	m := w.m
+// updateReservations recomputes the trunk reservations of each side of each group.
+func (s *solver) updateReservations() {
+	m := s.mesh
 	base := float64(m.Reservation.Base)
-	lates, groups := make([]float64, w.n), make([]float64, w.n)
-	for x := range w.links {
-		l := &w.links[x]
-		for _, i := range []int{l.a, l.b} {
-			lates[i] += l.late
+	recentlyFull, groups := make([]float64, s.exchanges), make([]float64, s.exchanges)
+	for x := range s.groups {
+		group := &s.groups[x]
+		for _, i := range []int{group.a, group.b} {
+			recentlyFull[i] += group.recentlyFull
 			groups[i]++
 		}
 	}
-	for x := range w.links {
-		l := &w.links[x]
-		for e, i := range []int{l.a, l.b} {
-			s := &l.sides[e]
-			s.reserve = append(s.reserve[:0], base)
-			if m.Reservation.Window > 0 && l.late > 0 {
-				s.reserve = s.reserve[:0]
-				if mean := s.mean(m.Classes); math.Abs(mean-l.mean[e]) > 1e-6*mean { // quantiles are dear
-					l.mean[e], l.asked[e] = mean, w.measured(s, func(int) bool { return true })
+	for x := range s.groups {
+		group := &s.groups[x]
+		for e, i := range []int{group.a, group.b} {
+			traffic := &group.sides[e]
+			traffic.reservation = append(traffic.reservation[:0], base)
+			if m.Reservation.Window > 0 && group.recentlyFull > 0 {
+				traffic.reservation = traffic.reservation[:0]
+				if mean := traffic.directCircuits(m.Classes); math.Abs(mean-group.meanDirect[e]) > 1e-6*mean { // quantiles are expensive to compute
+					group.meanDirect[e], group.demandQuantiles[e] = mean, s.measuredDemand(traffic, func(int) bool { return true })
 				}
-				for _, asked := range l.asked[e] {
-					follow := (asked + math.Sqrt(asked)) * lates[i] / groups[i]
-					s.reserve = append(s.reserve, min(base+l.late*max(follow-base, 0), float64(l.circuits)))
+				for _, demand := range group.demandQuantiles[e] {
+					follow := (demand + math.Sqrt(demand)) * recentlyFull[i] / groups[i]
+					traffic.reservation = append(traffic.reservation, min(base+group.recentlyFull*max(follow-base, 0), float64(group.circuits)))
 				}
 			}
-			if !m.Reservation.ProtectHighValue || m.Reservation.Window <= 0 || s.dear != nil {
-				continue // what dear classes ask for is offered, not carried: worked out once
+			if !m.Reservation.ProtectHighValue || m.Reservation.Window <= 0 || traffic.highValue != nil {
+				continue // depends only on the offered traffic: computed once
 			}
-			s.dear = make([][]float64, w.k)
+			traffic.highValue = make([][]float64, s.classes)
 			for c := range m.Classes {
-				for _, asked := range w.measured(s, func(d int) bool { return dearer(m.Classes, d, c) }) {
-					if asked > 0 { // rounded up: by half on average
-						s.dear[c] = append(s.dear[c], min(max(asked+0.5, 1), float64(l.circuits)))
+				for _, demand := range s.measuredDemand(traffic, func(d int) bool { return muchHigherValue(m.Classes, d, c) }) {
+					if demand > 0 { // rounded up, by 0.5 on average
+						traffic.highValue[c] = append(traffic.highValue[c], min(max(demand+0.5, 1), float64(group.circuits)))
 					}
 				}
 			}
@@ -439,8 +448,8 @@
 	}
 }
 
-// mean is a side's direct demand in circuits.
-func (s *side) mean(classes []Class) float64 {
+// directCircuits returns a side's direct demand in circuits.
+func (s *sideTraffic) directCircuits(classes []Class) float64 {
 	sum := 0.0
 	for c, cl := range classes {
 		sum += s.direct[c] * float64(cl.Circuits)
@@ -448,83 +457,83 @@
 	return sum
 }
 
-// points are the quantiles that stand for a distribution, in equal parts.
-var points = []float64{0.1, 0.3, 0.5, 0.7, 0.9}
+// quantilePoints are the quantiles that represent a distribution with equal weights.
+var quantilePoints = []float64{0.1, 0.3, 0.5, 0.7, 0.9}
 
-// measured is what the meter of the module tells of a side's direct demand for
-// circuits, at equally likely moments: arrivals times holding time, fading over
-// the span. It is a shot noise, here by the Gamma distribution of its mean and
-// variance (N. R. Campbell's theorem).
-func (w *work) measured(s *side, which func(class int) bool) []float64 {
+// measuredDemand returns quantiles of the direct demand of a side in circuits as
+// the routing module measures it: arrivals times holding time, decaying over the
+// window. The measurement is a shot noise process, approximated by the Gamma
+// distribution with its mean and variance (N. R. Campbell's theorem).
+func (s *solver) measuredDemand(traffic *sideTraffic, includes func(class int) bool) []float64 {
 	mean, variance := 0.0, 0.0
-	for c, cl := range w.m.Classes {
-		if which(c) {
-			a := s.direct[c] * float64(cl.Circuits)
-			mean += a
-			variance += a * float64(cl.Circuits) * cl.HoldingTime / (2 * w.m.Reservation.Window)
+	for c, cl := range s.mesh.Classes {
+		if includes(c) {
+			circuits := traffic.direct[c] * float64(cl.Circuits)
+			mean += circuits
+			variance += circuits * float64(cl.Circuits) * cl.HoldingTime / (2 * s.mesh.Reservation.Window)
 		}
 	}
 	if mean <= 0 {
 		return []float64{0}
 	}
-	g := distuv.Gamma{Alpha: mean * mean / variance, Beta: mean / variance}
-	all := make([]float64, len(points))
-	for i, p := range points {
-		all[i] = g.Quantile(p)
+	distribution := distuv.Gamma{Alpha: mean * mean / variance, Beta: mean / variance}
+	quantiles := make([]float64, len(quantilePoints))
+	for i, p := range quantilePoints {
+		quantiles[i] = distribution.Quantile(p)
 	}
-	return all
+	return quantiles
 }
 
-// run iterates until nothing changes any more. Where the steps swing, they are
-// made smaller.
-func (w *work) run() *Solution {
-	damp, best := 0.7, math.Inf(1)
-	s, most := &Solution{}, w.m.MaxIterations
-	if most <= 0 {
-		most = mostSteps
-	}
-	for s.Iterations = 1; s.Iterations <= most; s.Iterations++ {
-		s.LastChange = w.step(damp)
-		if s.LastChange < enough {
-			s.Converged = true
+// run iterates until the values converge. It increases the damping when they
+// oscillate.
+func (s *solver) run() *Solution {
+	damping, minChange := 0.7, math.Inf(1)
+	solution, maxSteps := &Solution{}, s.mesh.MaxIterations
+	if maxSteps <= 0 {
+		maxSteps = maxIterations
+	}
+	for solution.Iterations = 1; solution.Iterations <= maxSteps; solution.Iterations++ {
+		solution.LastChange = s.iterate(damping)
+		if solution.LastChange < convergenceTolerance {
+			solution.Converged = true
 			break
 		}
-		if s.Iterations%40 == 0 {
-			if s.LastChange > best/2 {
-				damp = max(damp/1.5, 0.05)
+		if solution.Iterations%40 == 0 {
+			if solution.LastChange > minChange/2 {
+				damping = max(damping/1.5, 0.05)
 			}
-			best = min(best, s.LastChange)
+			minChange = min(minChange, solution.LastChange)
 		}
 	}
-	s.Iterations = min(s.Iterations, most)
-	return w.solution(s)
+	solution.Iterations = min(solution.Iterations, maxSteps)
+	return s.solution(solution)
 }
 
-func (w *work) solution(s *Solution) *Solution {
-	m := w.m
-	s.Loss, s.Rerouted, s.Utilization, s.Rejected = w.lost, w.over, w.use, w.turned
-	s.LossByClass = make([]float64, w.k)
-	s.Groups = make([][]Group, w.n)
-	for i := range s.Groups {
-		s.Groups[i] = make([]Group, w.n)
-		for j := range s.Groups[i] {
-			if x := w.at[i][j]; x >= 0 {
-				l := &w.links[x]
-				s.Groups[i][j] = Group{l.state.carried, l.state.transit, l.state.busy}
+func (s *solver) solution(solution *Solution) *Solution {
+	m := s.mesh
+	solution.Loss, solution.Rerouted, solution.Utilization, solution.Rejected = s.lost, s.overTandem, s.utilization, s.rejected
+	solution.LossByClass = make([]float64, s.classes)
+	solution.Groups = make([][]Group, s.exchanges)
+	for i := range solution.Groups {
+		solution.Groups[i] = make([]Group, s.exchanges)
+		for j := range solution.Groups[i] {
+			if x := s.groupIndex[i][j]; x >= 0 {
+				group := &s.groups[x]
+				solution.Groups[i][j] = Group{group.state.carried, group.state.transit, group.state.timeCongestion}
 			}
 		}
 	}
 	for c := range m.Classes {
-		all, lost := 0.0, 0.0
-		for i := range w.n {
-			for j := range w.n {
-				all += m.Offered[i][j][c]
-				lost += m.Offered[i][j][c] * w.lost[i][j][c]
+		offered, lost := 0.0, 0.0
+		for i := range s.exchanges {
+			for j := range s.exchanges {
+				offered += m.Offered[i][j][c]
+				lost += m.Offered[i][j][c] * s.lost[i][j][c]
 			}
 		}
-		if all > 0 {
-			s.LossByClass[c] = lost / all
+		if offered > 0 {
+			solution.LossByClass[c] = lost / offered
 		}
 	}
-	return s
+	return solution
 }
--- a/internal/plan/moves.go
+++ b/internal/plan/moves.go
@@ -14,111 +14,111 @@
 	LostTraffic float64   // circuits' worth of traffic lost, after it
 }
 
-// looked is how many groups are tried at each step, on either side.
-const looked = 4
+// candidateGroups is how many groups are tried at each step, on either side.
+const candidateGroups = 4
 
 // FirstMoves says what to do first with the circuits that stand: so many modules may
 // be bought, so many moved. Each step is the one after which least traffic is
 // lost, among the groups that would save most by a module and those that would
 // miss one least; it ends when nothing helps.
-func FirstMoves(ctx context.Context, t *Task, buy, move int) ([]Move, error) {
-	if err := t.Validate(); err != nil {
+func FirstMoves(ctx context.Context, task *Task, toBuy, toMove int) ([]Move, error) {
+	if err := task.Validate(); err != nil {
 		return nil, fmt.Errorf("planning moves: %w", err)
 	}
-	if buy < 0 || move < 0 {
-		return nil, fmt.Errorf("planning moves: %d modules to buy, %d to move: %w", buy, move, ErrNoPlan)
+	if toBuy < 0 || toMove < 0 {
+		return nil, fmt.Errorf("planning moves: %d modules to buy, %d to move: %w", toBuy, toMove, ErrNoPlan)
 	}
-	s := newSearch(ctx, t)
-	circuits := make([][]int, s.n)
+	search := newSearch(ctx, task)
+	circuits := make([][]int, search.exchanges)
 	for i := range circuits {
-		circuits[i] = slices.Clone(t.Mesh.Circuits[i])
+		circuits[i] = slices.Clone(task.Mesh.Circuits[i])
 	}
-	lost, _, err := s.lost(circuits)
+	lost, _, err := search.lostTraffic(circuits)
 	if err != nil {
 		return nil, err
 	}
-	var all []Move
-	for buy+move > 0 && !s.done() {
-		to := s.ranked(circuits, func(w float64, _ int) float64 { return -w }, 0)
+	var moves []Move
+	for toBuy+toMove > 0 && !search.exhausted() {
+		to := search.rankedGroups(circuits, func(w float64, _ int) float64 { return -w }, 0)
 		from := [][2]int{{-1, -1}}
-		if buy == 0 {
-			from = s.ranked(circuits, func(w float64, _ int) float64 { return w }, -t.ModuleSize)
+		if toBuy == 0 {
+			from = search.rankedGroups(circuits, func(w float64, _ int) float64 { return w }, -task.ModuleSize)
 		}
 		var best *Move
 		for _, a := range from {
 			for _, b := range to {
-				if a == b || s.done() {
+				if a == b || search.exhausted() {
 					continue
 				}
-				add(circuits, a, -t.ModuleSize)
-				add(circuits, b, t.ModuleSize)
-				x, byClass, err := s.lost(circuits)
-				add(circuits, a, t.ModuleSize)
-				add(circuits, b, -t.ModuleSize)
+				addCircuits(circuits, a, -task.ModuleSize)
+				addCircuits(circuits, b, task.ModuleSize)
+				lostAfter, byClass, err := search.lostTraffic(circuits)
+				addCircuits(circuits, a, task.ModuleSize)
+				addCircuits(circuits, b, -task.ModuleSize)
 				if err != nil {
 					return nil, err
 				}
-				if x < lost-1e-6 && (best == nil || x < best.LostTraffic) {
-					best = &Move{From: a, To: b, LossByClass: byClass, LostTraffic: x}
+				if lostAfter < lost-1e-6 && (best == nil || lostAfter < best.LostTraffic) {
+					best = &Move{From: a, To: b, LossByClass: byClass, LostTraffic: lostAfter}
 				}
 			}
 		}
 		if best == nil {
 			break
 		}
-		add(circuits, best.From, -t.ModuleSize)
-		add(circuits, best.To, t.ModuleSize)
+		addCircuits(circuits, best.From, -task.ModuleSize)
+		addCircuits(circuits, best.To, task.ModuleSize)
 		lost = best.LostTraffic
-		all = append(all, *best)
-		if buy > 0 {
-			buy--
+		moves = append(moves, *best)
+		if toBuy > 0 {
+			toBuy--
 		} else {
-			move--
+			toMove--
 		}
 	}
-	return all, nil
+	return moves, nil
 }
 
-func add(circuits [][]int, g [2]int, by int) {
-	if g[0] >= 0 {
-		circuits[g[0]][g[1]] += by
-		circuits[g[1]][g[0]] = circuits[g[0]][g[1]]
+func addCircuits(circuits [][]int, group [2]int, change int) {
+	if group[0] >= 0 {
+		circuits[group[0]][group[1]] += change
+		circuits[group[1]][group[0]] = circuits[group[0]][group[1]]
 	}
 }
 
-// ranked lists some groups by what a module is worth to them, with so many circuits more.
-func (s *search) ranked(circuits [][]int, key func(worth float64, circuits int) float64, more int) [][2]int {
+// rankedGroups lists some groups by what a module is worth to them, with so many circuits more.
+func (s *search) rankedGroups(circuits [][]int, key func(worth float64, circuits int) float64, extra int) [][2]int {
 	type group struct {
-		at  [2]int
-		key float64
+		at   [2]int
+		rank float64
 	}
-	var all []group
-	for i := range s.n {
+	var candidates []group
+	for i := range s.exchanges {
 		for j := range i {
-			if n := circuits[i][j] + more; n >= 0 && s.pair[i][j] > 0 {
-				all = append(all, group{[2]int{i, j}, key(s.worthOf(i, j, n), n)})
+			if n := circuits[i][j] + extra; n >= 0 && s.pairDemand[i][j] > 0 {
+				candidates = append(candidates, group{[2]int{i, j}, key(s.marginalValue(i, j, n), n)})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b group) int { return int(math.Copysign(1, a.key-b.key)) })
-	var some [][2]int
-	for _, g := range all[:min(looked, len(all))] {
-		some = append(some, g.at)
+	slices.SortStableFunc(candidates, func(a, b group) int { return int(math.Copysign(1, a.rank-b.rank)) })
+	var best [][2]int
+	for _, g := range candidates[:min(candidateGroups, len(candidates))] {
+		best = append(best, g.at)
 	}
-	return some
+	return best
 }
 
-// lost is the circuits' worth of traffic that a network loses.
-func (s *search) lost(circuits [][]int) (float64, []float64, error) {
-	_, normal, _, _, err := s.judge(circuits)
+// lostTraffic is the circuits' worth of traffic that a network loses.
+func (s *search) lostTraffic(circuits [][]int) (float64, []float64, error) {
+	_, normal, _, _, err := s.evaluate(circuits)
 	if err != nil {
 		return 0, nil, fmt.Errorf("planning moves: %w", err)
 	}
 	sum := 0.0
-	for i := range s.n {
-		for j := range s.n {
-			for c, cl := range s.grown.Classes {
-				sum += s.grown.Offered[i][j][c] * float64(cl.Circuits) * normal.Loss[i][j][c]
+	for i := range s.exchanges {
+		for j := range s.exchanges {
+			for c, cl := range s.mesh.Classes {
+				sum += s.mesh.Offered[i][j][c] * float64(cl.Circuits) * normal.Loss[i][j][c]
 			}
 		}
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -67,12 +67,12 @@
 	case t.CircuitCost != nil && len(t.CircuitCost) != n || t.Region != nil && len(t.Region) != n:
 		return fmt.Errorf("costs of %d, regions of %d exchanges, %d there are: %w", len(t.CircuitCost), len(t.Region), n, ErrNoPlan)
 	}
-	for c, x := range t.TargetLoss {
-		if !(x > 0 && x < 1) {
-			return fmt.Errorf("class %s: a loss of %v can't be aimed at, above 0 and below 1 can: %w", t.Mesh.Classes[c].Name, x, ErrNoPlan)
+	for c, loss := range t.TargetLoss {
+		if !(loss > 0 && loss < 1) {
+			return fmt.Errorf("class %s: a loss of %v can't be aimed at, above 0 and below 1 can: %w", t.Mesh.Classes[c].Name, loss, ErrNoPlan)
 		}
 	}
-	all := 0.0
+	offered := 0.0
 	for i := range n {
 		if t.CircuitCost != nil && len(t.CircuitCost[i]) != n {
 			return fmt.Errorf("exchange %d: costs to %d exchanges: %w", i, len(t.CircuitCost[i]), ErrNoPlan)
@@ -81,12 +81,12 @@
 			if t.CircuitCost != nil && i != j && !(t.CircuitCost[i][j] > 0) {
 				return fmt.Errorf("group %d-%d: a cost of %v: %w", i, j, t.CircuitCost[i][j], ErrNoPlan)
 			}
-			for _, a := range t.Mesh.Offered[i][j] {
-				all += a
+			for _, traffic := range t.Mesh.Offered[i][j] {
+				offered += traffic
 			}
 		}
 	}
-	if all == 0 {
+	if offered == 0 {
 		return fmt.Errorf("no traffic is offered: %w", ErrNoPlan)
 	}
 	return nil
@@ -101,241 +101,241 @@
 
 // search is a search under way.
 type search struct {
-	t      *Task
-	ctx    context.Context
-	n      int
-	grown  *network.Mesh
-	pair   [][]float64 // circuits asked for between two exchanges, both ways
-	peaky  [][]float64 // mean width of these
-	solved int
+	task           *Task
+	ctx            context.Context
+	exchanges      int
+	mesh           *network.Mesh
+	pairDemand     [][]float64 // circuits asked for between two exchanges, both ways
+	pairPeakedness [][]float64 // mean width of these
+	solves         int
 }
 
 func newSearch(ctx context.Context, t *Task) *search {
-	m := *t.Mesh
-	s := &search{t: t, ctx: ctx, n: len(m.Circuits)}
-	m.Offered = make([][][]float64, s.n)
-	for i := range s.n {
-		m.Offered[i] = make([][]float64, s.n)
-		s.pair, s.peaky = append(s.pair, make([]float64, s.n)), append(s.peaky, make([]float64, s.n))
-		for j := range s.n {
-			m.Offered[i][j] = make([]float64, len(m.Classes))
-			for c, a := range t.Mesh.Offered[i][j] {
-				m.Offered[i][j][c] = a * t.Growth
+	mesh := *t.Mesh
+	result := &search{task: t, ctx: ctx, exchanges: len(mesh.Circuits)}
+	mesh.Offered = make([][][]float64, result.exchanges)
+	for i := range result.exchanges {
+		mesh.Offered[i] = make([][]float64, result.exchanges)
+		result.pairDemand, result.pairPeakedness = append(result.pairDemand, make([]float64, result.exchanges)), append(result.pairPeakedness, make([]float64, result.exchanges))
+		for j := range result.exchanges {
+			mesh.Offered[i][j] = make([]float64, len(mesh.Classes))
+			for c, circuits := range t.Mesh.Offered[i][j] {
+				mesh.Offered[i][j][c] = circuits * t.Growth
 			}
 		}
 	}
-	for i := range s.n {
-		for j := range s.n {
-			wide := 0.0
-			for c, cl := range m.Classes {
-				a := (m.Offered[i][j][c] + m.Offered[j][i][c]) * float64(cl.Circuits)
-				s.pair[i][j] += a
-				wide += a * float64(cl.Circuits)
+	for i := range result.exchanges {
+		for j := range result.exchanges {
+			weighted := 0.0
+			for c, cl := range mesh.Classes {
+				a := (mesh.Offered[i][j][c] + mesh.Offered[j][i][c]) * float64(cl.Circuits)
+				result.pairDemand[i][j] += a
+				weighted += a * float64(cl.Circuits)
 			}
-			s.peaky[i][j] = 1
-			if s.pair[i][j] > 0 {
-				s.peaky[i][j] = wide / s.pair[i][j]
+			result.pairPeakedness[i][j] = 1
+			if result.pairDemand[i][j] > 0 {
+				result.pairPeakedness[i][j] = weighted / result.pairDemand[i][j]
 			}
 		}
 	}
-	s.grown = &m
-	return s
+	result.mesh = &mesh
+	return result
 }
 
-// done tells whether the search has used what it was given.
-func (s *search) done() bool { return s.solved >= s.t.MaxSolves || s.ctx.Err() != nil }
+// exhausted tells whether the search has used what it was given.
+func (s *search) exhausted() bool { return s.solves >= s.task.MaxSolves || s.ctx.Err() != nil }
 
-// settles is the steps in which a network must come to rest to be planned on:
+// maxIterations is the steps in which a network must come to rest to be planned on:
 // one that needs far more is at the edge between two states.
-const settles = 200
+const maxIterations = 200
 
-// judge solves a network with these circuits, from an empty and a full state;
+// evaluate solves a network with these circuits, from an empty and a full state;
 // how is the worst of loss over target (1 and below: all hold in either).
-func (s *search) judge(circuits [][]int) (how float64, normal *network.Solution, worst float64, what string, err error) {
-	m := *s.grown
-	m.Circuits, m.MaxIterations = circuits, settles
+func (s *search) evaluate(circuits [][]int) (lossRatio float64, normal *network.Solution, failureLoss float64, failureName string, err error) {
+	mesh := *s.mesh
+	mesh.Circuits, mesh.MaxIterations = circuits, maxIterations
 	for _, full := range []bool{true, false} { // the better known one last
-		s.solved++
-		if normal, err = network.SolveFrom(&m, full); err != nil {
+		s.solves++
+		if normal, err = network.SolveFrom(&mesh, full); err != nil {
 			return 0, nil, 0, "", err
 		}
 		if !normal.Converged {
 			return math.Inf(1), normal, 0, "", nil
 		}
-		for c, x := range normal.LossByClass {
-			how = max(how, x/s.t.TargetLoss[c])
+		for c, loss := range normal.LossByClass {
+			lossRatio = max(lossRatio, loss/s.task.TargetLoss[c])
 		}
-		if how > 1 {
-			return how, normal, 0, "", nil
+		if lossRatio > 1 {
+			return lossRatio, normal, 0, "", nil
 		}
 	}
-	if s.t.MaxFailureLoss == 0 {
-		return how, normal, 0, "", nil
+	if s.task.MaxFailureLoss == 0 {
+		return lossRatio, normal, 0, "", nil
 	}
-	for _, h := range s.hurts(circuits) {
-		h.mesh.MaxIterations = settles
-		s.solved++
-		x, err := network.SolveFrom(h.mesh, true)
+	for _, failure := range s.failures(circuits) {
+		failure.mesh.MaxIterations = maxIterations
+		s.solves++
+		solution, err := network.SolveFrom(failure.mesh, true)
 		if err != nil {
 			return 0, nil, 0, "", err
 		}
-		for c, b := range x.LossByClass {
-			if !x.Converged {
+		for c, b := range solution.LossByClass {
+			if !solution.Converged {
 				b = 1
 			}
-			if h.counts[c] && b > worst {
-				worst, what = b, h.what
+			if failure.hasTraffic[c] && b > failureLoss {
+				failureLoss, failureName = b, failure.name
 			}
 		}
-		if worst > s.t.MaxFailureLoss {
+		if failureLoss > s.task.MaxFailureLoss {
 			break
 		}
 	}
-	return max(how, worst/s.t.MaxFailureLoss), normal, worst, what, nil
+	return max(lossRatio, failureLoss/s.task.MaxFailureLoss), normal, failureLoss, failureName, nil
 }
 
-// hurt is the network with something away.
-type hurt struct {
-	what   string
-	mesh   *network.Mesh
-	counts []bool // classes with traffic left
+// failure is the network with something away.
+type failure struct {
+	name       string
+	mesh       *network.Mesh
+	hasTraffic []bool // classes with traffic left
 }
 
-// hurts lists the networks with one exchange away, whose own traffic is away
+// failures lists the networks with one exchange away, whose own traffic is away
 // too, and with one link between two regions away.
-func (s *search) hurts(circuits [][]int) []hurt {
-	var all []hurt
-	add := func(what string, circuits func(i, j int) int, offered func(i, j int) bool) {
-		m := *s.grown
-		m.Circuits, m.Offered = make([][]int, s.n), make([][][]float64, s.n)
-		h := hurt{what: what, mesh: &m, counts: make([]bool, len(m.Classes))}
-		for i := range s.n {
-			m.Circuits[i], m.Offered[i] = make([]int, s.n), make([][]float64, s.n)
-			for j := range s.n {
-				m.Circuits[i][j] = circuits(i, j)
-				m.Offered[i][j] = s.grown.Offered[i][j]
+func (s *search) failures(circuits [][]int) []failure {
+	var failures []failure
+	addFailure := func(what string, circuits func(i, j int) int, offered func(i, j int) bool) {
+		mesh := *s.mesh
+		mesh.Circuits, mesh.Offered = make([][]int, s.exchanges), make([][][]float64, s.exchanges)
+		degraded := failure{name: what, mesh: &mesh, hasTraffic: make([]bool, len(mesh.Classes))}
+		for i := range s.exchanges {
+			mesh.Circuits[i], mesh.Offered[i] = make([]int, s.exchanges), make([][]float64, s.exchanges)
+			for j := range s.exchanges {
+				mesh.Circuits[i][j] = circuits(i, j)
+				mesh.Offered[i][j] = s.mesh.Offered[i][j]
 				if !offered(i, j) {
-					m.Offered[i][j] = make([]float64, len(m.Classes))
+					mesh.Offered[i][j] = make([]float64, len(mesh.Classes))
 				}
-				for c, a := range m.Offered[i][j] {
-					h.counts[c] = h.counts[c] || a > 0
+				for c, a := range mesh.Offered[i][j] {
+					degraded.hasTraffic[c] = degraded.hasTraffic[c] || a > 0
 				}
 			}
 		}
-		all = append(all, h)
+		failures = append(failures, degraded)
 	}
-	for x := range s.n {
-		away := func(i, j int) bool { return i == x || j == x }
-		add(fmt.Sprintf("exchange %d", x), func(i, j int) int {
+	for failed := range s.exchanges {
+		away := func(i, j int) bool { return i == failed || j == failed }
+		addFailure(fmt.Sprintf("exchange %d", failed), func(i, j int) int {
 			if away(i, j) {
 				return 0
 			}
 			return circuits[i][j]
 		}, func(i, j int) bool { return !away(i, j) })
 	}
-	if s.t.Region == nil || s.t.LinkShare == 0 {
-		return all
+	if s.task.Region == nil || s.task.LinkShare == 0 {
+		return failures
 	}
 	regions := 0
-	for _, r := range s.t.Region {
-		regions = max(regions, r+1)
+	for _, region := range s.task.Region {
+		regions = max(regions, region+1)
 	}
 	for a := range regions {
 		for b := range a {
-			add(fmt.Sprintf("a link between regions %d and %d", b, a), func(i, j int) int {
-				if x, y := s.t.Region[i], s.t.Region[j]; x == a && y == b || x == b && y == a {
-					return circuits[i][j] - int(math.Ceil(s.t.LinkShare*float64(circuits[i][j])))
+			addFailure(fmt.Sprintf("a link between regions %d and %d", b, a), func(i, j int) int {
+				if x, y := s.task.Region[i], s.task.Region[j]; x == a && y == b || x == b && y == a {
+					return circuits[i][j] - int(math.Ceil(s.task.LinkShare*float64(circuits[i][j])))
 				}
 				return circuits[i][j]
 			}, func(i, j int) bool { return true })
 		}
 	}
-	return all
+	return failures
 }
 
-// sized makes groups by a rule for each pair, in whole modules.
-func (s *search) sized(rule func(i, j int) float64) [][]int {
-	all := make([][]int, s.n)
-	for i := range all {
-		all[i] = make([]int, s.n)
+// sizeGroups makes groups by a rule for each pair, in whole modules.
+func (s *search) sizeGroups(rule func(i, j int) float64) [][]int {
+	sizes := make([][]int, s.exchanges)
+	for i := range sizes {
+		sizes[i] = make([]int, s.exchanges)
 	}
-	for i := range s.n {
+	for i := range s.exchanges {
 		for j := range i {
-			if s.pair[i][j] > 0 {
-				m := float64(s.t.ModuleSize)
-				c := int(math.Ceil(rule(i, j)/m-1e-9)) * s.t.ModuleSize
-				all[i][j], all[j][i] = c, c
+			if s.pairDemand[i][j] > 0 {
+				moduleSize := float64(s.task.ModuleSize)
+				rounded := int(math.Ceil(rule(i, j)/moduleSize-1e-9)) * s.task.ModuleSize
+				sizes[i][j], sizes[j][i] = rounded, rounded
 			}
 		}
 	}
-	return all
+	return sizes
 }
 
-// worthOf is what the last module of a group, or the next, saves on its direct
+// marginalValue is what the last module of a group, or the next, saves on its direct
 // traffic for its cost: K. Moe's measure, with wide calls as a factor on the
 // traffic's peakedness (Hayward).
-func (s *search) worthOf(i, j, circuits int) float64 {
-	a, z := s.pair[i][j], s.peaky[i][j]
-	b0, err0 := loss.ErlangBContinuous(a/z, float64(circuits)/z)
-	b1, err1 := loss.ErlangBContinuous(a/z, float64(circuits+s.t.ModuleSize)/z)
-	if err0 != nil || err1 != nil || a == 0 {
+func (s *search) marginalValue(i, j, circuits int) float64 {
+	demand, peakedness := s.pairDemand[i][j], s.pairPeakedness[i][j]
+	lossBefore, err0 := loss.ErlangBContinuous(demand/peakedness, float64(circuits)/peakedness)
+	lossAfter, err1 := loss.ErlangBContinuous(demand/peakedness, float64(circuits+s.task.ModuleSize)/peakedness)
+	if err0 != nil || err1 != nil || demand == 0 {
 		return 0
 	}
-	return a * (b0 - b1) / (s.t.cost(i, j) * float64(s.t.ModuleSize))
+	return demand * (lossBefore - lossAfter) / (s.task.cost(i, j) * float64(s.task.ModuleSize))
 }
 
-// moe sizes each group so that its next module would save less than worth.
-func (s *search) moe(worth float64) [][]int {
-	return s.sized(func(i, j int) float64 {
-		most := int(4*s.pair[i][j])/s.t.ModuleSize + 20
-		lo, hi := 0, most // modules; what the next one saves falls from the first or second on
-		for lo < hi {
-			mid := (lo + hi) / 2
-			if s.worthOf(i, j, mid*s.t.ModuleSize) < worth {
-				hi = mid
+// sizeByMoe sizes each group so that its next module would save less than worth.
+func (s *search) sizeByMoe(minValue float64) [][]int {
+	return s.sizeGroups(func(i, j int) float64 {
+		maxModules := int(4*s.pairDemand[i][j])/s.task.ModuleSize + 20
+		low, high := 0, maxModules // modules; what the next one saves falls from the first or second on
+		for low < high {
+			mid := (low + high) / 2
+			if s.marginalValue(i, j, mid*s.task.ModuleSize) < minValue {
+				high = mid
 			} else {
-				lo = mid + 1
+				low = mid + 1
 			}
 		}
-		return float64(lo * s.t.ModuleSize)
+		return float64(low * s.task.ModuleSize)
 	})
 }
 
-func (s *search) price(circuits [][]int) (cost float64, total int) {
-	for i := range s.n {
+func (s *search) totalCost(circuits [][]int) (cost float64, total int) {
+	for i := range s.exchanges {
 		for j := range i {
-			cost += float64(circuits[i][j]) * s.t.cost(i, j)
+			cost += float64(circuits[i][j]) * s.task.cost(i, j)
 			total += circuits[i][j]
 		}
 	}
 	return cost, total
 }
 
-// least finds the largest knob at which the sizes still hold: knobs from dear to
+// cheapestFeasible finds the largest knob at which the sizes still hold: knobs from dear to
 // cheap, by halving. hold tells of the ones that were judged.
-func (s *search) least(sizes func(knob float64) [][]int, dear, cheap float64, steps int) ([][]int, error) {
-	best := sizes(dear)
-	how, _, _, _, err := s.judge(best)
+func (s *search) cheapestFeasible(sizes func(parameter float64) [][]int, feasible, infeasible float64, steps int) ([][]int, error) {
+	best := sizes(feasible)
+	lossRatio, _, _, _, err := s.evaluate(best)
 	if err != nil {
 		return nil, err
 	}
-	if how > 1 {
+	if lossRatio > 1 {
 		return nil, nil
 	}
 	for range steps {
-		if s.done() {
+		if s.exhausted() {
 			break
 		}
-		mid := math.Sqrt(dear * cheap)
-		x := sizes(mid)
-		how, _, _, _, err := s.judge(x)
+		mid := math.Sqrt(feasible * infeasible)
+		candidate := sizes(mid)
+		how, _, _, _, err := s.evaluate(candidate)
 		if err != nil {
 			return nil, err
 		}
 		if how <= 1 {
-			best, dear = x, mid
+			best, feasible = candidate, mid
 		} else {
-			cheap = mid
+			infeasible = mid
 		}
 	}
 	return best, nil
@@ -350,53 +350,53 @@
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	s := newSearch(ctx, t)
-	best, err := s.start()
+	best, err := s.initialSizes()
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	if best == nil {
 		return nil, fmt.Errorf("planning: no size of the groups reaches the targets: processors or pairs without traffic of their own stand in the way: %w", ErrNoPlan)
 	}
-	if err := s.shave(best); err != nil {
+	if err := s.removeModules(best); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	return s.plan(best)
+	return s.newPlan(best)
 }
 
-// start is the cheapest of what holds: groups of like worth, groups in proportion to
+// initialSizes is the cheapest of what holds: groups of like worth, groups in proportion to
 // their traffic (transit may need more than any direct traffic asks for), and the
 // groups that stand; nil if none of them does.
-func (s *search) start() ([][]int, error) {
+func (s *search) initialSizes() ([][]int, error) {
 	var best [][]int
 	consider := func(circuits [][]int, err error) error {
 		if err != nil || circuits == nil {
 			return err
 		}
 		if best != nil {
-			was, _ := s.price(best)
-			if now, _ := s.price(circuits); now >= was {
+			bestCost, _ := s.totalCost(best)
+			if cost, _ := s.totalCost(circuits); cost >= bestCost {
 				return nil
 			}
 		}
 		best = circuits
 		return nil
 	}
-	if err := consider(s.least(s.moe, 1e-7, 1, 14)); err != nil {
+	if err := consider(s.cheapestFeasible(s.sizeByMoe, 1e-7, 1, 14)); err != nil {
 		return nil, err
 	}
-	if err := consider(s.least(s.proportional, 8, 0.5, 14)); err != nil {
+	if err := consider(s.cheapestFeasible(s.sizeProportionally, 8, 0.5, 14)); err != nil {
 		return nil, err
 	}
-	stand := s.sized(func(i, j int) float64 { return float64(s.t.Mesh.Circuits[i][j]) })
+	present := s.sizeGroups(func(i, j int) float64 { return float64(s.task.Mesh.Circuits[i][j]) })
 	if best != nil {
-		was, _ := s.price(best)
-		if now, _ := s.price(stand); now >= was {
+		was, _ := s.totalCost(best)
+		if now, _ := s.totalCost(present); now >= was {
 			return best, nil
 		}
 	}
-	how, _, _, _, err := s.judge(stand)
-	if err == nil && how <= 1 {
-		err = consider(stand, nil)
+	lossRatio, _, _, _, err := s.evaluate(present)
+	if err == nil && lossRatio <= 1 {
+		err = consider(present, nil)
 	}
 	return best, err
 }
@@ -407,102 +407,102 @@
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	s := newSearch(ctx, t)
-	best, err := s.least(s.proportional, 8, 0.5, 14)
+	best, err := s.cheapestFeasible(s.sizeProportionally, 8, 0.5, 14)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	if best == nil {
 		return nil, fmt.Errorf("planning: eight times the traffic is not enough: %w", ErrNoPlan)
 	}
-	return s.plan(best)
+	return s.newPlan(best)
 }
 
-func (s *search) proportional(times float64) [][]int {
-	return s.sized(func(i, j int) float64 { return times * s.pair[i][j] })
+func (s *search) sizeProportionally(factor float64) [][]int {
+	return s.sizeGroups(func(i, j int) float64 { return factor * s.pairDemand[i][j] })
 }
 
-// shave takes modules away, the least worthy first, as long as the targets hold:
+// removeModules takes modules away, the least worthy first, as long as the targets hold:
 // from many groups at once while that goes, then one by one. Groups that could
 // not give one are asked again only when a round has changed something.
-func (s *search) shave(circuits [][]int) error {
-	for many := s.n * (s.n - 1) / 8; many > 1 && !s.done(); {
+func (s *search) removeModules(circuits [][]int) error {
+	for batch := s.exchanges * (s.exchanges - 1) / 8; batch > 1 && !s.exhausted(); {
 		var taken [][2]int
 		tried := map[[2]int]bool{}
-		for range many {
-			i, j := s.weakest(circuits, tried)
+		for range batch {
+			i, j := s.leastValuableGroup(circuits, tried)
 			if i < 0 {
 				break
 			}
 			tried[[2]int{i, j}] = true
 			taken = append(taken, [2]int{i, j})
-			add(circuits, [2]int{i, j}, -s.t.ModuleSize)
+			addCircuits(circuits, [2]int{i, j}, -s.task.ModuleSize)
 		}
-		how, _, _, _, err := s.judge(circuits)
+		lossRatio, _, _, _, err := s.evaluate(circuits)
 		if err != nil {
 			return err
 		}
-		if how > 1 || len(taken) == 0 {
+		if lossRatio > 1 || len(taken) == 0 {
 			for _, g := range taken {
-				add(circuits, g, s.t.ModuleSize)
+				addCircuits(circuits, g, s.task.ModuleSize)
 			}
-			many /= 2
+			batch /= 2
 		}
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		tried := map[[2]int]bool{}
-		for !s.done() {
-			i, j := s.weakest(circuits, tried)
+		for !s.exhausted() {
+			i, j := s.leastValuableGroup(circuits, tried)
 			if i < 0 {
 				break
 			}
 			g := [2]int{i, j}
 			tried[g] = true
-			add(circuits, g, -s.t.ModuleSize)
-			how, _, _, _, err := s.judge(circuits)
+			addCircuits(circuits, g, -s.task.ModuleSize)
+			how, _, _, _, err := s.evaluate(circuits)
 			if err != nil {
 				return err
 			}
 			if how > 1 {
-				add(circuits, g, s.t.ModuleSize)
+				addCircuits(circuits, g, s.task.ModuleSize)
 				continue
 			}
-			again = true
+			changed = true
 			delete(tried, g)
 		}
-		if s.done() {
+		if s.exhausted() {
 			return nil
 		}
 	}
 	return nil
 }
 
-// weakest is the group whose last module saves least for its cost; -1 if none is left.
-func (s *search) weakest(circuits [][]int, tried map[[2]int]bool) (int, int) {
-	least, a, b := math.Inf(1), -1, -1
-	for i := range s.n {
+// leastValuableGroup is the group whose last module saves least for its cost; -1 if none is left.
+func (s *search) leastValuableGroup(circuits [][]int, tried map[[2]int]bool) (int, int) {
+	least, bestFrom, bestTo := math.Inf(1), -1, -1
+	for i := range s.exchanges {
 		for j := range i {
-			if circuits[i][j] < s.t.ModuleSize || tried[[2]int{i, j}] {
+			if circuits[i][j] < s.task.ModuleSize || tried[[2]int{i, j}] {
 				continue
 			}
-			if w := s.worthOf(i, j, circuits[i][j]-s.t.ModuleSize); w < least {
-				least, a, b = w, i, j
+			if value := s.marginalValue(i, j, circuits[i][j]-s.task.ModuleSize); value < least {
+				least, bestFrom, bestTo = value, i, j
 			}
 		}
 	}
-	return a, b
+	return bestFrom, bestTo
 }
 
-func (s *search) plan(circuits [][]int) (*Plan, error) {
-	p := &Plan{Circuits: circuits, Stopped: s.done()}
-	p.Cost, p.TotalCircuits = s.price(circuits)
-	_, normal, worst, what, err := s.judge(circuits)
+func (s *search) newPlan(circuits [][]int) (*Plan, error) {
+	plan := &Plan{Circuits: circuits, Stopped: s.exhausted()}
+	plan.Cost, plan.TotalCircuits = s.totalCost(circuits)
+	_, normal, failureLoss, failureName, err := s.evaluate(circuits)
 	if err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	p.PredictedLoss, p.WorstFailureLoss, p.WorstFailure, p.Solves = normal.LossByClass, worst, what, s.solved
-	if p.CostBound, err = s.bound(); err != nil {
+	plan.PredictedLoss, plan.WorstFailureLoss, plan.WorstFailure, plan.Solves = normal.LossByClass, failureLoss, failureName, s.solves
+	if plan.CostBound, err = s.costBound(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
 	}
-	return p, nil
+	return plan, nil
 }
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -23,49 +23,49 @@
 )
 
 // What the module's way of waiting and routing is to the model (docs/design.md):
-// two tandems in a try and two others in the redial after it (more made the model
-// worse against simulation, at 7 and at 20 exchanges), a base reserve of two
+// two tandemsPerAttempt in a try and two others in the redial after it (more made the model
+// worse against simulation, at 7 and at 20 exchanges), a baseReservation reserve of two
 // circuits, demand measured over ten seconds, a wait of half a second to one.
 const (
-	tandems  = 2
-	base     = 2
-	span     = 10
-	waitMean = 0.75
+	tandemsPerAttempt = 2
+	baseReservation   = 2
+	measurementWindow = 10
+	meanWait          = 0.75
 )
 
 // ScenarioMesh is the network of a scenario as its fleet was drawn.
-func ScenarioMesh(scn *settings.Scenario) (*network.Mesh, error) {
-	s, err := scene.New(scn, &virtual.Clock{}, nobody{})
+func ScenarioMesh(scenario *settings.Scenario) (*network.Mesh, error) {
+	drawn, err := scene.New(scenario, &virtual.Clock{}, inertEdge{})
 	if err != nil {
-		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
+		return nil, fmt.Errorf("drawing the fleet of %s: %w", scenario.Name, err)
 	}
-	n := scn.Fleet.Exchanges
-	share, seconds := 0.0, 0.0
-	m := &network.Mesh{MaxTandems: tandems * min(scn.Callers.MaxRedials+1, 2), Reservation: network.Reservation{Base: base, Window: span, ProtectHighValue: true},
-		MeanWait: float64(scn.Callers.MaxRedials+1)*waitMean + float64(scn.Callers.MaxRedials)*scn.Callers.MeanRedialDelay.Seconds()}
-	for _, c := range scn.Classes {
-		m.Classes = append(m.Classes, network.Class{Name: c.Name, Circuits: c.Circuits, HoldingTime: c.HoldingTime.Seconds(), Worth: c.Worth})
-		share += c.Share
-		seconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
+	exchanges := scenario.Fleet.Exchanges
+	shareSum, meanCircuitSeconds := 0.0, 0.0
+	mesh := &network.Mesh{MaxTandems: tandemsPerAttempt * min(scenario.Callers.MaxRedials+1, 2), Reservation: network.Reservation{Base: baseReservation, Window: measurementWindow, ProtectHighValue: true},
+		MeanWait: float64(scenario.Callers.MaxRedials+1)*meanWait + float64(scenario.Callers.MaxRedials)*scenario.Callers.MeanRedialDelay.Seconds()}
+	for _, c := range scenario.Classes {
+		mesh.Classes = append(mesh.Classes, network.Class{Name: c.Name, Circuits: c.Circuits, HoldingTime: c.HoldingTime.Seconds(), Worth: c.Worth})
+		shareSum += c.Share
+		meanCircuitSeconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 	}
-	m.Processors = &network.Processors{ExamineWork: scn.Processor.ExamineWork, FollowUpWork: scn.Processor.FollowUpWork, MaxQueueWait: scn.Processor.MaxQueueWait.Seconds()}
-	traffic := s.Traffic()
-	for i := range n {
-		m.Circuits = append(m.Circuits, make([]int, n))
-		m.Offered = append(m.Offered, make([][]float64, n))
-		m.Processors.SetupsPerSecond = append(m.Processors.SetupsPerSecond, s.Fleet.Current(i).PerSecond())
-		for j := range n {
-			all := make([]float64, len(scn.Classes))
-			for c, cl := range scn.Classes {
-				all[c] = traffic[i][j] * cl.Share * cl.HoldingTime.Seconds() / seconds
+	mesh.Processors = &network.Processors{ExamineWork: scenario.Processor.ExamineWork, FollowUpWork: scenario.Processor.FollowUpWork, MaxQueueWait: scenario.Processor.MaxQueueWait.Seconds()}
+	traffic := drawn.Traffic()
+	for i := range exchanges {
+		mesh.Circuits = append(mesh.Circuits, make([]int, exchanges))
+		mesh.Offered = append(mesh.Offered, make([][]float64, exchanges))
+		mesh.Processors.SetupsPerSecond = append(mesh.Processors.SetupsPerSecond, drawn.Fleet.Current(i).PerSecond())
+		for j := range exchanges {
+			offered := make([]float64, len(scenario.Classes))
+			for c, cl := range scenario.Classes {
+				offered[c] = traffic[i][j] * cl.Share * cl.HoldingTime.Seconds() / meanCircuitSeconds
 			}
-			m.Offered[i][j] = all
+			mesh.Offered[i][j] = offered
 		}
 	}
-	for _, g := range s.Fleet.Groups() {
-		m.Circuits[g.A][g.B], m.Circuits[g.B][g.A] = g.Size, g.Size
+	for _, g := range drawn.Fleet.Groups() {
+		mesh.Circuits[g.A][g.B], mesh.Circuits[g.B][g.A] = g.Size, g.Size
 	}
-	return m, nil
+	return mesh, nil
 }
 
 // Interval is a mean over seeds with its 95 % interval by Student's t.
@@ -78,13 +78,13 @@
 // ConsistentWith tells whether a promise of at most x is not refuted.
 func (i Interval) ConsistentWith(x float64) bool { return i.Low <= x }
 
-func interval(all []float64) Interval {
-	mean, dev := stat.MeanStdDev(all, nil)
-	if len(all) < 2 {
+func confidenceInterval(values []float64) Interval {
+	mean, deviation := stat.MeanStdDev(values, nil)
+	if len(values) < 2 {
 		return Interval{mean, math.Inf(-1), math.Inf(1)}
 	}
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(all) - 1)}.Quantile(0.975) * dev / math.Sqrt(float64(len(all)))
-	return Interval{mean, mean - half, mean + half}
+	halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.975) * deviation / math.Sqrt(float64(len(values)))
+	return Interval{mean, mean - halfWidth, mean + halfWidth}
 }
 
 // Observed is what callers met.
@@ -99,29 +99,29 @@
 // PairCounts is one pair's first tries.
 type PairCounts struct{ Calls, Lost int }
 
-// warmUp is how many mean holding times of the longest class pass before calls count.
-const warmUp = 3
+// warmUpHoldingTimes is how many mean holding times of the longest class pass before calls count.
+const warmUpHoldingTimes = 3
 
 // Simulate plays a scenario with groups of the given sizes on seeds 1 to n,
 // some at the same time, and counts the first tries that never stood.
-func Simulate(ctx context.Context, scn *settings.Scenario, circuits [][]int, seeds int) (*Observed, error) {
+func Simulate(ctx context.Context, scenario *settings.Scenario, circuits [][]int, seeds int) (*Observed, error) {
 	longest := time.Duration(0)
-	for _, c := range scn.Classes {
+	for _, c := range scenario.Classes {
 		longest = max(longest, c.HoldingTime)
 	}
-	from := warmUp * longest
-	if from >= scn.Length {
-		return nil, fmt.Errorf("simulating %s: a day of %v is over before %v, when calls begin to count", scn.Name, scn.Length, from)
+	from := warmUpHoldingTimes * longest
+	if from >= scenario.Length {
+		return nil, fmt.Errorf("simulating %s: a day of %v is over before %v, when calls begin to count", scenario.Name, scenario.Length, from)
 	}
-	type seen struct {
+	type outcome struct {
 		calls, lost []int
 		pairs       [][]PairCounts
 		took        time.Duration
 	}
-	n := scn.Fleet.Exchanges
-	play := func(seed int) (*seen, error) {
-		d, err := virtual.Run(scn, virtual.Options{Shape: func(s *scene.Scene) {
-			for i := range n {
+	exchanges := scenario.Fleet.Exchanges
+	simulateSeed := func(seed int) (*outcome, error) {
+		day, err := virtual.Run(scenario, virtual.Options{Shape: func(s *scene.Scene) {
+			for i := range exchanges {
 				for j := range i {
 					s.Fleet.Resize(i, j, circuits[i][j])
 				}
@@ -131,31 +131,31 @@
 		if err != nil {
 			return nil, err
 		}
-		r := &seen{calls: make([]int, len(scn.Classes)), lost: make([]int, len(scn.Classes)), pairs: make([][]PairCounts, n), took: d.Took}
-		for i := range r.pairs {
-			r.pairs[i] = make([]PairCounts, n)
+		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), took: day.Took}
+		for i := range result.pairs {
+			result.pairs[i] = make([]PairCounts, exchanges)
 		}
-		for _, k := range d.Crowd.Calls {
-			if d.Since(k) < from || k.Result == subscriber.None && k.Stood == 0 {
+		for _, call := range day.Crowd.Calls {
+			if day.Since(call) < from || call.Result == subscriber.None && call.Stood == 0 {
 				continue
 			}
-			p := &r.pairs[k.From][k.Dest]
-			p.Calls++
-			r.calls[k.Class]++
-			if k.Stood == 0 {
-				p.Lost++
-				r.lost[k.Class]++
+			pair := &result.pairs[call.From][call.Dest]
+			pair.Calls++
+			result.calls[call.Class]++
+			if call.Stood == 0 {
+				pair.Lost++
+				result.lost[call.Class]++
 			}
 		}
-		return r, nil
+		return result, nil
 	}
-	results, errs := make([]*seen, seeds), make([]error, seeds)
+	results, errs := make([]*outcome, seeds), make([]error, seeds)
 	next := make(chan int)
 	var wg sync.WaitGroup
 	for range min(runtime.GOMAXPROCS(0), seeds) {
 		wg.Go(func() {
 			for i := range next {
-				results[i], errs[i] = play(i + 1)
+				results[i], errs[i] = simulateSeed(i + 1)
 			}
 		})
 	}
@@ -168,43 +168,43 @@
 	close(next)
 	wg.Wait()
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("simulating %s: %w", scn.Name, err)
+		return nil, fmt.Errorf("simulating %s: %w", scenario.Name, err)
 	}
-	o := &Observed{Seeds: seeds, Pairs: make([][]PairCounts, n)}
-	for i := range o.Pairs {
-		o.Pairs[i] = make([]PairCounts, n)
+	observed := &Observed{Seeds: seeds, Pairs: make([][]PairCounts, exchanges)}
+	for i := range observed.Pairs {
+		observed.Pairs[i] = make([]PairCounts, exchanges)
 	}
-	shares := make([][]float64, len(scn.Classes))
+	lossBySeed := make([][]float64, len(scenario.Classes))
 	for i, r := range results {
 		if errs[i] != nil {
 			return nil, errs[i]
 		}
-		o.VirtualTime += r.took
-		for c := range shares {
-			o.Calls += r.calls[c]
-			shares[c] = append(shares[c], float64(r.lost[c])/float64(max(r.calls[c], 1)))
+		observed.VirtualTime += r.took
+		for c := range lossBySeed {
+			observed.Calls += r.calls[c]
+			lossBySeed[c] = append(lossBySeed[c], float64(r.lost[c])/float64(max(r.calls[c], 1)))
 		}
-		for a := range n {
-			for b := range n {
-				o.Pairs[a][b].Calls += r.pairs[a][b].Calls
-				o.Pairs[a][b].Lost += r.pairs[a][b].Lost
+		for a := range exchanges {
+			for b := range exchanges {
+				observed.Pairs[a][b].Calls += r.pairs[a][b].Calls
+				observed.Pairs[a][b].Lost += r.pairs[a][b].Lost
 			}
 		}
 	}
-	for c := range shares {
-		o.LossByClass = append(o.LossByClass, interval(shares[c]))
+	for c := range lossBySeed {
+		observed.LossByClass = append(observed.LossByClass, confidenceInterval(lossBySeed[c]))
 	}
-	return o, nil
+	return observed, nil
 }
 
-// nobody is an edge for a scene that is only looked at.
-type nobody struct{}
+// inertEdge is an edge for a scene that is only looked at.
+type inertEdge struct{}
 
-func (nobody) Open(uint32) (string, error)                         { return "nowhere", nil }
-func (nobody) Shut(uint32)                                         {}
-func (nobody) Break(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (nobody) Fault(uint32, scene.Fault, bool)                     {}
-func (nobody) ListAway(bool)                                       {}
-func (nobody) Garbage(float64) func()                              { return func() {} }
-func (nobody) Restart(int)                                         {}
-func (nobody) Fact(string, any)                                    {}
+func (inertEdge) Open(uint32) (string, error)                         { return "nowhere", nil }
+func (inertEdge) Shut(uint32)                                         {}
+func (inertEdge) Break(uint32, string, func(*exchange.Conn) bool) int { return 0 }
+func (inertEdge) Fault(uint32, scene.Fault, bool)                     {}
+func (inertEdge) ListAway(bool)                                       {}
+func (inertEdge) Garbage(float64) func()                              { return func() {} }
+func (inertEdge) Restart(int)                                         {}
+func (inertEdge) Fact(string, any)                                    {}
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -15,55 +15,55 @@
 	"dahliaspindle/scenarios"
 )
 
-func quiet(t testing.TB, level float64) *settings.Scenario {
+func quietDay(t testing.TB, level float64) *settings.Scenario {
 	t.Helper()
 	text, ok := scenarios.Text("quiet-day")
 	if !ok {
 		t.Fatal("no quiet day")
 	}
-	scn, err := settings.ParseScenario("quiet-day", strings.NewReader(text))
+	scenario, err := settings.ParseScenario("quiet-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	scn.Load.Level = level
-	return scn
+	scenario.Load.Level = level
+	return scenario
 }
 
 // The network model against the same module in simulated days, with groups that
 // are ample, as planned and too small.
 func TestModelAgainstSimulation(t *testing.T) {
-	for _, x := range []struct{ level, by float64 }{{0.85, 0.002}, {1, 0.025}, {1.2, 0.03}} {
-		scn := quiet(t, x.level)
-		m, err := ScenarioMesh(scn)
+	for _, test := range []struct{ level, tolerance float64 }{{0.85, 0.002}, {1, 0.025}, {1.2, 0.03}} {
+		scenario := quietDay(t, test.level)
+		mesh, err := ScenarioMesh(scenario)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := network.SolveFrom(m, false)
+		solution, err := network.SolveFrom(mesh, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o, err := Simulate(context.Background(), scn, m.Circuits, 4)
+		observed, err := Simulate(context.Background(), scenario, mesh.Circuits, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("load %.2f: model %.4f, simulated %.4f", x.level, s.LossByClass, o.LossByClass)
-		if d := math.Abs(s.LossByClass[0] - o.LossByClass[0].Mean); !s.Converged || d > x.by {
-			t.Errorf("load %.2f: model %.4f (converged %v), simulated %.4f", x.level, s.LossByClass[0], s.Converged, o.LossByClass[0])
+		t.Logf("load %.2f: model %.4f, simulated %.4f", test.level, solution.LossByClass, observed.LossByClass)
+		if difference := math.Abs(solution.LossByClass[0] - observed.LossByClass[0].Mean); !solution.Converged || difference > test.tolerance {
+			t.Errorf("load %.2f: model %.4f (converged %v), simulated %.4f", test.level, solution.LossByClass[0], solution.Converged, observed.LossByClass[0])
 		}
 	}
 }
 
-// records is a sink that keeps the calls of one controller as tries.
-type records struct {
-	all  *[]measure.CallAttempt
-	life uint64
+// attemptSink is a sink that keeps the calls of one controller as tries.
+type attemptSink struct {
+	attempts    *[]measure.CallAttempt
+	incarnation uint64
 }
 
-func (s records) Put(r *flow.Record) {
+func (s attemptSink) Put(r *flow.Record) {
 	if r.Kind == flow.Call && r.Route != flow.Transit {
-		*s.all = append(*s.all, measure.CallAttempt{Start: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
+		*s.attempts = append(*s.attempts, measure.CallAttempt{Start: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
 			Number: r.Number, MarkedRetry: r.Repeat, Lost: r.Outcome != flow.Ended && r.Outcome != flow.Cut, Cut: r.Outcome == flow.Cut,
-			EstablishedFor: r.Stood, Incarnation: s.life})
+			EstablishedFor: r.Stood, Incarnation: s.incarnation})
 	}
 }
 
@@ -71,86 +71,86 @@
 // dialled again, one controller killed on the way: what their records tell is what
 // was offered.
 func TestKnownTrafficIsRecovered(t *testing.T) {
-	scn := quiet(t, 1.15)
-	scn.Rules.CallersMarkRetries = false // redials are to be told from first tries by their numbers
-	scn.Length = 50 * time.Minute
-	scn.Troubles = []settings.Trouble{{Kind: "controllers-restart", At: 25 * time.Minute, Size: 0.15}}
-	m, err := ScenarioMesh(scn)
+	scenario := quietDay(t, 1.15)
+	scenario.Rules.CallersMarkRetries = false // redials are to be told from first tries by their numbers
+	scenario.Length = 50 * time.Minute
+	scenario.Troubles = []settings.Trouble{{Kind: "controllers-restart", At: 25 * time.Minute, Size: 0.15}}
+	mesh, err := ScenarioMesh(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var tries []measure.CallAttempt
-	lives := uint64(0)
-	if _, err := virtual.Run(scn, virtual.Options{Flows: func(int) flow.Sink {
-		lives++
-		return records{&tries, lives}
+	var attempts []measure.CallAttempt
+	incarnations := uint64(0)
+	if _, err := virtual.Run(scenario, virtual.Options{Flows: func(int) flow.Sink {
+		incarnations++
+		return attemptSink{&attempts, incarnations}
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	r := measure.EstimateBatch(tries, measure.Options{RetryWindow: 9 * time.Second})
-	in, all, sum, naive, want := 0, 0, 0.0, 0.0, 0.0
-	for _, p := range r.Pairs {
-		offered := m.Offered[p.Source][p.Dest][p.Class]
-		width := float64(m.Classes[p.Class].Circuits)
-		want, sum, naive = want+offered*width, sum+p.Erlang*width, naive+p.AllAttemptsErlang*width
-		if p.Known {
-			all++
-			if p.Low <= offered && offered <= p.High {
-				in++
+	result := measure.EstimateBatch(attempts, measure.Options{RetryWindow: 9 * time.Second})
+	covered, known, measured, allAttempts, offeredTotal := 0, 0, 0.0, 0.0, 0.0
+	for _, pair := range result.Pairs {
+		offered := mesh.Offered[pair.Source][pair.Dest][pair.Class]
+		width := float64(mesh.Classes[pair.Class].Circuits)
+		offeredTotal, measured, allAttempts = offeredTotal+offered*width, measured+pair.Erlang*width, allAttempts+pair.AllAttemptsErlang*width
+		if pair.Known {
+			known++
+			if pair.Low <= offered && offered <= pair.High {
+				covered++
 			}
 		}
 	}
 	direct, transit := 0.0, 0.0
-	for _, g := range r.Groups {
-		direct, transit = direct+g.Direct, transit+g.Transit
-		if size := float64(m.Circuits[g.A][g.B]); g.Direct+g.Transit > size {
-			t.Errorf("group %d-%d of %v circuits carries %.1f and %.1f", g.A, g.B, size, g.Direct, g.Transit)
+	for _, group := range result.Groups {
+		direct, transit = direct+group.Direct, transit+group.Transit
+		if size := float64(mesh.Circuits[group.A][group.B]); group.Direct+group.Transit > size {
+			t.Errorf("group %d-%d of %v circuits carries %.1f and %.1f", group.A, group.B, size, group.Direct, group.Transit)
 		}
 	}
 	if transit < 20 || direct < 500 {
 		t.Errorf("%.1f circuits carry direct calls, %.1f those over tandems", direct, transit)
 	}
 	t.Logf("%.1f circuits carry direct calls, %.1f those over tandems", direct, transit)
-	t.Logf("%.1f circuits asked for, %.1f read, %.1f with each try a call of its own; %d of %d intervals hold", want, sum, naive, in, all)
-	if math.Abs(sum-want) > 0.03*want || in < all*88/100 || naive < 1.05*want || r.Incarnations != 8 {
-		t.Errorf("%d lives", r.Incarnations)
+	t.Logf("%.1f circuits asked for, %.1f read, %.1f with each try a call of its own; %d of %d intervals hold", offeredTotal, measured, allAttempts, covered, known)
+	if math.Abs(measured-offeredTotal) > 0.03*offeredTotal || covered < known*88/100 || allAttempts < 1.05*offeredTotal || result.Incarnations != 8 {
+		t.Errorf("%d lives", result.Incarnations)
 	}
 }
 
 // The mesh offers what the scenario says, and other seeds meet the same fleet.
-func TestMeshOfAScenario(t *testing.T) {
-	scn := quiet(t, 1)
-	m, err := ScenarioMesh(scn)
+func TestScenarioMesh(t *testing.T) {
+	scenario := quietDay(t, 1)
+	mesh, err := ScenarioMesh(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := 0.0
-	for i := range m.Offered {
-		for j := range m.Offered {
-			for c, cl := range m.Classes {
-				all += m.Offered[i][j][c] * float64(cl.Circuits)
+	offered := 0.0
+	for i := range mesh.Offered {
+		for j := range mesh.Offered {
+			for c, cl := range mesh.Classes {
+				offered += mesh.Offered[i][j][c] * float64(cl.Circuits)
 			}
 		}
 	}
-	if want := scn.Fleet.ErlangPerExchange * float64(scn.Fleet.Exchanges); math.Abs(all-want) > 1e-6*want {
-		t.Errorf("%v circuits are asked for, the scenario says %v", all, want)
+	if want := scenario.Fleet.ErlangPerExchange * float64(scenario.Fleet.Exchanges); math.Abs(offered-want) > 1e-6*want {
+		t.Errorf("%v circuits are asked for, the scenario says %v", offered, want)
 	}
-	scn.Length = 7 * time.Minute
-	o, err := Simulate(context.Background(), scn, m.Circuits, 2)
+	scenario.Length = 7 * time.Minute
+	observed, err := Simulate(context.Background(), scenario, mesh.Circuits, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// a minute counts: 700 circuits over 100.5 circuit-seconds a call
-	if want := 2 * 60 * 700 / 100.5; math.Abs(float64(o.Calls)-want) > 4*math.Sqrt(want) {
-		t.Errorf("%d calls count, about %.0f were to", o.Calls, want)
+	if want := 2 * 60 * 700 / 100.5; math.Abs(float64(observed.Calls)-want) > 4*math.Sqrt(want) {
+		t.Errorf("%d calls count, about %.0f were to", observed.Calls, want)
 	}
-	scn.Length = 5 * time.Minute
-	if _, err := Simulate(context.Background(), scn, m.Circuits, 1); err == nil {
+	scenario.Length = 5 * time.Minute
+	if _, err := Simulate(context.Background(), scenario, mesh.Circuits, 1); err == nil {
 		t.Error("a day that is over before it counts")
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	stop()
-	if _, err := Simulate(ctx, quiet(t, 1), m.Circuits, 3); err == nil {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if _, err := Simulate(ctx, quietDay(t, 1), mesh.Circuits, 3); err == nil {
 		t.Error("a stopped simulation tells no error")
 	}
 }
--- a/internal/report/draw.go
+++ b/internal/report/draw.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-func drawOn(c vg.CanvasSizer) draw.Canvas { return draw.New(c) }
+func drawOn(canvas vg.CanvasSizer) draw.Canvas { return draw.New(canvas) }
 
 var (
 	grey = color.RGBA{R: 140, G: 140, B: 140, A: 255}
@@ -17,22 +17,22 @@
 )
 
 // scatter adds one or two sets of points with their names.
-func scatter(p *plot.Plot, first, second plotter.XYs, a, b string) error {
-	for _, x := range []struct {
+func scatter(p *plot.Plot, first, second plotter.XYs, firstName, secondName string) error {
+	for _, set := range []struct {
 		xy    plotter.XYs
 		name  string
 		color color.RGBA
-	}{{first, a, grey}, {second, b, blue}} {
-		if len(x.xy) == 0 {
+	}{{first, firstName, grey}, {second, secondName, blue}} {
+		if len(set.xy) == 0 {
 			continue
 		}
-		s, err := plotter.NewScatter(x.xy)
+		s, err := plotter.NewScatter(set.xy)
 		if err != nil {
 			return err
 		}
-		s.GlyphStyle = draw.GlyphStyle{Color: x.color, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
+		s.GlyphStyle = draw.GlyphStyle{Color: set.color, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 		p.Add(s)
-		p.Legend.Add(x.name, s)
+		p.Legend.Add(set.name, s)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	return nil
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -77,24 +77,24 @@
 }
 
 //go:embed page.html
-var text string
+var pageSource string
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"share": func(x float64) string { return fmt.Sprintf("%.2f %%", 100*x) },
 	"erl":   func(x float64) string { return fmt.Sprintf("%.2f", x) },
-}).Parse(text))
+}).Parse(pageSource))
 
 // HTML writes the page.
 func HTML(w io.Writer, r *Report) error {
-	sizes, err := r.sizes()
+	sizes, err := r.sizesPlot()
 	if err != nil {
 		return fmt.Errorf("drawing the groups: %w", err)
 	}
-	losses, err := r.losses()
+	losses, err := r.lossesPlot()
 	if err != nil {
 		return fmt.Errorf("drawing the losses: %w", err)
 	}
-	if err := page.Execute(w, struct {
+	if err := pageTemplate.Execute(w, struct {
 		*Report
 		Sizes, Losses template.HTML
 	}{r, sizes, losses}); err != nil {
@@ -105,21 +105,21 @@
 
 // svg renders a plot as SVG, without the XML head.
 func svg(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(16*vg.Centimeter, 9*vg.Centimeter)
-	p.Draw(drawOn(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	canvas := vgsvg.New(16*vg.Centimeter, 9*vg.Centimeter)
+	p.Draw(drawOn(canvas))
+	var buffer bytes.Buffer
+	if _, err := canvas.WriteTo(&buffer); err != nil {
 		return "", err
 	}
-	out := b.Bytes()
-	if i := bytes.Index(out, []byte("<svg")); i > 0 {
-		out = out[i:]
+	document := buffer.Bytes()
+	if i := bytes.Index(document, []byte("<svg")); i > 0 {
+		document = document[i:]
 	}
-	return template.HTML(out), nil // made by the plot library of numbers and our own labels
+	return template.HTML(document), nil // made by the plot library of numbers and our own labels
 }
 
-// sizes shows circuits over offered traffic, now and advised.
-func (r *Report) sizes() (template.HTML, error) {
+// sizesPlot shows circuits over offered traffic, now and advised.
+func (r *Report) sizesPlot() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Groups", "offered (erlang)", "circuits"
 	var now, advised plotter.XYs
@@ -133,28 +133,28 @@
 	return svg(p)
 }
 
-// losses shows the model's loss of each pair beside the simulated one.
-func (r *Report) losses() (template.HTML, error) {
-	var all, line plotter.XYs
-	most := 0.0
+// lossesPlot shows the model's loss of each pair beside the simulated one.
+func (r *Report) lossesPlot() (template.HTML, error) {
+	var points, diagonal plotter.XYs
+	maxLoss := 0.0
 	for _, x := range r.Pairs {
 		if x.Simulated != nil && x.Simulated.Calls > 0 {
-			all = append(all, plotter.XY{X: x.PredictedLoss, Y: x.Simulated.Loss})
-			most = math.Max(most, math.Max(x.PredictedLoss, x.Simulated.Loss))
+			points = append(points, plotter.XY{X: x.PredictedLoss, Y: x.Simulated.Loss})
+			maxLoss = math.Max(maxLoss, math.Max(x.PredictedLoss, x.Simulated.Loss))
 		}
 	}
-	if len(all) == 0 {
+	if len(points) == 0 {
 		return "", nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Loss by pair", "promised", "simulated"
-	line = plotter.XYs{{X: 0, Y: 0}, {X: most, Y: most}}
-	l, err := plotter.NewLine(line)
+	diagonal = plotter.XYs{{X: 0, Y: 0}, {X: maxLoss, Y: maxLoss}}
+	l, err := plotter.NewLine(diagonal)
 	if err != nil {
 		return "", err
 	}
 	p.Add(l)
-	if err := scatter(p, all, nil, "a pair", ""); err != nil {
+	if err := scatter(p, points, nil, "a pair", ""); err != nil {
 		return "", err
 	}
 	return svg(p)
