--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -178,12 +178,17 @@
 		}
 		caller := r.clients[placed%len(r.clients)]
 		request := &signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: fmt.Sprintf("load-%d-%d", r.options.Seed, placed)}
-		request.Put("Class", r.options.Classes[r.random.IntN(len(r.options.Classes))]).PutInt("Dest", r.options.Destinations[r.random.IntN(len(r.options.Destinations))])
+		request.Put("Class", r.options.Classes[r.random.IntN(len(r.options.Classes))]).
+			PutInt("Dest", r.options.Destinations[r.random.IntN(len(r.options.Destinations))])
 		request.Put("Number", fmt.Sprint(r.random.Uint64N(1<<40))).PutDuration("Left", r.options.Patience)
 		caller.mu.Lock()
 		caller.lastTransaction++
 		request.ID = caller.lastTransaction
-		caller.pending[request.ID] = pendingCall{due, request.Termination, time.Duration(r.random.ExpFloat64() * float64(r.options.MeanHoldingTime))}
+		caller.pending[request.ID] = pendingCall{
+			due,
+			request.Termination,
+			time.Duration(r.random.ExpFloat64() * float64(r.options.MeanHoldingTime)),
+		}
 		sent := caller.conn.Send(request, time.Hour)
 		if !sent {
 			delete(caller.pending, request.ID)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -88,7 +88,8 @@
 		}
 		// The pause of one second appears in full.
 		// The median shows that calls outside the pause were not delayed.
-		if answered := result.Rows[established]; answered.Calls != int64(result.Offered/3) || answered.Max < 900*time.Millisecond || answered.P50 > 10*time.Millisecond {
+		if answered := result.Rows[established]; answered.Calls != int64(result.Offered/3) ||
+			answered.Max < 900*time.Millisecond || answered.P50 > 10*time.Millisecond {
 			t.Errorf("established calls: %+v", answered)
 		}
 		if result.Rows[unanswered].Calls < int64(result.Offered/3) || result.Rows[refused].Calls == 0 {
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -255,7 +255,10 @@
 			return nil, fmt.Errorf("rate: %w", err)
 		}
 		peers.exchangeListeners[number] = listener
-		listEntries = append(listEntries, signal.Field{Name: "Exchange", Value: fmt.Sprintf("%d cell=%d state=in since=0 at=%s", 100+number, number, listener.Addr())})
+		listEntries = append(listEntries, signal.Field{
+			Name:  "Exchange",
+			Value: fmt.Sprintf("%d cell=%d state=in since=0 at=%s", 100+number, number, listener.Addr()),
+		})
 		go peers.accept(listener, func(conn *transport.Conn[*signal.Message], request *signal.Message) {
 			conn.Send(request.NewReply(), 0)
 			if request.Command == signal.Modify && number == 0 {
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -452,7 +452,8 @@
 	}
 	transit.pendingTransit[transit.lastTransaction], transit.transitLegs[incoming.transitName] = incoming, incoming
 	request := &signal.Message{ID: transit.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: incoming.transitName}
-	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).PutInt("Width", incoming.circuits).PutDuration("Left", timeLeft)
+	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).
+		PutInt("Width", incoming.circuits).PutDuration("Left", timeLeft)
 	request.PutInt("Source", incoming.origin.Number).PutFlag("Again", incoming.request.Flag("Again"))
 	if number := incoming.request.Get("Number"); number != "" {
 		request.Put("Number", number)
@@ -551,8 +552,12 @@
 		return
 	}
 	target.conn.lastTransaction++
-	target.conn.Send((&signal.Message{ID: target.conn.lastTransaction, Context: target.key.context, Command: signal.Notify, Termination: target.termination}).
-		Put("Event", "cut").Put("Attempt", target.key.attempt))
+	target.conn.Send((&signal.Message{
+		ID:          target.conn.lastTransaction,
+		Context:     target.key.context,
+		Command:     signal.Notify,
+		Termination: target.termination,
+	}).Put("Event", "cut").Put("Attempt", target.key.attempt))
 }
 
 // releaseLeg frees the circuits and the line of a leg at once, and releases its
@@ -570,7 +575,12 @@
 	if transit := released.peer.transitConn; transit != nil && released.transitName != "" {
 		delete(transit.transitLegs, released.transitName)
 		transit.lastTransaction++
-		transit.Send(&signal.Message{ID: transit.lastTransaction, Context: signal.ContextNull, Command: signal.Subtract, Termination: released.transitName})
+		transit.Send(&signal.Message{
+			ID:          transit.lastTransaction,
+			Context:     signal.ContextNull,
+			Command:     signal.Subtract,
+			Termination: released.transitName,
+		})
 		released.transitName = ""
 	}
 }
--- a/internal/standin/scene/trouble.go
+++ b/internal/standin/scene/trouble.go
@@ -41,7 +41,12 @@
 func (sim *Simulation) startTrouble(trouble settings.Trouble) {
 	description, stop := sim.applyTrouble(trouble)
 	now := sim.scheduler.Now() - sim.startedAt
-	sim.troubles = append(sim.troubles, TroubleRecord{Trouble: trouble, Description: description, Start: now, End: now + max(trouble.Duration, time.Second)})
+	sim.troubles = append(sim.troubles, TroubleRecord{
+		Trouble:     trouble,
+		Description: description,
+		Start:       now,
+		End:         now + max(trouble.Duration, time.Second),
+	})
 	sim.environment.Record("trouble", capture.Trouble{Kind: trouble.Kind, Description: description, Duration: trouble.Duration})
 	if stop == nil {
 		return
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -107,7 +107,8 @@
 
 // serve starts the simulated end of a connection. onMessage and onClosed are called
 // in the loop.
-func (runner *Runner) serve(conn net.Conn, dialed bool, owner, role string, onMessage func(*signal.Message), onClosed func()) *transport.Conn[*signal.Message] {
+func (runner *Runner) serve(conn net.Conn, dialed bool, owner, role string,
+	onMessage func(*signal.Message), onClosed func()) *transport.Conn[*signal.Message] {
 	recorder := runner.capture.Open(transport.ConnectionKey(conn, dialed), capture.Endpoint{Owner: owner, Role: role, Dialed: dialed})
 	return transport.Start(conn, transport.Options[*signal.Message]{
 		Reader:       signal.NewReadFunc(signal.Limits{}),
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -79,7 +79,7 @@
 // Result is the result of a run.
 type Result struct {
 	*scene.Simulation
-	CircuitsInUse   int                // after all controllers have shut down
+	CircuitsInUse   int                // at the end, when all connections are closed
 	AllStopped      bool               // all controllers shut down within the time allowed
 	Events          uint64             // number of events handled
 	Duration        time.Duration      // virtual time from the start to the last event
@@ -177,7 +177,12 @@
 	conn := &connection{runner: runner, node: n, peer: peer, controllerOpen: true, remoteOpen: true, port: port}
 	if runner.capture != nil {
 		key := fmt.Sprint("wire ", runner.connectionCount)
-		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.number), Role: peer.Role.String(), Peer: peer.ID, Dialed: dialed})
+		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{
+			Owner:  controllerOwner(n.number),
+			Role:   peer.Role.String(),
+			Peer:   peer.ID,
+			Dialed: dialed,
+		})
 		conn.remoteRecorder = runner.capture.Open(key, capture.Endpoint{Owner: remoteOwner, Role: "controller", Dialed: !dialed})
 	}
 	return conn
--- a/internal/virtual/stall_test.go
+++ b/internal/virtual/stall_test.go
@@ -46,7 +46,12 @@
 func TestStalledReaderOnLoadedFleet(t *testing.T) {
 	var with, without []time.Duration
 	for seed := uint64(1); seed <= 16; seed++ {
-		stalledTimes, stalled := setUpTimes(t, seed, 0.8, -1, settings.Trouble{Kind: "stalled-reader", At: time.Second, Duration: 30 * time.Second, Size: 0.01})
+		stalledTimes, stalled := setUpTimes(t, seed, 0.8, -1, settings.Trouble{
+			Kind:     "stalled-reader",
+			At:       time.Second,
+			Duration: 30 * time.Second,
+			Size:     0.01,
+		})
 		otherTimes, _ := setUpTimes(t, seed, 0.8, stalled)
 		with, without = append(with, stalledTimes...), append(without, otherTimes...)
 	}
