--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -67,7 +67,7 @@
 type Config struct {
 	IntraRegionDelay, InterRegionDelay time.Duration // one way
 	MaxQueueWait                       time.Duration // set-ups that would wait longer are rejected
-	ExamineWork                        float64       // at the originating exchange, before a set-up is sent
+	ExamineWork                        float64       // additional work of a set-up at the originating exchange
 	RejectWork                         float64
 	FollowUpWork                       float64 // of an answer or a release
 	ResendWork                         float64
