--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -28,11 +28,11 @@
 // testCollector is a collector on the loopback interface that can be disconnected and
 // can listen again on the same address.
 type testCollector struct {
-	t         *testing.T
-	collector *collect.Collector
-	addr      string
-	listener  net.Listener
-	wg        sync.WaitGroup
+	t        *testing.T
+	server   *collect.Collector
+	addr     string
+	listener net.Listener
+	wg       sync.WaitGroup
 }
 
 func newTestCollector(t *testing.T) *testCollector {
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &testCollector{t: t, collector: collector}
+	c := &testCollector{t: t, server: collector}
 	c.listen()
 	return c
 }
@@ -57,21 +57,21 @@
 		c.t.Fatal(err)
 	}
 	c.listener, c.addr = listener, listener.Addr().String()
-	c.wg.Go(func() { c.collector.Serve(listener) })
+	c.wg.Go(func() { c.server.Serve(listener) })
 }
 
 // disconnect closes the listener and resets all connections.
 func (c *testCollector) disconnect() {
 	c.listener.Close()
 	c.wg.Wait()
-	c.collector.ResetAll()
+	c.server.ResetAll()
 }
 
 // stop closes the listener and the collector.
 func (c *testCollector) stop() {
 	c.listener.Close()
 	c.wg.Wait()
-	if err := c.collector.Close(); err != nil {
+	if err := c.server.Close(); err != nil {
 		c.t.Error(err)
 	}
 }
@@ -217,27 +217,27 @@
 			process.putCalls(1000, 300*time.Millisecond)
 		}, func(report *collect.Report) string { return checkReceived(report, 4000) }},
 		{"resets after each message", true, func(t *testing.T, collector *testCollector, process *testProcess) {
-			collector.collector.Faults.ResetEach.Store(true)
+			collector.server.Faults.ResetEach.Store(true)
 			process.putCalls(1000, 700*time.Millisecond)
-			collector.collector.Faults.ResetEach.Store(false)
+			collector.server.Faults.ResetEach.Store(false)
 			process.putCalls(500, time.Second)
 		}, nil},
 		{"stops reading, then resets", true, func(t *testing.T, collector *testCollector, process *testProcess) {
-			collector.collector.Faults.StopReading.Store(true)
+			collector.server.Faults.StopReading.Store(true)
 			process.putCalls(20000, time.Second)
-			collector.collector.ResetAll()
-			collector.collector.Faults.StopReading.Store(false)
+			collector.server.ResetAll()
+			collector.server.Faults.StopReading.Store(false)
 			process.putCalls(500, time.Second)
 		}, nil},
 		{"resets during the replay", true, func(t *testing.T, collector *testCollector, process *testProcess) {
 			collector.disconnect()
 			process.putCalls(3000, 300*time.Millisecond)
-			collector.collector.Faults.ReadDelay.Store(int64(time.Millisecond))
-			collector.collector.Faults.StopReading.Store(true)
+			collector.server.Faults.ReadDelay.Store(int64(time.Millisecond))
+			collector.server.Faults.StopReading.Store(true)
 			collector.listen()
 			process.putCalls(100, 500*time.Millisecond) // the replay begins and stays in the socket buffers
-			collector.collector.ResetAll()
-			collector.collector.Faults.StopReading.Store(false)
+			collector.server.ResetAll()
+			collector.server.Faults.StopReading.Store(false)
 			process.putCalls(100, time.Second)
 			for i := 0; process.exporter.Status().Spools[0].Segments > 0; i++ {
 				if i > 500 {
@@ -247,21 +247,21 @@
 			}
 		}, func(report *collect.Report) string { return checkReceived(report, 6400) }},
 		{"refuses connections", true, func(t *testing.T, collector *testCollector, process *testProcess) {
-			collector.collector.Faults.RefuseConnections.Store(true)
-			collector.collector.ResetAll()
+			collector.server.Faults.RefuseConnections.Store(true)
+			collector.server.ResetAll()
 			process.putCalls(1000, 300*time.Millisecond)
-			collector.collector.Faults.RefuseConnections.Store(false)
+			collector.server.Faults.RefuseConnections.Store(false)
 			process.putCalls(500, time.Second)
 		}, nil},
 		{"never closes a connection", false, func(t *testing.T, collector *testCollector, process *testProcess) {
-			collector.collector.Faults.KeepOpen.Store(true)
+			collector.server.Faults.KeepOpen.Store(true)
 			process.putCalls(2000, 3*time.Second)
 		}, nil},
 		{"flood", false, func(t *testing.T, collector *testCollector, process *testProcess) {
-			collector.collector.Faults.ReadDelay.Store(int64(5 * time.Millisecond))
+			collector.server.Faults.ReadDelay.Store(int64(5 * time.Millisecond))
 			process.putCalls(200, 300*time.Millisecond)
 			process.putCalls(100000, 500*time.Millisecond)
-			collector.collector.Faults.ReadDelay.Store(0)
+			collector.server.Faults.ReadDelay.Store(0)
 			process.putCalls(200, 500*time.Millisecond)
 		}, func(report *collect.Report) string {
 			if report.Folded == 0 {
@@ -301,10 +301,10 @@
 				}
 				process.shutDown(t)
 			}
-			report := collector.collector.Report()
+			report := collector.server.Report()
 			for i := 0; report.Unfinished > 0 && i < 200; i++ { // until the collector has read the socket buffers
 				time.Sleep(10 * time.Millisecond)
-				report = collector.collector.Report()
+				report = collector.server.Report()
 			}
 			checkAccountedFor(t, report)
 			if test.check != nil {
@@ -340,7 +340,7 @@
 	first.disconnect()
 	process.putCalls(500, 500*time.Millisecond)
 	process.shutDown(t)
-	firstReport, secondReport := first.collector.Report(), second.collector.Report()
+	firstReport, secondReport := first.server.Report(), second.server.Report()
 	if firstReport.OrphanRecords == 0 && firstReport.Received == 0 || secondReport.Received == 0 ||
 		secondReport.Unfinished != 0 || int(firstReport.OrphanRecords+secondReport.Received) < 2000 {
 		t.Errorf("failover: first %+v, second %+v", firstReport, secondReport)
@@ -362,13 +362,13 @@
 	third.listen()
 	process.putCalls(300, 1500*time.Millisecond)
 	process.shutDown(t)
-	checkAccountedFor(t, first.collector.Report())
+	checkAccountedFor(t, first.server.Report())
 	process = startProcess(t, config, spoolDirs) // sends what the second collector still lacks
 	process.putCalls(1, time.Millisecond)
 	time.Sleep(time.Second)
 	process.shutDown(t)
-	checkAccountedFor(t, first.collector.Report())
-	checkAccountedFor(t, third.collector.Report())
+	checkAccountedFor(t, first.server.Report())
+	checkAccountedFor(t, third.server.Report())
 }
 
 func createSpoolDir(t *testing.T, path string) spool.FS {
@@ -429,7 +429,7 @@
 	collector.listen()
 	process.putCalls(500, time.Second)
 	process.shutDown(t)
-	report := collector.collector.Report()
+	report := collector.server.Report()
 	checkAccountedFor(t, report)
 	if report.Folded == 0 {
 		t.Errorf("no record was folded: %+v", report)
