--- a/cmd/dahliaspindle/dimension_test.go
+++ b/cmd/dahliaspindle/dimension_test.go
@@ -10,60 +10,61 @@
 	"dahliaspindle/internal/report"
 )
 
-// A plan, its advice and its proof on the command line: the numbers of each agree,
-// the page is written, a target is held in simulation.
+// The commands plan, advise and prove report the same plan; the HTML page is written;
+// the simulated loss stays within the targets.
 func TestPlanAdviseProve(t *testing.T) {
-	var all [3]report.Report
+	var reports [3]report.Report
 	page := filepath.Join(t.TempDir(), "report.html")
 	common := []string{"quiet-day", "--exchanges", "4", "--module", "10", "--networks", "60", "--json"}
 	for i, args := range [][]string{{"plan"}, {"advise", "--buy", "1", "--move", "0"}, {"prove", "--seeds", "4", "--length", "15m", "--html", page}} {
-		out, errs, status := program(t, append(append([]string{"dimension", args[0]}, common...), args[1:]...)...)
+		stdout, stderr, status := runProgram(t, append(append([]string{"dimension", args[0]}, common...), args[1:]...)...)
 		if status != 0 {
-			t.Fatalf("%v: status %d, %s", args, status, errs)
+			t.Fatalf("%v: status %d, %s", args, status, stderr)
 		}
-		if err := json.Unmarshal([]byte(out), &all[i]); err != nil {
+		if err := json.Unmarshal([]byte(stdout), &reports[i]); err != nil {
 			t.Fatalf("%v: %v", args, err)
 		}
 	}
-	p, a, v := all[0], all[1], all[2]
-	if p.Advised == 0 || p.Advised%10 != 0 || p.Advised != a.Advised || p.Advised != v.Advised || p.Proportional < p.Advised || p.Bound > p.Cost {
-		t.Errorf("advised %d, %d, %d; in proportion %d; cost %v, bound %v", p.Advised, a.Advised, v.Advised, p.Proportional, p.Cost, p.Bound)
+	plan, advice, proof := reports[0], reports[1], reports[2]
+	if plan.Advised == 0 || plan.Advised%10 != 0 || plan.Advised != advice.Advised || plan.Advised != proof.Advised || plan.Proportional < plan.Advised || plan.Bound > plan.Cost {
+		t.Errorf("advised %d, %d, %d; proportional %d; cost %v, bound %v", plan.Advised, advice.Advised, proof.Advised, plan.Proportional, plan.Cost, plan.Bound)
 	}
-	if len(a.Pairs) != 6 || len(a.Moves) > 1 {
-		t.Errorf("%d pairs, moves %v", len(a.Pairs), a.Moves)
+	if len(advice.Pairs) != 6 || len(advice.Moves) > 1 {
+		t.Errorf("%d pairs, moves %v", len(advice.Pairs), advice.Moves)
 	}
-	for _, c := range v.Classes {
-		if c.Seen == nil || c.Seen.Loss > c.Target || c.Promise > c.Target {
-			t.Errorf("%+v", c)
+	for _, class := range proof.Classes {
+		if class.Seen == nil || class.Seen.Loss > class.Target || class.Promise > class.Target {
+			t.Errorf("loss above the target: %+v", class)
 		}
 	}
-	if b, err := os.ReadFile(page); err != nil || strings.Count(string(b), "<svg") != 2 {
-		t.Errorf("the page: %v", err)
+	if content, err := os.ReadFile(page); err != nil || strings.Count(string(content), "<svg") != 2 {
+		t.Errorf("HTML page: %v", err)
 	}
 }
 
-// A day of records becomes a curve, once; what can't be done is told with its place and status 2.
-func TestCurveAndFaults(t *testing.T) {
+// A file of flow records is added to a curve only once. Invalid arguments are reported
+// and exit with status 2.
+func TestCurveAndInvalidArguments(t *testing.T) {
 	dir := t.TempDir()
-	if _, errs, status := program(t, "demo", "--scenario", shortDay(t), "--flows", "--dir", dir, "--json"); status != 0 {
-		t.Fatal(errs)
+	if _, stderr, status := runProgram(t, "demo", "--scenario", shortScenario(t), "--flows", "--dir", dir, "--json"); status != 0 {
+		t.Fatal(stderr)
 	}
 	flows, store := filepath.Join(dir, "flows.ipfix"), filepath.Join(dir, "curve")
 	for i := range 2 {
-		out, errs, status := program(t, "dimension", "curve", store, "--add", flows, "--step", "15m", "--json")
-		var got struct {
+		stdout, stderr, status := runProgram(t, "dimension", "curve", store, "--add", flows, "--step", "15m", "--json")
+		var output struct {
 			Lines []struct {
 				Slots []struct{ Tries int }
 			}
 		}
-		if err := json.Unmarshal([]byte(out), &got); err != nil || status != 0 || len(got.Lines) < 12 {
-			t.Fatalf("status %d, %d lines, %v, %s", status, len(got.Lines), err, errs)
+		if err := json.Unmarshal([]byte(stdout), &output); err != nil || status != 0 || len(output.Lines) < 12 {
+			t.Fatalf("status %d, %d lines, %v, %s", status, len(output.Lines), err, stderr)
 		}
-		if told := strings.Contains(errs, "in the curve already"); told != (i == 1) {
-			t.Errorf("time %d: %q", i+1, errs)
+		if reported := strings.Contains(stderr, "in the curve already"); reported != (i == 1) {
+			t.Errorf("addition %d: %q", i+1, stderr)
 		}
 	}
-	for _, x := range []struct{ args, want string }{
+	for _, test := range []struct{ args, want string }{
 		{"plan quiet-day --loss 0", "a loss of 0"},
 		{"plan quiet-day --loss 1", "a loss of 1"},
 		{"plan quiet-day --target nobody=0.1", `no class "nobody"`},
@@ -73,9 +74,9 @@
 		{"prove quiet-day --growth 2", "--growth"},
 		{"curve " + dir, "curve"},
 	} {
-		_, errs, status := program(t, append([]string{"dimension"}, strings.Fields(x.args)...)...)
-		if status != 2 || !strings.Contains(errs, x.want) {
-			t.Errorf("%s: status %d, %s", x.args, status, errs)
+		_, stderr, status := runProgram(t, append([]string{"dimension"}, strings.Fields(test.args)...)...)
+		if status != 2 || !strings.Contains(stderr, test.want) {
+			t.Errorf("%s: status %d, %s", test.args, status, stderr)
 		}
 	}
 }
--- a/cmd/dahliaspindle/flows_test.go
+++ b/cmd/dahliaspindle/flows_test.go
@@ -17,36 +17,36 @@
 	"dahliaspindle/scenarios"
 )
 
-// controller starts one that exports to a collector, with a spool.
-func controller(t *testing.T, dir, listen, collector string) *exec.Cmd {
+// startController starts a controller that exports to a collector and has a spool.
+func startController(t *testing.T, dir, listen, collector string) *exec.Cmd {
 	t.Helper()
 	text, _ := scenarios.XML("bad-day")
-	scn, err := settings.ParseScenario("bad-day", strings.NewReader(text))
+	scenario, err := settings.ParseScenario("bad-day", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := scn.Controller(0, "127.0.0.1:1") // no list: every call is refused
-	set.Listen = listen
-	set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: collector}}, SpoolDirectory: filepath.Join(dir, "spool"), ReplayRate: 3000,
+	config := scenario.Controller(0, "127.0.0.1:1") // no exchange list is there: every call is refused
+	config.Listen = listen
+	config.Flows = settings.Flows{Collectors: []settings.Collector{{Address: collector}}, SpoolDirectory: filepath.Join(dir, "spool"), ReplayRate: 3000,
 		SummaryInterval: 200 * time.Millisecond, ConfirmAfter: 300 * time.Millisecond}
 	file := filepath.Join(dir, "controller.xml")
-	f, err := os.Create(file)
+	output, err := os.Create(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(settings.Write(f, "controller", set), f.Close()); err != nil {
+	if err := errors.Join(settings.Write(output, "controller", config), output.Close()); err != nil {
 		t.Fatal(err)
 	}
-	c := exec.Command(os.Args[0], "run", file)
-	c.Env = append(os.Environ(), asProgram+"=1")
-	c.Stderr = os.Stderr
-	if err := c.Start(); err != nil {
+	command := exec.Command(os.Args[0], "run", file)
+	command.Env = append(os.Environ(), runAsProgram+"=1")
+	command.Stderr = os.Stderr
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for range 500 {
-		if nc, err := net.Dial("tcp", listen); err == nil {
-			nc.Close()
-			return c
+		if conn, err := net.Dial("tcp", listen); err == nil {
+			conn.Close()
+			return command
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -54,54 +54,54 @@
 	return nil
 }
 
-// freePort finds an address that nobody listens on.
-func freePort(t *testing.T) string {
+// unusedAddress returns a loopback address on which no process listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// The collector is away for a controller's whole life; the next life replays
-// its spool and is killed in the middle, twice; the one after that ends it. All
-// that the first life counted is there, and nothing twice without a mark.
+// A controller runs while the collector is unreachable. Two further incarnations are
+// killed while they replay its spool, and a fourth completes the replay. No record of
+// the first incarnation may be missing or be received twice without a mark.
 func TestKilledDuringReplay(t *testing.T) {
-	dir, listen, at := t.TempDir(), freePort(t), freePort(t)
-	first := controller(t, dir, listen, at)
-	if out, errs, status := program(t, "load", listen, "--rate", "3000", "--for", "2s", "--class", "fetch", "--patience", "3s", "--holding", "0s"); status != 0 {
-		t.Fatalf("load: %s%s", out, errs)
+	dir, listen, collectorAddr := t.TempDir(), unusedAddress(t), unusedAddress(t)
+	first := startController(t, dir, listen, collectorAddr)
+	if stdout, stderr, status := runProgram(t, "load", listen, "--rate", "3000", "--for", "2s", "--class", "fetch", "--patience", "3s", "--holding", "0s"); status != 0 {
+		t.Fatalf("load: %s%s", stdout, stderr)
 	}
 	if err := errors.Join(first.Process.Signal(syscall.SIGTERM), first.Wait()); err != nil {
 		t.Fatal(err)
 	}
-	col, err := collect.New("")
+	collector, err := collect.New("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", collectorAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		col.Serve(ln)
+		collector.Serve(listener)
 	}()
 	for range 2 {
-		before := col.MessageCount()
-		c := controller(t, dir, listen, at)
-		for i := 0; col.MessageCount() < before+20 && i < 500; i++ {
+		before := collector.MessageCount()
+		replaying := startController(t, dir, listen, collectorAddr)
+		for i := 0; collector.MessageCount() < before+20 && i < 500; i++ {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if err := c.Process.Kill(); err != nil {
+		if err := replaying.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.Wait() // killed: its status says so
+		_ = replaying.Wait() // returns an error because the process was killed
 	}
-	last := controller(t, dir, listen, at)
+	last := startController(t, dir, listen, collectorAddr)
 	for i := 0; i < 600; i++ {
 		if files, _ := filepath.Glob(filepath.Join(dir, "spool", "lane-0", "*.ipfix")); len(files) == 0 {
 			break
@@ -111,16 +111,16 @@
 	if err := errors.Join(last.Process.Signal(syscall.SIGTERM), last.Wait()); err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
+	listener.Close()
 	<-done
-	r := col.Report()
-	if err := col.Close(); err != nil {
+	report := collector.Report()
+	if err := collector.Close(); err != nil {
 		t.Error(err)
 	}
-	what := fmt.Sprintf("counted %d, received %d, in sums %d, dropped %d, resent %d, twice unmarked %d", r.Counted, r.Received, r.Folded, r.Dropped,
-		r.Resent, r.Duplicates)
-	if r.Duplicates != 0 || r.Difference != 0 || r.Counted < 5000 || r.Dropped != 0 {
-		t.Error(what)
+	summary := fmt.Sprintf("counted %d, received %d, in sums %d, dropped %d, resent %d, duplicates without a mark %d", report.Counted, report.Received, report.Folded, report.Dropped,
+		report.Resent, report.Duplicates)
+	if report.Duplicates != 0 || report.Difference != 0 || report.Counted < 5000 || report.Dropped != 0 {
+		t.Error(summary)
 	}
-	t.Log(what)
+	t.Log(summary)
 }
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the scenarios that ship with the program.
+// Package scenarios contains the scenarios that ship with the program.
 package scenarios
 
 import (
@@ -9,18 +9,18 @@
 //go:embed *.xml
 var files embed.FS
 
-// Names lists them.
+// Names returns the names of the shipped scenarios in lexical order.
 func Names() []string {
-	entries, _ := files.ReadDir(".") // embedded: it is there
+	entries, _ := files.ReadDir(".") // the embedded directory always exists
 	var names []string
-	for _, e := range entries {
-		names = append(names, strings.TrimSuffix(e.Name(), ".xml"))
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), ".xml"))
 	}
 	return names
 }
 
-// XML returns the file of one, and whether it ships.
+// XML returns the scenario file of the given name, and false if there is none.
 func XML(name string) (string, bool) {
-	b, err := files.ReadFile(name + ".xml")
-	return string(b), err == nil
+	content, err := files.ReadFile(name + ".xml")
+	return string(content), err == nil
 }
