--- a/cmd/dahliaspindle/curve.go
+++ b/cmd/dahliaspindle/curve.go
@@ -59,9 +59,9 @@
 		if err != nil {
 			return err
 		}
-		switch err := store.Add(sum, calls.attempts, measure.Options{Patience: c.Patience}, calls.classNames); {
-		case errors.Is(err, curve.ErrSeen):
-			fmt.Fprintf(os.Stderr, "%s: %v\n", path, curve.ErrSeen)
+		switch err := store.Add(sum, calls.attempts, measure.Options{RetryWindow: c.Patience}, calls.classNames); {
+		case errors.Is(err, curve.ErrDuplicate):
+			fmt.Fprintf(os.Stderr, "%s: %v\n", path, curve.ErrDuplicate)
 		case err != nil:
 			return exitError{2, fmt.Errorf("%s: %w", path, err)}
 		}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return exitError{2, err}
 	}
-	lines, err := store.Lines(step, 0, math.MaxInt64, func(key curve.Key) bool {
+	lines, err := store.ReadSeries(step, 0, math.MaxInt64, func(key curve.Key) bool {
 		return (c.From < 0 || int(key.Source) == c.From) && (c.To < 0 || int(key.Dest) == c.To)
 	})
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	newest := time.Duration(0)
 	for _, line := range lines {
-		newest = max(newest, line.Slots[len(line.Slots)-1].At)
+		newest = max(newest, line.Slots[len(line.Slots)-1].Begin)
 	}
 	if c.JSON {
 		return c.json(lines, newest)
@@ -87,8 +87,8 @@
 	if c.Busiest {
 		t := newTable("Busiest " + c.Step + " of each day (UTC), all pairs together")
 		t.AppendHeader(table.Row{"begin", "first attempts", "lost attempts"})
-		for _, slot := range curve.Busiest(lines) {
-			t.AppendRow(table.Row{formatTime(slot.At), slot.First, slot.Lost})
+		for _, slot := range curve.BusiestSlots(lines) {
+			t.AppendRow(table.Row{formatTime(slot.Begin), slot.FirstAttempts, slot.Lost})
 		}
 		t.Render()
 		return nil
@@ -97,17 +97,17 @@
 	t.AppendHeader(table.Row{"from", "to", "class", "begin", "measured", "attempts", "first", "lost", "erlang"})
 	for _, line := range lines {
 		for i, slot := range line.Slots {
-			if c.Last > 0 && slot.At < newest-c.Last {
+			if c.Last > 0 && slot.Begin < newest-c.Last {
 				continue
 			}
-			if i > 0 && slot.At > line.Slots[i-1].At+step {
-				t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(line.Slots[i-1].At + step), "not measured"})
+			if i > 0 && slot.Begin > line.Slots[i-1].Begin+step {
+				t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(line.Slots[i-1].Begin + step), "not measured"})
 			}
 			erlang := "unknown"
 			if traffic, ok := slot.Erlang(); ok {
 				erlang = fmt.Sprintf("%.2f", traffic)
 			}
-			t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(slot.At), time.Duration(slot.Watched * 1e9).Round(time.Second), slot.Tries, slot.First, slot.Lost, erlang})
+			t.AppendRow(table.Row{line.Source, line.Dest, line.Class, formatTime(slot.Begin), time.Duration(slot.ObservedSeconds * 1e9).Round(time.Second), slot.Attempts, slot.FirstAttempts, slot.Lost, erlang})
 		}
 	}
 	t.Render()
@@ -115,7 +115,7 @@
 }
 
 // json prints the slots as JSON. Slots without a measurement are left out.
-func (c *dimensionCurveCmd) json(lines []curve.Line, newest time.Duration) error {
+func (c *dimensionCurveCmd) json(lines []curve.Series, newest time.Duration) error {
 	type slot struct {
 		Begin          time.Time `json:"begin"`
 		WatchedSeconds float64   `json:"watched_s"`
@@ -134,10 +134,10 @@
 	for _, source := range lines {
 		converted := line{From: source.Source, To: source.Dest, Class: source.Class}
 		for _, measured := range source.Slots {
-			if c.Last > 0 && measured.At < newest-c.Last {
+			if c.Last > 0 && measured.Begin < newest-c.Last {
 				continue
 			}
-			encoded := slot{Begin: time.Unix(0, int64(measured.At)).UTC(), WatchedSeconds: measured.Watched, Attempts: measured.Tries, FirstAttempts: measured.First, Lost: measured.Lost}
+			encoded := slot{Begin: time.Unix(0, int64(measured.Begin)).UTC(), WatchedSeconds: measured.ObservedSeconds, Attempts: measured.Attempts, FirstAttempts: measured.FirstAttempts, Lost: measured.Lost}
 			if erlang, ok := measured.Erlang(); ok {
 				encoded.Erlang = &erlang
 			}
--- a/cmd/dahliaspindle/dimension.go
+++ b/cmd/dahliaspindle/dimension.go
@@ -43,7 +43,7 @@
 func (c *dimensionTableCmd) Run() error {
 	rows := make([]tableRow, 0, len(c.Circuits))
 	for _, circuits := range c.Circuits {
-		traffic, err := loss.Traffic(circuits, c.Loss)
+		traffic, err := loss.MaxTraffic(circuits, c.Loss)
 		if err != nil {
 			return exitError{2, fmt.Errorf("dimension table: %w", err)}
 		}
@@ -94,7 +94,7 @@
 
 // recordedCalls is the calls in a file of flow records, each of them once.
 type recordedCalls struct {
-	attempts       []measure.Try
+	attempts       []measure.CallAttempt
 	classNames     map[uint8]string
 	missingRecords uint64 // records that were folded into sums or dropped
 	allRecords     uint64
@@ -117,9 +117,9 @@
 		if key := [2]uint64{incarnation<<16 ^ uint64(uint32(call.Source)), id}; !seen[key] {
 			seen[key] = true
 			_, calls.classNames[call.Class], _ = flow.CallAttributes(record)
-			calls.attempts = append(calls.attempts, measure.Try{At: call.Start, Source: call.Source, Dest: call.Dest, Via: call.Via, Class: call.Class,
-				Circuits: int(call.Circuits), Number: call.CalledNumber, Repeat: call.Repeat, Lost: call.Outcome != flow.CallEnded && call.Outcome != flow.CallCut,
-				Cut: call.Outcome == flow.CallCut, Stood: call.EstablishedFor, Life: incarnation})
+			calls.attempts = append(calls.attempts, measure.CallAttempt{Start: call.Start, Source: call.Source, Dest: call.Dest, Via: call.Via, Class: call.Class,
+				Circuits: int(call.Circuits), Number: call.CalledNumber, MarkedRetry: call.Repeat, Lost: call.Outcome != flow.CallEnded && call.Outcome != flow.CallCut,
+				Cut: call.Outcome == flow.CallCut, EstablishedFor: call.EstablishedFor, Incarnation: incarnation})
 		}
 		return nil
 	}); err != nil {
@@ -140,14 +140,14 @@
 		return nil, err
 	}
 	if calls.allRecords > 0 {
-		options.Missing = min(float64(calls.missingRecords)/float64(calls.allRecords), 0.99)
+		options.MissingShare = min(float64(calls.missingRecords)/float64(calls.allRecords), 0.99)
 	}
-	return &trafficEstimate{measure.Batch(calls.attempts, options), calls.classNames, calls.missingRecords, calls.allRecords}, nil
+	return &trafficEstimate{measure.EstimateBatch(calls.attempts, options), calls.classNames, calls.missingRecords, calls.allRecords}, nil
 }
 
 // Run executes the command.
 func (c *dimensionMeasureCmd) Run() error {
-	estimate, err := measureFile(c.File, measure.Options{Patience: c.Patience, Window: c.Busy})
+	estimate, err := measureFile(c.File, measure.Options{RetryWindow: c.Patience, BusyWindow: c.Busy})
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	for _, pair := range estimate.Pairs {
 		row := pairRow{Estimate: pair, ClassName: estimate.classNames[pair.Class]}
 		if pair.Known {
-			circuits, err := loss.Circuits(pair.Erlang, c.Loss)
+			circuits, err := loss.RequiredCircuits(pair.Erlang, c.Loss)
 			if err != nil {
 				return exitError{2, fmt.Errorf("dimension measure: %w", err)}
 			}
@@ -165,7 +165,7 @@
 	}
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"span": (estimate.To - estimate.From).String(), "pairs": rows, "groups": estimate.Groups,
-			"missing": estimate.missingRecords, "of": estimate.allRecords, "lives": estimate.Lives, "hot_tries": estimate.HotTries, "hot_numbers": len(estimate.Hot), "unended": estimate.Unended}); err != nil {
+			"missing": estimate.missingRecords, "of": estimate.allRecords, "lives": estimate.Incarnations, "hot_tries": estimate.HotAttempts, "hot_numbers": len(estimate.HotNumbers), "unended": estimate.TailAttempts}); err != nil {
 			return fmt.Errorf("dimension measure: %w", err)
 		}
 		return nil
@@ -175,7 +175,7 @@
 	for _, row := range rows {
 		erlang, interval, naive := "unknown", "", ""
 		if row.Known {
-			erlang, interval, naive = fmt.Sprintf("%.2f", row.Erlang), fmt.Sprintf("%.2f to %.2f", row.Low, row.High), fmt.Sprintf("%.2f", row.Naive)
+			erlang, interval, naive = fmt.Sprintf("%.2f", row.Erlang), fmt.Sprintf("%.2f to %.2f", row.Low, row.High), fmt.Sprintf("%.2f", row.AllAttemptsErlang)
 		}
 		t.AppendRow(table.Row{row.Source, row.Dest, row.ClassName, row.Tries, row.First, row.Lost, erlang, interval, naive, row.Circuits})
 	}
@@ -189,11 +189,11 @@
 	if estimate.missingRecords > 0 {
 		fmt.Printf("%d of %d records were folded into sums or dropped; the others stand for them in the estimate\n", estimate.missingRecords, estimate.allRecords)
 	}
-	if estimate.HotTries > 0 {
-		fmt.Printf("%d lost attempts for %d numbers with very many callers are left out: they were lost to busy lines, not to a lack of circuits\n", estimate.HotTries, len(estimate.Hot))
+	if estimate.HotAttempts > 0 {
+		fmt.Printf("%d lost attempts for %d numbers with very many callers are left out: they were lost to busy lines, not to a lack of circuits\n", estimate.HotAttempts, len(estimate.HotNumbers))
 	}
-	if estimate.Unended > 0 {
-		fmt.Printf("%d calls at the ends of %d controller incarnations are left out: only the short calls of these periods had ended\n", estimate.Unended, estimate.Lives)
+	if estimate.TailAttempts > 0 {
+		fmt.Printf("%d calls at the ends of %d controller incarnations are left out: only the short calls of these periods had ended\n", estimate.TailAttempts, estimate.Incarnations)
 	}
 	return nil
 }
--- a/cmd/dahliaspindle/dimension_test.go
+++ b/cmd/dahliaspindle/dimension_test.go
@@ -26,14 +26,14 @@
 		}
 	}
 	plan, advice, proof := reports[0], reports[1], reports[2]
-	if plan.Advised == 0 || plan.Advised%10 != 0 || plan.Advised != advice.Advised || plan.Advised != proof.Advised || plan.Proportional < plan.Advised || plan.Bound > plan.Cost {
-		t.Errorf("advised %d, %d, %d; proportional %d; cost %v, bound %v", plan.Advised, advice.Advised, proof.Advised, plan.Proportional, plan.Cost, plan.Bound)
+	if plan.CircuitsAdvised == 0 || plan.CircuitsAdvised%10 != 0 || plan.CircuitsAdvised != advice.CircuitsAdvised || plan.CircuitsAdvised != proof.CircuitsAdvised || plan.CircuitsProportional < plan.CircuitsAdvised || plan.CostBound > plan.Cost {
+		t.Errorf("advised %d, %d, %d; proportional %d; cost %v, bound %v", plan.CircuitsAdvised, advice.CircuitsAdvised, proof.CircuitsAdvised, plan.CircuitsProportional, plan.Cost, plan.CostBound)
 	}
 	if len(advice.Pairs) != 6 || len(advice.Moves) > 1 {
 		t.Errorf("%d pairs, moves %v", len(advice.Pairs), advice.Moves)
 	}
 	for _, class := range proof.Classes {
-		if class.Seen == nil || class.Seen.Loss > class.Target || class.Promise > class.Target {
+		if class.Simulated == nil || class.Simulated.Loss > class.Target || class.PredictedLoss > class.Target {
 			t.Errorf("loss above the target: %+v", class)
 		}
 	}
--- a/cmd/dahliaspindle/plan.go
+++ b/cmd/dahliaspindle/plan.go
@@ -78,8 +78,8 @@
 		scenario.Seed = c.Seed
 	}
 	if c.Exchanges != 0 {
-		if c.Exchanges < 3 || c.Exchanges > network.MostExchanges {
-			return nil, exitError{2, fmt.Errorf("--exchanges must be between 3 and %d", network.MostExchanges)}
+		if c.Exchanges < 3 || c.Exchanges > network.MaxExchanges {
+			return nil, exitError{2, fmt.Errorf("--exchanges must be between 3 and %d", network.MaxExchanges)}
 		}
 		scenario.Fleet.Exchanges = c.Exchanges
 	}
@@ -90,12 +90,12 @@
 		return nil, exitError{2, errors.New("--load must be greater than 0 and at most 10")}
 	}
 	scenario.Load.Swing, scenario.Fleet.DriftPeriod, scenario.Troubles = 0, 0, nil // the plan is for an hour of constant traffic
-	mesh, err := prove.Mesh(scenario)
+	mesh, err := prove.ScenarioMesh(scenario)
 	if err != nil {
 		return nil, err
 	}
 	planner := &planner{planningOptions: c, scenario: scenario}
-	planner.task = &plan.Task{Mesh: mesh, Hurt: c.Hurt, Growth: c.Growth, Module: c.Module, LinkPart: c.Link, Most: c.Networks}
+	planner.task = &plan.Task{Mesh: mesh, MaxFailureLoss: c.Hurt, Growth: c.Growth, ModuleSize: c.Module, LinkShare: c.Link, MaxSolves: c.Networks}
 	known := map[string]bool{}
 	for _, class := range scenario.Classes {
 		known[class.Name] = true
@@ -103,7 +103,7 @@
 		if !ok {
 			target = min(c.Loss*float64(class.Circuits), (1+c.Loss)/2)
 		}
-		planner.task.Target = append(planner.task.Target, target)
+		planner.task.TargetLoss = append(planner.task.TargetLoss, target)
 	}
 	for name := range c.Target {
 		if !known[name] {
@@ -116,7 +116,7 @@
 	if err := planner.applyMeasuredTraffic(); err != nil {
 		return nil, err
 	}
-	if err := planner.task.Check(); err != nil {
+	if err := planner.task.Validate(); err != nil {
 		return nil, exitError{2, err}
 	}
 	return planner, nil
@@ -133,7 +133,7 @@
 	for i := range n {
 		for j := range n {
 			for c, class := range p.task.Mesh.Classes {
-				traffic := offered[i][j][c] * float64(class.Width)
+				traffic := offered[i][j][c] * float64(class.Circuits)
 				p.low[i][j] += traffic
 				p.high[i][j] += traffic
 			}
@@ -146,7 +146,7 @@
 	for _, class := range p.scenario.Classes {
 		patience = max(patience, class.Patience)
 	}
-	estimate, err := measureFile(p.Flows, measure.Options{Patience: patience, Window: p.Busy})
+	estimate, err := measureFile(p.Flows, measure.Options{RetryWindow: patience, BusyWindow: p.Busy})
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 		if !pair.Known {
 			continue
 		}
-		width := float64(p.task.Mesh.Classes[c].Width)
+		width := float64(p.task.Mesh.Classes[c].Circuits)
 		p.low[i][j] += (pair.Low - offered[i][j][c]) * width
 		p.high[i][j] += (pair.High - offered[i][j][c]) * width
 		offered[i][j][c] = pair.Erlang
@@ -174,8 +174,8 @@
 // plan makes the plan and its report.
 func (p *planner) plan(ctx context.Context) (*plan.Plan, error) {
 	task := p.task
-	made, err := plan.Make(ctx, task)
-	if errors.Is(err, plan.ErrTask) {
+	made, err := plan.Optimize(ctx, task)
+	if errors.Is(err, plan.ErrNoPlan) {
 		return nil, exitError{1, err}
 	} else if err != nil {
 		return nil, err
@@ -199,29 +199,29 @@
 	if err != nil {
 		return nil, err
 	}
-	result := &report.Report{Name: p.scenario.Name, Exchanges: len(made.Circuits), Growth: task.Growth, Module: task.Module, Advised: made.Total,
-		Bound: made.Bound, Cost: made.Cost, Gap: made.Gap(), Worst: made.Worst, WorstWhat: made.WorstWhat, Stopped: made.Stopped, Two: current.Two,
-		Unsettled: !current.Converged || !current.Other.Converged}
+	result := &report.Report{Name: p.scenario.Name, Exchanges: len(made.Circuits), Growth: task.Growth, ModuleSize: task.ModuleSize, CircuitsAdvised: made.TotalCircuits,
+		CostBound: made.CostBound, Cost: made.Cost, Gap: made.Gap(), WorstFailureLoss: made.WorstFailureLoss, WorstFailure: made.WorstFailure, Stopped: made.Stopped, Bistable: current.Bistable,
+		Unsettled: !current.Converged || !current.FromFull.Converged}
 	for c, class := range task.Mesh.Classes {
-		result.Classes = append(result.Classes, report.Class{Name: class.Name, Target: task.Target[c], Now: current.ByClass[c], Promise: made.Promise[c]})
+		result.Classes = append(result.Classes, report.Class{Name: class.Name, Target: task.TargetLoss[c], LossNow: current.LossByClass[c], PredictedLoss: made.PredictedLoss[c]})
 	}
 	for i := range made.Circuits {
 		for j := i + 1; j < len(made.Circuits); j++ {
-			pair := report.Pair{A: i, B: j, Now: task.Mesh.Circuits[i][j], Advised: made.Circuits[i][j],
+			pair := report.Pair{A: i, B: j, CircuitsNow: task.Mesh.Circuits[i][j], CircuitsAdvised: made.Circuits[i][j],
 				Low: p.low[i][j] + p.low[j][i], High: p.high[i][j] + p.high[j][i]}
 			lostCurrent, lostPlanned := 0.0, 0.0
 			for c, class := range task.Mesh.Classes {
 				for _, direction := range [][2]int{{i, j}, {j, i}} {
-					traffic := task.Mesh.Offered[direction[0]][direction[1]][c] * float64(class.Width)
+					traffic := task.Mesh.Offered[direction[0]][direction[1]][c] * float64(class.Circuits)
 					pair.Offered += traffic
 					lostCurrent += traffic * current.Loss[direction[0]][direction[1]][c]
 					lostPlanned += traffic * planned.Loss[direction[0]][direction[1]][c]
 				}
 			}
 			if pair.Offered > 0 {
-				pair.LossNow, pair.Promise = lostCurrent/pair.Offered, lostPlanned/pair.Offered
+				pair.LossNow, pair.PredictedLoss = lostCurrent/pair.Offered, lostPlanned/pair.Offered
 			}
-			result.Now += pair.Now
+			result.CircuitsNow += pair.CircuitsNow
 			result.Pairs = append(result.Pairs, pair)
 		}
 	}
@@ -249,16 +249,16 @@
 	}
 	result := p.report
 	percent := func(share float64) string { return fmt.Sprintf("%.2f %%", 100*share) }
-	t := newTable(fmt.Sprintf("%s: %d exchanges, modules of %d", result.Name, result.Exchanges, result.Module))
+	t := newTable(fmt.Sprintf("%s: %d exchanges, modules of %d", result.Name, result.Exchanges, result.ModuleSize))
 	header := table.Row{"class", "target", "loss now", "promised"}
 	if result.Seeds > 0 {
 		header = append(header, fmt.Sprintf("simulated, %d seeds", result.Seeds), "95 %")
 	}
 	t.AppendHeader(header)
 	for _, class := range result.Classes {
-		row := table.Row{class.Name, percent(class.Target), percent(class.Now), percent(class.Promise)}
-		if class.Seen != nil {
-			row = append(row, percent(class.Seen.Loss), percent(class.Seen.Low)+" to "+percent(class.Seen.High))
+		row := table.Row{class.Name, percent(class.Target), percent(class.LossNow), percent(class.PredictedLoss)}
+		if class.Simulated != nil {
+			row = append(row, percent(class.Simulated.Loss), percent(class.Simulated.Low)+" to "+percent(class.Simulated.High))
 		}
 		t.AppendRow(row)
 	}
@@ -268,22 +268,22 @@
 		t.AppendHeader(table.Row{"between", "offered", "95 %", "circuits now", "advised", "loss now", "promised"})
 		for _, pair := range result.Pairs {
 			t.AppendRow(table.Row{fmt.Sprintf("%d and %d", pair.A, pair.B), fmt.Sprintf("%.2f", pair.Offered), fmt.Sprintf("%.2f to %.2f", pair.Low, pair.High),
-				pair.Now, pair.Advised, percent(pair.LossNow), percent(pair.Promise)})
+				pair.CircuitsNow, pair.CircuitsAdvised, percent(pair.LossNow), percent(pair.PredictedLoss)})
 		}
 		t.Render()
 	}
-	fmt.Printf("circuits: %d now, %d advised", result.Now, result.Advised)
-	if result.Proportional > 0 {
-		fmt.Printf(", %d in proportion to the traffic", result.Proportional)
+	fmt.Printf("circuits: %d now, %d advised", result.CircuitsNow, result.CircuitsAdvised)
+	if result.CircuitsProportional > 0 {
+		fmt.Printf(", %d in proportion to the traffic", result.CircuitsProportional)
 	}
-	fmt.Printf("; cost %.0f, lower bound %.0f (%.0f %% above it)\n", result.Cost, result.Bound, 100*result.Gap)
-	if result.WorstWhat != "" {
-		fmt.Printf("with %s out of service the worst class loses %s\n", result.WorstWhat, percent(result.Worst))
+	fmt.Printf("; cost %.0f, lower bound %.0f (%.0f %% above it)\n", result.Cost, result.CostBound, 100*result.Gap)
+	if result.WorstFailure != "" {
+		fmt.Printf("with %s out of service the worst class loses %s\n", result.WorstFailure, percent(result.WorstFailureLoss))
 	}
 	for i, move := range result.Moves {
-		fmt.Printf("%d. %s: %.2f erlang lost afterwards\n", i+1, move.What, move.Lost)
+		fmt.Printf("%d. %s: %.2f erlang lost afterwards\n", i+1, move.Action, move.LostTraffic)
 	}
-	if result.Two {
+	if result.Bistable {
 		fmt.Println("the current network has two stable states; the current losses are those of the better one")
 	}
 	if result.Unsettled {
@@ -315,8 +315,8 @@
 	}
 	proportional, err := plan.Proportional(ctx, planner.task)
 	if err == nil {
-		planner.report.Proportional = proportional.Total
-	} else if !errors.Is(err, plan.ErrTask) {
+		planner.report.CircuitsProportional = proportional.TotalCircuits
+	} else if !errors.Is(err, plan.ErrNoPlan) {
 		return err
 	}
 	return planner.writeReport(true)
@@ -333,7 +333,7 @@
 	if _, err := planner.plan(ctx); err != nil {
 		return err
 	}
-	moves, err := plan.First(ctx, planner.task, c.Buy, c.Move)
+	moves, err := plan.FirstMoves(ctx, planner.task, c.Buy, c.Move)
 	if err != nil {
 		return exitError{2, err}
 	}
@@ -342,7 +342,7 @@
 		if move.From[0] >= 0 {
 			description = fmt.Sprintf("move %d circuits from between %d and %d to between %d and %d", c.Module, move.From[1], move.From[0], move.To[1], move.To[0])
 		}
-		planner.report.Moves = append(planner.report.Moves, report.Move{What: description, Lost: move.Lost})
+		planner.report.Moves = append(planner.report.Moves, report.Move{Action: description, LostTraffic: move.LostTraffic})
 	}
 	return planner.writeReport(true)
 }
@@ -377,9 +377,9 @@
 	refuted := ""
 	planner.report.Seeds = c.Seeds
 	for i := range planner.report.Classes {
-		class, loss := &planner.report.Classes[i], simulated.ByClass[i]
-		class.Seen = &report.Seen{Calls: simulated.Calls, Loss: loss.Mean, Low: max(loss.Low, 0), High: loss.High}
-		if !loss.Holds(class.Target) {
+		class, loss := &planner.report.Classes[i], simulated.LossByClass[i]
+		class.Simulated = &report.SimulatedLoss{Calls: simulated.Calls, Loss: loss.Mean, Low: max(loss.Low, 0), High: loss.High}
+		if !loss.ConsistentWith(class.Target) {
 			refuted = class.Name
 		}
 	}
@@ -389,7 +389,7 @@
 		lost := simulated.Pairs[pair.A][pair.B].Lost + simulated.Pairs[pair.B][pair.A].Lost
 		share := float64(lost) / float64(max(calls, 1))
 		halfWidth := 1.96 * math.Sqrt(share*(1-share)/float64(max(calls, 1)))
-		pair.Seen = &report.Seen{Calls: calls, Loss: share, Low: max(share-halfWidth, 0), High: min(share+halfWidth, 1)}
+		pair.Simulated = &report.SimulatedLoss{Calls: calls, Loss: share, Low: max(share-halfWidth, 0), High: min(share+halfWidth, 1)}
 	}
 	if err := planner.writeReport(false); err != nil {
 		return err
--- a/internal/spool/fs.go
+++ b/internal/spool/fs.go
@@ -10,42 +10,45 @@
 	"strings"
 )
 
-// FS is the files that a spool lives in; tests put faults in its place.
+// FS is the directory of a spool. Tests replace it to inject faults.
 type FS interface {
 	// Create opens a new file for writing.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
-	// Append opens a file for writing at its end, cut to size.
+	// Append truncates a file to size and opens it for writing at its end.
 	Append(name string, size int64) (File, error)
+	// Remove deletes a file.
 	Remove(name string) error
-	// Replace writes a small file in one step: it is there whole, or as before.
+	// Replace atomically replaces the content of a small file.
 	Replace(name string, content []byte) error
+	// Rename renames a file.
 	Rename(from, to string) error
-	// List names the files, with their sizes, sorted.
+	// List returns the files, sorted by name.
 	List() ([]FileInfo, error)
-	// SyncDir makes creations and removals durable.
+	// SyncDir makes created and removed directory entries durable.
 	SyncDir() error
 }
 
-// File is one file.
+// File is one open file.
 type File interface {
 	io.ReadWriteCloser
+	// Sync makes what was written durable.
 	Sync() error
 }
 
-// FileInfo is a file's name and size.
+// FileInfo holds the name of a file and its size in bytes.
 type FileInfo struct {
 	Name string
 	Size int64
 }
 
-// Dir is a directory of the system.
+// Dir is an FS in a directory of the operating system.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Create makes a file.
+// Create creates a file for writing. It fails if the file exists.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
@@ -53,83 +56,84 @@
 // Open opens a file for reading.
 func (d Dir) Open(name string) (File, error) { return os.Open(d.path(name)) }
 
-// Append opens a file at its end, cut to size.
+// Append truncates a file to size and opens it for writing at its end.
 func (d Dir) Append(name string, size int64) (File, error) {
-	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Truncate(size); err != nil {
-		return nil, errors.Join(err, f.Close())
+	if err := file.Truncate(size); err != nil {
+		return nil, errors.Join(err, file.Close())
 	}
-	if _, err := f.Seek(size, io.SeekStart); err != nil {
-		return nil, errors.Join(err, f.Close())
+	if _, err := file.Seek(size, io.SeekStart); err != nil {
+		return nil, errors.Join(err, file.Close())
 	}
-	return f, nil
+	return file, nil
 }
 
 // Remove deletes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Replace writes a small file in one step.
+// Replace atomically replaces the content of a small file.
 func (d Dir) Replace(name string, content []byte) error {
-	tmp := d.path(name + ".new")
-	f, err := os.Create(tmp)
+	temporary := d.path(name + ".new")
+	file, err := os.Create(temporary)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(content)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	_, err = file.Write(content)
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(tmp, d.path(name)); err != nil {
+	if err := os.Rename(temporary, d.path(name)); err != nil {
 		return err
 	}
 	return d.SyncDir()
 }
 
-// List names the files.
+// List returns the files, sorted by name.
 func (d Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
-	var all []FileInfo
-	for _, e := range entries {
-		info, err := e.Info()
-		if err != nil || e.IsDir() {
-			continue // gone meanwhile, or not ours
+	var files []FileInfo
+	for _, entry := range entries {
+		info, err := entry.Info()
+		if err != nil || entry.IsDir() {
+			continue // removed in the meantime, or a directory
 		}
-		all = append(all, FileInfo{e.Name(), info.Size()})
+		files = append(files, FileInfo{entry.Name(), info.Size()})
 	}
-	slices.SortFunc(all, func(a, b FileInfo) int { return strings.Compare(a.Name, b.Name) })
-	return all, nil
+	slices.SortFunc(files, func(a, b FileInfo) int { return strings.Compare(a.Name, b.Name) })
+	return files, nil
 }
 
-// SyncDir makes creations and removals durable.
+// SyncDir makes created and removed directory entries durable.
 func (d Dir) SyncDir() error {
-	f, err := os.Open(string(d))
+	file, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.Sync(), f.Close())
+	return errors.Join(file.Sync(), file.Close())
 }
 
-// CreateDir makes the directory of a spool and checks that it can be written.
+// CreateDir creates the directory of a spool, if necessary, and checks that it is
+// writable.
 func CreateDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
 	}
-	d := Dir(path)
-	const probe = ".probe"
-	if err := os.WriteFile(d.path(probe), nil, 0o600); err != nil {
-		return "", fmt.Errorf("spool: not writable: %w", err)
+	dir := Dir(path)
+	const probeName = ".probe"
+	if err := os.WriteFile(dir.path(probeName), nil, 0o600); err != nil {
+		return "", fmt.Errorf("spool: directory not writable: %w", err)
 	}
-	if err := os.Remove(d.path(probe)); err != nil {
+	if err := os.Remove(dir.path(probeName)); err != nil {
 		return "", fmt.Errorf("spool: %w", err)
 	}
-	return d, nil
+	return dir, nil
 }
