--- a/cmd/dahliaspindle/live.go
+++ b/cmd/dahliaspindle/live.go
@@ -92,7 +92,7 @@
 		return nil
 	}
 	t := newTable("Offered in " + reply.Get("Span"))
-	t.AppendHeader(table.Row{"to", "class", "tries", "first", "lost", "erlang", "95 %"})
+	t.AppendHeader(table.Row{"to", "class", "attempts", "first", "lost", "erlang", "95 %"})
 	for _, row := range rows {
 		erlang, interval := "unknown", ""
 		if row.Known {
--- a/internal/calllog/log.go
+++ b/internal/calllog/log.go
@@ -42,7 +42,7 @@
 	nextEntry     uint64        // number of the next entry
 	durable       uint64        // all entries with a lower number are durable
 	changed       chan struct{} // closed and replaced when durable or writeErr changes
-	pendingSignal chan struct{} // tells the writer that entries are pending
+	pendingSignal chan struct{} // signals the writer that entries are pending
 	closed        bool
 	writeErr      error // of the first write that failed; permanent
 
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -63,6 +63,7 @@
 	return OSDir(path), nil
 }
 
+// path returns the path of a file in the directory.
 func (d OSDir) path(name string) string { return filepath.Join(string(d), name) }
 
 // Create creates an empty file and fails if the name exists.
@@ -160,6 +161,7 @@
 	return &MemoryDir{files: map[string]*fileData{}, durable: map[string]*fileData{}, FreeBytes: -1}
 }
 
+// injectedFault returns the error that InjectFault injects into an operation.
 func (m *MemoryDir) injectedFault(op, name string) error {
 	if m.InjectFault != nil {
 		return m.InjectFault(op, name)
