--- a/internal/curve/curve.go
+++ b/internal/curve/curve.go
@@ -1,6 +1,6 @@
-// Package curve keeps offered traffic over days: slots of a quarter of an hour,
-// rolled up into hours and days, in one bbolt file. A slot tells for how long it
-// was watched; where nobody watched there is no slot, and a gap stays a gap.
+// Package curve stores offered traffic over days in a bbolt file: slots of a quarter
+// of an hour, aggregated into hours and days. A slot holds for how long the traffic
+// was observed; an interval without observation has no slot.
 package curve
 
 import (
@@ -19,27 +19,29 @@
 	"dahliaspindle/internal/measure"
 )
 
-// Resolutions are the lengths of slots, shortest first; each is rolled up into the next.
+// Resolutions are the lengths of slots in increasing order; each is a multiple of the
+// previous one.
 var Resolutions = []time.Duration{15 * time.Minute, time.Hour, 24 * time.Hour}
 
-// Retention is for how long slots of each step are kept, back from the newest of all; 0: for ever.
+// Retention is how long slots of each resolution are kept before the newest slot; 0:
+// without limit.
 var Retention = []time.Duration{14 * 24 * time.Hour, 100 * 24 * time.Hour, 0}
 
-// Key is one pair and class.
+// Key identifies the traffic of one class from one exchange to another.
 type Key struct {
 	Source, Dest int32
 	Class        uint8
 }
 
-// Slot is what was seen of a key in one step of time.
+// Slot counts the attempts of one key in one interval of time.
 type Slot struct {
-	Begin           time.Duration `cbor:"-"` // its begin, since 1970
+	Begin           time.Duration `cbor:"-"` // of the interval, since 1970
 	Attempts        int           `cbor:"1,keyasint"`
 	FirstAttempts   int           `cbor:"2,keyasint"`
 	Lost            int           `cbor:"3,keyasint"`
 	Completed       int           `cbor:"4,keyasint"`
-	HeldSeconds     float64       `cbor:"5,keyasint"` // seconds, of all that stood
-	ObservedSeconds float64       `cbor:"6,keyasint"` // seconds
+	HeldSeconds     float64       `cbor:"5,keyasint"` // total holding time of established calls
+	ObservedSeconds float64       `cbor:"6,keyasint"`
 }
 
 func (s *Slot) add(other Slot) {
@@ -51,7 +53,7 @@
 	s.ObservedSeconds += other.ObservedSeconds
 }
 
-// Erlang is the traffic of first tries; false where it is not known.
+// Erlang returns the traffic of first attempts, or false if it is unknown.
 func (s Slot) Erlang() (float64, bool) {
 	if s.ObservedSeconds <= 0 || s.Completed == 0 {
 		return 0, s.ObservedSeconds > 0 && s.Attempts == 0
@@ -59,10 +61,10 @@
 	return float64(s.FirstAttempts) * s.HeldSeconds / float64(s.Completed) / s.ObservedSeconds, true
 }
 
-// ErrDuplicate says that this very file of records has been added before.
+// ErrDuplicate reports that a file of records has been added before.
 var ErrDuplicate = errors.New("its records are in the curve already")
 
-// Store is the file. It is safe for concurrent use.
+// Store is an open curve file. It is safe for concurrent use.
 type Store struct{ db *bolt.DB }
 
 var (
@@ -72,7 +74,8 @@
 
 func slotsBucket(step int) []byte { return []byte(Resolutions[step].String()) }
 
-// Open opens or makes a file. It fails within a second if another process has it.
+// Open opens or creates a curve file. It fails after a second if another process has
+// the file open.
 func Open(path string) (*Store, error) {
 	db, err := bolt.Open(path, 0o644, &bolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -105,24 +108,27 @@
 	return nil
 }
 
-// slotKey is a slot's key: pair and class first, so that a curve lies together, in order of time.
-func slotKey(k Key, at time.Duration) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(k.Source))
-	b = binary.BigEndian.AppendUint32(b, uint32(k.Dest))
-	b = append(b, k.Class)
-	return binary.BigEndian.AppendUint64(b, uint64(at))
+// slotKey returns the key of a slot: pair and class come first, so that the slots of a
+// series are adjacent and in order of time.
+func slotKey(key Key, begin time.Duration) []byte {
+	encoded := binary.BigEndian.AppendUint32(nil, uint32(key.Source))
+	encoded = binary.BigEndian.AppendUint32(encoded, uint32(key.Dest))
+	encoded = append(encoded, key.Class)
+	return binary.BigEndian.AppendUint64(encoded, uint64(begin))
 }
 
-const keyPrefixBytes = 9 // of a place, without its time
+// keyPrefixBytes is the length of a slot key without the time.
+const keyPrefixBytes = 9
 
-// Add books the tries of one file of records, all or nothing: what source is the
-// content of the file, by its hash, is taken once only. class names the classes.
-func (s *Store) Add(content [sha256.Size]byte, attempts []measure.CallAttempt, options measure.Options, classNames map[uint8]string) error {
+// Add adds the attempts of one file of records atomically. The hash of the file's
+// content identifies it; Add returns ErrDuplicate if it was added before. classNames
+// holds the names of the classes.
+func (s *Store) Add(contentHash [sha256.Size]byte, attempts []measure.CallAttempt, options measure.Options, classNames map[uint8]string) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		if tx.Bucket(filesBucket).Get(content[:]) != nil {
+		if tx.Bucket(filesBucket).Get(contentHash[:]) != nil {
 			return ErrDuplicate
 		}
-		if err := tx.Bucket(filesBucket).Put(content[:], []byte{1}); err != nil {
+		if err := tx.Bucket(filesBucket).Put(contentHash[:], []byte{1}); err != nil {
 			return err
 		}
 		for _, number := range sortedKeys(classNames) {
@@ -134,15 +140,15 @@
 			}
 		}
 		newest := time.Duration(0)
-		for _, x := range measure.Slots(attempts, options, Resolutions[0]) {
-			k := Key(x.Key)
-			slot := Slot{Attempts: x.Attempts, FirstAttempts: x.FirstAttempts, Lost: x.Lost, Completed: x.Completed, HeldSeconds: x.HeldTime.Seconds(), ObservedSeconds: x.Observed.Seconds()}
+		for _, counted := range measure.Slots(attempts, options, Resolutions[0]) {
+			key := Key(counted.Key)
+			slot := Slot{Attempts: counted.Attempts, FirstAttempts: counted.FirstAttempts, Lost: counted.Lost, Completed: counted.Completed, HeldSeconds: counted.HeldTime.Seconds(), ObservedSeconds: counted.Observed.Seconds()}
 			for i, step := range Resolutions {
-				if err := addToSlot(tx.Bucket(slotsBucket(i)), slotKey(k, x.Begin-x.Begin%step), slot); err != nil {
+				if err := addToSlot(tx.Bucket(slotsBucket(i)), slotKey(key, counted.Begin-counted.Begin%step), slot); err != nil {
 					return err
 				}
 			}
-			newest = max(newest, x.Begin)
+			newest = max(newest, counted.Begin)
 		}
 		return prune(tx, newest)
 	})
@@ -156,7 +162,7 @@
 	if stored := bucket.Get(key); stored != nil {
 		var sum Slot
 		if err := cbor.Unmarshal(stored, &sum); err != nil {
-			return fmt.Errorf("a slot that can't be read: %w", err)
+			return fmt.Errorf("decoding a slot: %w", err)
 		}
 		added.add(sum)
 	}
@@ -167,14 +173,14 @@
 	return bucket.Put(key, encoded)
 }
 
-// prune forgets what is older than it is kept.
+// prune deletes the slots older than their retention.
 func prune(tx *bolt.Tx, newest time.Duration) error {
 	for i, keep := range Retention {
 		if keep == 0 {
 			continue
 		}
 		bucket := tx.Bucket(slotsBucket(i))
-		var expired [][]byte // deleting under a cursor makes it miss its next
+		var expired [][]byte // deleting during the iteration would skip entries
 		err := bucket.ForEach(func(k, _ []byte) error {
 			if time.Duration(binary.BigEndian.Uint64(k[keyPrefixBytes:])) < newest-keep {
 				expired = append(expired, bytes.Clone(k))
@@ -191,41 +197,42 @@
 	return nil
 }
 
-func sortedKeys(m map[uint8]string) []uint8 {
+func sortedKeys(classNames map[uint8]string) []uint8 {
 	var keys []uint8
-	for k := range m {
+	for k := range classNames {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// Series is the curve of one key.
+// Series holds the slots of one key.
 type Series struct {
 	Key
 	Class string
-	Slots []Slot // in order of time; where one is missing, nobody watched
+	Slots []Slot // in order of time; an interval without a slot was not observed
 }
 
-// ReadSeries tells curves by one of the Steps, from a time to before another; want picks keys.
+// ReadSeries returns the series of the keys that include accepts, at one of the
+// Resolutions, with the slots that begin in [from, to).
 func (s *Store) ReadSeries(step time.Duration, from, to time.Duration, include func(Key) bool) ([]Series, error) {
 	resolution := slices.Index(Resolutions, step)
 	if resolution < 0 {
-		return nil, fmt.Errorf("curve: slots of %v are not kept, those of %v are", step, Resolutions)
+		return nil, fmt.Errorf("curve: no slots of %v, the resolutions are %v", step, Resolutions)
 	}
 	var series []Series
 	err := s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(slotsBucket(resolution)).ForEach(func(at, v []byte) error {
-			key := Key{int32(binary.BigEndian.Uint32(at)), int32(binary.BigEndian.Uint32(at[4:])), at[8]}
-			t := time.Duration(binary.BigEndian.Uint64(at[keyPrefixBytes:]))
-			if t < from || t >= to || !include(key) {
+		return tx.Bucket(slotsBucket(resolution)).ForEach(func(storedKey, value []byte) error {
+			key := Key{int32(binary.BigEndian.Uint32(storedKey)), int32(binary.BigEndian.Uint32(storedKey[4:])), storedKey[8]}
+			begin := time.Duration(binary.BigEndian.Uint64(storedKey[keyPrefixBytes:]))
+			if begin < from || begin >= to || !include(key) {
 				return nil
 			}
 			slot := Slot{}
-			if err := cbor.Unmarshal(v, &slot); err != nil {
-				return fmt.Errorf("a slot that can't be read: %w", err)
+			if err := cbor.Unmarshal(value, &slot); err != nil {
+				return fmt.Errorf("decoding a slot: %w", err)
 			}
-			slot.Begin = t
+			slot.Begin = begin
 			if len(series) == 0 || series[len(series)-1].Key != key {
 				series = append(series, Series{Key: key, Class: string(bytes.Clone(tx.Bucket(classesBucket).Get([]byte{key.Class})))})
 			}
@@ -240,8 +247,8 @@
 	return series, nil
 }
 
-// BusiestSlots is the slot of each day in which all lines together offered most, the
-// time-consistent busy hour where slots are hours; days are those of UTC.
+// BusiestSlots returns for each day (UTC) the slot with the most traffic, summed over
+// all series. With slots of an hour this is the time-consistent busy hour.
 func BusiestSlots(series []Series) []Slot {
 	traffic := map[time.Duration]float64{}
 	slots := map[time.Duration]Slot{}
--- a/internal/curve/curve_test.go
+++ b/internal/curve/curve_test.go
@@ -16,14 +16,15 @@
 
 var start = time.Duration(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// generateAttempts are calls of 90 s at a traffic that follows the hour.
-func generateAttempts(from, to time.Duration, life uint64, seed uint64, erlang func(hour float64) float64) []measure.CallAttempt {
+// generateAttempts returns calls with a mean holding time of 90 s and a traffic that
+// depends on the hour.
+func generateAttempts(from, to time.Duration, incarnation uint64, seed uint64, erlang func(hour float64) float64) []measure.CallAttempt {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var attempts []measure.CallAttempt
 	for at := from; at < to; {
 		traffic := erlang(math.Mod((at - start).Hours(), 24))
 		at += time.Duration(random.ExpFloat64() * 90 / max(traffic, 0.01) * 1e9)
-		attempt := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: random.Uint64(), Incarnation: life, EstablishedFor: time.Duration(random.ExpFloat64() * 90e9)}
+		attempt := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: random.Uint64(), Incarnation: incarnation, EstablishedFor: time.Duration(random.ExpFloat64() * 90e9)}
 		if attempt.Start+attempt.EstablishedFor <= to {
 			attempts = append(attempts, attempt)
 		}
@@ -31,7 +32,7 @@
 	return attempts
 }
 
-func open(t *testing.T, path string) *Store {
+func openStore(t *testing.T, path string) *Store {
 	t.Helper()
 	s, err := Open(path)
 	if err != nil {
@@ -51,13 +52,13 @@
 
 var classNames = map[uint8]string{0: "fetch"}
 
-// Two days with a gap between them, the file closed and opened on the way: hours
-// tell the traffic of the hour, days that of their watched time, the gap has no
-// slot, the busy hour is the one of most traffic. The same file counts once.
+// Two days with a gap, with the store closed and reopened in between: each hour has
+// its traffic, each day the observed time of its quarters, the gap has no slots, and
+// the busy hour has the most traffic. A file of records counts only once.
 func TestCurveOfDays(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "curve")
-	dailyTraffic := func(hour float64) float64 { return 10 + 8*math.Sin((hour-8)*math.Pi/12) } // busiest at 14
-	s := open(t, path)
+	dailyTraffic := func(hour float64) float64 { return 10 + 8*math.Sin((hour-8)*math.Pi/12) } // maximum at 14:00
+	s := openStore(t, path)
 	attempts := generateAttempts(start, start+14*time.Hour, 1, 1, dailyTraffic)
 	if err := s.Add(sha256.Sum256([]byte("one")), attempts, measure.Options{}, classNames); err != nil {
 		t.Fatal(err)
@@ -65,37 +66,37 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = open(t, path)
+	s = openStore(t, path)
 	defer s.Close()
 	if err := s.Add(sha256.Sum256([]byte("one")), attempts, measure.Options{}, classNames); !errors.Is(err, ErrDuplicate) {
-		t.Fatalf("the same file again: %v", err)
+		t.Fatalf("adding the same file again: got %v, want ErrDuplicate", err)
 	}
 	if err := s.Add(sha256.Sum256([]byte("two")), generateAttempts(start+20*time.Hour, start+2*day, 2, 2, dailyTraffic), measure.Options{}, classNames); err != nil {
 		t.Fatal(err)
 	}
 	hours := slotsOf(t, s, time.Hour)
-	seen := map[int]bool{}
+	hasSlot := map[int]bool{}
 	for _, h := range hours {
 		hour := int((h.Begin - start) / time.Hour)
-		seen[hour] = true
+		hasSlot[hour] = true
 		traffic, ok := h.Erlang()
 		want := (dailyTraffic(math.Mod(float64(hour), 24)) + dailyTraffic(math.Mod(float64(hour)+1, 24))) / 2
 		if h.ObservedSeconds > 3500 && (!ok || math.Abs(traffic-want) > 5*math.Sqrt(2*want*90/3600)) {
-			t.Errorf("hour %d: %.2f erlang, %.2f were offered", hour, traffic, want)
+			t.Errorf("hour %d: %.2f erlang, want %.2f", hour, traffic, want)
 		}
 	}
 	for n := range 48 {
-		if gap := n >= 14 && n < 20; seen[n] == gap {
-			t.Errorf("hour %d: told %v", n, seen[n])
+		if gap := n >= 14 && n < 20; hasSlot[n] == gap {
+			t.Errorf("hour %d: has a slot: %v", n, hasSlot[n])
 		}
 	}
-	quarters, watched := slotsOf(t, s, 15*time.Minute), 0.0
+	quarters, observedSeconds := slotsOf(t, s, 15*time.Minute), 0.0
 	for _, q := range quarters {
-		watched += q.ObservedSeconds
+		observedSeconds += q.ObservedSeconds
 	}
 	days := slotsOf(t, s, day)
-	if len(days) != 2 || math.Abs(days[0].ObservedSeconds+days[1].ObservedSeconds-watched) > 1e-6 || days[0].ObservedSeconds > 18*3600 {
-		t.Errorf("days %+v, %v s watched in quarters", days, watched)
+	if len(days) != 2 || math.Abs(days[0].ObservedSeconds+days[1].ObservedSeconds-observedSeconds) > 1e-6 || days[0].ObservedSeconds > 18*3600 {
+		t.Errorf("days %+v, %v s observed in quarters", days, observedSeconds)
 	}
 	series, err := s.ReadSeries(time.Hour, 0, math.MaxInt64, func(Key) bool { return true })
 	if err != nil {
@@ -103,13 +104,14 @@
 	}
 	busiest := BusiestSlots(series)
 	if len(busiest) != 2 || busiest[1].Begin < start+day+11*time.Hour || busiest[1].Begin > start+day+16*time.Hour {
-		t.Errorf("busiest %+v", busiest)
+		t.Errorf("busiest slots %+v", busiest)
 	}
 }
 
-// Old quarters go, days stay; a class of another name is refused and nothing of it is kept.
+// Old quarters are deleted, days are kept. A file with a different name for a known
+// class is rejected as a whole.
 func TestRetention(t *testing.T) {
-	s := open(t, filepath.Join(t.TempDir(), "curve"))
+	s := openStore(t, filepath.Join(t.TempDir(), "curve"))
 	defer s.Close()
 	constantTraffic := func(float64) float64 { return 5 }
 	for i, at := range []time.Duration{start, start + 40*day, start + 130*day} {
@@ -122,25 +124,25 @@
 	}
 	rejected := generateAttempts(start+131*day, start+131*day+time.Hour, 9, 3, constantTraffic)
 	if err := s.Add(sha256.Sum256([]byte("x")), rejected, measure.Options{}, map[uint8]string{0: "other"}); err == nil {
-		t.Error("a class of two names")
+		t.Error("added a class with two names")
 	}
 	if d := len(slotsOf(t, s, day)); d != 3 {
-		t.Errorf("%d days after a refused file", d)
+		t.Errorf("%d days after a rejected file, want 3", d)
 	}
 	if _, err := s.ReadSeries(time.Minute, 0, 1, nil); err == nil {
-		t.Error("slots of a minute")
+		t.Error("read slots of a minute")
 	}
 }
 
-// A file that another has open, and one that is none.
+// Open fails for a file that is already open and for a directory.
 func TestCurveOpen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "curve")
-	s := open(t, path)
+	s := openStore(t, path)
 	defer s.Close()
 	if _, err := Open(path); err == nil {
 		t.Error("opened twice")
 	}
 	if _, err := Open(t.TempDir()); err == nil {
-		t.Error("opened a folder")
+		t.Error("opened a directory")
 	}
 }
--- a/internal/measure/batch.go
+++ b/internal/measure/batch.go
@@ -6,63 +6,67 @@
 	"time"
 )
 
-// Options of Estimates.
+// Options configures EstimateBatch and Slots.
 type Options struct {
-	RetryWindow  time.Duration // a try so soon after a lost one of the same caller's number is its repeat
-	MissingShare float64       // share of the records that are known to be missing, whichever they are
-	BusyWindow   time.Duration // only the busiest so long counts, the same for all pairs; 0: all time
+	RetryWindow  time.Duration // an attempt within this time after a lost one for the same number repeats it
+	MissingShare float64       // share of records known to be missing at random
+	BusyWindow   time.Duration // length of the busiest window to estimate, common to all pairs; 0: all time
 }
 
-// Result is what records tell.
+// Result holds the traffic estimated from a batch of attempts.
 type Result struct {
 	Pairs        []Estimate
-	Observed     map[int32]time.Duration // by source
-	HotNumbers   []uint64                // numbers whose lost tries were left out
-	HotAttempts  int                     // these tries
-	From, To     time.Duration           // of the busiest window, or of all
-	Incarnations int                     // of controllers
-	Groups       []Group                 // carried, in order
-	TailAttempts int                     // tries at the end of lives, left out because calls that began with them may have no record
+	Observed     map[int32]time.Duration // observed time by source
+	HotNumbers   []uint64                // numbers whose lost attempts were excluded
+	HotAttempts  int                     // excluded attempts
+	From, To     time.Duration           // limits of the busiest window, or of all attempts
+	Incarnations int                     // of controllers, by which attempts were recorded
+	Groups       []Group                 // ordered by exchange numbers
+	TailAttempts int                     // attempts excluded at the end of incarnations, because calls that started at that time may have no record
 }
 
-// A life is watched from its first try on. Records come when calls end, so that
-// of those that began shortly before the life did, only the short ones are seen;
-// the last tailHoldingTimes mean holding times of a life therefore don't count, so that
-// all but exp(-4), 2 % of calls' time is.
+// tailHoldingTimes is the number of mean holding times that are excluded at the end
+// of an incarnation, which is observed from its first attempt on. Calls are recorded
+// when they end, so of the calls that start shortly before an incarnation ends only
+// the short ones have a record. With 4, all but exp(-4) = 2 % of the calls' time is
+// included.
 const tailHoldingTimes = 4
 
-// shutdownTolerance is how close to a life's last moment a call was cut that the life itself ended.
+// shutdownTolerance is the maximum time between the last cut of a call and the end
+// of an incarnation that was shut down and cut its calls itself.
 const shutdownTolerance = time.Second
 
-// minHotAttempts is how many tries a number needs, minHotLossShare the share of them lost, to
-// be one that many callers want and whose lines, not circuits, are short.
+// A number with at least minHotAttempts attempts of which at least minHotLossShare
+// are lost is a hot number: the called lines are short, not circuits.
 const (
 	minHotAttempts  = 30
 	minHotLossShare = 0.5
 )
 
-// Group is what one trunk group carried, both ways, in circuits taken on average.
+// Group is the mean number of circuits that one trunk group carried, in both
+// directions.
 type Group struct {
-	A       int32   `json:"a"` // the lower number
+	A       int32   `json:"a"` // the lower exchange number
 	B       int32   `json:"b"`
 	Direct  float64 `json:"direct"`
-	Transit float64 `json:"transit"` // of calls over a tandem, on either of their legs
+	Transit float64 `json:"transit"` // of calls over a tandem, on either leg
 }
 
-// carriedByGroup adds up what groups carried; each call counts over the time that its source was watched.
+// carriedByGroup sums up the carried traffic of each group; a call is averaged over
+// the time that its source was observed.
 func carriedByGroup(attempts []CallAttempt, observed map[int32]time.Duration) []Group {
 	groups := map[[2]int32]*Group{}
 	addCarried := func(a, b int32, transit bool, circuits float64) {
 		pair := [2]int32{min(a, b), max(a, b)}
-		g := groups[pair]
-		if g == nil {
-			g = &Group{A: pair[0], B: pair[1]}
-			groups[pair] = g
+		group := groups[pair]
+		if group == nil {
+			group = &Group{A: pair[0], B: pair[1]}
+			groups[pair] = group
 		}
 		if transit {
-			g.Transit += circuits
+			group.Transit += circuits
 		} else {
-			g.Direct += circuits
+			group.Direct += circuits
 		}
 	}
 	for _, attempt := range attempts {
@@ -86,11 +90,12 @@
 	return sorted
 }
 
-// EstimateBatch estimates offered traffic from the tries of one or more lives of each
-// controller. A controller that was away leaves a gap, which counts neither as
-// traffic nor as quiet. A number that very many call in vain is left out but for
-// the calls to it that stood. If Window is set, the result is that of the busiest
-// window: the time-consistent busy hour of ITU-T E.600 where it is an hour.
+// EstimateBatch estimates offered traffic from the attempts recorded by one or more
+// incarnations of each controller. While a controller is not running, its time does
+// not count as observed. Lost attempts for hot numbers are excluded, established
+// calls to them are not. If BusyWindow is set, the result is that of the busiest
+// window; with a window of an hour this is the time-consistent busy hour of ITU-T
+// E.600.
 func EstimateBatch(attempts []CallAttempt, options Options) *Result {
 	attempts = slices.Clone(attempts)
 	slices.SortStableFunc(attempts, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
@@ -121,7 +126,7 @@
 			result.TailAttempts++
 		case attempt.Start < result.From || attempt.Start > result.To:
 			if attempt.Lost && attempt.Start < result.From && attempt.Start >= result.From-options.RetryWindow {
-				estimator.rememberLost(caller{attempt.Source, attempt.Number}, attempt.Start) // its repeat may come within
+				estimator.rememberLost(caller{attempt.Source, attempt.Number}, attempt.Start) // its retry may be within the window
 			}
 		default:
 			estimator.Add(attempt)
@@ -150,10 +155,11 @@
 	incarnation uint64
 }
 
-// observation is how long a controller's observation was watched.
+// observation is the time that one incarnation of a controller was observed.
 type observation struct{ from, lastEnd, lastCut, until time.Duration }
 
-// observationsOf works out how long each life of each controller can be relied on.
+// observationsOf returns the time in which the records of each incarnation of each
+// controller are complete.
 func observationsOf(attempts []CallAttempt) map[incarnationKey]*observation {
 	tail := tailHoldingTimes * longestHoldingTime(attempts)
 	observations := map[incarnationKey]*observation{}
@@ -169,27 +175,28 @@
 			observed.lastCut = max(observed.lastCut, attempt.Start+attempt.EstablishedFor)
 		}
 	}
-	for _, l := range observations {
-		l.until = l.lastEnd - min(tail, (l.lastEnd-l.from)/2)
-		if l.lastCut > 0 && l.lastCut >= l.lastEnd-shutdownTolerance { // it left in order, and told what it cut
-			l.until = l.lastEnd
+	for _, observed := range observations {
+		observed.until = observed.lastEnd - min(tail, (observed.lastEnd-observed.from)/2)
+		if observed.lastCut > 0 && observed.lastCut >= observed.lastEnd-shutdownTolerance { // orderly shutdown, with records of the calls cut
+			observed.until = observed.lastEnd
 		}
 	}
 	return observations
 }
 
-// Slot is what one pair and class showed in one step of time.
+// Slot counts the attempts of one key in one interval of time.
 type Slot struct {
 	Key
-	Begin                                    time.Duration // its begin
+	Begin                                    time.Duration // of the interval
 	Attempts, FirstAttempts, Lost, Completed int
-	HeldTime                                 time.Duration // of all that stood
+	HeldTime                                 time.Duration // total holding time of established calls
 	Observed                                 time.Duration
 }
 
-// Slots cuts tries into steps of time by when they were made, as Batch would
-// take them. A pair and class that showed itself in a life has a slot for each
-// step in which that life was watched, also where nothing was tried.
+// Slots counts attempts by intervals of length step, according to the time of the
+// attempt and with the exclusions of EstimateBatch. A key with an attempt in an
+// incarnation has a slot for each interval in which that incarnation was observed,
+// also without attempts.
 func Slots(attempts []CallAttempt, options Options, step time.Duration) []Slot {
 	attempts = slices.Clone(attempts)
 	slices.SortStableFunc(attempts, func(a, b CallAttempt) int { return cmp.Compare(a.Start, b.Start) })
@@ -202,35 +209,35 @@
 		at  time.Duration
 	}
 	slots := map[slotKey]*Slot{}
-	get := func(k Key, at time.Duration) *Slot {
+	slotAt := func(k Key, at time.Duration) *Slot {
 		at -= at % step
-		s := slots[slotKey{k, at}]
-		if s == nil {
-			s = &Slot{Key: k, Begin: at}
-			slots[slotKey{k, at}] = s
+		slot := slots[slotKey{k, at}]
+		if slot == nil {
+			slot = &Slot{Key: k, Begin: at}
+			slots[slotKey{k, at}] = slot
 		}
-		return s
+		return slot
 	}
 	active := map[incarnationKey]map[Key]bool{}
-	estimator := NewEstimator(attempts[0].Start, options.RetryWindow) // knows redials
+	estimator := NewEstimator(attempts[0].Start, options.RetryWindow) // recognizes retries
 	for _, attempt := range attempts {
-		k, incarnation := Key{attempt.Source, attempt.Dest, attempt.Class}, incarnationKey{attempt.Source, attempt.Incarnation}
+		key, incarnation := Key{attempt.Source, attempt.Dest, attempt.Class}, incarnationKey{attempt.Source, attempt.Incarnation}
 		if _, isHot := slices.BinarySearch(hot, attempt.Number); isHot && attempt.Lost || attempt.Start > observations[incarnation].until {
 			continue
 		}
 		if active[incarnation] == nil {
 			active[incarnation] = map[Key]bool{}
 		}
-		active[incarnation][k] = true
-		s := get(k, attempt.Start)
+		active[incarnation][key] = true
+		s := slotAt(key, attempt.Start)
 		s.Attempts++
-		c := caller{attempt.Source, attempt.Number}
-		if !attempt.MarkedRetry && !estimator.isRetry(c, attempt.Start) {
+		from := caller{attempt.Source, attempt.Number}
+		if !attempt.MarkedRetry && !estimator.isRetry(from, attempt.Start) {
 			s.FirstAttempts++
 		}
 		if attempt.Lost {
 			s.Lost++
-			estimator.rememberLost(c, attempt.Start)
+			estimator.rememberLost(from, attempt.Start)
 			continue
 		}
 		s.HeldTime += attempt.EstablishedFor
@@ -238,10 +245,10 @@
 			s.Completed++
 		}
 	}
-	for id, l := range observations {
+	for id, observed := range observations {
 		for k := range active[id] {
-			for at := l.from - l.from%step; at < l.until; at += step {
-				get(k, at).Observed += min(at+step, l.until) - max(at, l.from)
+			for at := observed.from - observed.from%step; at < observed.until; at += step {
+				slotAt(k, at).Observed += min(at+step, observed.until) - max(at, observed.from)
 			}
 		}
 	}
@@ -255,7 +262,7 @@
 	return sorted
 }
 
-// longestHoldingTime is the longestHoldingTime mean holding time of a class.
+// longestHoldingTime returns the maximum over all classes of the mean holding time.
 func longestHoldingTime(attempts []CallAttempt) time.Duration {
 	held, completed := map[uint8]time.Duration{}, map[uint8]int{}
 	for _, attempt := range attempts {
@@ -273,7 +280,7 @@
 	return longest
 }
 
-// hotNumbers lists numbers that very many call in vain, in order.
+// hotNumbers returns the hot numbers in increasing order.
 func hotNumbers(attempts []CallAttempt) []uint64 {
 	total, lost := map[uint64]int{}, map[uint64]int{}
 	for _, attempt := range attempts {
@@ -292,19 +299,19 @@
 	return hot
 }
 
-// busiestWindow is the begin of the window in which tries ask for most circuits, all
-// pairs together.
+// busiestWindow returns the beginning of the window in which the attempts of all
+// pairs together request the most circuits.
 func busiestWindow(attempts []CallAttempt, window time.Duration) time.Duration {
 	begin, maxWeight, windowWeight, first := attempts[0].Start, 0.0, 0.0, 0
 	weight := func(attempt CallAttempt) float64 { return float64(max(attempt.Circuits, 1)) }
-	for _, t := range attempts {
-		windowWeight += weight(t)
-		for attempts[first].Start <= t.Start-window {
+	for _, attempt := range attempts {
+		windowWeight += weight(attempt)
+		for attempts[first].Start <= attempt.Start-window {
 			windowWeight -= weight(attempts[first])
 			first++
 		}
-		if t.Start-attempts[0].Start >= window && windowWeight > maxWeight {
-			maxWeight, begin = windowWeight, t.Start-window
+		if attempt.Start-attempts[0].Start >= window && windowWeight > maxWeight {
+			maxWeight, begin = windowWeight, attempt.Start-window
 		}
 	}
 	return begin
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure tells offered traffic from what was tried: further tries of
-// lost callers are joined to their first, so that redials don't inflate
-// demand. It is free of I/O; its input is what flow records tell.
+// Package measure estimates offered traffic from call attempts. Repeated attempts
+// of lost callers are joined to their first attempt, so that redials do not inflate
+// the demand. The package does no I/O; its input comes from flow records.
 package measure
 
 import (
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// CallAttempt is one call as a controller saw it end.
+// CallAttempt is one call attempt as its controller recorded it at its end.
 type CallAttempt struct {
-	Start          time.Duration // when it was made
-	Source         int32         // exchange of the caller
+	Start          time.Duration // time of the attempt
+	Source         int32         // exchange number of the caller
 	Dest           int32
-	Via            int32 // exchange that it stood over: Dest, or a tandem; -1 if it did not stand
+	Via            int32 // exchange that the call was set up over: Dest, or a tandem; -1 if it was not established
 	Class          uint8
 	Circuits       int
-	Number         uint64 // called, or its hash
-	MarkedRetry    bool   // marked by the caller as a further try
-	Lost           bool   // refused, failed or left: it may be followed by another
-	Cut            bool   // stood, and was ended before its time
+	Number         uint64 // called number, or its hash
+	MarkedRetry    bool   // the caller marked the attempt as repeated
+	Lost           bool   // refused, failed or abandoned: a retry may follow
+	Cut            bool   // established, and released before its normal end
 	EstablishedFor time.Duration
-	Incarnation    uint64 // of its controller
+	Incarnation    uint64 // of the controller
 }
 
-// Key of an estimate.
+// Key identifies the traffic of one class from one exchange to another.
 type Key struct {
 	Source, Dest int32
 	Class        uint8
 }
 
-// Estimate is what one pair and class offers.
+// Estimate is the measured traffic of one key.
 type Estimate struct {
 	Key
 	// Tries counts all attempts, First the first attempts (those that repeat no
@@ -48,11 +48,11 @@
 	Known              bool          // Erlang is valid: at least one call ended uncut, so that the holding time is known
 }
 
-// maxLostCallers bounds what is remembered of callers who may dial again, in each
-// of two generations.
+// maxLostCallers is the maximum number of lost callers remembered in each of two
+// generations.
 const maxLostCallers = 1 << 16
 
-// maxKeys bounds the pairs and classes that are told apart.
+// maxKeys is the maximum number of keys measured.
 const maxKeys = 1 << 16
 
 type caller struct {
@@ -60,48 +60,48 @@
 	number uint64
 }
 
-// Estimator adds tries up, in about the order of their time.
+// Estimator sums up call attempts, which arrive in approximate order of time.
 type Estimator struct {
 	retryWindow    time.Duration
 	from, to       time.Duration
-	sums           map[Key]*totals
-	lastLost       [2]map[caller]time.Duration // when a caller was lost last
+	totalsByKey    map[Key]*totals
+	lastLost       [2]map[caller]time.Duration // time of the last lost attempt, current and previous generation
 	rotatedAt      time.Duration
-	EarlyRotations int // generations turned early, for want of room
-	ShedAttempts   int // tries of further keys than are kept
+	EarlyRotations int // generations discarded before the end of the retry window because they were full
+	ShedAttempts   int // attempts not counted because there were too many keys
 }
 
 type totals struct {
 	attempts, firstAttempts, lost, established int
-	completed                                  int     // of those that stood: not cut
-	heldSeconds                                float64 // seconds of all that stood
-	completedSeconds, completedSquares         float64 // seconds of those that ended, and their squares
-	circuitSeconds                             float64 // circuit-seconds
+	completed                                  int     // established calls that were not cut
+	heldSeconds                                float64 // of all established calls
+	completedSeconds, completedSquares         float64 // sums of the holding times of completed calls and of their squares
+	circuitSeconds                             float64 // of all established calls
 }
 
-// NewEstimator starts an estimator for calls that began from a time on. A try within the
-// patience of a lost one for the same number counts as its repeat.
+// NewEstimator returns an estimator for attempts made since from. An attempt within
+// the retry window after a lost attempt for the same number counts as its repetition.
 func NewEstimator(from, retryWindow time.Duration) *Estimator {
-	return &Estimator{retryWindow: retryWindow, from: from, to: from, sums: map[Key]*totals{},
+	return &Estimator{retryWindow: retryWindow, from: from, to: from, totalsByKey: map[Key]*totals{},
 		lastLost: [2]map[caller]time.Duration{{}, {}}, rotatedAt: from}
 }
 
-// Meter is what a running controller keeps: an estimator that begins anew when
-// its time is over, and the one of the time before.
+// Meter measures the traffic of a running controller: it holds the estimator of the
+// current period and that of the previous one.
 type Meter struct {
 	period, retryWindow time.Duration
 	current, previous   *Estimator
 }
 
-// NewMeter starts one whose figures are those of the last span or two.
+// NewMeter returns a meter with the given measurement period.
 func NewMeter(from, period, retryWindow time.Duration) *Meter {
 	return &Meter{period: period, retryWindow: retryWindow, current: NewEstimator(from, retryWindow)}
 }
 
-// Add books a try that ended just now. It counts where it ends.
-func (m *Meter) Add(at time.Duration, t CallAttempt) {
+// Add counts an attempt that ended now, in the period in which it ended.
+func (m *Meter) Add(at time.Duration, attempt CallAttempt) {
 	m.rotate(at)
-	m.current.Add(t)
+	m.current.Add(attempt)
 }
 
 func (m *Meter) rotate(at time.Duration) {
@@ -109,31 +109,31 @@
 		return
 	}
 	next := NewEstimator(at, m.retryWindow)
-	next.lastLost, next.rotatedAt = m.current.lastLost, m.current.rotatedAt // redials are still to be known
+	next.lastLost, next.rotatedAt = m.current.lastLost, m.current.rotatedAt // keeps recognizing retries
 	m.previous, m.current = m.current, next
 }
 
-// Estimates lists what was offered in the last whole span, or since the start
-// where none is over, and from when to when that was.
-func (m *Meter) Estimates(at time.Duration) (all []Estimate, from, to time.Duration) {
+// Estimates returns the traffic offered in the last complete period, or since the
+// start if no period is complete, and the limits of that time.
+func (m *Meter) Estimates(at time.Duration) (estimates []Estimate, from, to time.Duration) {
 	m.rotate(at)
-	if e := m.previous; e != nil {
-		return e.Estimates(m.current.from), e.from, m.current.from
+	if estimator := m.previous; estimator != nil {
+		return estimator.Estimates(m.current.from), estimator.from, m.current.from
 	}
 	return m.current.Estimates(at), m.current.from, at
 }
 
-// Add books a try.
+// Add counts an attempt.
 func (e *Estimator) Add(attempt CallAttempt) {
 	key := Key{attempt.Source, attempt.Dest, attempt.Class}
-	pairTotals := e.sums[key]
+	pairTotals := e.totalsByKey[key]
 	if pairTotals == nil {
-		if len(e.sums) >= maxKeys {
+		if len(e.totalsByKey) >= maxKeys {
 			e.ShedAttempts++
 			return
 		}
 		pairTotals = &totals{}
-		e.sums[key] = pairTotals
+		e.totalsByKey[key] = pairTotals
 	}
 	e.to = max(e.to, attempt.Start)
 	pairTotals.attempts++
@@ -169,49 +169,49 @@
 	return false
 }
 
-func (e *Estimator) rememberLost(c caller, at time.Duration) {
+func (e *Estimator) rememberLost(lostCaller caller, lostAt time.Duration) {
 	full := len(e.lastLost[0]) >= maxLostCallers
-	if full || at-e.rotatedAt > e.retryWindow {
-		if full && at-e.rotatedAt <= e.retryWindow {
+	if full || lostAt-e.rotatedAt > e.retryWindow {
+		if full && lostAt-e.rotatedAt <= e.retryWindow {
 			e.EarlyRotations++
 		}
-		e.lastLost[1], e.lastLost[0], e.rotatedAt = e.lastLost[0], map[caller]time.Duration{}, at
+		e.lastLost[1], e.lastLost[0], e.rotatedAt = e.lastLost[0], map[caller]time.Duration{}, lostAt
 	}
-	e.lastLost[0][c] = at
+	e.lastLost[0][lostCaller] = lostAt
 }
 
-// z95 is the normal distribution's value for a two-sided interval of 95 %.
+// z95 is the quantile of the normal distribution for a two-sided 95 % interval.
 const z95 = 1.959964
 
-// Estimates lists what was measured up to a time, by key. Arrivals are taken as
-// Poisson, so that the traffic's relative variance is (1 + c^2)/n for n first
-// tries and holding times with a coefficient of variation c.
+// Estimates returns the estimates up to a time, ordered by key. Arrivals are assumed
+// to be Poisson, so that the relative variance of the traffic is (1 + c^2)/n for n
+// first attempts and holding times with coefficient of variation c.
 func (e *Estimator) Estimates(until time.Duration) []Estimate {
 	span := max(until, e.to) - e.from
 	return e.estimates(func(int32) time.Duration { return span })
 }
 
-// estimates is Estimates for sources that were each watched for some time.
+// estimates is Estimates for sources that were observed for different times.
 func (e *Estimator) estimates(observed func(source int32) time.Duration) []Estimate {
 	var estimates []Estimate
-	for key, totals := range e.sums {
-		span := observed(key.Source)
-		if span <= 0 {
+	for key, sums := range e.totalsByKey {
+		duration := observed(key.Source)
+		if duration <= 0 {
 			continue
 		}
-		estimate := Estimate{Key: key, Tries: totals.attempts, First: totals.firstAttempts, Lost: totals.lost, Established: totals.established, Loss: float64(totals.lost) / float64(totals.attempts),
-			Carried: totals.circuitSeconds / span.Seconds()}
-		if totals.completed > 0 {
-			// calls that were cut would have gone on: their time counts, their ends don't (the
-			// likeliest mean of exponential times of which some were broken off)
-			mean := totals.heldSeconds / float64(totals.completed)
-			completedMean := totals.completedSeconds / float64(totals.completed)
-			cv2 := max(totals.completedSquares/float64(totals.completed)/(completedMean*completedMean)-1, 0)
+		estimate := Estimate{Key: key, Tries: sums.attempts, First: sums.firstAttempts, Lost: sums.lost, Established: sums.established, Loss: float64(sums.lost) / float64(sums.attempts),
+			Carried: sums.circuitSeconds / duration.Seconds()}
+		if sums.completed > 0 {
+			// Calls that were cut would have continued: their time counts, their end does not.
+			// This is the maximum likelihood estimate for censored exponential times.
+			mean := sums.heldSeconds / float64(sums.completed)
+			completedMean := sums.completedSeconds / float64(sums.completed)
+			cv2 := max(sums.completedSquares/float64(sums.completed)/(completedMean*completedMean)-1, 0)
 			estimate.Known, estimate.HoldingTime = mean > 0, time.Duration(mean*float64(time.Second))
-			estimate.Erlang = float64(totals.firstAttempts) * mean / span.Seconds()
-			estimate.AllAttemptsErlang = float64(totals.attempts) * mean / span.Seconds()
-			if totals.firstAttempts > 0 {
-				relativeHalfWidth := z95 * math.Sqrt((1+cv2)/float64(totals.firstAttempts))
+			estimate.Erlang = float64(sums.firstAttempts) * mean / duration.Seconds()
+			estimate.AllAttemptsErlang = float64(sums.attempts) * mean / duration.Seconds()
+			if sums.firstAttempts > 0 {
+				relativeHalfWidth := z95 * math.Sqrt((1+cv2)/float64(sums.firstAttempts))
 				estimate.Low, estimate.High = estimate.Erlang*max(1-relativeHalfWidth, 0), estimate.Erlang*(1+relativeHalfWidth)
 			}
 		}
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -10,7 +10,7 @@
 	"dahliaspindle/internal/loss"
 )
 
-// dialling is a group with callers who dial again, played event by event.
+// event is an arrival, a retry or the end of a call in the simulation of a group.
 type event struct {
 	at      float64
 	number  uint64
@@ -29,8 +29,8 @@
 	return x
 }
 
-// simulateGroup offers so much traffic of first tries to a group for a time; each lost
-// caller dials again up to most times, and marks it or not.
+// simulateGroup offers first attempts to a group for the given time. Each lost caller
+// retries up to maxRetries times, and marks the retries if markRetries is set.
 func simulateGroup(erlang float64, circuits, maxRetries int, markRetries bool, seconds float64, seed uint64, report func(CallAttempt)) {
 	const holding = 10.0
 	random := rand.New(rand.NewPCG(seed, 7))
@@ -47,7 +47,7 @@
 		if e.at > seconds {
 			break
 		}
-		if e.retries == 0 { // the next first try
+		if e.retries == 0 { // a first attempt: schedule the next one
 			callers++
 			heap.Push(queue, event{at: e.at + random.ExpFloat64()*holding/erlang, number: callers + 1})
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// Callers who dial again twice: first tries are found within 3 %, where
-// counting every try is far off; marked or not.
+// Callers retry twice: the traffic of first attempts is estimated within 3 %, whether
+// or not retries are marked, while counting every attempt is far off.
 func TestRetriesAreNotDemand(t *testing.T) {
 	for _, markRetries := range []bool{true, false} {
 		estimator := NewEstimator(0, 30*time.Second)
@@ -77,18 +77,18 @@
 			t.Fatalf("%+v", estimates)
 		}
 		estimate := estimates[0]
-		t.Logf("marked %v: %.4f (%.3f to %.3f), each try by itself %.3f, loss %.3f", markRetries, estimate.Erlang, estimate.Low, estimate.High, estimate.AllAttemptsErlang, estimate.Loss)
+		t.Logf("retries marked %v: %.4f erlang (%.3f to %.3f), with all attempts %.3f, loss %.3f", markRetries, estimate.Erlang, estimate.Low, estimate.High, estimate.AllAttemptsErlang, estimate.Loss)
 		if math.Abs(estimate.Erlang-1) > 0.03 || estimate.Low > 1 || estimate.High < 1 {
 			t.Errorf("offered 1, measured %.4f (%.4f to %.4f)", estimate.Erlang, estimate.Low, estimate.High)
 		}
 		if estimate.AllAttemptsErlang < 1.4 {
-			t.Errorf("each try by itself says %.3f", estimate.AllAttemptsErlang)
+			t.Errorf("with all attempts %.3f erlang, want at least 1.4", estimate.AllAttemptsErlang)
 		}
 	}
 }
 
-// Known traffic without redials: the interval holds it in about 95 of 100 days,
-// and the loss is the table's.
+// Known traffic without retries: the confidence interval contains it on about 95 of
+// 100 days, and the loss equals Erlang B.
 func TestConfidenceIntervalCoverage(t *testing.T) {
 	const traffic, circuits, days = 4.46, 10, 200
 	covered, lost, attempts := 0, 0, 0
@@ -102,11 +102,11 @@
 		}
 	}
 	if covered < days*90/100 || covered == days {
-		t.Errorf("%d of %d intervals hold the traffic", covered, days)
+		t.Errorf("%d of %d intervals contain the traffic", covered, days)
 	}
 	want, err := loss.ErlangB(traffic, circuits)
 	if got := float64(lost) / float64(attempts); err != nil || math.Abs(got-want) > 0.002 {
-		t.Errorf("loss %.4f, by the formula %.4f", got, want)
+		t.Errorf("loss %.4f, by Erlang B %.4f", got, want)
 	}
 }
 
@@ -116,12 +116,12 @@
 		estimator.Add(CallAttempt{Start: time.Duration(i) * time.Millisecond, Number: i, Lost: true})
 	}
 	if n := len(estimator.lastLost[0]) + len(estimator.lastLost[1]); n > 2*maxLostCallers || estimator.EarlyRotations == 0 {
-		t.Errorf("%d numbers are kept, %d generations turned early", n, estimator.EarlyRotations)
+		t.Errorf("%d callers remembered, %d early rotations", n, estimator.EarlyRotations)
 	}
 	if x := estimator.Estimates(time.Hour)[0]; x.Known || x.Loss != 1 {
-		t.Errorf("traffic of calls that never stood: %+v", x)
+		t.Errorf("estimate without established calls: %+v", x)
 	}
 	if got := NewEstimator(0, time.Second).Estimates(0); got != nil {
-		t.Errorf("%+v of nothing", got)
+		t.Errorf("estimates without attempts: %+v", got)
 	}
 }
--- a/internal/plan/bound.go
+++ b/internal/plan/bound.go
@@ -11,20 +11,21 @@
 	"dahliaspindle/internal/loss"
 )
 
-// costBound is the cost that no plan goes below, by linear programming (gonum's
-// simplex), circuits and modules relaxed. What an exchange's callers have with
-// all others goes over that exchange's groups, however it is routed; at best
-// they are together one group that every call may use and wait for. So the
-// traffic lost at an exchange is at least what Erlang's formula with impatience
-// says of its circuits together. That is convex in them; the program has secants
-// of it, added where a solution goes below. Lost traffic of all exchanges
-// together may be twice what the targets allow, as each lost call has two ends.
-// Wide calls count as so many single ones, waits as for the shortest holding
-// time, which both make the costBound lower. The same holds for the exchanges of a
-// region together and the groups that leave it.
+// costBound returns a lower bound of the cost of any plan, by linear programming
+// (gonum's simplex) with fractional circuits and modules. All calls between an
+// exchange and the others take circuits of that exchange's groups, whatever their
+// route; at best these groups act as one group that every call can use and wait
+// for. The traffic lost at an exchange is therefore at least Erlang A of the sum of
+// its circuits. This is convex in the circuits; the program contains secants of it
+// and adds one where a solution lies below the curve. The lost traffic summed over
+// all exchanges may be twice what the targets allow, because each lost call has two
+// ends. A call of several circuits counts as several calls, and waits are relative
+// to the shortest holding time; both only lower the bound. The same argument holds
+// for the exchanges of a region together and the groups that leave it.
 //
-// With an exchange away the same holds among those left; the greatest of all
-// bounds counts. Beyond the size at which that takes long, it is left out.
+// If a failure target is set, the same holds among the remaining exchanges for each
+// failed exchange, and the maximum of all bounds is returned. With more than
+// maxDenseExchanges exchanges this takes too long and is skipped.
 func (s *search) costBound() (float64, error) {
 	target := 0.0
 	for _, targetLoss := range s.task.TargetLoss {
@@ -44,24 +45,26 @@
 	return highest, nil
 }
 
-// maxDenseExchanges is where the program becomes large for a dense simplex.
+// maxDenseExchanges is the number of exchanges above which the program is too large
+// for repeated runs of a dense simplex.
 const maxDenseExchanges = 30
 
-// cut is some exchanges and the groups between them and the rest.
+// cut is a set of exchanges; the groups between it and the other exchanges cross it.
 type cut struct {
 	inside []bool
-	demand float64 // over these groups
+	demand float64 // in circuits, over the groups that cross the cut
 }
 
 func (c cut) crosses(g [2]int) bool { return c.inside[g[0]] != c.inside[g[1]] }
 
-// secant is a line below a cut's lost traffic: lost >= at + slope * circuits.
+// secant is a lower bound of the lost traffic of a cut:
+// lost >= intercept + slope * circuits.
 type secant struct {
 	cut              cut
 	intercept, slope float64
 }
 
-// cuts are those of one exchange each, and of one region each.
+// cuts returns the cuts around each exchange and around each region that have demand.
 func (s *search) cuts(groups [][2]int) []cut {
 	var cuts []cut
 	for i := range s.exchanges {
@@ -72,8 +75,8 @@
 	if s.task.Region != nil {
 		for region := range slices.Max(s.task.Region) + 1 {
 			c := cut{inside: make([]bool, s.exchanges)}
-			for i, x := range s.task.Region {
-				c.inside[i] = x == region
+			for i, of := range s.task.Region {
+				c.inside[i] = of == region
 			}
 			cuts = append(cuts, c)
 		}
@@ -104,16 +107,16 @@
 		shortest = min(shortest, c.HoldingTime)
 	}
 	secantAt := func(c cut, circuits int) (secant, error) {
-		a, err := loss.ErlangA(c.demand, circuits, s.mesh.MeanWait/shortest)
+		blocking, err := loss.ErlangA(c.demand, circuits, s.mesh.MeanWait/shortest)
 		if err != nil {
 			return secant{}, err
 		}
-		b, err := loss.ErlangA(c.demand, circuits+1, s.mesh.MeanWait/shortest)
+		nextBlocking, err := loss.ErlangA(c.demand, circuits+1, s.mesh.MeanWait/shortest)
 		if err != nil {
 			return secant{}, err
 		}
-		slope := c.demand * (b - a)
-		return secant{c, c.demand*a - slope*float64(circuits), slope}, nil
+		slope := c.demand * (nextBlocking - blocking)
+		return secant{c, c.demand*blocking - slope*float64(circuits), slope}, nil
 	}
 	cuts := s.cuts(groups)
 	var lines []secant
@@ -128,18 +131,18 @@
 	if s.exchanges > maxDenseExchanges {
 		rounds = 1
 	}
-	value := 0.0
+	bound := 0.0
 	for range rounds {
 		circuits, lost, cost, err := s.solveProgram(groups, lines, 2*target*demand)
 		if err != nil {
 			return 0, fmt.Errorf("bounding the cost: %w", err)
 		}
-		value = cost
+		bound = cost
 		added := false
 		for _, c := range cuts {
 			crossing, lostInside := 0.0, 0.0
-			for k, g := range groups {
-				if c.crosses(g) {
+			for k, group := range groups {
+				if c.crosses(group) {
 					crossing += circuits[k]
 				}
 			}
@@ -160,21 +163,22 @@
 			break
 		}
 	}
-	return value, nil
+	return bound, nil
 }
 
-// solveProgram solves the program: least cost of groups so that all lines hold and not
-// more than so much is lost. It returns the groups and each exchange's lost traffic.
+// solveProgram solves the linear program: the minimum cost of the groups such that
+// all secants hold and at most maxLost is lost. It returns the circuits of the groups
+// and the lost traffic of each exchange.
 func (s *search) solveProgram(groups [][2]int, lines []secant, maxLost float64) (solution, lost []float64, value float64, err error) {
 	groupCount, rows := len(groups), len(lines)+1
-	columns := groupCount + s.exchanges + rows // groups, lost traffic, what each row has over
+	columns := groupCount + s.exchanges + rows // groups, lost traffic, slack variables
 	costs := make([]float64, columns)
 	for k, group := range groups {
 		costs[k] = s.task.cost(group[0], group[1])
 	}
 	matrix := mat.NewDense(rows, columns, nil)
 	limits := make([]float64, rows)
-	for row, line := range lines { // lost - slope * circuits >= at
+	for row, line := range lines { // lost - slope * circuits >= intercept
 		for k, p := range groups {
 			if line.cut.crosses(p) {
 				matrix.Set(row, k, -line.slope)
--- a/internal/plan/moves.go
+++ b/internal/plan/moves.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Move is one step of what to do first.
+// Move is a purchase or a move of one module.
 type Move struct {
-	From, To    [2]int    // groups; From {-1, -1}: the module is new
-	LossByClass []float64 // by class, after it
-	LostTraffic float64   // circuits' worth of traffic lost, after it
+	From, To    [2]int    // groups; From {-1, -1}: the module is bought
+	LossByClass []float64 // after the move
+	LostTraffic float64   // after the move, in erlang of circuits
 }
 
-// candidateGroups is how many groups are tried at each step, on either side.
+// candidateGroups is the number of groups evaluated at each step, as source and as target.
 const candidateGroups = 4
 
-// FirstMoves says what to do first with the circuits that stand: so many modules may
-// be bought, so many moved. Each step is the one after which least traffic is
-// lost, among the groups that would save most by a module and those that would
-// miss one least; it ends when nothing helps.
+// FirstMoves returns the most useful changes to the present circuits: up to toBuy
+// purchases of a module, then up to toMove moves of one. Each step takes the change
+// with the minimum lost traffic among the groups that gain most by a module and the
+// groups that lose least without one. It stops when no change reduces the loss.
 func FirstMoves(ctx context.Context, task *Task, toBuy, toMove int) ([]Move, error) {
 	if err := task.Validate(); err != nil {
 		return nil, fmt.Errorf("planning moves: %w", err)
@@ -28,38 +28,38 @@
 	if toBuy < 0 || toMove < 0 {
 		return nil, fmt.Errorf("planning moves: %d modules to buy, %d to move: %w", toBuy, toMove, ErrNoPlan)
 	}
-	search := newSearch(ctx, task)
-	circuits := make([][]int, search.exchanges)
+	s := newSearch(ctx, task)
+	circuits := make([][]int, s.exchanges)
 	for i := range circuits {
 		circuits[i] = slices.Clone(task.Mesh.Circuits[i])
 	}
-	lost, _, err := search.lostTraffic(circuits)
+	lost, _, err := s.lostTraffic(circuits)
 	if err != nil {
 		return nil, err
 	}
 	var moves []Move
-	for toBuy+toMove > 0 && !search.exhausted() {
-		to := search.rankedGroups(circuits, func(w float64, _ int) float64 { return -w }, 0)
+	for toBuy+toMove > 0 && !s.exhausted() {
+		to := s.rankedGroups(circuits, func(value float64, _ int) float64 { return -value }, 0)
 		from := [][2]int{{-1, -1}}
 		if toBuy == 0 {
-			from = search.rankedGroups(circuits, func(w float64, _ int) float64 { return w }, -task.ModuleSize)
+			from = s.rankedGroups(circuits, func(w float64, _ int) float64 { return w }, -task.ModuleSize)
 		}
 		var best *Move
-		for _, a := range from {
-			for _, b := range to {
-				if a == b || search.exhausted() {
+		for _, source := range from {
+			for _, target := range to {
+				if source == target || s.exhausted() {
 					continue
 				}
-				addCircuits(circuits, a, -task.ModuleSize)
-				addCircuits(circuits, b, task.ModuleSize)
-				lostAfter, byClass, err := search.lostTraffic(circuits)
-				addCircuits(circuits, a, task.ModuleSize)
-				addCircuits(circuits, b, -task.ModuleSize)
+				addCircuits(circuits, source, -task.ModuleSize)
+				addCircuits(circuits, target, task.ModuleSize)
+				lostAfter, byClass, err := s.lostTraffic(circuits)
+				addCircuits(circuits, source, task.ModuleSize)
+				addCircuits(circuits, target, -task.ModuleSize)
 				if err != nil {
 					return nil, err
 				}
 				if lostAfter < lost-1e-6 && (best == nil || lostAfter < best.LostTraffic) {
-					best = &Move{From: a, To: b, LossByClass: byClass, LostTraffic: lostAfter}
+					best = &Move{From: source, To: target, LossByClass: byClass, LostTraffic: lostAfter}
 				}
 			}
 		}
@@ -86,7 +86,8 @@
 	}
 }
 
-// rankedGroups lists some groups by what a module is worth to them, with so many circuits more.
+// rankedGroups returns the candidateGroups groups with the lowest key, which is given
+// the value of the next module when the group has extra circuits more.
 func (s *search) rankedGroups(circuits [][]int, key func(worth float64, circuits int) float64, extra int) [][2]int {
 	type group struct {
 		at   [2]int
@@ -95,8 +96,8 @@
 	var candidates []group
 	for i := range s.exchanges {
 		for j := range i {
-			if n := circuits[i][j] + extra; n >= 0 && s.pairDemand[i][j] > 0 {
-				candidates = append(candidates, group{[2]int{i, j}, key(s.marginalValue(i, j, n), n)})
+			if size := circuits[i][j] + extra; size >= 0 && s.pairDemand[i][j] > 0 {
+				candidates = append(candidates, group{[2]int{i, j}, key(s.marginalValue(i, j, size), size)})
 			}
 		}
 	}
@@ -108,7 +109,8 @@
 	return best
 }
 
-// lostTraffic is the circuits' worth of traffic that a network loses.
+// lostTraffic returns the traffic that a network loses in erlang of circuits, and the
+// loss by class.
 func (s *search) lostTraffic(circuits [][]int) (float64, []float64, error) {
 	_, normal, _, _, err := s.evaluate(circuits)
 	if err != nil {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,10 +1,10 @@
-// Package plan says how many circuits a network's groups need: least cost, in
-// whole modules, for a loss by class that holds in normal times and, if asked,
-// with any one exchange or region link away. It is free of I/O; what a network
-// loses it asks of package network.
+// Package plan computes the circuits that the trunk groups of a network need: the
+// minimum cost, in whole modules, for a target loss by class in normal operation
+// and, optionally, with any one exchange or region link failed. Package network
+// computes the losses. The package does no I/O.
 //
-// Files: plan.go the problem and its search; bound.go what no plan can go
-// below; moves.go what to do first with a budget.
+// Files: plan.go holds the task and the search; bound.go a lower bound of the cost;
+// moves.go the first changes within a budget.
 package plan
 
 import (
@@ -17,39 +17,40 @@
 	"dahliaspindle/internal/network"
 )
 
-// Task is what is to be planned.
+// Task describes a planning problem.
 type Task struct {
-	Mesh           *network.Mesh // its circuits are those that stand now
-	TargetLoss     []float64     // by class: most loss over all traffic, in normal times
-	MaxFailureLoss float64       // most loss of any class while something is away; 0: not looked at
-	Growth         float64       // traffic is taken so many times
-	ModuleSize     int           // circuits come in so many
-	CircuitCost    [][]float64   // of a circuit between two exchanges; nil: 1 each
-	Region         []int         // of each exchange
+	Mesh           *network.Mesh // with the present circuits
+	TargetLoss     []float64     // by class: maximum loss of the total traffic in normal operation
+	MaxFailureLoss float64       // maximum loss of any class during a failure; 0: failures are not considered
+	Growth         float64       // factor on the traffic
+	ModuleSize     int           // circuits per module
+	CircuitCost    [][]float64   // by pair, per circuit; nil: 1
+	Region         []int         // of each exchange; nil: no region links
 	LinkShare      float64       // share of the circuits between two regions that one link carries
-	MaxSolves      int           // networks that the search may solve
+	MaxSolves      int           // maximum number of networks that the search solves
 }
 
-// Plan is an answer.
+// Plan is the result of a planning task.
 type Plan struct {
 	Circuits         [][]int
 	TotalCircuits    int
 	Cost             float64
-	PredictedLoss    []float64 // loss by class in normal times
-	WorstFailureLoss float64   // loss of the worst class with the worst thing away; 0 if not looked at
-	WorstFailure     string
-	CostBound        float64 // cost that no plan can go below
-	Solves           int     // networks
-	Stopped          bool    // the search ran out of networks or time: the plan is good, a better one was still sought
+	PredictedLoss    []float64 // by class, in normal operation
+	WorstFailureLoss float64   // maximum loss of a class over all failures; 0 if failures are not considered
+	WorstFailure     string    // name of the failure with that loss
+	CostBound        float64   // lower bound of the cost of any plan
+	Solves           int       // networks solved
+	Stopped          bool      // the search reached MaxSolves or its deadline: the plan meets the targets, a better one may exist
 }
 
-// Gap is how much dearer the plan is than the bound, as a share of the bound.
+// Gap returns the relative difference between the cost of the plan and its bound.
 func (p *Plan) Gap() float64 { return p.Cost/p.CostBound - 1 }
 
-// ErrNoPlan is wrapped by errors for a task that can't be.
-var ErrNoPlan = errors.New("not to be planned")
+// ErrNoPlan is wrapped by the errors for an invalid task and for a task without a
+// plan that meets the targets.
+var ErrNoPlan = errors.New("no plan possible")
 
-// Validate tells what is wrong with a task.
+// Validate returns an error that describes the first invalid value of the task.
 func (t *Task) Validate() error {
 	if err := t.Mesh.Validate(); err != nil {
 		return err
@@ -59,17 +60,17 @@
 	case len(t.TargetLoss) != len(t.Mesh.Classes):
 		return fmt.Errorf("%d targets for %d classes: %w", len(t.TargetLoss), len(t.Mesh.Classes), ErrNoPlan)
 	case !(t.Growth > 0) || t.Growth > 100:
-		return fmt.Errorf("growth %v, above 0 to 100 can be: %w", t.Growth, ErrNoPlan)
+		return fmt.Errorf("growth %v must be greater than 0 and at most 100: %w", t.Growth, ErrNoPlan)
 	case t.ModuleSize < 1 || t.ModuleSize > 10000:
 		return fmt.Errorf("modules of %d circuits: %w", t.ModuleSize, ErrNoPlan)
 	case t.MaxFailureLoss < 0 || t.MaxFailureLoss >= 1 || t.LinkShare < 0 || t.LinkShare > 1:
-		return fmt.Errorf("a loss of %v with a part away, links of %v of a region's circuits: %w", t.MaxFailureLoss, t.LinkShare, ErrNoPlan)
+		return fmt.Errorf("maximum failure loss %v must be at least 0 and less than 1, link share %v at least 0 and at most 1: %w", t.MaxFailureLoss, t.LinkShare, ErrNoPlan)
 	case t.CircuitCost != nil && len(t.CircuitCost) != n || t.Region != nil && len(t.Region) != n:
-		return fmt.Errorf("costs of %d, regions of %d exchanges, %d there are: %w", len(t.CircuitCost), len(t.Region), n, ErrNoPlan)
+		return fmt.Errorf("costs of %d and regions of %d exchanges, want %d: %w", len(t.CircuitCost), len(t.Region), n, ErrNoPlan)
 	}
-	for c, loss := range t.TargetLoss {
-		if !(loss > 0 && loss < 1) {
-			return fmt.Errorf("class %s: a loss of %v can't be aimed at, above 0 and below 1 can: %w", t.Mesh.Classes[c].Name, loss, ErrNoPlan)
+	for c, target := range t.TargetLoss {
+		if !(target > 0 && target < 1) {
+			return fmt.Errorf("class %s: a loss of %v must be greater than 0 and less than 1: %w", t.Mesh.Classes[c].Name, target, ErrNoPlan)
 		}
 	}
 	offered := 0.0
@@ -99,62 +100,63 @@
 	return t.CircuitCost[i][j]
 }
 
-// search is a search under way.
+// search holds the state of a search.
 type search struct {
 	task           *Task
 	ctx            context.Context
 	exchanges      int
-	mesh           *network.Mesh
-	pairDemand     [][]float64 // circuits asked for between two exchanges, both ways
-	pairPeakedness [][]float64 // mean width of these
+	mesh           *network.Mesh // with the traffic after growth
+	pairDemand     [][]float64   // in circuits between two exchanges, both directions
+	pairPeakedness [][]float64   // mean number of circuits per call, weighted by demand
 	solves         int
 }
 
 func newSearch(ctx context.Context, t *Task) *search {
 	mesh := *t.Mesh
-	result := &search{task: t, ctx: ctx, exchanges: len(mesh.Circuits)}
-	mesh.Offered = make([][][]float64, result.exchanges)
-	for i := range result.exchanges {
-		mesh.Offered[i] = make([][]float64, result.exchanges)
-		result.pairDemand, result.pairPeakedness = append(result.pairDemand, make([]float64, result.exchanges)), append(result.pairPeakedness, make([]float64, result.exchanges))
-		for j := range result.exchanges {
+	s := &search{task: t, ctx: ctx, exchanges: len(mesh.Circuits)}
+	mesh.Offered = make([][][]float64, s.exchanges)
+	for i := range s.exchanges {
+		mesh.Offered[i] = make([][]float64, s.exchanges)
+		s.pairDemand, s.pairPeakedness = append(s.pairDemand, make([]float64, s.exchanges)), append(s.pairPeakedness, make([]float64, s.exchanges))
+		for j := range s.exchanges {
 			mesh.Offered[i][j] = make([]float64, len(mesh.Classes))
-			for c, circuits := range t.Mesh.Offered[i][j] {
-				mesh.Offered[i][j][c] = circuits * t.Growth
+			for c, traffic := range t.Mesh.Offered[i][j] {
+				mesh.Offered[i][j][c] = traffic * t.Growth
 			}
 		}
 	}
-	for i := range result.exchanges {
-		for j := range result.exchanges {
-			weighted := 0.0
+	for i := range s.exchanges {
+		for j := range s.exchanges {
+			weightedDemand := 0.0
 			for c, cl := range mesh.Classes {
-				a := (mesh.Offered[i][j][c] + mesh.Offered[j][i][c]) * float64(cl.Circuits)
-				result.pairDemand[i][j] += a
-				weighted += a * float64(cl.Circuits)
+				demand := (mesh.Offered[i][j][c] + mesh.Offered[j][i][c]) * float64(cl.Circuits)
+				s.pairDemand[i][j] += demand
+				weightedDemand += demand * float64(cl.Circuits)
 			}
-			result.pairPeakedness[i][j] = 1
-			if result.pairDemand[i][j] > 0 {
-				result.pairPeakedness[i][j] = weighted / result.pairDemand[i][j]
+			s.pairPeakedness[i][j] = 1
+			if s.pairDemand[i][j] > 0 {
+				s.pairPeakedness[i][j] = weightedDemand / s.pairDemand[i][j]
 			}
 		}
 	}
-	result.mesh = &mesh
-	return result
+	s.mesh = &mesh
+	return s
 }
 
-// exhausted tells whether the search has used what it was given.
+// exhausted reports whether the search has reached its limit of networks or time.
 func (s *search) exhausted() bool { return s.solves >= s.task.MaxSolves || s.ctx.Err() != nil }
 
-// maxIterations is the steps in which a network must come to rest to be planned on:
-// one that needs far more is at the edge between two states.
+// maxIterations is the number of iterations in which a network must converge: one
+// that needs far more is close to bistable and unsuitable for planning.
 const maxIterations = 200
 
-// evaluate solves a network with these circuits, from an empty and a full state;
-// how is the worst of loss over target (1 and below: all hold in either).
+// evaluate solves the network with the given circuits from an empty and from a full
+// state, and with each failure. lossRatio is the maximum ratio of loss to target; at
+// most 1 means that all targets hold in both states.
 func (s *search) evaluate(circuits [][]int) (lossRatio float64, normal *network.Solution, failureLoss float64, failureName string, err error) {
 	mesh := *s.mesh
 	mesh.Circuits, mesh.MaxIterations = circuits, maxIterations
-	for _, full := range []bool{true, false} { // the better known one last
+	for _, full := range []bool{true, false} { // normal is the solution from an empty network
 		s.solves++
 		if normal, err = network.SolveFrom(&mesh, full); err != nil {
 			return 0, nil, 0, "", err
@@ -162,8 +164,8 @@
 		if !normal.Converged {
 			return math.Inf(1), normal, 0, "", nil
 		}
-		for c, loss := range normal.LossByClass {
-			lossRatio = max(lossRatio, loss/s.task.TargetLoss[c])
+		for c, classLoss := range normal.LossByClass {
+			lossRatio = max(lossRatio, classLoss/s.task.TargetLoss[c])
 		}
 		if lossRatio > 1 {
 			return lossRatio, normal, 0, "", nil
@@ -179,12 +181,12 @@
 		if err != nil {
 			return 0, nil, 0, "", err
 		}
-		for c, b := range solution.LossByClass {
+		for c, loss := range solution.LossByClass {
 			if !solution.Converged {
-				b = 1
+				loss = 1
 			}
-			if failure.hasTraffic[c] && b > failureLoss {
-				failureLoss, failureName = b, failure.name
+			if failure.hasTraffic[c] && loss > failureLoss {
+				failureLoss, failureName = loss, failure.name
 			}
 		}
 		if failureLoss > s.task.MaxFailureLoss {
@@ -194,21 +196,21 @@
 	return max(lossRatio, failureLoss/s.task.MaxFailureLoss), normal, failureLoss, failureName, nil
 }
 
-// failure is the network with something away.
+// failure is the network during the failure of an exchange or a link.
 type failure struct {
 	name       string
 	mesh       *network.Mesh
-	hasTraffic []bool // classes with traffic left
+	hasTraffic []bool // by class: traffic remains during the failure
 }
 
-// failures lists the networks with one exchange away, whose own traffic is away
-// too, and with one link between two regions away.
+// failures returns the networks with one exchange failed, without the traffic of its
+// callers and to it, and with one link between two regions failed.
 func (s *search) failures(circuits [][]int) []failure {
 	var failures []failure
-	addFailure := func(what string, circuits func(i, j int) int, offered func(i, j int) bool) {
+	addFailure := func(name string, circuits func(i, j int) int, offered func(i, j int) bool) {
 		mesh := *s.mesh
 		mesh.Circuits, mesh.Offered = make([][]int, s.exchanges), make([][][]float64, s.exchanges)
-		degraded := failure{name: what, mesh: &mesh, hasTraffic: make([]bool, len(mesh.Classes))}
+		degraded := failure{name: name, mesh: &mesh, hasTraffic: make([]bool, len(mesh.Classes))}
 		for i := range s.exchanges {
 			mesh.Circuits[i], mesh.Offered[i] = make([]int, s.exchanges), make([][]float64, s.exchanges)
 			for j := range s.exchanges {
@@ -243,7 +245,7 @@
 	for a := range regions {
 		for b := range a {
 			addFailure(fmt.Sprintf("a link between regions %d and %d", b, a), func(i, j int) int {
-				if x, y := s.task.Region[i], s.task.Region[j]; x == a && y == b || x == b && y == a {
+				if regionI, regionJ := s.task.Region[i], s.task.Region[j]; regionI == a && regionJ == b || regionI == b && regionJ == a {
 					return circuits[i][j] - int(math.Ceil(s.task.LinkShare*float64(circuits[i][j])))
 				}
 				return circuits[i][j]
@@ -253,7 +255,8 @@
 	return failures
 }
 
-// sizeGroups makes groups by a rule for each pair, in whole modules.
+// sizeGroups rounds the size that rule returns for each pair with demand up to whole
+// modules.
 func (s *search) sizeGroups(rule func(i, j int) float64) [][]int {
 	sizes := make([][]int, s.exchanges)
 	for i := range sizes {
@@ -271,9 +274,9 @@
 	return sizes
 }
 
-// marginalValue is what the last module of a group, or the next, saves on its direct
-// traffic for its cost: K. Moe's measure, with wide calls as a factor on the
-// traffic's peakedness (Hayward).
+// marginalValue returns the direct traffic that the next module of a group with the
+// given circuits saves per cost: K. Moe's improvement function. Calls of several
+// circuits count as peakedness (Hayward).
 func (s *search) marginalValue(i, j, circuits int) float64 {
 	demand, peakedness := s.pairDemand[i][j], s.pairPeakedness[i][j]
 	lossBefore, err0 := loss.ErlangBContinuous(demand/peakedness, float64(circuits)/peakedness)
@@ -284,11 +287,12 @@
 	return demand * (lossBefore - lossAfter) / (s.task.cost(i, j) * float64(s.task.ModuleSize))
 }
 
-// sizeByMoe sizes each group so that its next module would save less than worth.
+// sizeByMoe sizes each group such that its next module has a marginal value below
+// minValue.
 func (s *search) sizeByMoe(minValue float64) [][]int {
 	return s.sizeGroups(func(i, j int) float64 {
 		maxModules := int(4*s.pairDemand[i][j])/s.task.ModuleSize + 20
-		low, high := 0, maxModules // modules; what the next one saves falls from the first or second on
+		low, high := 0, maxModules // in modules; the marginal value falls from the first or second module on
 		for low < high {
 			mid := (low + high) / 2
 			if s.marginalValue(i, j, mid*s.task.ModuleSize) < minValue {
@@ -311,8 +315,9 @@
 	return cost, total
 }
 
-// cheapestFeasible finds the largest knob at which the sizes still hold: knobs from dear to
-// cheap, by halving. hold tells of the ones that were judged.
+// cheapestFeasible bisects between a feasible and an infeasible parameter on a
+// logarithmic scale and returns the sizes of the last parameter that meets the
+// targets, or nil if feasible does not meet them.
 func (s *search) cheapestFeasible(sizes func(parameter float64) [][]int, feasible, infeasible float64, steps int) ([][]int, error) {
 	best := sizes(feasible)
 	lossRatio, _, _, _, err := s.evaluate(best)
@@ -328,11 +333,11 @@
 		}
 		mid := math.Sqrt(feasible * infeasible)
 		candidate := sizes(mid)
-		how, _, _, _, err := s.evaluate(candidate)
+		ratio, _, _, _, err := s.evaluate(candidate)
 		if err != nil {
 			return nil, err
 		}
-		if how <= 1 {
+		if ratio <= 1 {
 			best, feasible = candidate, mid
 		} else {
 			infeasible = mid
@@ -341,10 +346,11 @@
 	return best, nil
 }
 
-// Optimize plans. It starts from the cheapest of three: Moe's principle, by which
-// every group's next module saves the same for its cost, the common worth found
-// by halving; groups in proportion to their traffic; what stands. From there
-// groups give up modules, the least worthy first, for as long as all targets hold.
+// Optimize searches for the plan of minimum cost. It starts from the cheapest of
+// three feasible solutions: Moe's principle, by which the next module of every group
+// has the same marginal value, with that value found by bisection; groups in
+// proportion to their traffic; and the present groups. It then removes modules in
+// order of increasing marginal value while all targets hold.
 func Optimize(ctx context.Context, t *Task) (*Plan, error) {
 	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
@@ -355,7 +361,7 @@
 		return nil, fmt.Errorf("planning: %w", err)
 	}
 	if best == nil {
-		return nil, fmt.Errorf("planning: no size of the groups reaches the targets: processors or pairs without traffic of their own stand in the way: %w", ErrNoPlan)
+		return nil, fmt.Errorf("planning: no group sizes reach the targets, because of the processors or of pairs without direct traffic: %w", ErrNoPlan)
 	}
 	if err := s.removeModules(best); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
@@ -363,9 +369,9 @@
 	return s.newPlan(best)
 }
 
-// initialSizes is the cheapest of what holds: groups of like worth, groups in proportion to
-// their traffic (transit may need more than any direct traffic asks for), and the
-// groups that stand; nil if none of them does.
+// initialSizes returns the cheapest feasible solution among groups of equal marginal
+// value, groups in proportion to their traffic (transit may need more than the direct
+// traffic suggests) and the present groups, or nil if none is feasible.
 func (s *search) initialSizes() ([][]int, error) {
 	var best [][]int
 	consider := func(circuits [][]int, err error) error {
@@ -389,8 +395,8 @@
 	}
 	present := s.sizeGroups(func(i, j int) float64 { return float64(s.task.Mesh.Circuits[i][j]) })
 	if best != nil {
-		was, _ := s.totalCost(best)
-		if now, _ := s.totalCost(present); now >= was {
+		bestCost, _ := s.totalCost(best)
+		if cost, _ := s.totalCost(present); cost >= bestCost {
 			return best, nil
 		}
 	}
@@ -401,7 +407,8 @@
 	return best, err
 }
 
-// Proportional sizes every group in proportion to its traffic: what planning is held against.
+// Proportional returns the cheapest plan with every group sized in proportion to its
+// traffic, as a reference for Optimize.
 func Proportional(ctx context.Context, t *Task) (*Plan, error) {
 	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("planning: %w", err)
@@ -421,9 +428,9 @@
 	return s.sizeGroups(func(i, j int) float64 { return factor * s.pairDemand[i][j] })
 }
 
-// removeModules takes modules away, the least worthy first, as long as the targets hold:
-// from many groups at once while that goes, then one by one. Groups that could
-// not give one are asked again only when a round has changed something.
+// removeModules removes modules in order of increasing marginal value while the
+// targets hold: first from many groups at once, then one by one. Groups that could
+// not spare a module are tried again only after a round that changed something.
 func (s *search) removeModules(circuits [][]int) error {
 	for batch := s.exchanges * (s.exchanges - 1) / 8; batch > 1 && !s.exhausted(); {
 		var taken [][2]int
@@ -442,8 +449,8 @@
 			return err
 		}
 		if lossRatio > 1 || len(taken) == 0 {
-			for _, g := range taken {
-				addCircuits(circuits, g, s.task.ModuleSize)
+			for _, group := range taken {
+				addCircuits(circuits, group, s.task.ModuleSize)
 			}
 			batch /= 2
 		}
@@ -459,11 +466,11 @@
 			g := [2]int{i, j}
 			tried[g] = true
 			addCircuits(circuits, g, -s.task.ModuleSize)
-			how, _, _, _, err := s.evaluate(circuits)
+			lossRatio, _, _, _, err := s.evaluate(circuits)
 			if err != nil {
 				return err
 			}
-			if how > 1 {
+			if lossRatio > 1 {
 				addCircuits(circuits, g, s.task.ModuleSize)
 				continue
 			}
@@ -477,7 +484,8 @@
 	return nil
 }
 
-// leastValuableGroup is the group whose last module saves least for its cost; -1 if none is left.
+// leastValuableGroup returns the group whose last module has the lowest marginal
+// value, or -1, -1 if none is left.
 func (s *search) leastValuableGroup(circuits [][]int, tried map[[2]int]bool) (int, int) {
 	least, bestFrom, bestTo := math.Inf(1), -1, -1
 	for i := range s.exchanges {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -11,7 +11,7 @@
 	"dahliaspindle/internal/network"
 )
 
-// randomTask is a task over unequal pairs: a mesh without groups, two classes.
+// randomTask returns a task with unequal pairs and two classes, and a mesh without groups.
 func randomTask(n int, seed uint64) *Task {
 	random := rand.New(rand.NewPCG(seed, 7))
 	mesh := &network.Mesh{Classes: []network.Class{{Name: "one", Circuits: 1, HoldingTime: 90, Worth: 1}, {Name: "two", Circuits: 2, HoldingTime: 120, Worth: 2}},
@@ -41,8 +41,8 @@
 	return plan
 }
 
-// A plan holds its targets, stands in whole modules between the bound and
-// proportional sizing, and no group of it can give up a module.
+// A plan meets its targets in whole modules, its cost lies between the bound and
+// proportional sizing, and no group can spare a module.
 func TestPlan(t *testing.T) {
 	for _, module := range []int{1, 30} {
 		task := randomTask(6, 1)
@@ -52,20 +52,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("modules of %d: %d circuits, proportional %d, bound %.0f (gap %.2f), promise %.4f, %d networks", module,
+		t.Logf("modules of %d: %d circuits, proportional %d, bound %.0f (gap %.2f), predicted loss %.4f, %d networks solved", module,
 			plan.TotalCircuits, proportional.TotalCircuits, plan.CostBound, plan.Gap(), plan.PredictedLoss, plan.Solves)
 		if plan.Cost > proportional.Cost || plan.Cost < plan.CostBound || plan.CostBound <= 0 {
 			t.Errorf("cost %v, proportional %v, bound %v", plan.Cost, proportional.Cost, plan.CostBound)
 		}
 		for c, x := range plan.PredictedLoss {
 			if x > task.TargetLoss[c] {
-				t.Errorf("class %d loses %v, %v was aimed at", c, x, task.TargetLoss[c])
+				t.Errorf("class %d has a loss of %v, target %v", c, x, task.TargetLoss[c])
 			}
 		}
 		if plan.Stopped {
 			t.Fatal("the search was stopped")
 		}
-		search := newSearch(context.Background(), task)
+		s := newSearch(context.Background(), task)
 		for i := range plan.Circuits {
 			for j := range i {
 				if plan.Circuits[i][j]%module != 0 || plan.Circuits[i][j] != plan.Circuits[j][i] {
@@ -75,8 +75,8 @@
 					continue
 				}
 				addCircuits(plan.Circuits, [2]int{i, j}, -module)
-				if lossRatio, _, _, _, err := search.evaluate(plan.Circuits); err != nil || lossRatio <= 1 {
-					t.Errorf("group %d-%d could give up a module: %v, %v", i, j, lossRatio, err)
+				if lossRatio, _, _, _, err := s.evaluate(plan.Circuits); err != nil || lossRatio <= 1 {
+					t.Errorf("group %d-%d can spare a module: loss ratio %v, error %v", i, j, lossRatio, err)
 				}
 				addCircuits(plan.Circuits, [2]int{i, j}, module)
 			}
@@ -84,9 +84,9 @@
 	}
 }
 
-// Where calls go direct or not at all, and where groups cost unlike, sizing by
-// worth beats proportion. (With tandems and equal costs it does not: the tandem
-// of most room evens groups out, so that only their sum counts.)
+// Without tandems, and with unequal costs, sizing by marginal value costs less than
+// proportional sizing. With tandems and equal costs it does not: choosing the tandem
+// with the most free circuits balances the groups, so that only their sum counts.
 func TestPlanCostsLessThanProportional(t *testing.T) {
 	direct := randomTask(6, 2)
 	direct.Mesh.MaxTandems = 0
@@ -94,23 +94,23 @@
 	for i := range 6 {
 		unequal.CircuitCost = append(unequal.CircuitCost, make([]float64, 6))
 		for j := range 6 {
-			unequal.CircuitCost[i][j] = 1 + 3*float64((i+j)%2) // between regions four times
+			unequal.CircuitCost[i][j] = 1 + 3*float64((i+j)%2) // four times as expensive between regions
 		}
 	}
-	for name, task := range map[string]*Task{"direct only": direct, "unlike costs": unequal} {
+	for name, task := range map[string]*Task{"direct only": direct, "unequal costs": unequal} {
 		plan := optimize(t, task)
 		proportional, err := Proportional(context.Background(), task)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%s: cost %.0f, proportional %.0f, bound %.0f", name, plan.Cost, proportional.Cost, plan.CostBound)
-		if plan.Cost >= proportional.Cost || name == "unlike costs" && plan.Cost > 0.985*proportional.Cost || plan.CostBound < 0.7*plan.Cost || plan.CostBound > plan.Cost {
+		if plan.Cost >= proportional.Cost || name == "unequal costs" && plan.Cost > 0.985*proportional.Cost || plan.CostBound < 0.7*plan.Cost || plan.CostBound > plan.Cost {
 			t.Errorf("%s: cost %v, proportional %v", name, plan.Cost, proportional.Cost)
 		}
 	}
 }
 
-// Two exchanges: the plan is Erlang's table with waiting, and the bound meets it.
+// With two exchanges the plan equals Erlang A, and the bound is within one circuit of it.
 func TestPlanOfOnePair(t *testing.T) {
 	task := randomTask(2, 1)
 	task.Mesh.Classes = task.Mesh.Classes[:1]
@@ -132,7 +132,8 @@
 	}
 }
 
-// Growth, a dearer group and an exchange or link that may be away ask for more.
+// Growth and resilience against a failed exchange or link need more circuits; a more
+// expensive group gets fewer.
 func TestPlanGrowsWithRequirements(t *testing.T) {
 	base := randomTask(5, 3)
 	base.ModuleSize = 5
@@ -140,7 +141,7 @@
 	grown := randomTask(5, 3)
 	grown.ModuleSize, grown.Growth = 5, 1.3
 	if grownPlan := optimize(t, grown); float64(grownPlan.TotalCircuits) < 1.2*float64(plan.TotalCircuits) || grownPlan.CostBound <= plan.CostBound {
-		t.Errorf("%d circuits for 1.3 times the traffic, %d for once", grownPlan.TotalCircuits, plan.TotalCircuits)
+		t.Errorf("%d circuits for 1.3 times the traffic, %d without growth", grownPlan.TotalCircuits, plan.TotalCircuits)
 	}
 	expensive := randomTask(5, 3)
 	expensive.ModuleSize = 5
@@ -149,19 +150,19 @@
 	}
 	expensive.CircuitCost[0][1], expensive.CircuitCost[1][0] = 6, 6
 	if expensivePlan := optimize(t, expensive); expensivePlan.Circuits[0][1] >= plan.Circuits[0][1] {
-		t.Errorf("a dear group has %d circuits, %d at the price of all", expensivePlan.Circuits[0][1], plan.Circuits[0][1])
+		t.Errorf("an expensive group has %d circuits, %d at the common cost", expensivePlan.Circuits[0][1], plan.Circuits[0][1])
 	}
 	resilient := randomTask(5, 3)
 	resilient.ModuleSize, resilient.MaxFailureLoss, resilient.LinkShare, resilient.MaxSolves = 10, 0.03, 0.5, 150
 	resilientPlan := optimize(t, resilient)
 	if resilientPlan.TotalCircuits <= plan.TotalCircuits || resilientPlan.WorstFailureLoss > 0.03 || resilientPlan.WorstFailureLoss <= 0 || resilientPlan.WorstFailure == "" {
-		t.Errorf("%d circuits, %d without; %v lost with %s away", resilientPlan.TotalCircuits, plan.TotalCircuits, resilientPlan.WorstFailureLoss, resilientPlan.WorstFailure)
+		t.Errorf("%d circuits, %d without resilience; loss %v with %s failed", resilientPlan.TotalCircuits, plan.TotalCircuits, resilientPlan.WorstFailureLoss, resilientPlan.WorstFailure)
 	}
-	t.Logf("%d circuits; to bear any exchange or half a region's groups away %d: %.4f with %s away", plan.TotalCircuits, resilientPlan.TotalCircuits, resilientPlan.WorstFailureLoss, resilientPlan.WorstFailure)
+	t.Logf("%d circuits; with any exchange or half the circuits between regions failed %d: loss %.4f with %s failed", plan.TotalCircuits, resilientPlan.TotalCircuits, resilientPlan.WorstFailureLoss, resilientPlan.WorstFailure)
 }
 
-// With an exchange away neither its groups nor its traffic are there, and nothing
-// else changes; with a link away half of the circuits between two regions are gone.
+// The failure of an exchange removes its groups and its traffic and nothing else; the
+// failure of a link removes half of the circuits between two regions.
 func TestFailures(t *testing.T) {
 	task := randomTask(4, 1)
 	task.MaxFailureLoss, task.LinkShare = 0.05, 0.5
@@ -169,7 +170,7 @@
 	circuits := search.sizeGroups(func(i, j int) float64 { return 31 })
 	failures := search.failures(circuits)
 	if len(failures) != 5 || failures[2].name != "exchange 2" || failures[4].name != "a link between regions 0 and 1" {
-		t.Fatalf("%d things may be away", len(failures))
+		t.Fatalf("%d failures with unexpected names, want 4 exchanges and 1 link", len(failures))
 	}
 	for i := range 4 {
 		for j := range 4 {
@@ -181,21 +182,22 @@
 				want, offered = 0, 0
 			}
 			if mesh.Circuits[i][j] != want || mesh.Offered[i][j][0] != offered {
-				t.Errorf("exchange 2 away, %d to %d: %d circuits, %v erlang", i, j, mesh.Circuits[i][j], mesh.Offered[i][j][0])
+				t.Errorf("exchange 2 failed, %d to %d: %d circuits, %v erlang", i, j, mesh.Circuits[i][j], mesh.Offered[i][j][0])
 			}
 			mesh, want = failures[4].mesh, 31
 			if i%2 != j%2 {
 				want = 15
 			}
 			if mesh.Circuits[i][j] != want || mesh.Offered[i][j][0] != search.mesh.Offered[i][j][0] {
-				t.Errorf("a link away, %d to %d: %d circuits", i, j, mesh.Circuits[i][j])
+				t.Errorf("link failed, %d to %d: %d circuits", i, j, mesh.Circuits[i][j])
 			}
 		}
 	}
 }
 
-// With a group far too small and one far too large, the first move is between
-// them, what is bought goes to the small one, and every step loses less.
+// With a group far too small and one far too large, the bought module goes to the
+// small group, the first move takes from the large one, and every step reduces the
+// lost traffic.
 func TestFirstMoves(t *testing.T) {
 	task := randomTask(5, 4)
 	task.ModuleSize = 5
@@ -209,11 +211,11 @@
 	}
 	t.Logf("%+v", moves)
 	if len(moves) < 2 || moves[0].From != [2]int{-1, -1} || moves[0].To != [2]int{4, 0} || moves[1].From != [2]int{3, 1} {
-		t.Fatal("other moves come first")
+		t.Fatal("unexpected first moves")
 	}
 	for i := range moves[1:] {
 		if moves[i+1].LostTraffic >= moves[i].LostTraffic {
-			t.Error("a step does not help")
+			t.Error("a move does not reduce the lost traffic")
 		}
 	}
 }
@@ -225,7 +227,7 @@
 		"targets":    func(t *Task) { t.TargetLoss = t.TargetLoss[:1] },
 		"growth":     func(t *Task) { t.Growth = math.NaN() },
 		"module":     func(t *Task) { t.ModuleSize = 0 },
-		"hurt":       func(t *Task) { t.MaxFailureLoss = 1 },
+		"failure":    func(t *Task) { t.MaxFailureLoss = 1 },
 		"cost":       func(t *Task) { t.CircuitCost = make([][]float64, 3) },
 		"no traffic": func(t *Task) { t.Mesh.Offered = noTraffic(4) },
 	} {
@@ -235,7 +237,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	// no circuits help where a processor is the limit
+	// No number of circuits reaches the targets where a processor is the limit.
 	task := randomTask(4, 1)
 	task.Mesh.Processors = &network.Processors{SetupsPerSecond: []float64{0.1, 100, 100, 100}, ExamineWork: 0.2, FollowUpWork: 0.3, MaxQueueWait: 2}
 	if _, err := Optimize(context.Background(), task); !errors.Is(err, ErrNoPlan) {
@@ -254,7 +256,7 @@
 	return all
 }
 
-// The impatient formula against its chain, and at its ends.
+// Compares Erlang A with its Markov chain, and checks its domain.
 func TestErlangA(t *testing.T) {
 	for _, x := range []struct {
 		a        float64
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -1,6 +1,6 @@
-// Package prove holds what the network model promises against simulated days
-// with the same module: the mesh of a scenario, the scenario with groups of
-// other sizes, and the losses that its callers meet on many seeds.
+// Package prove compares the losses that the network model predicts with simulated
+// days of the same routing module: it derives the mesh of a scenario, simulates the
+// scenario with given group sizes on many seeds, and counts the losses of its callers.
 package prove
 
 import (
@@ -22,18 +22,18 @@
 	"dahliaspindle/internal/virtual"
 )
 
-// What the module's way of waiting and routing is to the model (docs/design.md):
-// two tandemsPerAttempt in a try and two others in the redial after it (more made the model
-// worse against simulation, at 7 and at 20 exchanges), a baseReservation reserve of two
-// circuits, demand measured over ten seconds, a wait of half a second to one.
+// Parameters of the model that represent the routing module (docs/design.md).
 const (
+	// tandemsPerAttempt applies to the first attempt and to one redial, which uses
+	// other tandems. With more, the model was less accurate compared with simulation,
+	// at 7 and at 20 exchanges.
 	tandemsPerAttempt = 2
-	baseReservation   = 2
-	measurementWindow = 10
-	meanWait          = 0.75
+	baseReservation   = 2    // circuits
+	measurementWindow = 10   // seconds
+	meanWait          = 0.75 // seconds; calls wait from 0.5 to 1 s
 )
 
-// ScenarioMesh is the network of a scenario as its fleet was drawn.
+// ScenarioMesh returns the mesh of a scenario, with the fleet drawn from its seed.
 func ScenarioMesh(scenario *settings.Scenario) (*network.Mesh, error) {
 	drawn, err := scene.New(scenario, &virtual.Clock{}, inertEdge{})
 	if err != nil {
@@ -62,21 +62,21 @@
 			mesh.Offered[i][j] = offered
 		}
 	}
-	for _, g := range drawn.Fleet.Groups() {
-		mesh.Circuits[g.A][g.B], mesh.Circuits[g.B][g.A] = g.Size, g.Size
+	for _, group := range drawn.Fleet.Groups() {
+		mesh.Circuits[group.A][group.B], mesh.Circuits[group.B][group.A] = group.Size, group.Size
 	}
 	return mesh, nil
 }
 
-// Interval is a mean over seeds with its 95 % interval by Student's t.
+// Interval is a mean over seeds with its 95 % confidence interval by Student's t.
 type Interval struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// ConsistentWith tells whether a promise of at most x is not refuted.
-func (i Interval) ConsistentWith(x float64) bool { return i.Low <= x }
+// ConsistentWith reports whether the interval does not refute a mean of at most limit.
+func (i Interval) ConsistentWith(limit float64) bool { return i.Low <= limit }
 
 func confidenceInterval(values []float64) Interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
@@ -87,36 +87,37 @@
 	return Interval{mean, mean - halfWidth, mean + halfWidth}
 }
 
-// Observed is what callers met.
+// Observed holds the losses that simulated callers experienced.
 type Observed struct {
 	Calls       int            `json:"calls"`
 	LossByClass []Interval     `json:"by_class"`
-	Pairs       [][]PairCounts `json:"-"` // from, to; all seeds together
+	Pairs       [][]PairCounts `json:"-"` // by origin and destination, all seeds together
 	Seeds       int            `json:"seeds"`
-	VirtualTime time.Duration  `json:"took"` // virtual time in all
+	VirtualTime time.Duration  `json:"took"` // total over all seeds
 }
 
-// PairCounts is one pair's first tries.
+// PairCounts counts the first attempts of one pair.
 type PairCounts struct{ Calls, Lost int }
 
-// warmUpHoldingTimes is how many mean holding times of the longest class pass before calls count.
+// warmUpHoldingTimes is the number of mean holding times of the longest class before
+// calls are counted.
 const warmUpHoldingTimes = 3
 
-// Simulate plays a scenario with groups of the given sizes on seeds 1 to n,
-// some at the same time, and counts the first tries that never stood.
+// Simulate runs a scenario with groups of the given sizes on seeds 1 to seeds,
+// several concurrently, and counts the first attempts whose call was never established.
 func Simulate(ctx context.Context, scenario *settings.Scenario, circuits [][]int, seeds int) (*Observed, error) {
 	longest := time.Duration(0)
 	for _, c := range scenario.Classes {
 		longest = max(longest, c.HoldingTime)
 	}
-	from := warmUpHoldingTimes * longest
-	if from >= scenario.Length {
-		return nil, fmt.Errorf("simulating %s: a day of %v is over before %v, when calls begin to count", scenario.Name, scenario.Length, from)
+	countFrom := warmUpHoldingTimes * longest
+	if countFrom >= scenario.Length {
+		return nil, fmt.Errorf("simulating %s: a day of %v is over before calls are counted, at %v", scenario.Name, scenario.Length, countFrom)
 	}
 	type outcome struct {
 		calls, lost []int
 		pairs       [][]PairCounts
-		took        time.Duration
+		virtualTime time.Duration
 	}
 	exchanges := scenario.Fleet.Exchanges
 	simulateSeed := func(seed int) (*outcome, error) {
@@ -131,12 +132,12 @@
 		if err != nil {
 			return nil, err
 		}
-		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), took: day.Took}
+		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), virtualTime: day.Took}
 		for i := range result.pairs {
 			result.pairs[i] = make([]PairCounts, exchanges)
 		}
 		for _, call := range day.Crowd.Calls {
-			if day.Since(call) < from || call.Result == subscriber.None && call.Stood == 0 {
+			if day.Since(call) < countFrom || call.Result == subscriber.None && call.Stood == 0 {
 				continue
 			}
 			pair := &result.pairs[call.From][call.Dest]
@@ -175,19 +176,19 @@
 		observed.Pairs[i] = make([]PairCounts, exchanges)
 	}
 	lossBySeed := make([][]float64, len(scenario.Classes))
-	for i, r := range results {
+	for i, result := range results {
 		if errs[i] != nil {
 			return nil, errs[i]
 		}
-		observed.VirtualTime += r.took
+		observed.VirtualTime += result.virtualTime
 		for c := range lossBySeed {
-			observed.Calls += r.calls[c]
-			lossBySeed[c] = append(lossBySeed[c], float64(r.lost[c])/float64(max(r.calls[c], 1)))
+			observed.Calls += result.calls[c]
+			lossBySeed[c] = append(lossBySeed[c], float64(result.lost[c])/float64(max(result.calls[c], 1)))
 		}
 		for a := range exchanges {
 			for b := range exchanges {
-				observed.Pairs[a][b].Calls += r.pairs[a][b].Calls
-				observed.Pairs[a][b].Lost += r.pairs[a][b].Lost
+				observed.Pairs[a][b].Calls += result.pairs[a][b].Calls
+				observed.Pairs[a][b].Lost += result.pairs[a][b].Lost
 			}
 		}
 	}
@@ -197,7 +198,7 @@
 	return observed, nil
 }
 
-// inertEdge is an edge for a scene that is only looked at.
+// inertEdge is a scene.Edge without effect, for a scene that is not run.
 type inertEdge struct{}
 
 func (inertEdge) Open(uint32) (string, error)                         { return "nowhere", nil }
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	text, ok := scenarios.Text("quiet-day")
 	if !ok {
-		t.Fatal("no quiet day")
+		t.Fatal("no scenario quiet-day")
 	}
 	scenario, err := settings.ParseScenario("quiet-day", strings.NewReader(text))
 	if err != nil {
@@ -29,8 +29,8 @@
 	return scenario
 }
 
-// The network model against the same module in simulated days, with groups that
-// are ample, as planned and too small.
+// Compares the network model with simulated days of the routing module, with groups
+// that are larger than needed, as planned and too small.
 func TestModelAgainstSimulation(t *testing.T) {
 	for _, test := range []struct{ level, tolerance float64 }{{0.85, 0.002}, {1, 0.025}, {1.2, 0.03}} {
 		scenario := quietDay(t, test.level)
@@ -53,7 +53,8 @@
 	}
 }
 
-// attemptSink is a sink that keeps the calls of one controller as tries.
+// attemptSink is a flow.Sink that collects the calls of one controller incarnation as
+// call attempts.
 type attemptSink struct {
 	attempts    *[]measure.CallAttempt
 	incarnation uint64
@@ -67,12 +68,12 @@
 	}
 }
 
-// Known traffic through the real controllers, at a load at which calls are lost and
-// dialled again, one controller killed on the way: what their records tell is what
-// was offered.
+// Offers known traffic to the controllers, at a load at which calls are lost and
+// redialled, with one controller killed in between: the traffic estimated from their
+// flow records equals the offered traffic.
 func TestKnownTrafficIsRecovered(t *testing.T) {
 	scenario := quietDay(t, 1.15)
-	scenario.Rules.CallersMarkRetries = false // redials are to be told from first tries by their numbers
+	scenario.Rules.CallersMarkRetries = false // retries must be recognized by the called numbers
 	scenario.Length = 50 * time.Minute
 	scenario.Troubles = []settings.Trouble{{Kind: "controllers-restart", At: 25 * time.Minute, Size: 0.15}}
 	mesh, err := ScenarioMesh(scenario)
@@ -91,8 +92,8 @@
 	covered, known, measured, allAttempts, offeredTotal := 0, 0, 0.0, 0.0, 0.0
 	for _, pair := range result.Pairs {
 		offered := mesh.Offered[pair.Source][pair.Dest][pair.Class]
-		width := float64(mesh.Classes[pair.Class].Circuits)
-		offeredTotal, measured, allAttempts = offeredTotal+offered*width, measured+pair.Erlang*width, allAttempts+pair.AllAttemptsErlang*width
+		circuits := float64(mesh.Classes[pair.Class].Circuits)
+		offeredTotal, measured, allAttempts = offeredTotal+offered*circuits, measured+pair.Erlang*circuits, allAttempts+pair.AllAttemptsErlang*circuits
 		if pair.Known {
 			known++
 			if pair.Low <= offered && offered <= pair.High {
@@ -104,20 +105,21 @@
 	for _, group := range result.Groups {
 		direct, transit = direct+group.Direct, transit+group.Transit
 		if size := float64(mesh.Circuits[group.A][group.B]); group.Direct+group.Transit > size {
-			t.Errorf("group %d-%d of %v circuits carries %.1f and %.1f", group.A, group.B, size, group.Direct, group.Transit)
+			t.Errorf("group %d-%d of %v circuits carries %.1f direct and %.1f transit", group.A, group.B, size, group.Direct, group.Transit)
 		}
 	}
 	if transit < 20 || direct < 500 {
-		t.Errorf("%.1f circuits carry direct calls, %.1f those over tandems", direct, transit)
+		t.Errorf("%.1f circuits carry direct calls, %.1f calls over tandems", direct, transit)
 	}
-	t.Logf("%.1f circuits carry direct calls, %.1f those over tandems", direct, transit)
-	t.Logf("%.1f circuits asked for, %.1f read, %.1f with each try a call of its own; %d of %d intervals hold", offeredTotal, measured, allAttempts, covered, known)
+	t.Logf("%.1f circuits carry direct calls, %.1f calls over tandems", direct, transit)
+	t.Logf("%.1f erlang of circuits offered, %.1f estimated, %.1f with all attempts; %d of %d intervals contain the traffic", offeredTotal, measured, allAttempts, covered, known)
 	if math.Abs(measured-offeredTotal) > 0.03*offeredTotal || covered < known*88/100 || allAttempts < 1.05*offeredTotal || result.Incarnations != 8 {
-		t.Errorf("%d lives", result.Incarnations)
+		t.Errorf("%d incarnations, want 8; or the estimates logged above are wrong", result.Incarnations)
 	}
 }
 
-// The mesh offers what the scenario says, and other seeds meet the same fleet.
+// The mesh has the traffic of the scenario, and a simulation on other seeds has the
+// same fleet.
 func TestScenarioMesh(t *testing.T) {
 	scenario := quietDay(t, 1)
 	mesh, err := ScenarioMesh(scenario)
@@ -133,24 +135,24 @@
 		}
 	}
 	if want := scenario.Fleet.ErlangPerExchange * float64(scenario.Fleet.Exchanges); math.Abs(offered-want) > 1e-6*want {
-		t.Errorf("%v circuits are asked for, the scenario says %v", offered, want)
+		t.Errorf("%v erlang of circuits offered, the scenario has %v", offered, want)
 	}
 	scenario.Length = 7 * time.Minute
 	observed, err := Simulate(context.Background(), scenario, mesh.Circuits, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// a minute counts: 700 circuits over 100.5 circuit-seconds a call
+	// One minute is counted: 700 erlang of circuits, 100.5 circuit-seconds per call.
 	if want := 2 * 60 * 700 / 100.5; math.Abs(float64(observed.Calls)-want) > 4*math.Sqrt(want) {
-		t.Errorf("%d calls count, about %.0f were to", observed.Calls, want)
+		t.Errorf("%d calls counted, want about %.0f", observed.Calls, want)
 	}
 	scenario.Length = 5 * time.Minute
 	if _, err := Simulate(context.Background(), scenario, mesh.Circuits, 1); err == nil {
-		t.Error("a day that is over before it counts")
+		t.Error("no error for a day that is over before calls are counted")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Simulate(ctx, quietDay(t, 1), mesh.Circuits, 3); err == nil {
-		t.Error("a stopped simulation tells no error")
+		t.Error("no error from a cancelled simulation")
 	}
 }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what a dimensioning found as one HTML page that needs
-// nothing else: tables by template, plots as SVG.
+// Package report writes the result of dimensioning a network as a self-contained HTML
+// page, with tables from a template and plots in SVG.
 package report
 
 import (
@@ -16,7 +16,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// SimulatedLoss is a share of calls lost in simulation with its 95 % interval.
+// SimulatedLoss is the share of calls lost in simulation with its 95 % confidence
+// interval.
 type SimulatedLoss struct {
 	Calls int     `json:"calls"`
 	Loss  float64 `json:"loss"`
@@ -24,21 +25,21 @@
 	High  float64 `json:"high"`
 }
 
-// Pair is one group, both ways.
+// Pair describes the group between two exchanges, in both directions.
 type Pair struct {
 	A               int            `json:"a"`
 	B               int            `json:"b"`
-	Offered         float64        `json:"offered"` // circuits that its calls would take if none were lost
-	Low             float64        `json:"low"`     // 95 % interval of it; the same as Offered where it is not measured
+	Offered         float64        `json:"offered"` // in erlang of circuits
+	Low             float64        `json:"low"`     // 95 % confidence interval of Offered; equal to it if not measured
 	High            float64        `json:"high"`
-	CircuitsNow     int            `json:"now"` // circuits
+	CircuitsNow     int            `json:"now"`
 	CircuitsAdvised int            `json:"advised"`
-	LossNow         float64        `json:"loss_now"` // by the model
+	LossNow         float64        `json:"loss_now"` // by the network model
 	PredictedLoss   float64        `json:"promise"`
 	Simulated       *SimulatedLoss `json:"seen,omitempty"`
 }
 
-// Class is one class over the whole network.
+// Class describes one class in the whole network.
 type Class struct {
 	Name          string         `json:"name"`
 	Target        float64        `json:"target"`
@@ -47,29 +48,29 @@
 	Simulated     *SimulatedLoss `json:"seen,omitempty"`
 }
 
-// Move is one thing to do first.
+// Move is one recommended change.
 type Move struct {
 	Action      string  `json:"what"`
-	LostTraffic float64 `json:"lost"` // circuits' worth of traffic lost after it
+	LostTraffic float64 `json:"lost"` // after the change, in erlang of circuits
 }
 
-// Report is what a dimensioning found.
+// Report is the result of dimensioning a network.
 type Report struct {
 	Name                 string  `json:"name"`
 	Exchanges            int     `json:"exchanges"`
 	Growth               float64 `json:"growth"`
 	ModuleSize           int     `json:"module"`
-	CircuitsNow          int     `json:"now"` // circuits
+	CircuitsNow          int     `json:"now"`
 	CircuitsAdvised      int     `json:"advised"`
 	CircuitsProportional int     `json:"proportional,omitempty"`
-	CostBound            float64 `json:"bound"` // cost
+	CostBound            float64 `json:"bound"` // lower bound of the cost
 	Cost                 float64 `json:"cost"`
 	Gap                  float64 `json:"gap"`
 	WorstFailureLoss     float64 `json:"worst,omitempty"`
 	WorstFailure         string  `json:"worst_what,omitempty"`
-	Stopped              bool    `json:"stopped,omitempty"` // the search was cut short
-	Bistable             bool    `json:"two_states_now"`    // the network as it stands may stay in either of two states
-	Unsettled            bool    `json:"unsettled_now"`     // no state was found for it
+	Stopped              bool    `json:"stopped,omitempty"` // the search reached its limit; a better plan may exist
+	Bistable             bool    `json:"two_states_now"`    // the present network may stay in either of two states
+	Unsettled            bool    `json:"unsettled_now"`     // the model did not converge for the present network
 	Seeds                int     `json:"seeds,omitempty"`
 	Classes              []Class `json:"classes"`
 	Pairs                []Pair  `json:"pairs"`
@@ -84,7 +85,7 @@
 	"erl":   func(x float64) string { return fmt.Sprintf("%.2f", x) },
 }).Parse(pageSource))
 
-// HTML writes the page.
+// HTML writes the report as an HTML page.
 func HTML(w io.Writer, r *Report) error {
 	sizes, err := r.sizesPlot()
 	if err != nil {
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// svg renders a plot as SVG, without the XML head.
+// svg renders a plot as SVG, without the XML declaration.
 func svg(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(16*vg.Centimeter, 9*vg.Centimeter)
-	p.Draw(drawOn(canvas))
+	p.Draw(newCanvas(canvas))
 	var buffer bytes.Buffer
 	if _, err := canvas.WriteTo(&buffer); err != nil {
 		return "", err
@@ -115,17 +116,17 @@
 	if i := bytes.Index(document, []byte("<svg")); i > 0 {
 		document = document[i:]
 	}
-	return template.HTML(document), nil // made by the plot library of numbers and our own labels
+	return template.HTML(document), nil // safe: made by the plot library from numbers and fixed labels
 }
 
-// sizesPlot shows circuits over offered traffic, now and advised.
+// sizesPlot plots the present and the advised circuits over the offered traffic.
 func (r *Report) sizesPlot() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Groups", "offered (erlang)", "circuits"
 	var now, advised plotter.XYs
-	for _, x := range r.Pairs {
-		now = append(now, plotter.XY{X: x.Offered, Y: float64(x.CircuitsNow)})
-		advised = append(advised, plotter.XY{X: x.Offered, Y: float64(x.CircuitsAdvised)})
+	for _, pair := range r.Pairs {
+		now = append(now, plotter.XY{X: pair.Offered, Y: float64(pair.CircuitsNow)})
+		advised = append(advised, plotter.XY{X: pair.Offered, Y: float64(pair.CircuitsAdvised)})
 	}
 	if err := scatter(p, now, advised, "now", "advised"); err != nil {
 		return "", err
@@ -133,14 +134,14 @@
 	return svg(p)
 }
 
-// lossesPlot shows the model's loss of each pair beside the simulated one.
+// lossesPlot plots the simulated loss of each pair over the predicted loss.
 func (r *Report) lossesPlot() (template.HTML, error) {
 	var points, diagonal plotter.XYs
 	maxLoss := 0.0
-	for _, x := range r.Pairs {
-		if x.Simulated != nil && x.Simulated.Calls > 0 {
-			points = append(points, plotter.XY{X: x.PredictedLoss, Y: x.Simulated.Loss})
-			maxLoss = math.Max(maxLoss, math.Max(x.PredictedLoss, x.Simulated.Loss))
+	for _, pair := range r.Pairs {
+		if pair.Simulated != nil && pair.Simulated.Calls > 0 {
+			points = append(points, plotter.XY{X: pair.PredictedLoss, Y: pair.Simulated.Loss})
+			maxLoss = math.Max(maxLoss, math.Max(pair.PredictedLoss, pair.Simulated.Loss))
 		}
 	}
 	if len(points) == 0 {
@@ -149,11 +150,11 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Loss by pair", "promised", "simulated"
 	diagonal = plotter.XYs{{X: 0, Y: 0}, {X: maxLoss, Y: maxLoss}}
-	l, err := plotter.NewLine(diagonal)
+	line, err := plotter.NewLine(diagonal)
 	if err != nil {
 		return "", err
 	}
-	p.Add(l)
+	p.Add(line)
 	if err := scatter(p, points, nil, "a pair", ""); err != nil {
 		return "", err
 	}
