--- a/internal/collect/collector.go
+++ b/internal/collect/collector.go
@@ -15,102 +15,106 @@
 	"dahliaspindle/internal/ipfix"
 )
 
-// Faults is what a collector does wrong; they may change while it runs.
+// Faults are the faults that a collector simulates. They may change while it runs.
 type Faults struct {
-	Refuse   atomic.Bool  // connections are closed as they come
-	Stop     atomic.Bool  // nothing is read
-	ResetOne atomic.Bool  // each connection is reset after a message
-	Late     atomic.Int64 // nanoseconds before each message is read
-	KeepOpen atomic.Bool  // a connection that ends is not closed by this end
+	RefuseConnections atomic.Bool  // connections are closed when they are accepted
+	StopReading       atomic.Bool  // nothing is read
+	ResetEach         atomic.Bool  // each connection is reset after one message
+	ReadDelay         atomic.Int64 // nanoseconds to wait before each message is read
+	KeepOpen          atomic.Bool  // a connection that the peer has closed is not closed by the collector
 }
 
-// Collector takes messages over TCP (or TLS, by its listener) and UDP.
+// Collector receives messages over TCP (or TLS, depending on the listener) and UDP.
 type Collector struct {
-	Faults Faults
-	mu     sync.Mutex
-	tally  *Tally
-	file   *bufio.Writer
-	out    *os.File
-	err    error
-	conns  map[net.Conn]bool
-	wg     sync.WaitGroup
-	number int
-	held   int // messages read
+	// Faults may be set at any time.
+	Faults          Faults
+	mu              sync.Mutex
+	tally           *Tally
+	writer          *bufio.Writer
+	output          *os.File
+	writeErr        error
+	connections     map[net.Conn]bool
+	wg              sync.WaitGroup
+	connectionCount int
+	messageCount    int // messages received
 }
 
-// New makes a collector that keeps what it reads in an IPFIX file, if one is named.
+// New returns a collector. If path is not empty, it writes the received messages to
+// an IPFIX file there.
 func New(path string) (*Collector, error) {
-	c := &Collector{tally: NewTally(), conns: map[net.Conn]bool{}}
+	c := &Collector{tally: NewTally(), connections: map[net.Conn]bool{}}
 	if path != "" {
-		f, err := os.Create(path)
+		file, err := os.Create(path)
 		if err != nil {
 			return nil, fmt.Errorf("collector: %w", err)
 		}
-		c.out, c.file = f, bufio.NewWriter(f)
+		c.output, c.writer = file, bufio.NewWriter(file)
 	}
 	return c, nil
 }
 
-// Serve takes connections until the listener is closed.
-func (c *Collector) Serve(ln net.Listener) {
+// Serve accepts connections until the listener is closed.
+func (c *Collector) Serve(listener net.Listener) {
 	for {
-		nc, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		if c.Faults.Refuse.Load() {
-			nc.Close()
+		if c.Faults.RefuseConnections.Load() {
+			conn.Close()
 			continue
 		}
 		c.mu.Lock()
-		c.conns[nc] = true
-		c.number++
-		source := fmt.Sprintf("connection %d", c.number)
+		c.connections[conn] = true
+		c.connectionCount++
+		source := fmt.Sprintf("connection %d", c.connectionCount)
 		c.mu.Unlock()
-		c.wg.Go(func() { c.serve(nc, source) })
+		c.wg.Go(func() { c.serveConnection(conn, source) })
 	}
 }
 
-// Datagrams takes messages from a socket until it is closed.
-func (c *Collector) Datagrams(pc net.PacketConn) {
-	buf := make([]byte, ipfix.MostMessage)
+// ServePacket receives messages from a packet connection until it is closed.
+func (c *Collector) ServePacket(conn net.PacketConn) {
+	buf := make([]byte, ipfix.MaxMessageLength)
 	for {
-		n, from, err := pc.ReadFrom(buf)
+		length, from, err := conn.ReadFrom(buf)
 		if err != nil {
 			return
 		}
-		c.take(from.String(), buf[:n])
+		c.handleMessage(from.String(), buf[:length])
 	}
 }
 
-func (c *Collector) take(source string, b []byte) {
+// handleMessage writes a message to the file and adds it to the tally.
+func (c *Collector) handleMessage(source string, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held++
-	if c.file != nil && c.err == nil {
-		_, c.err = c.file.Write(b)
+	c.messageCount++
+	if c.writer != nil && c.writeErr == nil {
+		_, c.writeErr = c.writer.Write(message)
 	}
-	_, _ = c.tally.Message(source, b) // one that can't be read is in the report
+	_, _ = c.tally.AddMessage(source, message) // the report counts messages that can't be decoded
 }
 
-func (c *Collector) serve(nc net.Conn, source string) {
+// serveConnection receives messages from a connection until it ends.
+func (c *Collector) serveConnection(conn net.Conn, source string) {
 	defer func() {
-		nc.Close()
+		conn.Close()
 		c.mu.Lock()
-		delete(c.conns, nc)
+		delete(c.connections, conn)
 		c.tally.Forget(source)
 		c.mu.Unlock()
 	}()
-	r := bufio.NewReader(nc)
+	reader := bufio.NewReader(conn)
 	var buf []byte
 	for {
-		for c.Faults.Stop.Load() {
+		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Duration(c.Faults.Late.Load()); d > 0 {
-			time.Sleep(d)
+		if delay := time.Duration(c.Faults.ReadDelay.Load()); delay > 0 {
+			time.Sleep(delay)
 		}
-		b, err := ipfix.ReadMessage(r, buf)
+		message, err := ipfix.ReadMessage(reader, buf)
 		if errors.Is(err, io.EOF) && c.Faults.KeepOpen.Load() {
 			for c.Faults.KeepOpen.Load() {
 				time.Sleep(10 * time.Millisecond)
@@ -120,60 +124,61 @@
 		if err != nil {
 			return
 		}
-		for c.Faults.Stop.Load() {
+		for c.Faults.StopReading.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		buf = b
-		c.take(source, b)
-		if c.Faults.ResetOne.Load() {
-			Reset(nc)
+		buf = message
+		c.handleMessage(source, message)
+		if c.Faults.ResetEach.Load() {
+			ResetConnection(conn)
 			return
 		}
 	}
 }
 
-// Reset ends a connection so that what was not read is known to be lost.
-func Reset(nc net.Conn) {
-	if t, ok := nc.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // the close below says the rest
+// ResetConnection closes a connection with a TCP reset, so that the sender learns
+// that unread data was lost.
+func ResetConnection(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // without it Close still ends the connection
 	}
-	nc.Close()
+	conn.Close()
 }
 
-// Cut resets all connections.
-func (c *Collector) Cut() {
+// ResetAll resets all open connections.
+func (c *Collector) ResetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for nc := range c.conns { // each for itself
-		Reset(nc)
+	for conn := range c.connections { // order doesn't matter
+		ResetConnection(conn)
 	}
 }
 
-// Messages is how many were read.
-func (c *Collector) Messages() int {
+// MessageCount returns the number of messages received.
+func (c *Collector) MessageCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held
+	return c.messageCount
 }
 
-// Report adds up what was read so far.
+// Report returns the report on the messages received so far.
 func (c *Collector) Report() *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally.Report()
 }
 
-// Close ends all connections and the file.
+// Close resets all connections and closes the file.
 func (c *Collector) Close() error {
-	c.Faults.Stop.Store(false)
+	c.Faults.StopReading.Store(false)
 	c.Faults.KeepOpen.Store(false)
-	c.Cut()
+	c.ResetAll()
 	c.wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err := c.err
-	if c.file != nil {
-		err = errors.Join(err, c.file.Flush(), c.out.Close())
+	err := c.writeErr
+	if c.writer != nil {
+		err = errors.Join(err, c.writer.Flush(), c.output.Close())
 	}
 	if err != nil {
 		return fmt.Errorf("collector: %w", err)
@@ -181,12 +186,12 @@
 	return nil
 }
 
-// Run collects on an address until ctx ends: TCP connections and datagrams.
-func (c *Collector) Run(ctx context.Context, ln net.Listener, pc net.PacketConn) {
+// Run receives messages over TCP and UDP until ctx is done.
+func (c *Collector) Run(ctx context.Context, listener net.Listener, packetConn net.PacketConn) {
 	context.AfterFunc(ctx, func() {
-		ln.Close()
-		pc.Close()
+		listener.Close()
+		packetConn.Close()
 	})
-	c.wg.Go(func() { c.Datagrams(pc) })
-	c.Serve(ln)
+	c.wg.Go(func() { c.ServePacket(packetConn) })
+	c.Serve(listener)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,45 +27,45 @@
 
 // Options of a play.
 type Options struct {
-	Scenario *settings.Scenario
-	Policy   string // of the controllers
-	Dir      string // for settings, logs and the capture
-	Flows    bool   // export flow records to a collector of the demo's own
-	Exe      string // the program that runs a controller: EXE run FILE
-	Progress func(passed time.Duration, calls int)
+	Scenario    *settings.Scenario
+	Policy      string // of the controllers
+	Dir         string // for settings, logs and the capture
+	ExportFlows bool   // export flow records to a collector of the demo's own
+	Executable  string // the program that runs a controller: EXE run FILE
+	Progress    func(passed time.Duration, calls int)
 }
 
 // Row is one line of a table.
 type Row struct {
-	Name    string           `json:"name"`
-	Tally   subscriber.Tally `json:"tally"`
-	Service float64          `json:"service"`
+	Name         string           `json:"name"`
+	Tally        subscriber.Tally `json:"tally"`
+	ServiceRatio float64          `json:"service"`
 }
 
 // Result is what came of it.
 type Result struct {
-	Scenario  string          `json:"scenario"`
-	Seed      uint64          `json:"seed"`
-	Policy    string          `json:"policy"`
-	Exchanges int             `json:"exchanges"`
-	Rules     []audit.Rule    `json:"rules"`
-	Calls     audit.Calls     `json:"calls"`
-	Capture   string          `json:"capture"`
-	Messages  int             `json:"messages"`
-	Classes   []Row           `json:"classes"`
-	Troubles  []Row           `json:"troubles"`
-	Held      int             `json:"circuits_held_at_end"`
-	Fleet     exchange.Counts `json:"fleet"`
-	Breaches  []audit.Breach  `json:"breaches,omitempty"`
-	Notes     []string        `json:"notes,omitempty"`
-	Flows     *collect.Report `json:"flows,omitempty"`
-	Service   float64         `json:"service"`
+	Scenario      string             `json:"scenario"`
+	Seed          uint64             `json:"seed"`
+	Policy        string             `json:"policy"`
+	Exchanges     int                `json:"exchanges"`
+	Rules         []audit.RuleResult `json:"rules"`
+	Calls         audit.CallCounts   `json:"calls"`
+	Capture       string             `json:"capture"`
+	Messages      int                `json:"messages"`
+	Classes       []Row              `json:"classes"`
+	Troubles      []Row              `json:"troubles"`
+	CircuitsInUse int                `json:"circuits_held_at_end"`
+	Fleet         exchange.Counts    `json:"fleet"`
+	Breaches      []audit.Breach     `json:"breaches,omitempty"`
+	Notes         []string           `json:"notes,omitempty"`
+	Flows         *collect.Report    `json:"flows,omitempty"`
+	ServiceRatio  float64            `json:"service"`
 }
 
-// OK tells whether every rule held.
-func (r *Result) OK() bool {
-	for _, u := range r.Rules {
-		if u.Broken > 0 {
+// RulesKept tells whether every rule held.
+func (r *Result) RulesKept() bool {
+	for _, rule := range r.Rules {
+		if rule.Breaches > 0 {
 			return false
 		}
 	}
@@ -74,223 +74,223 @@
 
 // Run plays a scenario. Its error is for a play that could not be made; broken
 // rules stand in the result.
-func Run(ctx context.Context, o Options) (*Result, error) {
+func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := capture.Create(filepath.Join(o.Dir, "stand-ins"+capture.FileSuffix), "stand-ins")
+	captureWriter, err := capture.Create(filepath.Join(options.Dir, "stand-ins"+capture.FileSuffix), "stand-ins")
 	if err != nil {
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	wd, err := world.New(o.Scenario, world.Net{
+	runner, err := world.New(options.Scenario, world.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
 		Dial:   func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
-	}, w)
+	}, captureWriter)
 	if err != nil {
-		return nil, errors.Join(err, w.Close())
+		return nil, errors.Join(err, captureWriter.Close())
 	}
-	var flows *collect.Collector
-	collector := ""
-	if o.Flows {
-		if flows, err = collect.New(filepath.Join(o.Dir, "flows.ipfix")); err != nil {
-			return nil, errors.Join(err, w.Close())
+	var collector *collect.Collector
+	collectorAddress := ""
+	if options.ExportFlows {
+		if collector, err = collect.New(filepath.Join(options.Dir, "flows.ipfix")); err != nil {
+			return nil, errors.Join(err, captureWriter.Close())
 		}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, errors.Join(err, w.Close())
+			return nil, errors.Join(err, captureWriter.Close())
 		}
-		defer ln.Close()
-		go flows.Serve(ln)
-		collector = ln.Addr().String()
+		defer listener.Close()
+		go collector.Serve(listener)
+		collectorAddress = listener.Addr().String()
 	}
-	f := &fleet{o: o, collector: collector, list: wd.ListAddr(), w: w, procs: make([]proc, o.Scenario.Fleet.Exchanges)}
-	for cell := range f.procs {
-		if err := f.start(cell); err != nil {
-			f.kill()
-			return nil, errors.Join(err, w.Close())
+	processes := &controllerProcesses{options: options, collectorAddress: collectorAddress, listAddress: runner.ListAddr(), captureWriter: captureWriter, processes: make([]process, options.Scenario.Fleet.Exchanges)}
+	for number := range processes.processes {
+		if err := processes.startController(number); err != nil {
+			processes.killAll()
+			return nil, errors.Join(err, captureWriter.Close())
 		}
 	}
-	played := wd.Run(ctx, f, o.Progress)
-	left := f.leave()
-	held := make(chan int, 1)
-	wd.Do(func() { held <- wd.Fleet.Held() })
-	n := <-held
-	wd.Close()
-	if err := errors.Join(played, left, w.Close()); err != nil {
-		return nil, fmt.Errorf("playing %s: %w (logs in %s)", o.Scenario.Name, err, o.Dir)
+	runErr := runner.Run(ctx, processes, options.Progress)
+	stopErr := processes.stopAll()
+	inUse := make(chan int, 1)
+	runner.Do(func() { inUse <- runner.Fleet.CircuitsInUse() })
+	circuitsInUse := <-inUse
+	runner.Close()
+	if err := errors.Join(runErr, stopErr, captureWriter.Close()); err != nil {
+		return nil, fmt.Errorf("playing %s: %w (logs in %s)", options.Scenario.Name, err, options.Dir)
 	}
-	report, err := audit.Path(o.Dir)
+	report, err := audit.CheckPath(options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	r := result(o, report, wd.Scene)
-	r.Held = n
-	if flows != nil {
-		r.Flows = flows.Report()
-		if err := flows.Close(); err != nil {
+	result := newResult(options, report, runner.Simulation)
+	result.CircuitsInUse = circuitsInUse
+	if collector != nil {
+		result.Flows = collector.Report()
+		if err := collector.Close(); err != nil {
 			return nil, err
 		}
 	}
-	return r, nil
+	return result, nil
 }
 
-// result puts the judgement and the callers' tables together.
-func result(o Options, report *audit.Report, s *scene.Scene) *Result {
-	r := &Result{Scenario: o.Scenario.Name, Seed: o.Scenario.Seed, Policy: o.Policy, Exchanges: o.Scenario.Fleet.Exchanges,
-		Rules: report.Rules, Calls: report.Calls, Capture: o.Dir, Messages: report.Messages,
-		Fleet: s.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
-	Tables(r, o.Scenario, s)
-	return r
+// newResult puts the judgement and the callers' tables together.
+func newResult(options Options, report *audit.Report, simulation *scene.Simulation) *Result {
+	result := &Result{Scenario: options.Scenario.Name, Seed: options.Scenario.Seed, Policy: options.Policy, Exchanges: options.Scenario.Fleet.Exchanges,
+		Rules: report.Rules, Calls: report.Calls, Capture: options.Dir, Messages: report.Messages,
+		Fleet: simulation.Fleet.Counts, Breaches: report.Breaches, Notes: report.Notes}
+	AddTables(result, options.Scenario, simulation)
+	return result
 }
 
-// Tables counts a scene's calls by class and by trouble.
-func Tables(r *Result, scn *settings.Scenario, wd *scene.Scene) {
-	add := func(name string, rows *[]Row, which func(*subscriber.Call) bool) {
-		t := wd.Crowd.Tally(which)
-		*rows = append(*rows, Row{name, t, t.Service()})
+// AddTables counts a scene's calls by class and by trouble.
+func AddTables(result *Result, scenario *settings.Scenario, simulation *scene.Simulation) {
+	add := func(name string, rows *[]Row, matches func(*subscriber.Call) bool) {
+		tally := simulation.Callers.Tally(matches)
+		*rows = append(*rows, Row{name, tally, tally.ServiceRatio()})
 	}
-	for i, c := range scn.Classes {
-		add(c.Name, &r.Classes, func(k *subscriber.Call) bool { return k.Class == i && !k.Hot })
+	for i, c := range scenario.Classes {
+		add(c.Name, &result.Classes, func(call *subscriber.Call) bool { return call.Class == i && !call.ToHotNumber })
 	}
-	add("hot number", &r.Classes, func(k *subscriber.Call) bool { return k.Hot })
-	add("all", &r.Classes, func(*subscriber.Call) bool { return true })
-	r.Service = r.Classes[len(r.Classes)-1].Service
-	for _, s := range wd.Seen() {
-		add(fmt.Sprintf("%s at %v: %s", s.Kind, s.At, s.What), &r.Troubles, func(k *subscriber.Call) bool {
-			at := wd.Since(k)
-			return at >= s.From && at < s.To
+	add("hot number", &result.Classes, func(k *subscriber.Call) bool { return k.ToHotNumber })
+	add("all", &result.Classes, func(*subscriber.Call) bool { return true })
+	result.ServiceRatio = result.Classes[len(result.Classes)-1].ServiceRatio
+	for _, trouble := range simulation.Troubles() {
+		add(fmt.Sprintf("%s at %v: %s", trouble.Kind, trouble.At, trouble.Description), &result.Troubles, func(k *subscriber.Call) bool {
+			at := simulation.FirstAttemptTime(k)
+			return at >= trouble.Start && at < trouble.End
 		})
 	}
 }
 
-// fleet is the controllers' processes.
-type fleet struct {
-	o    Options
-	list string
-	w    *capture.Writer
+// controllerProcesses is the controllers' processes.
+type controllerProcesses struct {
+	options       Options
+	listAddress   string
+	captureWriter *capture.Writer
 
-	collector string // for flow records; none if empty
+	collectorAddress string // for flow records; none if empty
 
-	mu      sync.Mutex
-	procs   []proc
-	leaving bool
-	wg      sync.WaitGroup
-	errs    []error
+	mu        sync.Mutex
+	processes []process
+	stopping  bool
+	restarts  sync.WaitGroup
+	errs      []error
 }
 
-type proc struct {
-	cmd  *exec.Cmd
-	addr string
-	runs int
+type process struct {
+	command *exec.Cmd
+	address string
+	starts  int
 }
 
 // Addr is where a controller listens.
-func (f *fleet) Addr(cell int) string {
+func (f *controllerProcesses) Addr(number int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.procs[cell].addr
+	return f.processes[number].address
 }
 
-// start runs a controller on a listener that this process opens and passes on.
-func (f *fleet) start(cell int) error {
-	p := &f.procs[cell]
-	addr := p.addr
+// startController runs a controller on a listener that this process opens and passes on.
+func (f *controllerProcesses) startController(number int) error {
+	started := &f.processes[number]
+	addr := started.address
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer ln.Close()
-	p.addr = ln.Addr().String()
-	file, err := ln.(*net.TCPListener).File()
+	defer listener.Close()
+	started.address = listener.Addr().String()
+	listenerFile, err := listener.(*net.TCPListener).File()
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer file.Close()
-	p.runs++
-	base := filepath.Join(f.o.Dir, fmt.Sprintf("controller-%d.%d", cell, p.runs))
-	set := f.o.Scenario.Controller(cell, f.list)
-	set.Seed += uint64(p.runs) << 32
-	set.Listen, set.Policy = "fd:3", f.o.Policy
-	set.Capture.File = base + capture.FileSuffix
-	if f.collector != "" {
-		set.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collector}}, SummaryInterval: 2 * time.Second,
-			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.o.Dir, fmt.Sprint("spool-", cell))}
+	defer listenerFile.Close()
+	started.starts++
+	base := filepath.Join(f.options.Dir, fmt.Sprintf("controller-%d.%d", number, started.starts))
+	controllerSettings := f.options.Scenario.Controller(number, f.listAddress)
+	controllerSettings.Seed += uint64(started.starts) << 32
+	controllerSettings.Listen, controllerSettings.Policy = "fd:3", f.options.Policy
+	controllerSettings.Capture.File = base + capture.FileSuffix
+	if f.collectorAddress != "" {
+		controllerSettings.Flows = settings.Flows{Collectors: []settings.Collector{{Address: f.collectorAddress}}, SummaryInterval: 2 * time.Second,
+			ConfirmAfter: 5 * time.Second, SpoolDirectory: filepath.Join(f.options.Dir, fmt.Sprint("spool-", number))}
 	}
-	out, err := os.Create(base + ".xml")
+	settingsFile, err := os.Create(base + ".xml")
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	if err := errors.Join(settings.Write(out, "controller", set), out.Close()); err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+	if err := errors.Join(settings.Write(settingsFile, "controller", controllerSettings), settingsFile.Close()); err != nil {
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	log, err := os.Create(base + ".log")
+	logFile, err := os.Create(base + ".log")
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
-	defer log.Close()
-	p.cmd = exec.Command(f.o.Exe, "run", base+".xml")
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.ExtraFiles = []*os.File{file}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("controller %d: %w", cell, err)
+	defer logFile.Close()
+	started.command = exec.Command(f.options.Executable, "run", base+".xml")
+	started.command.Stdout, started.command.Stderr = logFile, logFile
+	started.command.ExtraFiles = []*os.File{listenerFile}
+	started.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := started.command.Start(); err != nil {
+		return fmt.Errorf("controller %d: %w", number, err)
 	}
 	return nil
 }
 
 // Restart kills a controller and starts it again, without holding its caller up.
-func (f *fleet) Restart(cell int) {
-	f.wg.Go(func() {
+func (f *controllerProcesses) Restart(number int) {
+	f.restarts.Go(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.leaving {
+		if f.stopping {
 			return
 		}
-		p := &f.procs[cell]
-		_ = p.cmd.Process.Kill() // fails only if it has ended
-		_ = p.cmd.Wait()         // killed: its status says so
-		f.w.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(cell)})
-		if err := f.start(cell); err != nil {
+		restarted := &f.processes[number]
+		_ = restarted.command.Process.Kill() // fails only if it has ended
+		_ = restarted.command.Wait()         // killed: its status says so
+		f.captureWriter.Fact("killed", capture.Killed{Owner: daemon.CaptureOwner(number)})
+		if err := f.startController(number); err != nil {
 			f.errs = append(f.errs, err)
 		}
 	})
 }
 
-// leaveWithin is how long the controllers may take to answer what they have.
-const leaveWithin = 15 * time.Second
+// shutdownTimeout is how long the controllers may take to answer what they have.
+const shutdownTimeout = 15 * time.Second
 
-// leave lets all controllers end, and returns how they failed.
-func (f *fleet) leave() error {
-	f.wg.Wait()
+// stopAll lets all controllers end, and returns how they failed.
+func (f *controllerProcesses) stopAll() error {
+	f.restarts.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving = true
-	for i := range f.procs {
-		_ = f.procs[i].cmd.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
+	f.stopping = true
+	for i := range f.processes {
+		_ = f.processes[i].command.Process.Signal(syscall.SIGTERM) // one that has ended says so to Wait
 	}
-	timeout := time.AfterFunc(leaveWithin, func() {
-		for i := range f.procs {
-			_ = f.procs[i].cmd.Process.Kill()
+	timeout := time.AfterFunc(shutdownTimeout, func() {
+		for i := range f.processes {
+			_ = f.processes[i].command.Process.Kill()
 		}
 	})
 	defer timeout.Stop()
-	for i := range f.procs {
-		if err := f.procs[i].cmd.Wait(); err != nil {
+	for i := range f.processes {
+		if err := f.processes[i].command.Wait(); err != nil {
 			f.errs = append(f.errs, fmt.Errorf("controller %d: %w", i, err))
 		}
 	}
 	return errors.Join(f.errs...)
 }
 
-// kill ends what was started of a fleet that could not be.
-func (f *fleet) kill() {
-	for i := range f.procs {
-		if c := f.procs[i].cmd; c != nil && c.Process != nil {
-			_ = c.Process.Kill()
-			_ = c.Wait()
+// killAll ends what was started of a fleet that could not be.
+func (f *controllerProcesses) killAll() {
+	for i := range f.processes {
+		if command := f.processes[i].command; command != nil && command.Process != nil {
+			_ = command.Process.Kill()
+			_ = command.Wait()
 		}
 	}
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,119 +1,127 @@
-// Package flow is what a controller tells of its calls and attempts: records of
-// a fixed size, made on the call path without an allocation, and the counts
-// that they must add up to.
+// Package flow defines the flow records that a controller exports about its
+// calls and attempts, their IPFIX encoding, and the counts that the records must
+// add up to. A record has a fixed size and is made on the call path without an
+// allocation.
 package flow
 
 import "time"
 
-// Kind of a record.
+// Kind is the kind of a record.
 type Kind uint8
 
 const (
-	Call    Kind = iota // a call, at its end
-	Attempt             // an attempt, at its end
-	Interim             // a call that stands for long: not its end, and in no sum
-	Kinds
+	KindCall    Kind = iota // a call that has ended
+	KindAttempt             // an attempt that has ended
+	KindInterim             // a long call that is still established; not part of any sum
+	KindCount               // number of kinds
 )
 
-var kindNames = [Kinds]string{"call", "attempt", "interim"}
+var kindNames = [KindCount]string{"call", "attempt", "interim"}
 
-func (k Kind) String() string { return name(kindNames[:], int(k)) }
+// String returns the name of the kind, as exported records and reports write it.
+func (k Kind) String() string { return nameOf(kindNames[:], int(k)) }
 
-// Outcome is how a call or an attempt ended. Calls use the first, attempts the second group.
+// Outcome is how a call or an attempt ended. The first group of constants is for
+// calls, the second for attempts.
 type Outcome uint8
 
 const (
-	Ended   Outcome = iota // the call stood to its end
-	Cut                    // stood and was cut
-	Refused                // the final answer was a refusal
-	Failed                 // or a failure
-	Left                   // the caller left before the answer
-	Stands                 // interim
-
-	Done      // the attempt stood to the call's end
-	Error     // lines busy or a fault
-	Full      // turned back or turned away
-	TimedOut  // no timely answer
-	NoConnect // never reached
-	Reset     // cut, before or after it stood
-	Cancelled // withdrawn
-	Moot      // not sent
-	Outcomes
+	CallEnded       Outcome = iota // the call was established and ended normally
+	CallCut                        // the call was established and then cut
+	CallRefused                    // the caller's final answer was a refusal
+	CallFailed                     // the caller's final answer was a failure
+	CallAbandoned                  // the caller abandoned the call before the answer
+	CallEstablished                // the call is still established (KindInterim)
+
+	AttemptCompleted   // the call was established by this attempt and ended normally
+	AttemptFailed      // lines busy or another fault
+	AttemptRejected    // crankback, or rejected by the exchange
+	AttemptTimedOut    // no answer in time
+	AttemptUnreachable // the exchange was never reached
+	AttemptReset       // cut, before or after the call was established
+	AttemptCancelled   // the set-up was cancelled
+	AttemptNotSent     // the set-up was not sent
+	OutcomeCount       // number of outcomes
 )
 
-var outcomeNames = [Outcomes]string{"ended", "cut", "refused", "failed", "left", "stands", "done", "error", "full",
+var outcomeNames = [OutcomeCount]string{"ended", "cut", "refused", "failed", "left", "stands", "done", "error", "full",
 	"timed out", "never reached", "reset", "cancelled", "moot"}
 
-func (o Outcome) String() string { return name(outcomeNames[:], int(o)) }
+// String returns the name of the outcome, as exported records and reports write it.
+func (o Outcome) String() string { return nameOf(outcomeNames[:], int(o)) }
 
-// Route of an attempt.
+// Route is the kind of route of a call or an attempt.
 type Route uint8
 
 const (
-	Direct  Route = iota // to the destination, for an own caller
-	Tandem               // through another exchange
-	Transit              // to the destination, for another exchange's call
+	RouteDirect  Route = iota // to the destination, for a caller of the own exchange
+	RouteTandem               // through a tandem exchange
+	RouteTransit              // to the destination, for a call of another exchange
 )
 
 var routeNames = []string{"direct", "tandem", "transit"}
 
-func (r Route) String() string { return name(routeNames, int(r)) }
+// String returns the name of the route, as exported records write it.
+func (r Route) String() string { return nameOf(routeNames, int(r)) }
 
-func name(of []string, i int) string {
-	if i < len(of) {
-		return of[i]
+// nameOf returns names[i], or "?" for a value without a name.
+func nameOf(names []string, i int) string {
+	if i < len(names) {
+		return names[i]
 	}
 	return "?"
 }
 
-// MostClasses is how many classes are told apart; further ones count as the last.
-const MostClasses = 16
+// MaxClasses is the number of call classes that are counted separately. Further
+// classes are counted as the last one.
+const MaxClasses = 16
 
-// Record is one call or attempt. It holds no pointer but to constant words.
+// Record describes one call or attempt. Its only pointers are those of strings
+// that are constants, so that a copy of it needs no allocation.
 type Record struct {
-	Seq      uint64        // unique in the life of a controller
-	Number   uint64        // as called; it leaves the controller only hashed
-	Start    time.Duration // since 1970
-	SetUp    time.Duration // from the start to standing, or to the end of what never stood
-	Stood    time.Duration // from standing to the end
-	Context  uint32
-	Exchange uint32 // of an attempt
-	Source   int32  // number of the exchange that the call comes from
-	Dest     int32
-	Via      int32  // number of the exchange that it stood over, or was sent to; -1 none
-	Where    int32  // number that the verdict speaks of
-	Reason   string // the module's last word; constants of its own
-	Scope    string
-	Circuits uint16
-	Kind     Kind
-	Class    uint8
-	Outcome  Outcome
-	Route    Route
-	Note     uint8 // of an attempt
-	N        uint8 // attempts of a call; number of an attempt
-	Tandems  uint8 // attempts over a tandem
-	Repeat   bool  // marked as a further try, or came again
+	Seq            uint64        // unique within one incarnation of a controller
+	CalledNumber   uint64        // exported only as a hash
+	Start          time.Duration // when the call or attempt began, since 1970
+	SetUp          time.Duration // from Start until established, or until the end if never established
+	EstablishedFor time.Duration // from established until the end
+	Context        uint32
+	Exchange       uint32 // ID of an attempt's exchange
+	Source         int32  // number of the exchange that the call came from
+	Dest           int32
+	Via            int32  // number of the exchange that the call was sent to, or -1
+	VerdictNumber  int32  // number of the exchange that the verdict names
+	VerdictReason  string // from the routing module's final verdict; a constant
+	VerdictScope   string
+	Circuits       uint16
+	Kind           Kind
+	Class          uint8
+	Outcome        Outcome
+	Route          Route
+	Note           uint8 // failure note of an attempt
+	Attempts       uint8 // number of attempts of a call, or the number of an attempt within its call
+	TandemAttempts uint8 // attempts through a tandem
+	Repeat         bool  // marked as a retry by the caller, or recognised as a repeated call
 }
 
-// Counts is what was counted, by kind, class and outcome.
-type Counts [Kinds][MostClasses][Outcomes]uint64
+// Counts holds numbers of records by kind, class and outcome.
+type Counts [KindCount][MaxClasses][OutcomeCount]uint64
 
-// At is the place of a record.
-func (c *Counts) At(r *Record) *uint64 {
-	return &c[r.Kind][min(r.Class, MostClasses-1)][r.Outcome]
+// At returns the counter for the kind, class and outcome of a record.
+func (c *Counts) At(record *Record) *uint64 {
+	return &c[record.Kind][min(record.Class, MaxClasses-1)][record.Outcome]
 }
 
-// Sum adds up a kind.
-func (c *Counts) Sum(k Kind) uint64 {
-	n := uint64(0)
-	for i := range c[k] {
-		for j := range c[k][i] {
-			n += c[k][i][j]
+// Sum returns the number of records of a kind.
+func (c *Counts) Sum(kind Kind) uint64 {
+	total := uint64(0)
+	for class := range c[kind] {
+		for outcome := range c[kind][class] {
+			total += c[kind][class][outcome]
 		}
 	}
-	return n
+	return total
 }
 
-// Sink takes records from the call path. Put must not wait, lock or allocate;
-// the record is only lent.
+// Sink takes records from the call path. Put must not wait, lock or allocate, and
+// must not keep the record after it returns.
 type Sink interface{ Put(r *Record) }
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -53,7 +53,7 @@
 	for i := range exchanges {
 		mesh.Circuits = append(mesh.Circuits, make([]int, exchanges))
 		mesh.Offered = append(mesh.Offered, make([][]float64, exchanges))
-		mesh.Processors.SetupsPerSecond = append(mesh.Processors.SetupsPerSecond, drawn.Fleet.Current(i).PerSecond())
+		mesh.Processors.SetupsPerSecond = append(mesh.Processors.SetupsPerSecond, drawn.Fleet.Current(i).SetUpsPerSecond())
 		for j := range exchanges {
 			offered := make([]float64, len(scenario.Classes))
 			for c, cl := range scenario.Classes {
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, group := range drawn.Fleet.Groups() {
-		mesh.Circuits[group.A][group.B], mesh.Circuits[group.B][group.A] = group.Size, group.Size
+		mesh.Circuits[group.LowNumber][group.HighNumber], mesh.Circuits[group.HighNumber][group.LowNumber] = group.Size, group.Size
 	}
 	return mesh, nil
 }
@@ -121,10 +121,10 @@
 	}
 	exchanges := scenario.Fleet.Exchanges
 	simulateSeed := func(seed int) (*outcome, error) {
-		day, err := virtual.Run(scenario, virtual.Options{Shape: func(s *scene.Scene) {
+		day, err := virtual.Run(scenario, virtual.Options{Prepare: func(s *scene.Simulation) {
 			for i := range exchanges {
 				for j := range i {
-					s.Fleet.Resize(i, j, circuits[i][j])
+					s.Fleet.ResizeGroup(i, j, circuits[i][j])
 				}
 			}
 			s.Reseed(uint64(seed))
@@ -132,18 +132,18 @@
 		if err != nil {
 			return nil, err
 		}
-		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), virtualTime: day.Took}
+		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), virtualTime: day.Duration}
 		for i := range result.pairs {
 			result.pairs[i] = make([]PairCounts, exchanges)
 		}
-		for _, call := range day.Crowd.Calls {
-			if day.Since(call) < countFrom || call.Result == subscriber.None && call.Stood == 0 {
+		for _, call := range day.Callers.Calls {
+			if day.FirstAttemptTime(call) < countFrom || call.Outcome == subscriber.Pending && call.SetUpTime == 0 {
 				continue
 			}
-			pair := &result.pairs[call.From][call.Dest]
+			pair := &result.pairs[call.Source][call.Dest]
 			pair.Calls++
 			result.calls[call.Class]++
-			if call.Stood == 0 {
+			if call.SetUpTime == 0 {
 				pair.Lost++
 				result.lost[call.Class]++
 			}
@@ -201,11 +201,11 @@
 // inertEdge is a scene.Edge without effect, for a scene that is not run.
 type inertEdge struct{}
 
-func (inertEdge) Open(uint32) (string, error)                         { return "nowhere", nil }
-func (inertEdge) Shut(uint32)                                         {}
-func (inertEdge) Break(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (inertEdge) Fault(uint32, scene.Fault, bool)                     {}
-func (inertEdge) ListAway(bool)                                       {}
-func (inertEdge) Garbage(float64) func()                              { return func() {} }
-func (inertEdge) Restart(int)                                         {}
-func (inertEdge) Fact(string, any)                                    {}
+func (inertEdge) Listen(uint32) (string, error)                            { return "nowhere", nil }
+func (inertEdge) StopListening(uint32)                                     {}
+func (inertEdge) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
+func (inertEdge) SetFault(uint32, scene.Fault, bool)                       {}
+func (inertEdge) SetListUnavailable(bool)                                  {}
+func (inertEdge) SendMalformed(float64) func()                             { return func() {} }
+func (inertEdge) RestartController(int)                                    {}
+func (inertEdge) Record(string, any)                                       {}
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -17,7 +17,7 @@
 
 func quietDay(t testing.TB, level float64) *settings.Scenario {
 	t.Helper()
-	text, ok := scenarios.Text("quiet-day")
+	text, ok := scenarios.XML("quiet-day")
 	if !ok {
 		t.Fatal("no scenario quiet-day")
 	}
@@ -61,10 +61,10 @@
 }
 
 func (s attemptSink) Put(r *flow.Record) {
-	if r.Kind == flow.Call && r.Route != flow.Transit {
+	if r.Kind == flow.KindCall && r.Route != flow.RouteTransit {
 		*s.attempts = append(*s.attempts, measure.CallAttempt{Start: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
-			Number: r.Number, MarkedRetry: r.Repeat, Lost: r.Outcome != flow.Ended && r.Outcome != flow.Cut, Cut: r.Outcome == flow.Cut,
-			EstablishedFor: r.Stood, Incarnation: s.incarnation})
+			Number: r.CalledNumber, MarkedRetry: r.Repeat, Lost: r.Outcome != flow.CallEnded && r.Outcome != flow.CallCut, Cut: r.Outcome == flow.CallCut,
+			EstablishedFor: r.EstablishedFor, Incarnation: s.incarnation})
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	var attempts []measure.CallAttempt
 	incarnations := uint64(0)
-	if _, err := virtual.Run(scenario, virtual.Options{Flows: func(int) flow.Sink {
+	if _, err := virtual.Run(scenario, virtual.Options{NewFlowSink: func(int) flow.Sink {
 		incarnations++
 		return attemptSink{&attempts, incarnations}
 	}}); err != nil {
--- a/internal/standin/exchange/fleet.go
+++ b/internal/standin/exchange/fleet.go
@@ -22,13 +22,13 @@
 	Transit  bool
 	Send     func(*signal.Message)
 
-	cell     int // of the controller, once it has said so; -1 before
-	circuits bool
-	tx       uint32
-	legs     map[legKey]*leg // set up over it
-	onward   map[uint32]*leg // transit: Adds that wait for their reply, by transaction
-	carried  map[string]*leg // transit: by name in use towards the own controller
-	closed   bool
+	controllerNumber int // of the controller, once it has said so; -1 before
+	reportsCircuits  bool
+	lastTransaction  uint32
+	legs             map[legKey]*leg // set up over it
+	pendingTransit   map[uint32]*leg // transit: Adds that wait for their reply, by transaction
+	transitLegs      map[string]*leg // transit: by name in use towards the own controller
+	closed           bool
 }
 
 type legKey struct {
@@ -38,58 +38,58 @@
 
 // Exchange is one exchange; a number that is replaced has two for a while.
 type Exchange struct {
-	ID      uint32
-	Cell    int
-	Region  int
-	Since   time.Duration // its start, 0 long ago
-	Up      bool
-	Hung    bool    // takes set-ups and answers none
-	Mute    float64 // share of set-ups that get no answer
-	Breaks  float64 // share of set-ups that are cut before the answer
-	proc    processor
-	work    time.Duration // of one set-up
-	conns   []*Conn
-	transit *Conn
-	own     *Conn // of the controller of its number
+	ID              uint32
+	Number          int
+	Region          int
+	StartedAt       time.Duration // its start, 0 long ago
+	Up              bool
+	Unresponsive    bool    // takes set-ups and answers none
+	UnansweredShare float64 // share of set-ups that get no answer
+	CutShare        float64 // share of set-ups that are cut before the answer
+	processor       processor
+	setUpWork       time.Duration // of one set-up
+	conns           []*Conn
+	transitConn     *Conn
+	ownConn         *Conn // of the controller of its number
 }
 
 // Group is the circuits between two numbers.
 type Group struct {
-	A, B       int
-	Size, Free int
-	lost       int
-}
-
-// Figures are what a fleet is made of.
-type Figures struct {
-	Near, Far   time.Duration // one way within and between regions
-	Queue       time.Duration // longer waits turn set-ups away
-	Look        float64       // work in set-ups
-	Reject      float64
-	Follow      float64
-	Repeat      float64
-	Resend      time.Duration
-	FinishFirst bool
-	GivesWait   bool
-	Reduce      bool
-	ColdFrom    float64
-	ColdFor     time.Duration
+	LowNumber, HighNumber int
+	Size, Free            int
+	lostCircuits          int
+}
+
+// Config are what a fleet is made of.
+type Config struct {
+	IntraRegionDelay, InterRegionDelay time.Duration // one way within and between regions
+	MaxQueueWait                       time.Duration // longer waits turn set-ups away
+	ExamineWork                        float64       // work in set-ups
+	RejectWork                         float64
+	FollowUpWork                       float64
+	ResendWork                         float64
+	ResendAfter                        time.Duration
+	FinishFirst                        bool
+	ReportsWait                        bool
+	ReportsReduction                   bool
+	ColdCapacity                       float64
+	ColdDuration                       time.Duration
 }
 
 // Fleet is all exchanges and the groups between them.
 type Fleet struct {
-	fig    Figures
-	s      Sched
-	rnd    *rand.Rand
-	All    []*Exchange // in the order of their making
-	cells  map[int]*Exchange
-	groups map[[2]int]*Group
-	order  []*Group
-	dirty  map[int]map[int]bool // by number, whose groups changed
-	flush  bool
-	lines  map[string]int // free lines of numbers that have few
-
-	Started func(*Exchange) // told of each start of a processor
+	config            Config
+	scheduler         Scheduler
+	random            *rand.Rand
+	Exchanges         []*Exchange // in the order of their making
+	exchangesByNumber map[int]*Exchange
+	groups            map[[2]int]*Group
+	orderedGroups     []*Group
+	changedGroups     map[int]map[int]bool // by number, whose groups changed
+	reportScheduled   bool
+	freeLines         map[string]int // free lines of numbers that have few
+
+	OnStart func(*Exchange) // told of each start of a processor
 	Counts  Counts
 }
 
@@ -99,589 +99,593 @@
 }
 
 // New makes an empty fleet.
-func New(s Sched, rnd *rand.Rand, fig Figures) *Fleet {
-	return &Fleet{fig: fig, s: s, rnd: rnd, cells: map[int]*Exchange{}, groups: map[[2]int]*Group{},
-		dirty: map[int]map[int]bool{}, lines: map[string]int{}, Started: func(*Exchange) {}}
+func New(scheduler Scheduler, random *rand.Rand, config Config) *Fleet {
+	return &Fleet{config: config, scheduler: scheduler, random: random, exchangesByNumber: map[int]*Exchange{}, groups: map[[2]int]*Group{},
+		changedGroups: map[int]map[int]bool{}, freeLines: map[string]int{}, OnStart: func(*Exchange) {}}
 }
 
-// Add brings an exchange into service; work is the time of one set-up on its
+// AddExchange brings an exchange into service; work is the time of one set-up on its
 // processor. One of the same number takes over from the one before.
-func (f *Fleet) Add(id uint32, cell, region int, work time.Duration, cold bool) *Exchange {
-	x := &Exchange{ID: id, Cell: cell, Region: region, Up: true, work: work}
-	x.proc = processor{s: f.s, first: f.fig.FinishFirst, slow: 1, from: f.fig.ColdFrom, warm: f.fig.ColdFor}
+func (f *Fleet) AddExchange(id uint32, cell, region int, setUpWork time.Duration, cold bool) *Exchange {
+	added := &Exchange{ID: id, Number: cell, Region: region, Up: true, setUpWork: setUpWork}
+	added.processor = processor{scheduler: f.scheduler, answersFirst: f.config.FinishFirst, slowdown: 1, initialShare: f.config.ColdCapacity, warmUpTime: f.config.ColdDuration}
 	if cold {
-		x.Since = f.s.Now()
-		x.proc.since = x.Since
+		added.StartedAt = f.scheduler.Now()
+		added.processor.startedAt = added.StartedAt
 	}
-	f.All = append(f.All, x)
-	f.cells[cell] = x
-	f.Started(x)
-	return x
+	f.Exchanges = append(f.Exchanges, added)
+	f.exchangesByNumber[cell] = added
+	f.OnStart(added)
+	return added
 }
 
-// Link makes a group between two numbers.
-func (f *Fleet) Link(a, b, size int) {
-	g := &Group{A: min(a, b), B: max(a, b), Size: size, Free: size}
-	f.groups[[2]int{g.A, g.B}] = g
-	f.order = append(f.order, g)
+// AddGroup makes a group between two numbers.
+func (f *Fleet) AddGroup(a, b, size int) {
+	group := &Group{LowNumber: min(a, b), HighNumber: max(a, b), Size: size, Free: size}
+	f.groups[[2]int{group.LowNumber, group.HighNumber}] = group
+	f.orderedGroups = append(f.orderedGroups, group)
 }
 
-// Resize gives a group another number of circuits, or makes or ends one, before
+// ResizeGroup gives a group another number of circuits, or makes or ends one, before
 // any call is up.
-func (f *Fleet) Resize(a, b, size int) {
+func (f *Fleet) ResizeGroup(a, b, size int) {
 	key := [2]int{min(a, b), max(a, b)}
-	g := f.groups[key]
+	existing := f.groups[key]
 	switch {
-	case g == nil && size > 0:
-		f.Link(a, b, size)
-	case g != nil && size > 0:
-		g.Size, g.Free = size, size
-	case g != nil:
+	case existing == nil && size > 0:
+		f.AddGroup(a, b, size)
+	case existing != nil && size > 0:
+		existing.Size, existing.Free = size, size
+	case existing != nil:
 		delete(f.groups, key)
-		f.order = slices.DeleteFunc(f.order, func(o *Group) bool { return o == g })
+		f.orderedGroups = slices.DeleteFunc(f.orderedGroups, func(group *Group) bool { return group == existing })
 	}
 }
 
 // Groups lists the groups in the order of their making.
-func (f *Fleet) Groups() []*Group { return f.order }
+func (f *Fleet) Groups() []*Group { return f.orderedGroups }
 
 // Current is the exchange that serves a number.
-func (f *Fleet) Current(cell int) *Exchange { return f.cells[cell] }
+func (f *Fleet) Current(cell int) *Exchange { return f.exchangesByNumber[cell] }
 
-func (f *Fleet) group(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
+func (f *Fleet) groupBetween(a, b int) *Group { return f.groups[[2]int{min(a, b), max(a, b)}] }
 
-// Lines gives a number so few lines.
-func (f *Fleet) Lines(number string, n int) { f.lines[number] = n }
+// LimitLines gives a number so few lines.
+func (f *Fleet) LimitLines(number string, lines int) { f.freeLines[number] = lines }
 
-// PerSecond is the set-ups that an exchange can do when warm.
-func (x *Exchange) PerSecond() float64 { return float64(time.Second) / float64(x.work) }
+// SetUpsPerSecond is the set-ups that an exchange can do when warm.
+func (e *Exchange) SetUpsPerSecond() float64 { return float64(time.Second) / float64(e.setUpWork) }
 
-// Held counts circuits in use over all groups.
-func (f *Fleet) Held() int {
-	n := 0
-	for _, g := range f.order {
-		n += g.Size - g.lost - g.Free
+// CircuitsInUse counts circuits in use over all groups.
+func (f *Fleet) CircuitsInUse() int {
+	inUse := 0
+	for _, group := range f.orderedGroups {
+		inUse += group.Size - group.lostCircuits - group.Free
 	}
-	return n
+	return inUse
 }
 
 // leg is one set-up at an exchange, over one group.
 type leg struct {
-	conn      *Conn
-	key       legKey
-	name      string
-	add       uint32 // transaction that waits for the reply; 0 once answered
-	near, far *Exchange
-	group     *Group
-	width     int
-	msg       *signal.Message
-	dest      int
-	due       time.Duration
-	line      string // it holds a line of this number
-	onward    string // name of its call in transit at the far end's controller
-	stands    bool
-	over      bool
-}
-
-// Open takes a new connection: of a controller, or the exchange's own for calls in transit.
-func (f *Fleet) Open(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
-	c := &Conn{Exchange: x, Transit: transit, Send: send, cell: -1, legs: map[legKey]*leg{},
-		onward: map[uint32]*leg{}, carried: map[string]*leg{}}
+	conn         *Conn
+	key          legKey
+	termination  string
+	pendingAdd   uint32 // transaction that waits for the reply; 0 once answered
+	origin, peer *Exchange
+	group        *Group
+	circuits     int
+	request      *signal.Message
+	destination  int
+	deadline     time.Duration
+	lineNumber   string // it holds a line of this number
+	transitName  string // name of its call in transit at the far end's controller
+	established  bool
+	ended        bool
+}
+
+// OpenConn takes a new connection: of a controller, or the exchange's own for calls in transit.
+func (f *Fleet) OpenConn(x *Exchange, transit bool, send func(*signal.Message)) *Conn {
+	conn := &Conn{Exchange: x, Transit: transit, Send: send, controllerNumber: -1, legs: map[legKey]*leg{},
+		pendingTransit: map[uint32]*leg{}, transitLegs: map[string]*leg{}}
 	if transit {
-		x.transit = c
+		x.transitConn = conn
 	} else {
-		x.conns = append(x.conns, c)
+		x.conns = append(x.conns, conn)
 	}
-	return c
+	return conn
 }
 
-// Closed ends a connection: what was set up over it is released.
-func (f *Fleet) Closed(c *Conn) {
-	if c.closed {
+// ConnClosed ends a connection: what was set up over it is released.
+func (f *Fleet) ConnClosed(conn *Conn) {
+	if conn.closed {
 		return
 	}
-	c.closed = true
-	x := c.Exchange
-	if c.Transit {
-		if x.transit == c {
-			x.transit = nil
+	conn.closed = true
+	closedAt := conn.Exchange
+	if conn.Transit {
+		if closedAt.transitConn == conn {
+			closedAt.transitConn = nil
 		}
-		for _, name := range sortedKeys(c.carried) {
-			l := c.carried[name]
-			l.onward = ""
-			f.fail(l, "turned-back", true)
+		for _, name := range sortedKeys(conn.transitLegs) {
+			leg := conn.transitLegs[name]
+			leg.transitName = ""
+			f.failLeg(leg, "turned-back", true)
 		}
 		return
 	}
-	x.conns = slices.DeleteFunc(x.conns, func(o *Conn) bool { return o == c })
-	if x.own == c {
-		x.own = nil
+	closedAt.conns = slices.DeleteFunc(closedAt.conns, func(other *Conn) bool { return other == conn })
+	if closedAt.ownConn == conn {
+		closedAt.ownConn = nil
 	}
-	for _, k := range sortedLegs(c.legs) {
-		l := c.legs[k]
-		l.add, l.stands = 0, false // nobody to tell
-		f.end(l)
+	for _, key := range sortedLegKeys(conn.legs) {
+		l := conn.legs[key]
+		l.pendingAdd, l.established = 0, false // nobody to tell
+		f.releaseLeg(l)
 	}
 }
 
-// Message takes a message from a controller.
-func (f *Fleet) Message(c *Conn, m *signal.Message) {
-	if c.closed {
+// HandleMessage takes a message from a controller.
+func (f *Fleet) HandleMessage(conn *Conn, request *signal.Message) {
+	if conn.closed {
 		return
 	}
-	if c.Transit {
-		f.fromOwnController(c, m)
+	if conn.Transit {
+		f.handleTransitMessage(conn, request)
 		return
 	}
-	if m.Kind != signal.Request {
+	if request.Kind != signal.Request {
 		return
 	}
-	x := c.Exchange
-	switch m.Command {
+	target := conn.Exchange
+	switch request.Command {
 	case signal.ServiceChange:
-		cell, err := m.Int("From", 0, 1<<20)
+		cell, err := request.Int("From", 0, 1<<20)
 		if err != nil {
-			c.Send(m.NewErrorReply(signal.BadValue, err.Error()))
+			conn.Send(request.NewErrorReply(signal.BadValue, err.Error()))
 			return
 		}
-		if c.cell = cell; cell == x.Cell {
-			x.own = c
+		if conn.controllerNumber = cell; cell == target.Number {
+			target.ownConn = conn
 		}
-		c.Send(m.NewReply().Put("Since", fmt.Sprint(x.Since.Milliseconds())))
+		conn.Send(request.NewReply().Put("Since", fmt.Sprint(target.StartedAt.Milliseconds())))
 	case signal.Modify:
-		c.Send(m.NewReply())
-		if c.circuits = m.Get("Events") == "circuits" && c.cell == x.Cell; c.circuits {
-			f.report(x, nil)
+		conn.Send(request.NewReply())
+		if conn.reportsCircuits = request.Get("Events") == "circuits" && conn.controllerNumber == target.Number; conn.reportsCircuits {
+			f.reportCircuits(target, nil)
 		}
 	case signal.AuditValue:
-		c.Send(m.NewReply().PutDuration("Wait", x.proc.wait()))
+		conn.Send(request.NewReply().PutDuration("Wait", target.processor.expectedWait()))
 	case signal.Add:
-		f.setUp(c, m)
+		f.setUp(conn, request)
 	case signal.Subtract:
-		l := c.legs[legKey{m.Context, m.Get("Attempt")}]
-		if l == nil {
-			c.Send(m.NewReply()) // it is released, as was asked
+		released := conn.legs[legKey{request.Context, request.Get("Attempt")}]
+		if released == nil {
+			conn.Send(request.NewReply()) // it is released, as was asked
 			return
 		}
-		l.add = 0 // the release answers it
-		f.releaseWork(l, func() { c.Send(m.NewReply()) })
+		released.pendingAdd = 0 // the release answers it
+		f.processRelease(released, func() { conn.Send(request.NewReply()) })
 	default:
-		c.Send(m.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
+		conn.Send(request.NewErrorReply(signal.UnknownCommand, "not a command for an exchange"))
 	}
 }
 
-func (f *Fleet) delay(a, b *Exchange) time.Duration {
-	d := f.fig.Far
+func (f *Fleet) propagationDelay(a, b *Exchange) time.Duration {
+	delay := f.config.InterRegionDelay
 	if a.Region == b.Region {
-		d = f.fig.Near
+		delay = f.config.IntraRegionDelay
 	}
-	return time.Duration(float64(d) * (0.9 + 0.2*f.rnd.Float64()))
+	return time.Duration(float64(delay) * (0.9 + 0.2*f.random.Float64()))
 }
 
-func times(work time.Duration, k float64) time.Duration { return time.Duration(float64(work) * k) }
+func scaleWork(work time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(work) * factor)
+}
 
 // setUp begins a set-up: circuits at once, then the near and the far processor.
-func (f *Fleet) setUp(c *Conn, m *signal.Message) {
+func (f *Fleet) setUp(conn *Conn, request *signal.Message) {
 	f.Counts.Setups++
-	x := c.Exchange
-	key := legKey{m.Context, m.Get("Attempt")}
-	dest, err := m.Int("Dest", 0, 1<<20)
-	width, err2 := m.Int("Width", 1, 1024)
-	left, err3 := m.Duration("Left")
+	peer := conn.Exchange
+	key := legKey{request.Context, request.Get("Attempt")}
+	destination, err := request.Int("Dest", 0, 1<<20)
+	circuits, circuitsErr := request.Int("Width", 1, 1024)
+	left, leftErr := request.Duration("Left")
 	switch {
-	case err != nil || err2 != nil || err3 != nil || c.cell < 0:
-		c.Send(m.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, err2, err3)))
+	case err != nil || circuitsErr != nil || leftErr != nil || conn.controllerNumber < 0:
+		conn.Send(request.NewErrorReply(signal.BadValue, fmt.Sprint("a set-up needs Dest, Width, Left and an introduced sender: ", err, circuitsErr, leftErr)))
 		return
-	case c.legs[key] != nil:
-		c.Send(m.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
+	case conn.legs[key] != nil:
+		conn.Send(request.NewErrorReply(signal.TerminationInContext, "this attempt is there already"))
 		return
 	}
-	near, g := f.cells[c.cell], f.group(c.cell, x.Cell)
-	l := &leg{conn: c, key: key, name: m.Termination, add: m.ID, near: near, far: x, group: g, width: width, msg: m, dest: dest,
-		due: f.s.Now() + left}
+	near, group := f.exchangesByNumber[conn.controllerNumber], f.groupBetween(conn.controllerNumber, peer.Number)
+	newLeg := &leg{conn: conn, key: key, termination: request.Termination, pendingAdd: request.ID, origin: near, peer: peer, group: group, circuits: circuits, request: request, destination: destination,
+		deadline: f.scheduler.Now() + left}
 	switch {
 	case near == nil || !near.Up:
-		f.reply(l, "own-processor", signal.TemporaryFailure)
+		f.sendReply(newLeg, "own-processor", signal.TemporaryFailure)
 		return
-	case g == nil || g.Free < width:
+	case group == nil || group.Free < circuits:
 		f.Counts.NoCircuit++
-		f.reply(l, "no-circuit", signal.InsufficientResources)
+		f.sendReply(newLeg, "no-circuit", signal.InsufficientResources)
 		return
 	}
-	f.change(g, -width)
-	c.legs[key] = l
-	near.proc.do(times(near.work, 1+f.fig.Look), false, func() {
-		f.s.After(f.delay(near, x), func() { f.arrive(l) })
+	f.changeFreeCircuits(group, -circuits)
+	conn.legs[key] = newLeg
+	near.processor.enqueue(scaleWork(near.setUpWork, 1+f.config.ExamineWork), false, func() {
+		f.scheduler.After(f.propagationDelay(near, peer), func() { f.handleArrival(newLeg) })
 	})
 }
 
-// arrive is the set-up at the far exchange.
-func (f *Fleet) arrive(l *leg) {
-	x := l.far
+// handleArrival is the set-up at the far exchange.
+func (f *Fleet) handleArrival(arriving *leg) {
+	peer := arriving.peer
 	switch {
-	case l.over || !x.Up:
+	case arriving.ended || !peer.Up:
 		return
-	case x.Hung || f.rnd.Float64() < x.Mute:
+	case peer.Unresponsive || f.random.Float64() < peer.UnansweredShare:
 		f.Counts.Swallowed++
 		return // held until it is called off
-	case f.rnd.Float64() < x.Breaks:
-		f.fail(l, "cut", false)
+	case f.random.Float64() < peer.CutShare:
+		f.failLeg(arriving, "cut", false)
 		return
-	case x.proc.wait() > f.fig.Queue:
+	case peer.processor.expectedWait() > f.config.MaxQueueWait:
 		f.Counts.TurnedAway++
-		x.proc.do(times(x.work, f.fig.Reject), false, func() { f.fail(l, "processor-full", false) })
+		peer.processor.enqueue(scaleWork(peer.setUpWork, f.config.RejectWork), false, func() { f.failLeg(arriving, "processor-full", false) })
 		return
 	}
-	if f.fig.Resend > 0 {
-		f.resend(l, f.fig.Resend)
+	if f.config.ResendAfter > 0 {
+		f.scheduleResend(arriving, f.config.ResendAfter)
 	}
-	x.proc.do(x.work, false, func() {
-		if l.over {
+	peer.processor.enqueue(peer.setUpWork, false, func() {
+		if arriving.ended {
 			return
 		}
-		if l.dest != x.Cell {
-			f.handOn(l)
+		if arriving.destination != peer.Number {
+			f.forwardTransit(arriving)
 			return
 		}
-		number := l.msg.Get("Number")
-		if free, few := f.lines[number]; few {
+		number := arriving.request.Get("Number")
+		if free, few := f.freeLines[number]; few {
 			if free <= 0 {
 				f.Counts.LinesBusy++
-				f.fail(l, "lines-busy", false)
+				f.failLeg(arriving, "lines-busy", false)
 				return
 			}
-			f.lines[number]--
-			l.line = number
+			f.freeLines[number]--
+			arriving.lineNumber = number
 		}
-		f.answer(l)
+		f.returnAnswer(arriving)
 	})
 }
 
-// resend is a set-up that waits and is sent again: work, and nothing else.
-func (f *Fleet) resend(l *leg, gap time.Duration) {
-	f.s.After(gap, func() {
-		if l.over || l.stands || l.add == 0 || !l.far.Up {
+// scheduleResend is a set-up that waits and is sent again: work, and nothing else.
+func (f *Fleet) scheduleResend(waiting *leg, gap time.Duration) {
+	f.scheduler.After(gap, func() {
+		if waiting.ended || waiting.established || waiting.pendingAdd == 0 || !waiting.peer.Up {
 			return
 		}
-		l.far.proc.do(times(l.far.work, f.fig.Repeat), false, func() {})
-		f.resend(l, 2*gap)
+		waiting.peer.processor.enqueue(scaleWork(waiting.peer.setUpWork, f.config.ResendWork), false, func() {})
+		f.scheduleResend(waiting, 2*gap)
 	})
 }
 
-// answer brings the word that the call stands back through both processors.
-func (f *Fleet) answer(l *leg) {
-	l.far.proc.do(times(l.far.work, f.fig.Follow), true, func() {
-		f.s.After(f.delay(l.far, l.near), func() {
-			if l.over || !l.near.Up {
+// returnAnswer brings the word that the call stands back through both processors.
+func (f *Fleet) returnAnswer(answered *leg) {
+	answered.peer.processor.enqueue(scaleWork(answered.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		f.scheduler.After(f.propagationDelay(answered.peer, answered.origin), func() {
+			if answered.ended || !answered.origin.Up {
 				return
 			}
-			l.near.proc.do(times(l.near.work, f.fig.Follow), true, func() {
-				if l.over {
+			answered.origin.processor.enqueue(scaleWork(answered.origin.setUpWork, f.config.FollowUpWork), true, func() {
+				if answered.ended {
 					return
 				}
-				l.stands = true
+				answered.established = true
 				f.Counts.Stood++
-				f.reply(l, "", 0)
+				f.sendReply(answered, "", 0)
 			})
 		})
 	})
 }
 
-// handOn gives a call in transit to the own controller.
-func (f *Fleet) handOn(l *leg) {
-	c := l.far.transit
-	left := l.due - f.s.Now()
-	if c == nil || left <= 0 {
-		f.fail(l, "turned-back", false)
+// forwardTransit gives a call in transit to the own controller.
+func (f *Fleet) forwardTransit(incoming *leg) {
+	transit := incoming.peer.transitConn
+	left := incoming.deadline - f.scheduler.Now()
+	if transit == nil || left <= 0 {
+		f.failLeg(incoming, "turned-back", false)
 		return
 	}
-	c.tx++
-	l.onward = fmt.Sprintf("%s/%d.%s", l.name, l.near.Cell, l.key.attempt)
-	if c.carried[l.onward] != nil { // its last try through here is not released yet
-		l.onward = ""
-		f.fail(l, "turned-back", false)
+	transit.lastTransaction++
+	incoming.transitName = fmt.Sprintf("%s/%d.%s", incoming.termination, incoming.origin.Number, incoming.key.attempt)
+	if transit.transitLegs[incoming.transitName] != nil { // its last try through here is not released yet
+		incoming.transitName = ""
+		f.failLeg(incoming, "turned-back", false)
 		return
 	}
-	c.onward[c.tx], c.carried[l.onward] = l, l
-	m := &signal.Message{ID: c.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: l.onward}
-	m.Put("Class", l.msg.Get("Class")).PutInt("Dest", l.dest).PutInt("Width", l.width).PutDuration("Left", left)
-	m.PutInt("Source", l.near.Cell).PutFlag("Again", l.msg.Flag("Again"))
-	if n := l.msg.Get("Number"); n != "" {
-		m.Put("Number", n)
+	transit.pendingTransit[transit.lastTransaction], transit.transitLegs[incoming.transitName] = incoming, incoming
+	request := &signal.Message{ID: transit.lastTransaction, Context: signal.ContextChoose, Command: signal.Add, Termination: incoming.transitName}
+	request.Put("Class", incoming.request.Get("Class")).PutInt("Dest", incoming.destination).PutInt("Width", incoming.circuits).PutDuration("Left", left)
+	request.PutInt("Source", incoming.origin.Number).PutFlag("Again", incoming.request.Flag("Again"))
+	if number := incoming.request.Get("Number"); number != "" {
+		request.Put("Number", number)
 	}
-	c.Send(m)
+	transit.Send(request)
 }
 
-// fromOwnController is the word of the own controller on calls in transit.
-func (f *Fleet) fromOwnController(c *Conn, m *signal.Message) {
+// handleTransitMessage is the word of the own controller on calls in transit.
+func (f *Fleet) handleTransitMessage(conn *Conn, message *signal.Message) {
 	switch {
-	case m.Kind == signal.Reply && m.Command == signal.Add:
-		l := c.onward[m.ID]
-		delete(c.onward, m.ID)
-		if l == nil || l.over {
+	case message.Kind == signal.Reply && message.Command == signal.Add:
+		handled := conn.pendingTransit[message.ID]
+		delete(conn.pendingTransit, message.ID)
+		if handled == nil || handled.ended {
 			return
 		}
-		if m.Code == 0 {
-			f.answer(l)
+		if message.Code == 0 {
+			f.returnAnswer(handled)
 			return
 		}
-		delete(c.carried, l.onward)
-		l.onward = ""
+		delete(conn.transitLegs, handled.transitName)
+		handled.transitName = ""
 		note := "turned-back"
-		if m.Get("Cause") == "processor-full" {
+		if message.Get("Cause") == "processor-full" {
 			note = "turned-back-processor"
 		}
-		f.fail(l, note, false)
-	case m.Kind == signal.Request && m.Command == signal.Notify:
-		c.Send(m.NewReply())
-		if l := c.carried[m.Termination]; l != nil {
-			delete(c.carried, l.onward)
-			l.onward = ""
-			f.cut(l)
+		f.failLeg(handled, note, false)
+	case message.Kind == signal.Request && message.Command == signal.Notify:
+		conn.Send(message.NewReply())
+		if l := conn.transitLegs[message.Termination]; l != nil {
+			delete(conn.transitLegs, l.transitName)
+			l.transitName = ""
+			f.cutLeg(l)
 		}
-	case m.Kind == signal.Request:
-		c.Send(m.NewReply())
+	case message.Kind == signal.Request:
+		conn.Send(message.NewReply())
 	}
 }
 
-// reply answers the set-up, if somebody waits for it.
-func (f *Fleet) reply(l *leg, note string, code signal.Code) {
-	if l.add == 0 || l.conn.closed {
+// sendReply answers the set-up, if somebody waits for it.
+func (f *Fleet) sendReply(answered *leg, note string, code signal.Code) {
+	if answered.pendingAdd == 0 || answered.conn.closed {
 		return
 	}
-	l.add = 0
-	r := l.msg.NewReply()
+	answered.pendingAdd = 0
+	reply := answered.request.NewReply()
 	if note != "" {
-		r.Code, r.Text = code, note
-		r.Put("Note", note)
-		if note == "processor-full" && f.fig.GivesWait {
-			r.PutDuration("Wait", max(l.far.proc.wait()-f.fig.Queue, 10*time.Millisecond).Round(time.Millisecond))
+		reply.Code, reply.Text = code, note
+		reply.Put("Note", note)
+		if note == "processor-full" && f.config.ReportsWait {
+			reply.PutDuration("Wait", max(answered.peer.processor.expectedWait()-f.config.MaxQueueWait, 10*time.Millisecond).Round(time.Millisecond))
 		}
 	}
-	if g := l.group; g != nil {
-		r.Put("Group", fmt.Sprintf("%d %d %d", l.far.Cell, g.Free, g.Size-g.lost))
+	if group := answered.group; group != nil {
+		reply.Put("Group", fmt.Sprintf("%d %d %d", answered.peer.Number, group.Free, group.Size-group.lostCircuits))
 	}
-	if f.fig.Reduce {
-		over := float64(l.far.proc.wait())/float64(f.fig.Queue) - 0.3
-		r.Put("Reduce", fmt.Sprintf("%.2f", min(max(over, 0), 0.9)))
+	if f.config.ReportsReduction {
+		overload := float64(answered.peer.processor.expectedWait())/float64(f.config.MaxQueueWait) - 0.3
+		reply.Put("Reduce", fmt.Sprintf("%.2f", min(max(overload, 0), 0.9)))
 	}
-	l.conn.Send(r)
+	answered.conn.Send(reply)
 }
 
-// fail ends a set-up that will not stand, or a call that was turned back later.
-func (f *Fleet) fail(l *leg, note string, late bool) {
-	if l.over {
+// failLeg ends a set-up that will not stand, or a call that was turned back later.
+func (f *Fleet) failLeg(failed *leg, note string, late bool) {
+	if failed.ended {
 		return
 	}
-	if l.stands && late {
-		f.cut(l)
+	if failed.established && late {
+		f.cutLeg(failed)
 		return
 	}
 	if note == "turned-back" || note == "turned-back-processor" {
 		f.Counts.TurnedBack++
 	}
-	f.end(l)
+	f.releaseLeg(failed)
 	code := signal.InsufficientResources
 	if note == "cut" {
 		code = signal.TemporaryFailure
 	}
-	f.reply(l, note, code)
+	f.sendReply(failed, note, code)
 }
 
-// cut ends a leg at once and tells its controller.
-func (f *Fleet) cut(l *leg) {
-	if l.over {
+// cutLeg ends a leg at once and tells its controller.
+func (f *Fleet) cutLeg(target *leg) {
+	if target.ended {
 		return
 	}
 	f.Counts.Cut++
-	told := l.stands && !l.conn.closed
-	f.end(l)
-	if !told {
-		f.reply(l, "cut", signal.TemporaryFailure)
+	notify := target.established && !target.conn.closed
+	f.releaseLeg(target)
+	if !notify {
+		f.sendReply(target, "cut", signal.TemporaryFailure)
 		return
 	}
-	l.conn.tx++
-	l.conn.Send((&signal.Message{ID: l.conn.tx, Context: l.key.context, Command: signal.Notify, Termination: l.name}).
-		Put("Event", "cut").Put("Attempt", l.key.attempt))
+	target.conn.lastTransaction++
+	target.conn.Send((&signal.Message{ID: target.conn.lastTransaction, Context: target.key.context, Command: signal.Notify, Termination: target.termination}).
+		Put("Event", "cut").Put("Attempt", target.key.attempt))
 }
 
-// end frees what a leg holds, at once.
-func (f *Fleet) end(l *leg) {
-	if l.over {
+// releaseLeg frees what a leg holds, at once.
+func (f *Fleet) releaseLeg(released *leg) {
+	if released.ended {
 		return
 	}
-	l.over = true
-	delete(l.conn.legs, l.key)
-	f.change(l.group, l.width)
-	if l.line != "" {
-		f.lines[l.line]++
+	released.ended = true
+	delete(released.conn.legs, released.key)
+	f.changeFreeCircuits(released.group, released.circuits)
+	if released.lineNumber != "" {
+		f.freeLines[released.lineNumber]++
 	}
-	if c := l.far.transit; c != nil && l.onward != "" {
-		delete(c.carried, l.onward)
-		c.tx++
-		c.Send(&signal.Message{ID: c.tx, Context: signal.ContextNull, Command: signal.Subtract, Termination: l.onward})
-		l.onward = ""
+	if transit := released.peer.transitConn; transit != nil && released.transitName != "" {
+		delete(transit.transitLegs, released.transitName)
+		transit.lastTransaction++
+		transit.Send(&signal.Message{ID: transit.lastTransaction, Context: signal.ContextNull, Command: signal.Subtract, Termination: released.transitName})
+		released.transitName = ""
 	}
 }
 
-// releaseWork frees a leg behind the work that a release is.
-func (f *Fleet) releaseWork(l *leg, done func()) {
-	if !l.far.Up {
-		f.end(l)
+// processRelease frees a leg behind the work that a release is.
+func (f *Fleet) processRelease(released *leg, done func()) {
+	if !released.peer.Up {
+		f.releaseLeg(released)
 		done()
 		return
 	}
-	l.far.proc.do(times(l.far.work, f.fig.Follow), true, func() {
-		if l.near.Up {
-			l.near.proc.do(times(l.near.work, f.fig.Follow), true, func() {})
+	released.peer.processor.enqueue(scaleWork(released.peer.setUpWork, f.config.FollowUpWork), true, func() {
+		if released.origin.Up {
+			released.origin.processor.enqueue(scaleWork(released.origin.setUpWork, f.config.FollowUpWork), true, func() {})
 		}
-		f.end(l)
+		f.releaseLeg(released)
 		done()
 	})
 }
 
-// change books circuits of a group and tells both ends soon.
-func (f *Fleet) change(g *Group, by int) {
-	g.Free += by
-	for _, end := range [2][2]int{{g.A, g.B}, {g.B, g.A}} {
-		if f.dirty[end[0]] == nil {
-			f.dirty[end[0]] = map[int]bool{}
+// changeFreeCircuits books circuits of a group and tells both ends soon.
+func (f *Fleet) changeFreeCircuits(group *Group, change int) {
+	group.Free += change
+	for _, end := range [2][2]int{{group.LowNumber, group.HighNumber}, {group.HighNumber, group.LowNumber}} {
+		if f.changedGroups[end[0]] == nil {
+			f.changedGroups[end[0]] = map[int]bool{}
 		}
-		f.dirty[end[0]][end[1]] = true
+		f.changedGroups[end[0]][end[1]] = true
 	}
-	if f.flush {
+	if f.reportScheduled {
 		return
 	}
-	f.flush = true
-	f.s.After(2*time.Millisecond, func() {
-		f.flush = false
-		for _, cell := range sortedKeys(f.dirty) {
-			if x := f.cells[cell]; x != nil {
-				f.report(x, f.dirty[cell])
+	f.reportScheduled = true
+	f.scheduler.After(2*time.Millisecond, func() {
+		f.reportScheduled = false
+		for _, number := range sortedKeys(f.changedGroups) {
+			if exchange := f.exchangesByNumber[number]; exchange != nil {
+				f.reportCircuits(exchange, f.changedGroups[number])
 			}
 		}
-		clear(f.dirty)
+		clear(f.changedGroups)
 	})
 }
 
 // lines of one report.
-const reportLines = 100
+const maxGroupsPerReport = 100
 
-// report tells the controller of an exchange its groups: some, or all.
-func (f *Fleet) report(x *Exchange, some map[int]bool) {
-	c := x.own
-	if c == nil || !c.circuits || !x.Up {
+// reportCircuits tells the controller of an exchange its groups: some, or all.
+func (f *Fleet) reportCircuits(exchange *Exchange, changed map[int]bool) {
+	conn := exchange.ownConn
+	if conn == nil || !conn.reportsCircuits || !exchange.Up {
 		return
 	}
-	var m *signal.Message
-	for _, cell := range sortedKeys(f.cells) {
-		if cell == x.Cell || some != nil && !some[cell] {
+	var notification *signal.Message
+	for _, number := range sortedKeys(f.exchangesByNumber) {
+		if number == exchange.Number || changed != nil && !changed[number] {
 			continue
 		}
-		if m == nil || len(m.Descriptors) >= reportLines {
-			if m != nil {
-				c.Send(m)
+		if notification == nil || len(notification.Descriptors) >= maxGroupsPerReport {
+			if notification != nil {
+				conn.Send(notification)
 			}
-			c.tx++
-			m = &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
+			conn.lastTransaction++
+			notification = &signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}
 		}
 		free, size := 0, 0
-		if g := f.group(x.Cell, cell); g != nil {
-			free, size = max(g.Free, 0), g.Size-g.lost
+		if group := f.groupBetween(exchange.Number, number); group != nil {
+			free, size = max(group.Free, 0), group.Size-group.lostCircuits
 		}
-		m.Put("Group", fmt.Sprintf("%d %d %d", cell, free, size))
+		notification.Put("Group", fmt.Sprintf("%d %d %d", number, free, size))
 	}
-	if m != nil {
-		c.Send(m)
+	if notification != nil {
+		conn.Send(notification)
 	}
 }
 
 // Crash kills a processor: all calls that touch it are cut. Its connections are
 // to be closed by who owns them.
-func (f *Fleet) Crash(x *Exchange) {
-	x.Up = false
-	x.proc.restart(f.s.Now())
-	f.cutAll(func(l *leg) bool { return l.near == x || l.far == x })
+func (f *Fleet) Crash(crashed *Exchange) {
+	crashed.Up = false
+	crashed.processor.reset(f.scheduler.Now())
+	f.cutMatching(func(affected *leg) bool { return affected.origin == crashed || affected.peer == crashed })
 }
 
-// Start brings a crashed processor back, cold.
-func (f *Fleet) Start(x *Exchange) {
-	x.Up, x.Hung = true, false
-	x.Since = f.s.Now()
-	x.proc.restart(x.Since)
-	f.Started(x)
+// Restart brings a crashed processor back, cold.
+func (f *Fleet) Restart(restarted *Exchange) {
+	restarted.Up, restarted.Unresponsive = true, false
+	restarted.StartedAt = f.scheduler.Now()
+	restarted.processor.reset(restarted.StartedAt)
+	f.OnStart(restarted)
 }
 
 // Retire ends an exchange that was replaced.
-func (f *Fleet) Retire(x *Exchange) {
-	x.Up = false
-	f.cutAll(func(l *leg) bool { return l.far == x })
+func (f *Fleet) Retire(retired *Exchange) {
+	retired.Up = false
+	f.cutMatching(func(affected *leg) bool { return affected.peer == retired })
 }
 
-func (f *Fleet) legs() []*leg {
+func (f *Fleet) allLegs() []*leg {
 	var all []*leg
-	for _, x := range f.All {
-		for _, c := range x.conns {
-			for _, k := range sortedLegs(c.legs) {
-				all = append(all, c.legs[k])
+	for _, exchange := range f.Exchanges {
+		for _, conn := range exchange.conns {
+			for _, key := range sortedLegKeys(conn.legs) {
+				all = append(all, conn.legs[key])
 			}
 		}
 	}
 	return all
 }
 
-func (f *Fleet) cutAll(which func(*leg) bool) int {
-	n := 0
-	for _, l := range f.legs() {
-		if which(l) {
-			n++
-			f.cut(l)
+func (f *Fleet) cutMatching(matches func(*leg) bool) int {
+	cuts := 0
+	for _, candidate := range f.allLegs() {
+		if matches(candidate) {
+			cuts++
+			f.cutLeg(candidate)
 		}
 	}
-	return n
+	return cuts
 }
 
-// CutSome cuts a share of the calls that stand and end here.
-func (f *Fleet) CutSome(share float64) int {
-	return f.cutAll(func(l *leg) bool { return l.stands && l.dest == l.far.Cell && f.rnd.Float64() < share })
+// CutCalls cuts a share of the calls that stand and end here.
+func (f *Fleet) CutCalls(share float64) int {
+	return f.cutMatching(func(candidate *leg) bool {
+		return candidate.established && candidate.destination == candidate.peer.Number && f.random.Float64() < share
+	})
 }
 
-// Lose takes a share of the circuits between regions away, and the calls on
+// LoseCircuits takes a share of the circuits between regions away, and the calls on
 // them; Regain brings them back.
-func (f *Fleet) Lose(share float64) {
-	for _, g := range f.order {
-		a, b := f.cells[g.A], f.cells[g.B]
-		if a == nil || b == nil || a.Region == b.Region || g.lost > 0 {
+func (f *Fleet) LoseCircuits(share float64) {
+	for _, group := range f.orderedGroups {
+		a, b := f.exchangesByNumber[group.LowNumber], f.exchangesByNumber[group.HighNumber]
+		if a == nil || b == nil || a.Region == b.Region || group.lostCircuits > 0 {
 			continue
 		}
-		g.lost = int(math.Round(share * float64(g.Size)))
-		f.change(g, -g.lost)
-		for _, l := range f.legs() {
-			if g.Free >= 0 {
+		group.lostCircuits = int(math.Round(share * float64(group.Size)))
+		f.changeFreeCircuits(group, -group.lostCircuits)
+		for _, candidate := range f.allLegs() {
+			if group.Free >= 0 {
 				break
 			}
-			if l.group == g {
-				f.cut(l)
+			if candidate.group == group {
+				f.cutLeg(candidate)
 			}
 		}
 	}
 }
 
-// Regain ends Lose.
-func (f *Fleet) Regain() {
-	for _, g := range f.order {
-		if g.lost > 0 {
-			f.change(g, g.lost)
-			g.lost = 0
+// RestoreCircuits ends Lose.
+func (f *Fleet) RestoreCircuits() {
+	for _, group := range f.orderedGroups {
+		if group.lostCircuits > 0 {
+			f.changeFreeCircuits(group, group.lostCircuits)
+			group.lostCircuits = 0
 		}
 	}
 }
 
-// Slow makes a processor so many times slower; Pause lets it stand still.
-func (x *Exchange) Slow(times float64) { x.proc.slow = max(times, 0.01) }
+// SetSlowdown makes a processor so many times slower; Pause lets it stand still.
+func (e *Exchange) SetSlowdown(factor float64) { e.processor.slowdown = max(factor, 0.01) }
 
-// Pause lets a processor stand still for a while.
-func (x *Exchange) Pause(until time.Duration) { x.proc.paused = until }
+// PauseUntil lets a processor stand still for a while.
+func (e *Exchange) PauseUntil(end time.Duration) { e.processor.pausedUntil = end }
 
 func sortedKeys[K int | string, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
@@ -692,9 +696,9 @@
 	return keys
 }
 
-func sortedLegs(m map[legKey]*leg) []legKey {
-	keys := make([]legKey, 0, len(m))
-	for k := range m {
+func sortedLegKeys(legs map[legKey]*leg) []legKey {
+	keys := make([]legKey, 0, len(legs))
+	for k := range legs {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b legKey) int {
--- a/internal/standin/exlist/exlist.go
+++ b/internal/standin/exlist/exlist.go
@@ -12,111 +12,111 @@
 
 // Entry is one line of the list.
 type Entry struct {
-	ID    uint32
-	Cell  int
-	State string        // in, draining or out
-	Since time.Duration // since 1970, 0 long ago
-	Addr  string
+	ID        uint32
+	Number    int
+	State     string        // in, draining or out
+	StartedAt time.Duration // since 1970, 0 long ago
+	Addr      string
 }
 
-func (e Entry) line() string {
-	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Cell, e.State, e.Since.Milliseconds(), e.Addr)
+func (e Entry) text() string {
+	return fmt.Sprintf("%d cell=%d state=%s since=%d at=%s", e.ID, e.Number, e.State, e.StartedAt.Milliseconds(), e.Addr)
 }
 
-// Sched is the time that the list lives in.
-type Sched interface {
+// Scheduler is the time that the list lives in.
+type Scheduler interface {
 	Now() time.Duration
 	After(d time.Duration, f func())
 }
 
 // Conn is one controller's connection.
 type Conn struct {
-	Send       func(*signal.Message)
-	subscribed bool
-	tx         uint32
-	last       time.Duration // nothing overtakes what was told before
+	Send            func(*signal.Message)
+	subscribed      bool
+	lastTransaction uint32
+	lastDelivery    time.Duration // nothing overtakes what was told before
 }
 
 // List is the exchange list.
 type List struct {
-	s       Sched
-	rnd     *rand.Rand
-	notice  time.Duration
-	entries []Entry
-	conns   []*Conn
+	scheduler Scheduler
+	random    *rand.Rand
+	meanDelay time.Duration
+	entries   []Entry
+	conns     []*Conn
 }
 
 // New makes a list that tells of changes late by notice, on average.
-func New(s Sched, rnd *rand.Rand, notice time.Duration) *List {
-	return &List{s: s, rnd: rnd, notice: notice}
+func New(scheduler Scheduler, random *rand.Rand, meanDelay time.Duration) *List {
+	return &List{scheduler: scheduler, random: random, meanDelay: meanDelay}
 }
 
-// Set changes a line, or adds one.
-func (l *List) Set(e Entry) {
+// Update changes a line, or adds one.
+func (l *List) Update(entry Entry) {
 	found := false
 	for i := range l.entries {
-		if l.entries[i].ID == e.ID {
-			l.entries[i], found = e, true
+		if l.entries[i].ID == entry.ID {
+			l.entries[i], found = entry, true
 		}
 	}
 	if !found {
-		l.entries = append(l.entries, e)
+		l.entries = append(l.entries, entry)
 	}
-	for _, c := range l.conns {
-		if !c.subscribed {
+	for _, conn := range l.conns {
+		if !conn.subscribed {
 			continue
 		}
-		late := time.Duration(float64(l.notice) * (0.5 + l.rnd.Float64()))
-		at := max(l.s.Now()+late, c.last)
-		c.last = at
-		l.s.After(at-l.s.Now(), func() {
-			if !c.subscribed {
+		delay := time.Duration(float64(l.meanDelay) * (0.5 + l.random.Float64()))
+		deliverAt := max(l.scheduler.Now()+delay, conn.lastDelivery)
+		conn.lastDelivery = deliverAt
+		l.scheduler.After(deliverAt-l.scheduler.Now(), func() {
+			if !conn.subscribed {
 				return
 			}
-			c.tx++
-			c.Send((&signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", e.line()))
+			conn.lastTransaction++
+			conn.Send((&signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", entry.text()))
 		})
 	}
 }
 
-// Open takes a connection.
-func (l *List) Open(send func(*signal.Message)) *Conn {
-	c := &Conn{Send: send}
-	l.conns = append(l.conns, c)
-	return c
+// OpenConn takes a connection.
+func (l *List) OpenConn(send func(*signal.Message)) *Conn {
+	conn := &Conn{Send: send}
+	l.conns = append(l.conns, conn)
+	return conn
 }
 
-// Closed ends one.
-func (l *List) Closed(c *Conn) {
-	c.subscribed = false
+// ConnClosed ends one.
+func (l *List) ConnClosed(conn *Conn) {
+	conn.subscribed = false
 	for i := range l.conns {
-		if l.conns[i] == c {
+		if l.conns[i] == conn {
 			l.conns = append(l.conns[:i], l.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// entriesAPage bounds one message; further ones bring the rest as changes.
-const entriesAPage = 100
+// maxEntriesPerMessage bounds one message; further ones bring the rest as changes.
+const maxEntriesPerMessage = 100
 
-// Message takes a message from a controller.
-func (l *List) Message(c *Conn, m *signal.Message) {
-	if m.Kind != signal.Request {
+// HandleMessage takes a message from a controller.
+func (l *List) HandleMessage(conn *Conn, request *signal.Message) {
+	if request.Kind != signal.Request {
 		return
 	}
-	c.Send(m.NewReply())
-	if m.Command != signal.Modify || m.Get("Events") != "list" || c.subscribed {
+	conn.Send(request.NewReply())
+	if request.Command != signal.Modify || request.Get("Events") != "list" || conn.subscribed {
 		return
 	}
-	c.subscribed = true
-	for i := 0; i == 0 || i < len(l.entries); i += entriesAPage {
-		c.tx++
-		n := &signal.Message{ID: c.tx, Command: signal.Notify, Termination: signal.Root}
-		n.PutFlag("Complete", i == 0)
-		for _, e := range l.entries[i:min(i+entriesAPage, len(l.entries))] {
-			n.Put("Exchange", e.line())
+	conn.subscribed = true
+	for first := 0; first == 0 || first < len(l.entries); first += maxEntriesPerMessage {
+		conn.lastTransaction++
+		notification := &signal.Message{ID: conn.lastTransaction, Command: signal.Notify, Termination: signal.Root}
+		notification.PutFlag("Complete", first == 0)
+		for _, entry := range l.entries[first:min(first+maxEntriesPerMessage, len(l.entries))] {
+			notification.Put("Exchange", entry.text())
 		}
-		c.Send(n)
+		conn.Send(notification)
 	}
 }
--- a/internal/standin/scene/day.go
+++ b/internal/standin/scene/day.go
@@ -7,100 +7,102 @@
 	"dahliaspindle/internal/standin/subscriber"
 )
 
-// settle is the time for links to come up before the first call, and for the
+// settleTime is the time for links to come up before the first call, and for the
 // last calls to end.
-const settle = 1500 * time.Millisecond
+const settleTime = 1500 * time.Millisecond
 
-// Begin starts the calls when the controllers know the list and their circuits.
-func (w *Scene) Begin(progress func(time.Duration, int), end func()) {
-	w.s.After(settle, func() {
-		w.began = w.s.Now()
-		w.next = w.began
-		w.dialling = true
-		w.dialNext()
-		for i := range w.scn.Troubles {
-			t := w.scn.Troubles[i]
-			w.s.After(t.At, func() { w.trouble(t) })
+// Start starts the calls when the controllers know the list and their circuits.
+func (sim *Simulation) Start(progress func(time.Duration, int), finished func()) {
+	sim.scheduler.After(settleTime, func() {
+		sim.startedAt = sim.scheduler.Now()
+		sim.nextCall = sim.startedAt
+		sim.dialling = true
+		sim.scheduleNextCall()
+		for i := range sim.scenario.Troubles {
+			trouble := sim.scenario.Troubles[i]
+			sim.scheduler.After(trouble.At, func() { sim.startTrouble(trouble) })
 		}
-		var tick func()
-		tick = func() {
-			passed := w.s.Now() - w.began
+		var reportProgress func()
+		reportProgress = func() {
+			elapsed := sim.scheduler.Now() - sim.startedAt
 			if progress != nil {
-				progress(min(passed, w.scn.Length), len(w.Crowd.Calls))
+				progress(min(elapsed, sim.scenario.Length), len(sim.Callers.Calls))
 			}
-			if passed < w.scn.Length {
-				w.s.After(200*time.Millisecond, tick)
+			if elapsed < sim.scenario.Length {
+				sim.scheduler.After(200*time.Millisecond, reportProgress)
 			}
 		}
-		tick()
-		w.s.After(w.scn.Length, func() {
-			w.dialling = false
-			var wait func()
-			left := 15
-			wait = func() { // until nobody waits for an answer any more
-				if left--; left > 0 && w.unanswered() > 0 {
-					w.s.After(200*time.Millisecond, wait)
+		reportProgress()
+		sim.scheduler.After(sim.scenario.Length, func() {
+			sim.dialling = false
+			var waitForAnswers func()
+			remainingChecks := 15
+			waitForAnswers = func() { // until nobody waits for an answer any more
+				if remainingChecks--; remainingChecks > 0 && sim.countPending() > 0 {
+					sim.scheduler.After(200*time.Millisecond, waitForAnswers)
 					return
 				}
-				w.s.After(300*time.Millisecond, func() {
-					w.Crowd.Over = true
-					end()
+				sim.scheduler.After(300*time.Millisecond, func() {
+					sim.Callers.Finished = true
+					finished()
 				})
 			}
-			wait()
+			waitForAnswers()
 		})
 	})
 }
 
-func (w *Scene) unanswered() int {
-	n := 0
-	for _, k := range w.Crowd.Calls {
-		if k.Result == subscriber.None && k.Stood == 0 {
-			n++
+func (sim *Simulation) countPending() int {
+	pending := 0
+	for _, call := range sim.Callers.Calls {
+		if call.Outcome == subscriber.Pending && call.SetUpTime == 0 {
+			pending++
 		}
 	}
-	return n
+	return pending
 }
 
-// dialNext lets calls come as a Poisson stream that waits for nobody: a timer
+// scheduleNextCall lets calls come as a Poisson stream that waits for nobody: a timer
 // that fires late makes one call late, not all that follow.
-func (w *Scene) dialNext() {
-	if !w.dialling {
+func (sim *Simulation) scheduleNextCall() {
+	if !sim.dialling {
 		return
 	}
-	passed := (w.s.Now() - w.began).Seconds()
-	rate := w.rate * w.scn.Load.Level * w.burst * (1 + w.scn.Load.Swing*math.Sin(passed/4))
-	w.next += subscriber.Interval(w.rnd, rate)
-	w.s.After(w.next-w.s.Now(), func() {
-		if w.dialling {
-			w.dial()
-			w.dialNext()
+	elapsed := (sim.scheduler.Now() - sim.startedAt).Seconds()
+	callRate := sim.callRate * sim.scenario.Load.Level * sim.burstFactor * (1 + sim.scenario.Load.Swing*math.Sin(elapsed/4))
+	sim.nextCall += subscriber.ArrivalInterval(sim.random, callRate)
+	sim.scheduler.After(sim.nextCall-sim.scheduler.Now(), func() {
+		if sim.dialling {
+			sim.placeCall()
+			sim.scheduleNextCall()
 		}
 	})
 }
 
-func (w *Scene) dial() {
-	n := w.scn.Fleet.Exchanges
-	from := w.rnd.IntN(n)
-	if w.flood > 0 && w.rnd.Float64() < w.flood {
-		from = w.flooded
+func (sim *Simulation) placeCall() {
+	exchanges := sim.scenario.Fleet.Exchanges
+	source := sim.random.IntN(exchanges)
+	if sim.floodShare > 0 && sim.random.Float64() < sim.floodShare {
+		source = sim.floodSource
 	}
-	if w.hot > 0 && w.rnd.Float64() < w.hot && from != w.hotDest {
-		w.Crowd.Dial(from, w.hotDest, HotNumber)
+	if sim.hotShare > 0 && sim.random.Float64() < sim.hotShare && source != sim.hotDestination {
+		sim.Callers.Dial(source, sim.hotDestination, HotNumber)
 		return
 	}
-	x := w.rnd.Float64() * w.scn.Fleet.ErlangPerExchange
-	for j, v := range w.weights[from] {
-		if x -= v; x < 0 && j != from {
-			w.Crowd.Dial(from, j, "")
+	remaining := sim.random.Float64() * sim.scenario.Fleet.ErlangPerExchange
+	for destination, load := range sim.trafficMatrix[source] {
+		if remaining -= load; remaining < 0 && destination != source {
+			sim.Callers.Dial(source, destination, "")
 			return
 		}
 	}
-	w.Crowd.Dial(from, (from+1)%n, "")
+	sim.Callers.Dial(source, (source+1)%exchanges, "")
 }
 
-// Seen lists the troubles that came.
-func (w *Scene) Seen() []Seen { return w.seen }
+// Troubles lists the troubles that came.
+func (sim *Simulation) Troubles() []TroubleRecord { return sim.troubles }
 
-// Since is when a call was first tried, counted from the day's begin.
-func (w *Scene) Since(k *subscriber.Call) time.Duration { return k.At - w.began }
+// FirstAttemptTime is when a call was first tried, counted from the day's begin.
+func (sim *Simulation) FirstAttemptTime(call *subscriber.Call) time.Duration {
+	return call.FirstAttemptAt - sim.startedAt
+}
--- a/internal/standin/scene/trouble.go
+++ b/internal/standin/scene/trouble.go
@@ -11,189 +11,189 @@
 	"dahliaspindle/internal/standin/exchange"
 )
 
-// some draws a share of the exchanges in service, one at the least.
-func (w *Scene) some(share float64) []*Host {
-	var up []*Host
-	for _, h := range w.hosts {
-		if h.Up && w.Fleet.Current(h.Cell) == h.Exchange {
-			up = append(up, h)
+// drawExchanges draws a share of the exchanges in service, one at the least.
+func (sim *Simulation) drawExchanges(share float64) []*ListedExchange {
+	var inService []*ListedExchange
+	for _, listed := range sim.exchanges {
+		if listed.Up && sim.Fleet.Current(listed.Number) == listed.Exchange {
+			inService = append(inService, listed)
 		}
 	}
-	w.rnd.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	return up[:min(max(int(math.Round(share*float64(len(up)))), 1), len(up))]
+	sim.random.Shuffle(len(inService), func(i, j int) { inService[i], inService[j] = inService[j], inService[i] })
+	return inService[:min(max(int(math.Round(share*float64(len(inService)))), 1), len(inService))]
 }
 
-// breakAll closes every connection of an exchange.
-func (w *Scene) breakAll(h *Host, why string) {
-	w.edge.Break(h.ID, why, func(*exchange.Conn) bool { return true })
+// closeAllConns closes every connection of an exchange.
+func (sim *Simulation) closeAllConns(listed *ListedExchange, reason string) {
+	sim.environment.CloseConns(listed.ID, reason, func(*exchange.Conn) bool { return true })
 }
 
-func names(hs []*Host) string {
-	var all []string
-	for _, h := range hs {
-		all = append(all, fmt.Sprint(h.Cell))
+func exchangeNames(exchanges []*ListedExchange) string {
+	var numbers []string
+	for _, listed := range exchanges {
+		numbers = append(numbers, fmt.Sprint(listed.Number))
 	}
-	return "exchanges " + strings.Join(all, ", ")
+	return "exchanges " + strings.Join(numbers, ", ")
 }
 
-// trouble lets one come, and go again.
-func (w *Scene) trouble(t settings.Trouble) {
-	what, end := w.befall(t)
-	now := w.s.Now() - w.began
-	w.seen = append(w.seen, Seen{Trouble: t, What: what, From: now, To: now + max(t.Duration, time.Second)})
-	w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, Description: what, Duration: t.Duration})
-	if end == nil {
+// startTrouble lets one come, and go again.
+func (sim *Simulation) startTrouble(trouble settings.Trouble) {
+	description, stop := sim.applyTrouble(trouble)
+	now := sim.scheduler.Now() - sim.startedAt
+	sim.troubles = append(sim.troubles, TroubleRecord{Trouble: trouble, Description: description, Start: now, End: now + max(trouble.Duration, time.Second)})
+	sim.environment.Record("trouble", capture.Trouble{Kind: trouble.Kind, Description: description, Duration: trouble.Duration})
+	if stop == nil {
 		return
 	}
-	w.s.After(t.Duration, func() {
-		end()
-		w.edge.Fact("trouble", capture.Trouble{Kind: t.Kind, Description: what, Ended: true})
+	sim.scheduler.After(trouble.Duration, func() {
+		stop()
+		sim.environment.Record("trouble", capture.Trouble{Kind: trouble.Kind, Description: description, Ended: true})
 	})
 }
 
-// befall starts a trouble; it returns whom it hits and what ends it.
-func (w *Scene) befall(t settings.Trouble) (string, func()) {
-	each := func(hs []*Host, do func(*Host)) {
-		for _, h := range hs {
+// applyTrouble starts a trouble; it returns whom it hits and what ends it.
+func (sim *Simulation) applyTrouble(trouble settings.Trouble) (string, func()) {
+	forEach := func(affected []*ListedExchange, do func(*ListedExchange)) {
+		for _, h := range affected {
 			do(h)
 		}
 	}
-	switch t.Kind {
+	switch trouble.Kind {
 	case "burst":
-		w.burst = t.Size
-		return "all callers", func() { w.burst = 1 }
+		sim.burstFactor = trouble.Size
+		return "all callers", func() { sim.burstFactor = 1 }
 	case "flood":
-		w.flood, w.flooded = t.Size, w.rnd.IntN(w.scn.Fleet.Exchanges)
-		return fmt.Sprintf("controller %d", w.flooded), func() { w.flood = 0 }
+		sim.floodShare, sim.floodSource = trouble.Size, sim.random.IntN(sim.scenario.Fleet.Exchanges)
+		return fmt.Sprintf("controller %d", sim.floodSource), func() { sim.floodShare = 0 }
 	case "hot-number":
-		w.hot, w.hotDest = t.Size, w.rnd.IntN(w.scn.Fleet.Exchanges)
-		w.Fleet.Lines(HotNumber, hotLines)
-		return fmt.Sprintf("a number at exchange %d", w.hotDest), func() { w.hot = 0 }
+		sim.hotShare, sim.hotDestination = trouble.Size, sim.random.IntN(sim.scenario.Fleet.Exchanges)
+		sim.Fleet.LimitLines(HotNumber, hotNumberLines)
+		return fmt.Sprintf("a number at exchange %d", sim.hotDestination), func() { sim.hotShare = 0 }
 	case "crash":
-		hs := w.some(t.Size)
-		each(hs, func(h *Host) {
-			w.Fleet.Crash(h.Exchange)
-			w.breakAll(h, fmt.Sprintf("exchange %d has crashed", h.ID))
-			w.List.Set(h.entry("out"))
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) {
+			sim.Fleet.Crash(h.Exchange)
+			sim.closeAllConns(h, fmt.Sprintf("exchange %d has crashed", h.ID))
+			sim.List.Update(h.listEntry("out"))
 		})
-		return names(hs), func() {
-			each(hs, func(h *Host) {
-				w.Fleet.Start(h.Exchange)
-				w.List.Set(h.entry("in"))
+		return exchangeNames(affected), func() {
+			forEach(affected, func(h *ListedExchange) {
+				sim.Fleet.Restart(h.Exchange)
+				sim.List.Update(h.listEntry("in"))
 			})
 		}
 	case "hang":
-		hs := w.some(t.Size)
-		each(hs, func(h *Host) { h.Hung = true })
-		return names(hs), func() { each(hs, func(h *Host) { h.Hung = false }) }
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) { h.Unresponsive = true })
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.Unresponsive = false }) }
 	case "pauses":
-		hs := w.some(t.Size)
-		until := w.s.Now() + t.Duration
+		affected := sim.drawExchanges(trouble.Size)
+		until := sim.scheduler.Now() + trouble.Duration
 		var again func()
 		again = func() {
-			each(hs, func(h *Host) { h.Pause(w.s.Now() + 300*time.Millisecond) })
-			if w.s.Now() < until {
-				w.s.After(1500*time.Millisecond, again)
+			forEach(affected, func(h *ListedExchange) { h.PauseUntil(sim.scheduler.Now() + 300*time.Millisecond) })
+			if sim.scheduler.Now() < until {
+				sim.scheduler.After(1500*time.Millisecond, again)
 			}
 		}
 		again()
-		return names(hs), func() {}
+		return exchangeNames(affected), func() {}
 	case "slow":
-		hs := w.some(0.5)
-		each(hs, func(h *Host) { h.Slow(t.Size) })
-		return names(hs), func() { each(hs, func(h *Host) { h.Slow(1) }) }
+		affected := sim.drawExchanges(0.5)
+		forEach(affected, func(h *ListedExchange) { h.SetSlowdown(trouble.Size) })
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(1) }) }
 	case "ageing":
-		hs := w.some(0.5)
+		affected := sim.drawExchanges(0.5)
 		for i := range 10 {
-			factor := 1 + (t.Size-1)*float64(i+1)/10
-			w.s.After(t.Duration*time.Duration(i)/10, func() { each(hs, func(h *Host) { h.Slow(factor) }) })
+			factor := 1 + (trouble.Size-1)*float64(i+1)/10
+			sim.scheduler.After(trouble.Duration*time.Duration(i)/10, func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(factor) }) })
 		}
-		return names(hs), func() { each(hs, func(h *Host) { h.Slow(1) }) }
+		return exchangeNames(affected), func() { forEach(affected, func(h *ListedExchange) { h.SetSlowdown(1) }) }
 	case "answers-lost":
-		each(w.hosts, func(h *Host) { h.Mute = t.Size })
-		return "all exchanges", func() { each(w.hosts, func(h *Host) { h.Mute = 0 }) }
+		forEach(sim.exchanges, func(h *ListedExchange) { h.UnansweredShare = trouble.Size })
+		return "all exchanges", func() { forEach(sim.exchanges, func(h *ListedExchange) { h.UnansweredShare = 0 }) }
 	case "answers-reset":
-		each(w.hosts, func(h *Host) { h.Breaks = t.Size })
-		return "all exchanges", func() { each(w.hosts, func(h *Host) { h.Breaks = 0 }) }
+		forEach(sim.exchanges, func(h *ListedExchange) { h.CutShare = trouble.Size })
+		return "all exchanges", func() { forEach(sim.exchanges, func(h *ListedExchange) { h.CutShare = 0 }) }
 	case "circuits-lost":
-		w.Fleet.Lose(t.Size)
-		return "groups between regions", w.Fleet.Regain
+		sim.Fleet.LoseCircuits(trouble.Size)
+		return "groups between regions", sim.Fleet.RestoreCircuits
 	case "cut-again":
-		w.Crowd.AgainUntil = w.s.Now() + time.Second
-		n := w.Fleet.CutSome(t.Size)
+		sim.Callers.RetryCutCallsUntil = sim.scheduler.Now() + time.Second
+		n := sim.Fleet.CutCalls(trouble.Size)
 		return fmt.Sprintf("%d calls", n), nil
 	case "deploy":
-		hs := w.some(t.Size)
-		gap := t.Duration / time.Duration(len(hs))
-		for i, h := range hs {
-			w.s.After(gap*time.Duration(i), func() { w.replace(h) })
+		affected := sim.drawExchanges(trouble.Size)
+		gap := trouble.Duration / time.Duration(len(affected))
+		for i, h := range affected {
+			sim.scheduler.After(gap*time.Duration(i), func() { sim.replaceExchange(h) })
 		}
-		return names(hs), func() {}
+		return exchangeNames(affected), func() {}
 	case "controllers-restart":
-		hs := w.some(t.Size)
-		each(hs, func(h *Host) { w.edge.Restart(h.Cell) })
-		return "controllers of " + names(hs), nil
+		affected := sim.drawExchanges(trouble.Size)
+		forEach(affected, func(h *ListedExchange) { sim.environment.RestartController(h.Number) })
+		return "controllers of " + exchangeNames(affected), nil
 	case "links-reset":
 		n := 0
-		for _, h := range w.hosts {
-			n += w.edge.Break(h.ID, "reset by the scenario", func(*exchange.Conn) bool { return w.rnd.Float64() < t.Size })
+		for _, h := range sim.exchanges {
+			n += sim.environment.CloseConns(h.ID, "reset by the scenario", func(*exchange.Conn) bool { return sim.random.Float64() < trouble.Size })
 		}
 		return fmt.Sprintf("%d connections", n), nil
 	case "half-open":
-		hs := w.some(t.Size)
-		w.faults(hs, Mute, true)
-		return names(hs), func() {
-			w.faults(hs, Mute, false)
-			each(hs, func(h *Host) { w.breakAll(h, "was half open") })
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, HalfOpen, true)
+		return exchangeNames(affected), func() {
+			sim.setFaults(affected, HalfOpen, false)
+			forEach(affected, func(h *ListedExchange) { sim.closeAllConns(h, "was half open") })
 		}
 	case "stalled-reader":
-		hs := w.some(t.Size)
-		w.faults(hs, Stalled, true)
-		return names(hs), func() { w.faults(hs, Stalled, false) }
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, StalledReader, true)
+		return exchangeNames(affected), func() { sim.setFaults(affected, StalledReader, false) }
 	case "fragments":
-		hs := w.some(t.Size)
-		w.faults(hs, Fragments, true)
-		return names(hs), func() { w.faults(hs, Fragments, false) }
+		affected := sim.drawExchanges(trouble.Size)
+		sim.setFaults(affected, FragmentedWrites, true)
+		return exchangeNames(affected), func() { sim.setFaults(affected, FragmentedWrites, false) }
 	case "garbage":
-		return "all controllers", w.edge.Garbage(t.Size)
+		return "all controllers", sim.environment.SendMalformed(trouble.Size)
 	case "list-away":
-		w.edge.ListAway(true)
-		return "the exchange list", func() { w.edge.ListAway(false) }
+		sim.environment.SetListUnavailable(true)
+		return "the exchange list", func() { sim.environment.SetListUnavailable(false) }
 	}
 	return "nothing", nil
 }
 
-// drainFor is how long a replaced exchange finishes what it has.
-const drainFor = 3 * time.Second
+// drainTime is how long a replaced exchange finishes what it has.
+const drainTime = 3 * time.Second
 
-// replace lets an exchange drain and another take its number.
-func (w *Scene) replace(h *Host) {
-	if !h.Up {
+// replaceExchange lets an exchange drain and another take its number.
+func (sim *Simulation) replaceExchange(replaced *ListedExchange) {
+	if !replaced.Up {
 		return
 	}
-	w.List.Set(h.entry("draining"))
-	w.s.After(drainFor/2, func() {
-		n, err := w.add(h.Cell, h.Region, time.Duration(float64(time.Second)/h.PerSecond()), true)
+	sim.List.Update(replaced.listEntry("draining"))
+	sim.scheduler.After(drainTime/2, func() {
+		replacement, err := sim.addExchange(replaced.Number, replaced.Region, time.Duration(float64(time.Second)/replaced.SetUpsPerSecond()), true)
 		if err != nil {
 			return // out of sockets: the old one goes on
 		}
-		w.edge.Break(h.ID, fmt.Sprintf("exchange %d is replaced by %d", h.ID, n.ID),
-			func(c *exchange.Conn) bool { return c.Transit }) // calls in transit come to the new one
-		w.s.After(drainFor/2, func() {
-			w.Fleet.Retire(h.Exchange)
-			w.List.Set(h.entry("out"))
-			w.edge.Shut(h.ID)
+		sim.environment.CloseConns(replaced.ID, fmt.Sprintf("exchange %d is replaced by %d", replaced.ID, replacement.ID),
+			func(conn *exchange.Conn) bool { return conn.Transit }) // calls in transit come to the new one
+		sim.scheduler.After(drainTime/2, func() {
+			sim.Fleet.Retire(replaced.Exchange)
+			sim.List.Update(replaced.listEntry("out"))
+			sim.environment.StopListening(replaced.ID)
 		})
 	})
 }
 
-// faults starts or ends one kind of fault at some exchanges.
-func (w *Scene) faults(hs []*Host, f Fault, on bool) {
-	for _, h := range hs {
-		w.edge.Fault(h.ID, f, on)
+// setFaults starts or ends one kind of fault at some exchanges.
+func (sim *Simulation) setFaults(exchanges []*ListedExchange, fault Fault, on bool) {
+	for _, affected := range exchanges {
+		sim.environment.SetFault(affected.ID, fault, on)
 	}
 }
 
-// Junk is what an unreadable message may look like.
-var Junk = []string{"Transaction=x Context=$ Add=junk\r\n\r\n", "hello\r\n\r\n", "Transaction=1 Context=$ Add=\x00\r\n\r\n",
+// MalformedMessages is what an unreadable message may look like.
+var MalformedMessages = []string{"Transaction=x Context=$ Add=junk\r\n\r\n", "hello\r\n\r\n", "Transaction=1 Context=$ Add=\x00\r\n\r\n",
 	"Transaction=4 Context=9 Jump=over\r\nA: " + strings.Repeat("z", 2000) + "\r\n\r\n", "Reply=77 Context=- Add=nothing\r\n\r\n"}
--- a/internal/standin/subscriber/subscriber.go
+++ b/internal/standin/subscriber/subscriber.go
@@ -12,157 +12,157 @@
 	"dahliaspindle/internal/signal"
 )
 
-// Sched is the time that callers live in.
-type Sched interface {
+// Scheduler is the time that callers live in.
+type Scheduler interface {
 	Now() time.Duration
 	After(d time.Duration, f func())
 }
 
 // Class is one class of calls.
 type Class struct {
-	Name      string
-	Share     float64
-	Worth     float64
-	LateWorth float64
-	Aim       time.Duration
-	Patience  time.Duration
-	Holding   time.Duration
+	Name        string
+	Share       float64
+	Worth       float64
+	LateWorth   float64
+	SetUpTarget time.Duration
+	Patience    time.Duration
+	HoldingTime time.Duration
 }
 
-// Habits are what callers do.
-type Habits struct {
-	Redials     int
-	RedialAfter time.Duration
-	TryShare    float64
-	Impatient   float64
-	Honour      float64
-	MarksRepeat bool
+// Behavior are what callers do.
+type Behavior struct {
+	MaxRedials      int
+	MeanRedialDelay time.Duration
+	AttemptShare    float64
+	ImpatientShare  float64
+	HonourShare     float64
+	MarksRetries    bool
 }
 
 // Conn is a connection to a controller.
 type Conn struct {
-	Send  func(*signal.Message) bool
-	tx    uint32
-	tries map[uint32]*try // unanswered, by transaction
-	names map[string]*try // unanswered and standing
+	Send            func(*signal.Message) bool
+	lastTransaction uint32
+	pendingAttempts map[uint32]*attempt // unanswered, by transaction
+	attemptsByName  map[string]*attempt // unanswered and standing
 }
 
-// Line reaches a controller; it may have several connections.
-type Line struct {
-	Cell  int
-	conns []*Conn
-	next  int
+// ConnPool reaches a controller; it may have several connections.
+type ConnPool struct {
+	Number int
+	conns  []*Conn
+	next   int
 }
 
-// End is how a call ended for its caller.
-type End uint8
+// Outcome is how a call ended for its caller.
+type Outcome uint8
 
 const (
-	None    End = iota // not yet
-	InTime             // stood within the aim, to its end
-	Late               // stood later, to its end
-	Refused            // the last word was a refusal
-	Failed             // the last word was a failure
-	Cut                // cut while it stood
-	GaveUp             // the caller left, or nobody answered
-	Lost               // the controller was gone
+	Pending Outcome = iota // not yet
+	InTime                 // stood within the aim, to its end
+	Late                   // stood later, to its end
+	Refused                // the last word was a refusal
+	Failed                 // the last word was a failure
+	Cut                    // cut while it stood
+	GaveUp                 // the caller left, or nobody answered
+	Lost                   // the controller was gone
 )
 
 // Call is one first try with all that came of it.
 type Call struct {
-	Class  int
-	At     time.Duration // first tried
-	From   int
-	Dest   int
-	Hot    bool
-	Tries  int
-	Stood  time.Duration // how long after At it stood, 0 never
-	Result End
-	Again  bool // was cut and came again
+	Class           int
+	FirstAttemptAt  time.Duration // first tried
+	Source          int
+	Dest            int
+	ToHotNumber     bool
+	Attempts        int
+	SetUpTime       time.Duration // how long after At it stood, 0 never
+	Outcome         Outcome
+	RetriedAfterCut bool // was cut and came again
 }
 
-type try struct {
-	call   *Call
-	conn   *Conn
-	line   *Line
-	tx     uint32
-	name   string
-	number string
-	stands bool
-	over   bool
-	began  time.Duration
-	first  time.Duration // of the call, or of its coming again
+type attempt struct {
+	call           *Call
+	conn           *Conn
+	pool           *ConnPool
+	transaction    uint32
+	name           string
+	number         string
+	established    bool
+	ended          bool
+	startedAt      time.Duration
+	firstAttemptAt time.Duration // of the call, or of its coming again
 }
 
-// Crowd is all callers.
-type Crowd struct {
-	s       Sched
-	rnd     *rand.Rand
-	classes []Class
-	habits  Habits
-	total   float64
-	lines   map[int]*Line
-	Calls   []*Call
-	names   uint64
-	open    int
-	Advice  func(from, dest int) int // the centre's advice; nil: none
-
-	AgainUntil time.Duration // calls cut before this come again
-	Over       bool          // the day is over: what stands counts as it stands
+// Callers is all callers.
+type Callers struct {
+	scheduler   Scheduler
+	random      *rand.Rand
+	classes     []Class
+	behavior    Behavior
+	totalShare  float64
+	pools       map[int]*ConnPool
+	Calls       []*Call
+	nameCount   uint64
+	openCalls   int
+	RouteAdvice func(from, dest int) int // the centre's advice; nil: none
+
+	RetryCutCallsUntil time.Duration // calls cut before this come again
+	Finished           bool          // the day is over: what stands counts as it stands
 }
 
 // New makes a crowd without a line.
-func New(s Sched, rnd *rand.Rand, classes []Class, habits Habits) *Crowd {
-	c := &Crowd{s: s, rnd: rnd, classes: classes, habits: habits, lines: map[int]*Line{}}
-	for _, cl := range classes {
-		c.total += cl.Share
+func New(scheduler Scheduler, random *rand.Rand, classes []Class, behavior Behavior) *Callers {
+	c := &Callers{scheduler: scheduler, random: random, classes: classes, behavior: behavior, pools: map[int]*ConnPool{}}
+	for _, class := range classes {
+		c.totalShare += class.Share
 	}
 	return c
 }
 
-// Open brings a connection to a controller into use.
-func (c *Crowd) Open(cell int, send func(*signal.Message) bool) *Conn {
-	l := c.lines[cell]
-	if l == nil {
-		l = &Line{Cell: cell}
-		c.lines[cell] = l
+// OpenConn brings a connection to a controller into use.
+func (c *Callers) OpenConn(number int, send func(*signal.Message) bool) *Conn {
+	pool := c.pools[number]
+	if pool == nil {
+		pool = &ConnPool{Number: number}
+		c.pools[number] = pool
 	}
-	conn := &Conn{Send: send, tries: map[uint32]*try{}, names: map[string]*try{}}
-	l.conns = append(l.conns, conn)
+	conn := &Conn{Send: send, pendingAttempts: map[uint32]*attempt{}, attemptsByName: map[string]*attempt{}}
+	pool.conns = append(pool.conns, conn)
 	return conn
 }
 
-// Closed ends one: its calls are lost to their callers.
-func (c *Crowd) Closed(cell int, conn *Conn) {
-	l := c.lines[cell]
-	for i := range l.conns {
-		if l.conns[i] == conn {
-			l.conns = append(l.conns[:i], l.conns[i+1:]...)
+// ConnClosed ends one: its calls are lost to their callers.
+func (c *Callers) ConnClosed(number int, conn *Conn) {
+	pool := c.pools[number]
+	for i := range pool.conns {
+		if pool.conns[i] == conn {
+			pool.conns = append(pool.conns[:i], pool.conns[i+1:]...)
 			break
 		}
 	}
-	var all []*try
-	for _, t := range conn.names {
-		all = append(all, t)
+	var affected []*attempt
+	for _, pending := range conn.attemptsByName {
+		affected = append(affected, pending)
 	}
-	sortTries(all)
-	for _, t := range all {
-		if t.stands {
-			c.cut(t)
+	sortAttempts(affected)
+	for _, t := range affected {
+		if t.established {
+			c.callCut(t)
 		} else {
-			c.ended(t, Lost, 0)
+			c.attemptFailed(t, Lost, 0)
 		}
 	}
 }
 
 // OpenCalls tells how many calls are unanswered or stand.
-func (c *Crowd) OpenCalls() int { return c.open }
+func (c *Callers) OpenCalls() int { return c.openCalls }
 
-// draw takes a class by its share.
-func (c *Crowd) draw() int {
-	x := c.rnd.Float64() * c.total
-	for i, cl := range c.classes {
-		if x -= cl.Share; x < 0 {
+// drawClass takes a class by its share.
+func (c *Callers) drawClass() int {
+	remaining := c.random.Float64() * c.totalShare
+	for i, class := range c.classes {
+		if remaining -= class.Share; remaining < 0 {
 			return i
 		}
 	}
@@ -170,177 +170,177 @@
 }
 
 // Dial makes a first try; number "" draws one that nobody else calls.
-func (c *Crowd) Dial(from, dest int, number string) *Call {
-	call := &Call{Class: c.draw(), At: c.s.Now(), From: from, Dest: dest, Hot: number != ""}
+func (c *Callers) Dial(source, destination int, number string) *Call {
+	call := &Call{Class: c.drawClass(), FirstAttemptAt: c.scheduler.Now(), Source: source, Dest: destination, ToHotNumber: number != ""}
 	c.Calls = append(c.Calls, call)
 	if number == "" {
-		number = fmt.Sprint(1e9 + c.rnd.Int64N(1e14))
+		number = fmt.Sprint(1e9 + c.random.Int64N(1e14))
 	}
-	c.dial(call, number, c.s.Now(), false)
+	c.dialAttempt(call, number, c.scheduler.Now(), false)
 	return call
 }
 
-func (c *Crowd) dial(call *Call, number string, first time.Duration, again bool) {
-	cl := c.classes[call.Class]
-	now := c.s.Now()
-	left := min(time.Duration(float64(cl.Patience)*c.habits.TryShare), first+cl.Patience-now)
-	l := c.lines[call.From]
-	if left <= 0 || l == nil || len(l.conns) == 0 {
-		c.settle(call, Lost)
+func (c *Callers) dialAttempt(call *Call, number string, firstAttemptAt time.Duration, afterCut bool) {
+	class := c.classes[call.Class]
+	now := c.scheduler.Now()
+	left := min(time.Duration(float64(class.Patience)*c.behavior.AttemptShare), firstAttemptAt+class.Patience-now)
+	pool := c.pools[call.Source]
+	if left <= 0 || pool == nil || len(pool.conns) == 0 {
+		c.setOutcome(call, Lost)
 		return
 	}
-	l.next++
-	conn := l.conns[l.next%len(l.conns)]
-	c.names++
-	conn.tx++
-	t := &try{call: call, conn: conn, line: l, tx: conn.tx, name: fmt.Sprintf("c%d-%d", call.From, c.names), number: number,
-		began: now, first: first}
-	call.Tries++
-	m := &signal.Message{ID: t.tx, Context: signal.ContextChoose, Command: signal.Add, Termination: t.name}
-	m.Put("Class", cl.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
-	m.PutFlag("Repeat", c.habits.MarksRepeat && call.Tries > 1 && !again).PutFlag("Again", again)
-	if c.Advice != nil {
-		m.PutInt("Advice", c.Advice(call.From, call.Dest))
+	pool.next++
+	conn := pool.conns[pool.next%len(pool.conns)]
+	c.nameCount++
+	conn.lastTransaction++
+	placed := &attempt{call: call, conn: conn, pool: pool, transaction: conn.lastTransaction, name: fmt.Sprintf("c%d-%d", call.Source, c.nameCount), number: number,
+		startedAt: now, firstAttemptAt: firstAttemptAt}
+	call.Attempts++
+	request := &signal.Message{ID: placed.transaction, Context: signal.ContextChoose, Command: signal.Add, Termination: placed.name}
+	request.Put("Class", class.Name).PutInt("Dest", call.Dest).Put("Number", number).PutDuration("Left", left)
+	request.PutFlag("Repeat", c.behavior.MarksRetries && call.Attempts > 1 && !afterCut).PutFlag("Again", afterCut)
+	if c.RouteAdvice != nil {
+		request.PutInt("Advice", c.RouteAdvice(call.Source, call.Dest))
 	}
-	c.open++
-	conn.tries[t.tx], conn.names[t.name] = t, t
-	if !conn.Send(m) {
-		c.ended(t, Lost, 0)
+	c.openCalls++
+	conn.pendingAttempts[placed.transaction], conn.attemptsByName[placed.name] = placed, placed
+	if !conn.Send(request) {
+		c.attemptFailed(placed, Lost, 0)
 		return
 	}
-	leaves := left
-	if c.rnd.Float64() < c.habits.Impatient {
-		leaves = time.Duration(c.rnd.Float64() * float64(left))
+	patience := left
+	if c.random.Float64() < c.behavior.ImpatientShare {
+		patience = time.Duration(c.random.Float64() * float64(left))
 	}
-	c.s.After(leaves, func() {
-		if !t.over && !t.stands {
-			c.hangUp(t)
-			c.ended(t, GaveUp, 0)
+	c.scheduler.After(patience, func() {
+		if !placed.ended && !placed.established {
+			c.sendRelease(placed)
+			c.attemptFailed(placed, GaveUp, 0)
 		}
 	})
 }
 
-func (c *Crowd) hangUp(t *try) {
-	t.conn.tx++
-	t.conn.Send(&signal.Message{ID: t.conn.tx, Command: signal.Subtract, Termination: t.name})
+func (c *Callers) sendRelease(released *attempt) {
+	released.conn.lastTransaction++
+	released.conn.Send(&signal.Message{ID: released.conn.lastTransaction, Command: signal.Subtract, Termination: released.name})
 }
 
-// Message takes a message from a controller.
-func (c *Crowd) Message(conn *Conn, m *signal.Message) {
+// HandleMessage takes a message from a controller.
+func (c *Callers) HandleMessage(conn *Conn, message *signal.Message) {
 	switch {
-	case m.Kind == signal.Reply && m.Command == signal.Add:
-		t := conn.tries[m.ID]
-		delete(conn.tries, m.ID)
-		if t == nil || t.over {
+	case message.Kind == signal.Reply && message.Command == signal.Add:
+		known := conn.pendingAttempts[message.ID]
+		delete(conn.pendingAttempts, message.ID)
+		if known == nil || known.ended {
 			return // it was given up in the same moment: the Subtract is under way
 		}
-		if m.Code == 0 {
-			c.stands(t)
+		if message.Code == 0 {
+			c.callEstablished(known)
 			return
 		}
-		back, _ := m.Duration("Backoff")
-		end := Refused
-		if m.Code == signal.Unavailable {
-			end = Failed
+		backoff, _ := message.Duration("Backoff")
+		outcome := Refused
+		if message.Code == signal.Unavailable {
+			outcome = Failed
 		}
-		c.ended(t, end, back)
-	case m.Kind == signal.Request && m.Command == signal.Notify:
-		conn.Send(m.NewReply())
-		if t := conn.names[m.Termination]; t != nil && t.stands {
-			if m.Get("Event") == "cut" {
-				c.cut(t)
+		c.attemptFailed(known, outcome, backoff)
+	case message.Kind == signal.Request && message.Command == signal.Notify:
+		conn.Send(message.NewReply())
+		if t := conn.attemptsByName[message.Termination]; t != nil && t.established {
+			if message.Get("Event") == "cut" {
+				c.callCut(t)
 			} else {
-				c.done(t)
+				c.callCompleted(t)
 			}
 		}
-	case m.Kind == signal.Request:
-		conn.Send(m.NewReply())
+	case message.Kind == signal.Request:
+		conn.Send(message.NewReply())
 	}
 }
 
-func (c *Crowd) stands(t *try) {
-	t.stands = true
-	now := c.s.Now()
-	if t.call.Stood == 0 {
-		t.call.Stood = max(now-t.call.At, 1)
+func (c *Callers) callEstablished(answered *attempt) {
+	answered.established = true
+	now := c.scheduler.Now()
+	if answered.call.SetUpTime == 0 {
+		answered.call.SetUpTime = max(now-answered.call.FirstAttemptAt, 1)
 	}
-	holding := time.Duration(float64(c.classes[t.call.Class].Holding) * c.rnd.ExpFloat64())
-	if t.call.Again && now-t.first > c.classes[t.call.Class].Aim {
-		t.call.Result = Cut // it came again, and stood too late
+	holdingTime := time.Duration(float64(c.classes[answered.call.Class].HoldingTime) * c.random.ExpFloat64())
+	if answered.call.RetriedAfterCut && now-answered.firstAttemptAt > c.classes[answered.call.Class].SetUpTarget {
+		answered.call.Outcome = Cut // it came again, and stood too late
 	}
-	c.s.After(holding, func() {
-		if !t.over {
-			c.hangUp(t)
-			c.done(t)
+	c.scheduler.After(holdingTime, func() {
+		if !answered.ended {
+			c.sendRelease(answered)
+			c.callCompleted(answered)
 		}
 	})
 }
 
-// done ends a call that stood to its end.
-func (c *Crowd) done(t *try) {
-	c.drop(t)
-	call := t.call
-	if call.Result == Cut {
+// callCompleted ends a call that stood to its end.
+func (c *Callers) callCompleted(completed *attempt) {
+	c.removeAttempt(completed)
+	call := completed.call
+	if call.Outcome == Cut {
 		return
 	}
-	call.Result = Late
-	if call.Stood <= c.classes[call.Class].Aim {
-		call.Result = InTime
+	call.Outcome = Late
+	if call.SetUpTime <= c.classes[call.Class].SetUpTarget {
+		call.Outcome = InTime
 	}
 }
 
-func (c *Crowd) drop(t *try) {
-	t.over = true
-	c.open--
-	delete(t.conn.names, t.name)
+func (c *Callers) removeAttempt(removed *attempt) {
+	removed.ended = true
+	c.openCalls--
+	delete(removed.conn.attemptsByName, removed.name)
 }
 
-func (c *Crowd) cut(t *try) {
-	c.drop(t)
-	if c.Over {
+func (c *Callers) callCut(affected *attempt) {
+	c.removeAttempt(affected)
+	if c.Finished {
 		return
 	}
-	now := c.s.Now()
-	if now < c.AgainUntil && t.call.Result != Cut {
-		t.call.Again = true
-		c.s.After(500*time.Millisecond+time.Duration(c.rnd.Float64()*float64(time.Second)), func() {
-			c.dial(t.call, t.number, c.s.Now(), true)
+	now := c.scheduler.Now()
+	if now < c.RetryCutCallsUntil && affected.call.Outcome != Cut {
+		affected.call.RetriedAfterCut = true
+		c.scheduler.After(500*time.Millisecond+time.Duration(c.random.Float64()*float64(time.Second)), func() {
+			c.dialAttempt(affected.call, affected.number, c.scheduler.Now(), true)
 		})
 		return
 	}
-	t.call.Result = Cut
+	affected.call.Outcome = Cut
 }
 
-// ended is a try that did not stand: the caller may dial again.
-func (c *Crowd) ended(t *try, e End, back time.Duration) {
-	c.drop(t)
-	call := t.call
-	cl := c.classes[call.Class]
-	gap := time.Duration(float64(c.habits.RedialAfter) * (0.3 + c.rnd.ExpFloat64()*0.7))
-	if back > 0 && c.rnd.Float64() < c.habits.Honour {
-		gap = max(gap, back)
+// attemptFailed is a try that did not stand: the caller may dial again.
+func (c *Callers) attemptFailed(failed *attempt, outcome Outcome, backoff time.Duration) {
+	c.removeAttempt(failed)
+	call := failed.call
+	class := c.classes[call.Class]
+	redialDelay := time.Duration(float64(c.behavior.MeanRedialDelay) * (0.3 + c.random.ExpFloat64()*0.7))
+	if backoff > 0 && c.random.Float64() < c.behavior.HonourShare {
+		redialDelay = max(redialDelay, backoff)
 	}
-	if call.Hot {
-		gap /= 2
+	if call.ToHotNumber {
+		redialDelay /= 2
 	}
-	if call.Again || call.Tries > c.habits.Redials || c.s.Now()+gap >= t.first+cl.Patience {
-		c.settle(call, e)
+	if call.RetriedAfterCut || call.Attempts > c.behavior.MaxRedials || c.scheduler.Now()+redialDelay >= failed.firstAttemptAt+class.Patience {
+		c.setOutcome(call, outcome)
 		return
 	}
-	c.s.After(gap, func() { c.dial(call, t.number, t.first, false) })
+	c.scheduler.After(redialDelay, func() { c.dialAttempt(call, failed.number, failed.firstAttemptAt, false) })
 }
 
-func (c *Crowd) settle(call *Call, e End) {
-	if call.Again {
-		e = Cut
+func (c *Callers) setOutcome(call *Call, outcome Outcome) {
+	if call.RetriedAfterCut {
+		outcome = Cut
 	}
-	call.Result = e
+	call.Outcome = outcome
 }
 
-func sortTries(all []*try) {
-	for i := 1; i < len(all); i++ {
-		for j := i; j > 0 && all[j].name < all[j-1].name; j-- {
-			all[j], all[j-1] = all[j-1], all[j]
+func sortAttempts(attempts []*attempt) {
+	for i := 1; i < len(attempts); i++ {
+		for j := i; j > 0 && attempts[j].name < attempts[j-1].name; j-- {
+			attempts[j], attempts[j-1] = attempts[j-1], attempts[j]
 		}
 	}
 }
@@ -351,66 +351,66 @@
 	Worth, Earned                                                   float64
 }
 
-// Service is the worth earned over the worth offered; 1 where nothing was offered.
-func (t Tally) Service() float64 {
-	if t.Worth == 0 {
+// ServiceRatio is the worth earned over the worth offered; 1 where nothing was offered.
+func (tally Tally) ServiceRatio() float64 {
+	if tally.Worth == 0 {
 		return 1
 	}
-	return t.Earned / t.Worth
+	return tally.Earned / tally.Worth
 }
 
 // Tally counts the calls that which picks. A call still up counts by how it stood.
-func (c *Crowd) Tally(which func(*Call) bool) Tally {
-	var t Tally
-	for _, k := range c.Calls {
-		if !which(k) {
+func (c *Callers) Tally(matches func(*Call) bool) Tally {
+	var tally Tally
+	for _, call := range c.Calls {
+		if !matches(call) {
 			continue
 		}
-		cl := c.classes[k.Class]
-		worth := cl.Worth
-		if k.Hot {
+		class := c.classes[call.Class]
+		worth := class.Worth
+		if call.ToHotNumber {
 			worth *= 0.1 // its callers want one number that has few lines
 		}
-		t.Offered++
-		t.Worth += worth
-		switch e := k.end(cl); e {
+		tally.Offered++
+		tally.Worth += worth
+		switch outcome := call.finalOutcome(class); outcome {
 		case InTime:
-			t.InTime++
-			t.Earned += worth
+			tally.InTime++
+			tally.Earned += worth
 		case Late:
-			t.Late++
-			t.Earned += worth * cl.LateWorth
+			tally.Late++
+			tally.Earned += worth * class.LateWorth
 		case Refused:
-			t.Refused++
+			tally.Refused++
 		case Failed:
-			t.Failed++
+			tally.Failed++
 		case Cut:
-			t.Cut++
+			tally.Cut++
 		case GaveUp:
-			t.GaveUp++
+			tally.GaveUp++
 		case Lost:
-			t.Lost++
+			tally.Lost++
 		default:
-			t.Open++
+			tally.Open++
 		}
 	}
-	return t
+	return tally
 }
 
-func (k *Call) end(cl Class) End {
-	if k.Result != None || k.Stood == 0 {
-		return k.Result
+func (call *Call) finalOutcome(class Class) Outcome {
+	if call.Outcome != Pending || call.SetUpTime == 0 {
+		return call.Outcome
 	}
-	if k.Stood <= cl.Aim {
+	if call.SetUpTime <= class.SetUpTarget {
 		return InTime
 	}
 	return Late
 }
 
-// Interval draws the time to the next arrival at a rate a second.
-func Interval(rnd *rand.Rand, rate float64) time.Duration {
-	if rate <= 0 {
+// ArrivalInterval draws the time to the next arrival at a rate a second.
+func ArrivalInterval(random *rand.Rand, perSecond float64) time.Duration {
+	if perSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(math.Min(rnd.ExpFloat64()/rate, 10) * float64(time.Second))
+	return time.Duration(math.Min(random.ExpFloat64()/perSecond, 10) * float64(time.Second))
 }
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -9,82 +9,82 @@
 	"dahliaspindle/internal/standin/scene"
 )
 
-// faults is what goes wrong with the sockets of one exchange.
-type faults struct {
-	stalled   atomic.Bool // reads nothing
-	mute      atomic.Bool // half open: the connection stands, nothing comes and nothing is heard
-	fragments atomic.Bool // writes in small pieces
-	ended     atomic.Bool
-	mu        sync.Mutex
-	gates     []chan struct{}
+// connFaults is what goes wrong with the sockets of one exchange.
+type connFaults struct {
+	stalled        atomic.Bool // reads nothing
+	halfOpen       atomic.Bool // half open: the connection stands, nothing comes and nothing is heard
+	fragments      atomic.Bool // writes in small pieces
+	disabled       atomic.Bool
+	mu             sync.Mutex
+	blockedReaders []chan struct{}
 }
 
-// open lets everything through, for good.
-func (f *faults) open() {
-	f.ended.Store(true)
-	f.release()
+// removeAll lets everything through, for good.
+func (faults *connFaults) removeAll() {
+	faults.disabled.Store(true)
+	faults.releaseReaders()
 }
 
-// release wakes readers that were held.
-func (f *faults) release() {
-	f.stalled.Store(false)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, g := range f.gates {
-		close(g)
+// releaseReaders wakes readers that were held.
+func (faults *connFaults) releaseReaders() {
+	faults.stalled.Store(false)
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	for _, reader := range faults.blockedReaders {
+		close(reader)
 	}
-	f.gates = nil
+	faults.blockedReaders = nil
 }
 
-func (f *faults) hold(over <-chan struct{}) {
-	f.mu.Lock()
-	if !f.stalled.Load() || f.ended.Load() {
-		f.mu.Unlock()
+func (faults *connFaults) blockReader(closed <-chan struct{}) {
+	faults.mu.Lock()
+	if !faults.stalled.Load() || faults.disabled.Load() {
+		faults.mu.Unlock()
 		return
 	}
-	g := make(chan struct{})
-	f.gates = append(f.gates, g)
-	f.mu.Unlock()
+	released := make(chan struct{})
+	faults.blockedReaders = append(faults.blockedReaders, released)
+	faults.mu.Unlock()
 	select {
-	case <-g:
-	case <-over:
+	case <-released:
+	case <-closed:
 	}
 }
 
 type faultyConn struct {
 	net.Conn
-	f    *faults
-	over chan struct{}
-	once sync.Once
+	faults    *connFaults
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func (f *faults) wrap(nc net.Conn) net.Conn {
-	return &faultyConn{Conn: nc, f: f, over: make(chan struct{})}
+func (faults *connFaults) wrap(conn net.Conn) net.Conn {
+	return &faultyConn{Conn: conn, faults: faults, closed: make(chan struct{})}
 }
 
 func (c *faultyConn) Close() error {
-	c.once.Do(func() { close(c.over) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
-	if c.f.stalled.Load() {
-		c.f.hold(c.over)
+	if c.faults.stalled.Load() {
+		c.faults.blockReader(c.closed)
 	}
 	return c.Conn.Read(p)
 }
 
 func (c *faultyConn) Write(p []byte) (int, error) {
 	switch {
-	case c.f.mute.Load():
+	case c.faults.halfOpen.Load():
 		return len(p), nil
-	case !c.f.fragments.Load():
+	case !c.faults.fragments.Load():
 		return c.Conn.Write(p)
 	}
 	for n := 0; n < len(p); {
 		end := min(n+1+len(p)%7, len(p))
-		m, err := c.Conn.Write(p[n:end])
-		n += m
+		written, err := c.Conn.Write(p[n:end])
+		n += written
 		if err != nil {
 			return n, err
 		}
@@ -92,20 +92,20 @@
 	return len(p), nil
 }
 
-// garbage sends what can't be read to each controller.
-func (w *World) garbage(perSecond float64) func() {
+// sendMalformed sends what can't be read to each controller.
+func (runner *Runner) sendMalformed(perSecond float64) func() {
 	stop := make(chan struct{})
-	for cell := range w.scn.Fleet.Exchanges {
-		w.wg.Go(func() {
-			nc, err := w.net.Dial(w.ctx, w.hosts.Addr(cell))
+	for number := range runner.scenario.Fleet.Exchanges {
+		runner.wg.Go(func() {
+			conn, err := runner.network.Dial(runner.ctx, runner.controllers.Addr(number))
 			if err != nil {
 				return
 			}
-			defer nc.Close()
-			w.wg.Go(func() { // answers are read and thrown away
+			defer conn.Close()
+			runner.wg.Go(func() { // answers are read and thrown away
 				buf := make([]byte, 4096)
 				for {
-					if _, err := nc.Read(buf); err != nil {
+					if _, err := conn.Read(buf); err != nil {
 						return
 					}
 				}
@@ -114,12 +114,12 @@
 				select {
 				case <-stop:
 					return
-				case <-w.ctx.Done():
+				case <-runner.ctx.Done():
 					return
 				case <-time.After(time.Duration(float64(time.Second) / perSecond)):
 				}
-				_ = nc.SetWriteDeadline(time.Now().Add(time.Second))
-				if _, err := nc.Write([]byte(scene.Junk[i%len(scene.Junk)])); err != nil {
+				_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
+				if _, err := conn.Write([]byte(scene.MalformedMessages[i%len(scene.MalformedMessages)])); err != nil {
 					return
 				}
 			}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -21,199 +21,201 @@
 	"dahliaspindle/internal/transport"
 )
 
-// Net is how stand-ins are reached and reach controllers.
-type Net struct {
+// Network is how stand-ins are reached and reach controllers.
+type Network struct {
 	Listen func() (net.Listener, error)
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Host runs the controllers; Restart kills one and starts it again.
-type Host interface {
+// Controllers runs the controllers; Restart kills one and starts it again.
+type Controllers interface {
 	Addr(cell int) string
 	Restart(cell int)
 }
 
-// door is the sockets of one exchange.
-type door struct {
-	ln    net.Listener
-	conns []link // in the order of their making
-	wire  *faults
+// exchangeListener is the sockets of one exchange.
+type exchangeListener struct {
+	listener net.Listener
+	conns    []exchangeConn // in the order of their making
+	faults   *connFaults
 }
 
-type link struct {
-	c  *transport.Conn[*signal.Message]
-	ec *exchange.Conn
+type exchangeConn struct {
+	conn      *transport.Conn[*signal.Message]
+	simulated *exchange.Conn
 }
 
-// World is the stand-ins of one scenario on a network.
-type World struct {
-	*scene.Scene
-	scn     *settings.Scenario
-	loop    *loop
-	net     Net
-	capture *capture.Writer
-	hosts   Host
-
-	ctx      context.Context
-	stop     context.CancelFunc
-	wg       sync.WaitGroup
-	done     chan struct{}
-	doors    map[uint32]*door // by exchange
-	order    []*door
-	listLn   net.Listener
-	listAddr string
-	listAway atomic.Bool
-	lists    []*transport.Conn[*signal.Message]
+// Runner is the stand-ins of one scenario on a network.
+type Runner struct {
+	*scene.Simulation
+	scenario    *settings.Scenario
+	loop        *eventLoop
+	network     Network
+	capture     *capture.Writer
+	controllers Controllers
+
+	ctx              context.Context
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	loopDone         chan struct{}
+	listeners        map[uint32]*exchangeListener // by exchange
+	orderedListeners []*exchangeListener
+	listListener     net.Listener
+	listAddress      string
+	listUnavailable  atomic.Bool
+	listConns        []*transport.Conn[*signal.Message]
 }
 
 // New draws a fleet and opens its listeners.
-func New(scn *settings.Scenario, n Net, w *capture.Writer) (*World, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	wd := &World{scn: scn, loop: newLoop(), net: n, capture: w, ctx: ctx, stop: stop, done: make(chan struct{}),
-		doors: map[uint32]*door{}}
-	s, err := scene.New(scn, wd.loop, edge{wd})
+func New(scenario *settings.Scenario, network Network, captureWriter *capture.Writer) (*Runner, error) {
+	loopContext, cancel := context.WithCancel(context.Background())
+	runner := &Runner{scenario: scenario, loop: newEventLoop(), network: network, capture: captureWriter, ctx: loopContext, cancel: cancel, loopDone: make(chan struct{}),
+		listeners: map[uint32]*exchangeListener{}}
+	simulation, err := scene.New(scenario, runner.loop, environment{runner})
 	if err == nil {
-		wd.Scene = s
-		wd.listLn, err = n.Listen()
+		runner.Simulation = simulation
+		runner.listListener, err = network.Listen()
 	}
 	if err != nil {
-		stop()
+		cancel()
 		return nil, fmt.Errorf("opening the stand-ins' doors: %w", err)
 	}
-	wd.listAddr = wd.listLn.Addr().String()
-	return wd, nil
+	runner.listAddress = runner.listListener.Addr().String()
+	return runner, nil
 }
 
-// edge is what the scene asks of its sockets. All but Open come in the loop.
-type edge struct{ w *World }
+// environment is what the scene asks of its sockets. All but Open come in the loop.
+type environment struct{ runner *Runner }
 
-func (e edge) Open(id uint32) (string, error) {
-	ln, err := e.w.net.Listen()
+func (env environment) Listen(id uint32) (string, error) {
+	listener, err := env.runner.network.Listen()
 	if err != nil {
 		return "", err
 	}
-	d := &door{ln: ln, wire: &faults{}}
-	e.w.doors[id], e.w.order = d, append(e.w.order, d)
-	e.w.accept(ln, func(nc net.Conn) { e.w.acceptExchange(d, id, nc) })
-	return ln.Addr().String(), nil
+	port := &exchangeListener{listener: listener, faults: &connFaults{}}
+	env.runner.listeners[id], env.runner.orderedListeners = port, append(env.runner.orderedListeners, port)
+	env.runner.acceptConns(listener, func(conn net.Conn) { env.runner.acceptExchange(port, id, conn) })
+	return listener.Addr().String(), nil
 }
 
-func (e edge) Shut(id uint32) {
-	e.Break(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
-	e.w.doors[id].ln.Close()
+func (env environment) StopListening(id uint32) {
+	env.CloseConns(id, fmt.Sprintf("exchange %d is out of service", id), func(*exchange.Conn) bool { return true })
+	env.runner.listeners[id].listener.Close()
 }
 
-func (e edge) Break(id uint32, why string, which func(*exchange.Conn) bool) int {
-	n := 0
-	for _, l := range e.w.doors[id].conns {
-		if which(l.ec) {
-			n++
-			l.c.Close(fmt.Errorf("%s", why))
+func (env environment) CloseConns(id uint32, reason string, matches func(*exchange.Conn) bool) int {
+	closed := 0
+	for _, candidate := range env.runner.listeners[id].conns {
+		if matches(candidate.simulated) {
+			closed++
+			candidate.conn.Close(fmt.Errorf("%s", reason))
 		}
 	}
-	return n
+	return closed
 }
 
-func (e edge) Fault(id uint32, f scene.Fault, on bool) {
-	wire := e.w.doors[id].wire
+func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+	faults := env.runner.listeners[id].faults
 	switch {
-	case f == scene.Mute:
-		wire.mute.Store(on)
-	case f == scene.Fragments:
-		wire.fragments.Store(on)
+	case fault == scene.HalfOpen:
+		faults.halfOpen.Store(on)
+	case fault == scene.FragmentedWrites:
+		faults.fragments.Store(on)
 	case on:
-		wire.stalled.Store(true)
+		faults.stalled.Store(true)
 	default:
-		wire.release()
+		faults.releaseReaders()
 	}
 }
 
-func (e edge) ListAway(away bool) {
-	e.w.listAway.Store(away)
-	if away {
-		for _, c := range e.w.lists {
-			c.Close(fmt.Errorf("the list is away"))
+func (env environment) SetListUnavailable(unavailable bool) {
+	env.runner.listUnavailable.Store(unavailable)
+	if unavailable {
+		for _, conn := range env.runner.listConns {
+			conn.Close(fmt.Errorf("the list is away"))
 		}
 	}
 }
 
-func (e edge) Garbage(perSecond float64) func() { return e.w.garbage(perSecond) }
-func (e edge) Restart(cell int)                 { e.w.hosts.Restart(cell) }
-func (e edge) Fact(name string, v any)          { e.w.capture.Fact(name, v) }
+func (env environment) SendMalformed(perSecond float64) func() {
+	return env.runner.sendMalformed(perSecond)
+}
+func (env environment) RestartController(number int)  { env.runner.controllers.Restart(number) }
+func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
-func (w *World) acceptExchange(d *door, id uint32, nc net.Conn) {
-	if x := w.Exchange(id); x != nil && x.Up {
-		w.talk(d, x, d.wire.wrap(nc), false)
+func (runner *Runner) acceptExchange(port *exchangeListener, id uint32, conn net.Conn) {
+	if target := runner.ExchangeByID(id); target != nil && target.Up {
+		runner.serveExchange(port, target, port.faults.wrap(conn), false)
 	} else {
-		nc.Close()
+		conn.Close()
 	}
 }
 
-// talk serves a connection of an exchange: a controller's, or its own to its controller.
-func (w *World) talk(d *door, x *exchange.Exchange, nc net.Conn, transit bool) *transport.Conn[*signal.Message] {
-	var ec *exchange.Conn
-	var c *transport.Conn[*signal.Message]
-	c = w.serve(nc, transit, exchangeOwner(x.ID), "controller",
-		func(m *signal.Message) {
-			if transit || !d.wire.mute.Load() {
-				w.Fleet.Message(ec, m)
+// serveExchange serves a connection of an exchange: a controller's, or its own to its controller.
+func (runner *Runner) serveExchange(port *exchangeListener, served *exchange.Exchange, netConn net.Conn, transit bool) *transport.Conn[*signal.Message] {
+	var simulated *exchange.Conn
+	var conn *transport.Conn[*signal.Message]
+	conn = runner.serve(netConn, transit, exchangeOwner(served.ID), "controller",
+		func(message *signal.Message) {
+			if transit || !port.faults.halfOpen.Load() {
+				runner.Fleet.HandleMessage(simulated, message)
 			}
 		},
 		func() {
-			d.conns = slices.DeleteFunc(d.conns, func(l link) bool { return l.c == c })
-			w.Fleet.Closed(ec)
+			port.conns = slices.DeleteFunc(port.conns, func(candidate exchangeConn) bool { return candidate.conn == conn })
+			runner.Fleet.ConnClosed(simulated)
 		})
-	send := say(c)
-	ec = w.Fleet.Open(x, transit, func(m *signal.Message) { send(m) })
-	d.conns = append(d.conns, link{c, ec})
-	return c
+	send := sendFunc(conn)
+	simulated = runner.Fleet.OpenConn(served, transit, func(m *signal.Message) { send(m) })
+	port.conns = append(port.conns, exchangeConn{conn, simulated})
+	return conn
 }
 
 // ListAddr is where controllers find the exchange list.
-func (w *World) ListAddr() string { return w.listAddr }
+func (runner *Runner) ListAddr() string { return runner.listAddress }
 
 // Run starts the callers and lets the day pass; progress is told now and then.
-func (w *World) Run(ctx context.Context, hosts Host, progress func(passed time.Duration, calls int)) error {
-	w.hosts = hosts
-	w.accept(w.listLn, func(nc net.Conn) {
-		if w.listAway.Load() {
-			nc.Close()
+func (runner *Runner) Run(ctx context.Context, controllers Controllers, progress func(passed time.Duration, calls int)) error {
+	runner.controllers = controllers
+	runner.acceptConns(runner.listListener, func(netConn net.Conn) {
+		if runner.listUnavailable.Load() {
+			netConn.Close()
 			return
 		}
-		var lc *exlist.Conn
-		var c *transport.Conn[*signal.Message]
-		c = w.serve(nc, false, "list", "controller", func(m *signal.Message) { w.List.Message(lc, m) }, func() {
-			w.lists = slices.DeleteFunc(w.lists, func(o *transport.Conn[*signal.Message]) bool { return o == c })
-			w.List.Closed(lc)
+		var listConn *exlist.Conn
+		var conn *transport.Conn[*signal.Message]
+		conn = runner.serve(netConn, false, "list", "controller", func(m *signal.Message) { runner.List.HandleMessage(listConn, m) }, func() {
+			runner.listConns = slices.DeleteFunc(runner.listConns, func(other *transport.Conn[*signal.Message]) bool { return other == conn })
+			runner.List.ConnClosed(listConn)
 		})
-		send := say(c)
-		lc = w.List.Open(func(m *signal.Message) { send(m) })
-		w.lists = append(w.lists, c)
+		send := sendFunc(conn)
+		listConn = runner.List.OpenConn(func(m *signal.Message) { send(m) })
+		runner.listConns = append(runner.listConns, conn)
 	})
-	for cell := range w.scn.Fleet.Exchanges {
-		addr := hosts.Addr(cell)
-		for range w.scn.Callers.Connections {
-			w.redial(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
+	for number := range runner.scenario.Fleet.Exchanges {
+		address := controllers.Addr(number)
+		for range runner.scenario.Callers.Connections {
+			runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
 				var sc *subscriber.Conn
-				c := w.serve(nc, true, fmt.Sprintf("callers of %d", cell), "controller",
-					func(m *signal.Message) { w.Crowd.Message(sc, m) }, func() { w.Crowd.Closed(cell, sc) })
-				sc = w.Crowd.Open(cell, say(c))
+				c := runner.serve(nc, true, fmt.Sprintf("callers of %d", number), "controller",
+					func(m *signal.Message) { runner.Callers.HandleMessage(sc, m) }, func() { runner.Callers.ConnClosed(number, sc) })
+				sc = runner.Callers.OpenConn(number, sendFunc(c))
 				return c
 			})
 		}
-		w.redial(addr, func(nc net.Conn) *transport.Conn[*signal.Message] {
-			x := w.Fleet.Current(cell)
-			return w.talk(w.doors[x.ID], x, nc, true)
+		runner.maintainConn(address, func(nc net.Conn) *transport.Conn[*signal.Message] {
+			x := runner.Fleet.Current(number)
+			return runner.serveExchange(runner.listeners[x.ID], x, nc, true)
 		})
 	}
 	go func() {
-		defer close(w.done)
-		w.loop.run(w.ctx)
+		defer close(runner.loopDone)
+		runner.loop.run(runner.ctx)
 	}()
-	end := make(chan struct{})
-	w.loop.post(w.ctx, func() { w.Begin(progress, func() { close(end) }) })
+	ended := make(chan struct{})
+	runner.loop.post(runner.ctx, func() { runner.Start(progress, func() { close(ended) }) })
 	select {
-	case <-end:
+	case <-ended:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("the day was broken off: %w", ctx.Err())
@@ -221,24 +223,24 @@
 }
 
 // Close ends all connections and goroutines.
-func (w *World) Close() {
-	w.stop()
-	<-w.done
-	w.listLn.Close()
-	for _, d := range w.order {
-		d.ln.Close()
-		d.wire.open()
-		for _, l := range d.conns {
-			l.c.Close(errEnd)
-			<-l.c.Done()
+func (runner *Runner) Close() {
+	runner.cancel()
+	<-runner.loopDone
+	runner.listListener.Close()
+	for _, port := range runner.orderedListeners {
+		port.listener.Close()
+		port.faults.removeAll()
+		for _, established := range port.conns {
+			established.conn.Close(errRunEnded)
+			<-established.conn.Done()
 		}
 	}
-	for _, c := range w.lists {
-		c.Close(errEnd)
-		<-c.Done()
+	for _, listConn := range runner.listConns {
+		listConn.Close(errRunEnded)
+		<-listConn.Done()
 	}
-	w.wg.Wait()
+	runner.wg.Wait()
 }
 
 // Do runs f among the stand-ins, which nobody else may touch while they live.
-func (w *World) Do(f func()) { w.loop.post(w.ctx, f) }
+func (w *Runner) Do(callback func()) { w.loop.post(w.ctx, callback) }
--- a/internal/virtual/node.go
+++ b/internal/virtual/node.go
@@ -19,190 +19,190 @@
 // node is one controller: its core and what the daemon does around it, without
 // goroutines. It dies with a restart; another takes its cell.
 type node struct {
-	r       *Runner
-	cell    int
-	set     *settings.Controller
-	core    *controller.Controller
-	wires   map[controller.Peer]*wire
-	links   map[controller.Peer]*keeper
-	callers uint64 // connections taken
-	inputs  []controller.Input
+	runner      *Runner
+	cell        int
+	settings    *settings.Controller
+	core        *controller.Controller
+	connections map[controller.Peer]*connection
+	links       map[controller.Peer]*peerLink
+	callerCount uint64 // connections taken
+	inputs      []controller.Input
 	stepping,
-	dead, left bool
-	due     time.Duration // the clock input that is set; 0: none
+	killed, stopped bool
+	timerAt time.Duration // the clock input that is set; 0: none
 	capture *capture.Writer
 }
 
-// keeper keeps a link to a peer: dialled again when it is lost.
-type keeper struct {
-	addr  string
-	tries int
-	retry guard.Backoff
-	over  bool
+// peerLink keeps a link to a peer: dialled again when it is lost.
+type peerLink struct {
+	address  string
+	attempts int
+	backoff  guard.Backoff
+	closed   bool
 }
 
-func (r *Runner) newNode(cell int, sink flow.Sink, w *capture.Writer) *node {
-	set := r.scn.Controller(cell, "list")
-	set.Policy = r.opt.Policy
-	r.starts[cell]++
-	set.Seed += r.starts[cell] << 32
-	set.SetDefaults()
-	n := &node{r: r, cell: cell, set: set, wires: map[controller.Peer]*wire{}, links: map[controller.Peer]*keeper{}, capture: w}
-	n.core = controller.New(r.clock.now, setup.ControllerConfig(r.clock.now, set, sink))
-	n.keep(controller.Peer{Role: controller.RoleExchangeList}, "list")
-	return n
+func (runner *Runner) newNode(number int, flowSink flow.Sink, captureWriter *capture.Writer) *node {
+	controllerSettings := runner.scenario.Controller(number, "list")
+	controllerSettings.Policy = runner.options.Policy
+	runner.startCounts[number]++
+	controllerSettings.Seed += runner.startCounts[number] << 32
+	controllerSettings.SetDefaults()
+	created := &node{runner: runner, cell: number, settings: controllerSettings, connections: map[controller.Peer]*connection{}, links: map[controller.Peer]*peerLink{}, capture: captureWriter}
+	created.core = controller.New(runner.clock.now, setup.ControllerConfig(runner.clock.now, controllerSettings, flowSink))
+	created.maintainLink(controller.Peer{Role: controller.RoleExchangeList}, "list")
+	return created
 }
 
-// step hands an input to the core and carries its effects out; what they bring
+// handleInput hands an input to the core and carries its effects out; what they bring
 // about at once waits its turn.
-func (n *node) step(in controller.Input) {
-	n.inputs = append(n.inputs, in)
+func (n *node) handleInput(input controller.Input) {
+	n.inputs = append(n.inputs, input)
 	if n.stepping {
 		return
 	}
 	n.stepping = true
-	for len(n.inputs) > 0 && !n.dead {
+	for len(n.inputs) > 0 && !n.killed {
 		in := n.inputs[0]
 		n.inputs = n.inputs[1:]
-		for _, e := range n.core.Handle(n.r.clock.now, in) {
-			n.carryOut(e)
+		for _, e := range n.core.Handle(n.runner.clock.now, in) {
+			n.applyEffect(e)
 		}
 	}
 	n.inputs, n.stepping = nil, false
-	n.arm()
+	n.setTimer()
 }
 
-// arm sets the clock input that the core wants next.
-func (n *node) arm() {
-	at, ok := n.core.NextDeadline()
-	if !ok || n.dead || n.due != 0 && n.due <= at {
+// setTimer sets the clock input that the core wants next.
+func (n *node) setTimer() {
+	deadline, ok := n.core.NextDeadline()
+	if !ok || n.killed || n.timerAt != 0 && n.timerAt <= deadline {
 		return
 	}
-	n.due = max(at, n.r.clock.now)
-	due := n.due
-	n.r.clock.After(due-n.r.clock.now, func() {
-		if n.due == due && !n.dead {
-			n.due = 0
-			n.step(controller.Input{Kind: controller.InputTimer})
+	n.timerAt = max(deadline, n.runner.clock.now)
+	due := n.timerAt
+	n.runner.clock.After(due-n.runner.clock.now, func() {
+		if n.timerAt == due && !n.killed {
+			n.timerAt = 0
+			n.handleInput(controller.Input{Kind: controller.InputTimer})
 		}
 	})
 }
 
-func (n *node) carryOut(e controller.Effect) {
-	switch e.Kind {
+func (n *node) applyEffect(effect controller.Effect) {
+	switch effect.Kind {
 	case controller.EffectSend:
-		w := n.wires[e.Peer]
-		if (w == nil || !w.toStandIn(e.Message)) && e.Deadline > 0 {
-			n.step(controller.Input{Kind: controller.InputUnsent, Peer: e.Peer, Message: e.Message})
+		conn := n.connections[effect.Peer]
+		if (conn == nil || !conn.sendToRemote(effect.Message)) && effect.Deadline > 0 {
+			n.handleInput(controller.Input{Kind: controller.InputUnsent, Peer: effect.Peer, Message: effect.Message})
 		}
 	case controller.EffectConnect:
-		n.keep(e.Peer, e.Address)
+		n.maintainLink(effect.Peer, effect.Address)
 	case controller.EffectDisconnect:
-		n.hangUp(e.Peer)
+		n.closeLink(effect.Peer)
 	case controller.EffectClose:
-		if w := n.wires[e.Peer]; w != nil {
-			w.close(e.Text, true)
+		if w := n.connections[effect.Peer]; w != nil {
+			w.close(effect.Text, true)
 		}
 	case controller.EffectVerdict:
 		if n.capture != nil {
-			n.capture.Verdict(e.Call, fmt.Sprintf("%s; %s %d", e.Verdict.Reason, e.Verdict.Scope, e.Verdict.ExchangeNumber))
+			n.capture.Verdict(effect.Call, fmt.Sprintf("%s; %s %d", effect.Verdict.Reason, effect.Verdict.Scope, effect.Verdict.ExchangeNumber))
 		}
 	case controller.EffectStopped:
-		n.left = true
+		n.stopped = true
 	case controller.EffectBlock, controller.EffectUnblock: // nothing waits to leave: what was said is on its way
 	case controller.EffectLog:
-		n.r.logs++
+		n.runner.logCount++
 	}
 }
 
-// keep starts to keep a link, in place of one at another address.
-func (n *node) keep(p controller.Peer, addr string) {
-	n.hangUp(p)
-	k := &keeper{addr: addr, retry: guard.Backoff{Min: n.set.Peers.MinRetryDelay, Max: n.set.Peers.MaxRetryDelay,
-		Random: rand.New(rand.NewPCG(n.set.Seed, uint64(n.set.Number)<<32^p.ID))}}
-	n.links[p] = k
-	n.dial(p, k)
+// maintainLink starts to maintainLink a link, in place of one at another address.
+func (n *node) maintainLink(peer controller.Peer, address string) {
+	n.closeLink(peer)
+	link := &peerLink{address: address, backoff: guard.Backoff{Min: n.settings.Peers.MinRetryDelay, Max: n.settings.Peers.MaxRetryDelay,
+		Random: rand.New(rand.NewPCG(n.settings.Seed, uint64(n.settings.Number)<<32^peer.ID))}}
+	n.links[peer] = link
+	n.dialPeer(peer, link)
 }
 
-func (n *node) hangUp(p controller.Peer) {
-	if k := n.links[p]; k != nil {
-		k.over = true
-		delete(n.links, p)
+func (n *node) closeLink(peer controller.Peer) {
+	if link := n.links[peer]; link != nil {
+		link.closed = true
+		delete(n.links, peer)
 	}
-	if w := n.wires[p]; w != nil && p.Role != controller.RoleCaller {
-		w.close("closed by this end", true)
+	if conn := n.connections[peer]; conn != nil && peer.Role != controller.RoleCaller {
+		conn.close("closed by this end", true)
 	}
 }
 
-// dial tries once; a link that does not come to stand, or is lost, is tried again.
-func (n *node) dial(p controller.Peer, k *keeper) {
-	n.r.clock.After(n.r.hop, func() {
-		if k.over || n.dead {
+// dialPeer tries once; a link that does not come to stand, or is lost, is tried again.
+func (n *node) dialPeer(peer controller.Peer, link *peerLink) {
+	n.runner.clock.After(n.runner.hopDelay, func() {
+		if link.closed || n.killed {
 			return
 		}
-		k.tries++
-		if w := n.r.answer(n, p, k.addr); w != nil {
-			n.wires[p] = w
-			n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
+		link.attempts++
+		if conn := n.runner.acceptDial(n, peer, link.address); conn != nil {
+			n.connections[peer] = conn
+			n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: peer})
 			return
 		}
-		n.again(p, k)
+		n.scheduleRedial(peer, link)
 	})
 }
 
-func (n *node) again(p controller.Peer, k *keeper) {
-	n.r.clock.After(k.retry.Delay(k.tries), func() { n.dial(p, k) })
+func (n *node) scheduleRedial(peer controller.Peer, link *peerLink) {
+	n.runner.clock.After(link.backoff.Delay(link.attempts), func() { n.dialPeer(peer, link) })
 }
 
-// lost is the end of a connection.
-func (n *node) lost(w *wire) {
-	if n.wires[w.peer] == w {
-		delete(n.wires, w.peer)
+// connectionLost is the end of a connection.
+func (n *node) connectionLost(conn *connection) {
+	if n.connections[conn.peer] == conn {
+		delete(n.connections, conn.peer)
 	}
-	if n.dead {
+	if n.killed {
 		return
 	}
-	n.step(controller.Input{Kind: controller.InputDisconnected, Peer: w.peer})
-	if k := n.links[w.peer]; k != nil {
-		k.tries = 1
-		n.again(w.peer, k)
+	n.handleInput(controller.Input{Kind: controller.InputDisconnected, Peer: conn.peer})
+	if link := n.links[conn.peer]; link != nil {
+		link.attempts = 1
+		n.scheduleRedial(conn.peer, link)
 	}
 }
 
-// accept takes a caller's connection.
-func (n *node) accept() controller.Peer {
-	n.callers++
-	p := controller.Peer{Role: controller.RoleCaller, ID: n.callers}
-	n.step(controller.Input{Kind: controller.InputConnected, Peer: p})
-	return p
+// acceptCaller takes a caller's connection.
+func (n *node) acceptCaller() controller.Peer {
+	n.callerCount++
+	peer := controller.Peer{Role: controller.RoleCaller, ID: n.callerCount}
+	n.handleInput(controller.Input{Kind: controller.InputConnected, Peer: peer})
+	return peer
 }
 
 // kill ends a controller at once: its connections break.
 func (n *node) kill() {
-	n.dead = true
-	for _, p := range sortedPeers(n.wires) {
-		n.wires[p].close("killed", true)
+	n.killed = true
+	for _, peer := range sortedPeers(n.connections) {
+		n.connections[peer].close("killed", true)
 	}
 }
 
-// junk hands over what can't be read.
-func (n *node) junk(p controller.Peer, text string) {
-	m, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.set.Limits.LineBytes, MaxMessageBytes: n.set.Limits.MessageBytes}).Read()
+// receiveMalformed hands over what can't be read.
+func (n *node) receiveMalformed(peer controller.Peer, text string) {
+	message, err := signal.NewReader(strings.NewReader(text), signal.Limits{MaxLineBytes: n.settings.Limits.LineBytes, MaxMessageBytes: n.settings.Limits.MessageBytes}).Read()
 	if err == nil {
-		n.step(controller.Input{Kind: controller.InputMessage, Peer: p, Message: m})
+		n.handleInput(controller.Input{Kind: controller.InputMessage, Peer: peer, Message: message})
 		return
 	}
-	if bad, ok := err.(*signal.SyntaxError); ok {
-		n.step(controller.Input{Kind: controller.InputMalformed, Peer: p, SyntaxError: *bad})
+	if syntaxError, ok := err.(*signal.SyntaxError); ok {
+		n.handleInput(controller.Input{Kind: controller.InputMalformed, Peer: peer, SyntaxError: *syntaxError})
 	}
 }
 
-// exchangeID reads the address of an exchange's door.
-func exchangeID(addr string) (uint32, bool) {
-	s, ok := strings.CutPrefix(addr, "exchange:")
+// parseExchangeAddress reads the address of an exchange's door.
+func parseExchangeAddress(address string) (uint32, bool) {
+	digits, ok := strings.CutPrefix(address, "exchange:")
 	if !ok {
 		return 0, false
 	}
-	id, err := strconv.ParseUint(s, 10, 32)
+	id, err := strconv.ParseUint(digits, 10, 32)
 	return uint32(id), err == nil
 }
--- a/internal/virtual/queue.go
+++ b/internal/virtual/queue.go
@@ -8,67 +8,69 @@
 // little behind it, so a flat tree with few cache misses beats one that is half
 // as wide (measured in queue_test.go beside container/heap).
 type queue struct {
-	all []entry
-	seq uint64
+	entries      []entry
+	lastSequence uint64
 }
 
 type entry struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	at       time.Duration
+	sequence uint64
+	callback func()
 }
 
-func (a *entry) before(b *entry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (e *entry) before(other *entry) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
 
-const branches = 4
+const branchingFactor = 4
 
-func (q *queue) len() int { return len(q.all) }
+func (q *queue) len() int { return len(q.entries) }
 
 // next is the time of the first event; there must be one.
-func (q *queue) next() time.Duration { return q.all[0].at }
+func (q *queue) next() time.Duration { return q.entries[0].at }
 
-func (q *queue) push(at time.Duration, do func()) {
-	q.seq++
-	e := entry{at, q.seq, do}
-	q.all = append(q.all, e)
-	i := len(q.all) - 1
-	for i > 0 {
-		up := (i - 1) / branches
-		if !e.before(&q.all[up]) {
+func (q *queue) push(at time.Duration, callback func()) {
+	q.lastSequence++
+	added := entry{at, q.lastSequence, callback}
+	q.entries = append(q.entries, added)
+	position := len(q.entries) - 1
+	for position > 0 {
+		parent := (position - 1) / branchingFactor
+		if !added.before(&q.entries[parent]) {
 			break
 		}
-		q.all[i] = q.all[up]
-		i = up
+		q.entries[position] = q.entries[parent]
+		position = parent
 	}
-	q.all[i] = e
+	q.entries[position] = added
 }
 
 // pop takes the first event out.
 func (q *queue) pop() (time.Duration, func()) {
-	first := q.all[0]
-	last := len(q.all) - 1
-	e := q.all[last]
-	q.all[last] = entry{} // its closure is free to go
-	q.all = q.all[:last]
-	i := 0
+	first := q.entries[0]
+	last := len(q.entries) - 1
+	moved := q.entries[last]
+	q.entries[last] = entry{} // its closure is free to go
+	q.entries = q.entries[:last]
+	position := 0
 	for last > 0 {
-		least := i*branches + 1
-		if least >= last {
+		earliest := position*branchingFactor + 1
+		if earliest >= last {
 			break
 		}
-		for k := least + 1; k < min(least+branches, last); k++ {
-			if q.all[k].before(&q.all[least]) {
-				least = k
+		for child := earliest + 1; child < min(earliest+branchingFactor, last); child++ {
+			if q.entries[child].before(&q.entries[earliest]) {
+				earliest = child
 			}
 		}
-		if !q.all[least].before(&e) {
+		if !q.entries[earliest].before(&moved) {
 			break
 		}
-		q.all[i] = q.all[least]
-		i = least
+		q.entries[position] = q.entries[earliest]
+		position = earliest
 	}
 	if last > 0 {
-		q.all[i] = e
+		q.entries[position] = moved
 	}
-	return first.at, first.do
+	return first.at, first.callback
 }
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -28,314 +28,314 @@
 
 // Options of a run. The zero value plays the module, without records or capture.
 type Options struct {
-	Policy  string                                             // of the controllers; empty: the module
-	Hop     time.Duration                                      // one way between a controller and a stand-in; 0: 50 us
-	Flows   func(cell int) flow.Sink                           // takes the records of a controller's life; nil: none
-	Capture func(who string, now func() int64) *capture.Writer // nil: none
-	Shape   func(*scene.Scene)                                 // changes the scene before the day begins; nil: as drawn
+	Policy      string                                             // of the controllers; empty: the module
+	HopDelay    time.Duration                                      // one way between a controller and a stand-in; 0: 50 us
+	NewFlowSink func(cell int) flow.Sink                           // takes the records of a controller's life; nil: none
+	NewCapture  func(who string, now func() int64) *capture.Writer // nil: none
+	Prepare     func(*scene.Simulation)                            // changes the scene before the day begins; nil: as drawn
 }
 
-// began is the day on which every run starts.
-var began = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
+// startTime is the day on which every run starts.
+var startTime = time.Duration(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano())
 
-// restartTakes is how long a killed controller is away.
-const restartTakes = 50 * time.Millisecond
+// restartTime is how long a killed controller is away.
+const restartTime = 50 * time.Millisecond
 
-// redialAfter is how soon a stand-in dials again.
-const redialAfter = 50 * time.Millisecond
+// redialDelay is how soon a stand-in dials again.
+const redialDelay = 50 * time.Millisecond
 
-// leaveWithin is how long the controllers may take to answer what they have.
-const leaveWithin = 15 * time.Second
+// shutdownTimeout is how long the controllers may take to answer what they have.
+const shutdownTimeout = 15 * time.Second
 
 // Runner is one day under way.
 type Runner struct {
-	scn     *settings.Scenario
-	opt     Options
-	hop     time.Duration
-	clock   *Clock
-	scene   *scene.Scene
-	nodes   []*node
-	starts  []uint64 // of each controller
-	doors   map[uint32]*door
-	away    bool // the list
-	lists   []*wire
-	capture *capture.Writer
-	conns   int
-	logs    int
-	stats   []controller.Stats // of controllers that have ended
-	err     error              // of the first capture that could not be written
+	scenario        *settings.Scenario
+	options         Options
+	hopDelay        time.Duration
+	clock           *Clock
+	simulation      *scene.Simulation
+	nodes           []*node
+	startCounts     []uint64 // of each controller
+	ports           map[uint32]*exchangePort
+	listUnavailable bool // the list
+	listConnections []*connection
+	capture         *capture.Writer
+	connectionCount int
+	logCount        int
+	endedStats      []controller.Stats // of controllers that have ended
+	captureErr      error              // of the first capture that could not be written
 }
 
-// door is where an exchange is reached.
-type door struct {
-	conns         []*wire // in the order of their making
-	exch          map[*wire]*exchange.Conn
-	shut          bool
-	mute, stalled bool
+// exchangePort is where an exchange is reached.
+type exchangePort struct {
+	connections       []*connection // in the order of their making
+	exchangeConns     map[*connection]*exchange.Conn
+	closed            bool
+	halfOpen, stalled bool
 }
 
-// Day is what came of a run.
-type Day struct {
-	*scene.Scene
-	Held   int                // circuits in use when all controllers have left
-	Left   bool               // all controllers have answered what they had, and left
-	Events uint64             // that happened
-	Took   time.Duration      // virtual time from the first to the last
-	Stats  []controller.Stats // of each controller's life, in the order of their ends
+// Result is what came of a run.
+type Result struct {
+	*scene.Simulation
+	CircuitsInUse   int                // circuits in use when all controllers have left
+	AllStopped      bool               // all controllers have answered what they had, and left
+	Events          uint64             // that happened
+	Duration        time.Duration      // virtual time from the first to the last
+	ControllerStats []controller.Stats // of each controller's life, in the order of their ends
 }
 
 // Run plays a scenario to its end.
-func Run(scn *settings.Scenario, opt Options) (*Day, error) {
-	if opt.Policy == "" {
-		opt.Policy = "brain"
+func Run(scenario *settings.Scenario, options Options) (*Result, error) {
+	if options.Policy == "" {
+		options.Policy = "brain"
 	}
-	if opt.Hop <= 0 {
-		opt.Hop = 50 * time.Microsecond
+	if options.HopDelay <= 0 {
+		options.HopDelay = 50 * time.Microsecond
 	}
-	r := &Runner{scn: scn, opt: opt, hop: opt.Hop, clock: &Clock{now: began}, doors: map[uint32]*door{},
-		starts: make([]uint64, scn.Fleet.Exchanges)}
-	r.capture = r.writer("stand-ins")
-	s, err := scene.New(scn, r.clock, edge{r})
+	runner := &Runner{scenario: scenario, options: options, hopDelay: options.HopDelay, clock: &Clock{now: startTime}, ports: map[uint32]*exchangePort{},
+		startCounts: make([]uint64, scenario.Fleet.Exchanges)}
+	runner.capture = runner.newCaptureWriter("stand-ins")
+	simulation, err := scene.New(scenario, runner.clock, environment{runner})
 	if err != nil {
-		return nil, fmt.Errorf("drawing the fleet of %s: %w", scn.Name, err)
+		return nil, fmt.Errorf("drawing the fleet of %s: %w", scenario.Name, err)
 	}
-	if r.scene = s; opt.Shape != nil {
-		opt.Shape(s)
+	if runner.simulation = simulation; options.Prepare != nil {
+		options.Prepare(simulation)
 	}
-	for cell := range scn.Fleet.Exchanges {
-		r.nodes = append(r.nodes, nil)
-		r.start(cell)
-		for range scn.Callers.Connections {
-			r.dialCallers(cell)
+	for number := range scenario.Fleet.Exchanges {
+		runner.nodes = append(runner.nodes, nil)
+		runner.startController(number)
+		for range scenario.Callers.Connections {
+			runner.dialCallers(number)
 		}
-		r.dialTransit(cell)
+		runner.dialTransit(number)
 	}
 	ended := false
-	s.Begin(nil, func() { ended = true })
-	if !r.clock.Run(began+scn.Length+time.Hour, func() bool { return ended }) {
-		return nil, fmt.Errorf("the day of %s does not end", scn.Name)
+	simulation.Start(nil, func() { ended = true })
+	if !runner.clock.Run(startTime+scenario.Length+time.Hour, func() bool { return ended }) {
+		return nil, fmt.Errorf("the day of %s does not end", scenario.Name)
 	}
-	for _, n := range r.nodes {
-		n.step(controller.Input{Kind: controller.InputShutdown})
+	for _, node := range runner.nodes {
+		node.handleInput(controller.Input{Kind: controller.InputShutdown})
 	}
-	left := r.clock.Run(r.clock.now+leaveWithin, func() bool {
-		return !slices.ContainsFunc(r.nodes, func(n *node) bool { return !n.left })
+	allStopped := runner.clock.Run(runner.clock.now+shutdownTimeout, func() bool {
+		return !slices.ContainsFunc(runner.nodes, func(n *node) bool { return !n.stopped })
 	})
-	d := &Day{Scene: s, Left: left, Events: r.clock.Events(), Took: r.clock.now - began}
-	for _, n := range r.nodes {
+	result := &Result{Simulation: simulation, AllStopped: allStopped, Events: runner.clock.Events(), Duration: runner.clock.now - startTime}
+	for _, n := range runner.nodes {
 		n.kill()
-		r.stats = append(r.stats, n.core.Stats())
+		runner.endedStats = append(runner.endedStats, n.core.Stats())
 	}
-	r.clock.Run(r.clock.now+r.hop, func() bool { return false }) // the connections close
-	d.Held, d.Stats = s.Fleet.Held(), r.stats
-	for _, n := range r.nodes {
-		r.err = cmp.Or(r.err, n.capture.Close())
+	runner.clock.Run(runner.clock.now+runner.hopDelay, func() bool { return false }) // the connections close
+	result.CircuitsInUse, result.ControllerStats = simulation.Fleet.CircuitsInUse(), runner.endedStats
+	for _, n := range runner.nodes {
+		runner.captureErr = cmp.Or(runner.captureErr, n.capture.Close())
 	}
-	if err := cmp.Or(r.err, r.capture.Close()); err != nil {
-		return nil, fmt.Errorf("the capture of %s: %w", scn.Name, err)
+	if err := cmp.Or(runner.captureErr, runner.capture.Close()); err != nil {
+		return nil, fmt.Errorf("the capture of %s: %w", scenario.Name, err)
 	}
-	return d, nil
+	return result, nil
 }
 
-func (r *Runner) writer(who string) *capture.Writer {
-	if r.opt.Capture == nil {
+func (runner *Runner) newCaptureWriter(owner string) *capture.Writer {
+	if runner.options.NewCapture == nil {
 		return nil
 	}
-	return r.opt.Capture(who, func() int64 { return int64(r.clock.now) })
+	return runner.options.NewCapture(owner, func() int64 { return int64(runner.clock.now) })
 }
 
-func owner(cell int) string { return fmt.Sprint("controller ", cell) }
+func controllerOwner(number int) string { return fmt.Sprint("controller ", number) }
 
-func (r *Runner) start(cell int) {
-	var sink flow.Sink
-	if r.opt.Flows != nil {
-		sink = r.opt.Flows(cell)
+func (runner *Runner) startController(number int) {
+	var flowSink flow.Sink
+	if runner.options.NewFlowSink != nil {
+		flowSink = runner.options.NewFlowSink(number)
 	}
-	r.nodes[cell] = r.newNode(cell, sink, r.writer(owner(cell)))
+	runner.nodes[number] = runner.newNode(number, flowSink, runner.newCaptureWriter(controllerOwner(number)))
 }
 
-// connect makes a connection that both ends know of.
-func (r *Runner) connect(n *node, p controller.Peer, far string, dialed bool, d *door) *wire {
-	r.conns++
-	w := &wire{r: r, n: n, peer: p, near: true, far: true, door: d}
-	if r.capture != nil {
-		key := fmt.Sprint("wire ", r.conns)
-		w.nearTap = n.capture.Open(key, capture.Endpoint{Owner: owner(n.cell), Role: p.Role.String(), Peer: p.ID, Dialed: dialed})
-		w.farTap = r.capture.Open(key, capture.Endpoint{Owner: far, Role: "controller", Dialed: !dialed})
+// newConnection makes a connection that both ends know of.
+func (runner *Runner) newConnection(n *node, peer controller.Peer, remoteOwner string, dialed bool, port *exchangePort) *connection {
+	runner.connectionCount++
+	conn := &connection{runner: runner, node: n, peer: peer, controllerOpen: true, remoteOpen: true, port: port}
+	if runner.capture != nil {
+		key := fmt.Sprint("wire ", runner.connectionCount)
+		conn.controllerRecorder = n.capture.Open(key, capture.Endpoint{Owner: controllerOwner(n.cell), Role: peer.Role.String(), Peer: peer.ID, Dialed: dialed})
+		conn.remoteRecorder = runner.capture.Open(key, capture.Endpoint{Owner: remoteOwner, Role: "controller", Dialed: !dialed})
 	}
-	return w
+	return conn
 }
 
-// answer is a controller's call at a door; nil if nobody opens.
-func (r *Runner) answer(n *node, p controller.Peer, addr string) *wire {
-	if p.Role == controller.RoleExchangeList {
-		if r.away {
+// acceptDial is a controller's call at a door; nil if nobody opens.
+func (runner *Runner) acceptDial(n *node, peer controller.Peer, address string) *connection {
+	if peer.Role == controller.RoleExchangeList {
+		if runner.listUnavailable {
 			return nil
 		}
-		w := r.connect(n, p, "list", true, nil)
-		var lc *exlist.Conn
-		w.message = func(m *signal.Message) { r.scene.List.Message(lc, m) }
-		w.closed = func() {
-			r.lists = slices.DeleteFunc(r.lists, func(o *wire) bool { return o == w })
-			r.scene.List.Closed(lc)
+		conn := runner.newConnection(n, peer, "list", true, nil)
+		var listConn *exlist.Conn
+		conn.onMessage = func(m *signal.Message) { runner.simulation.List.HandleMessage(listConn, m) }
+		conn.onClosed = func() {
+			runner.listConnections = slices.DeleteFunc(runner.listConnections, func(other *connection) bool { return other == conn })
+			runner.simulation.List.ConnClosed(listConn)
 		}
-		lc = r.scene.List.Open(func(m *signal.Message) { w.toController(m) })
-		r.lists = append(r.lists, w)
-		return w
+		listConn = runner.simulation.List.OpenConn(func(m *signal.Message) { conn.sendToController(m) })
+		runner.listConnections = append(runner.listConnections, conn)
+		return conn
 	}
-	id, ok := exchangeID(addr)
-	d := r.doors[id]
-	if !ok || d == nil || d.shut {
+	id, ok := parseExchangeAddress(address)
+	port := runner.ports[id]
+	if !ok || port == nil || port.closed {
 		return nil
 	}
-	x := r.scene.Exchange(id)
-	if x == nil || !x.Up {
+	exchange := runner.simulation.ExchangeByID(id)
+	if exchange == nil || !exchange.Up {
 		return nil
 	}
-	w := r.connect(n, p, fmt.Sprint("exchange ", id), true, d)
-	w.faulty = true
-	r.talk(d, x, w, false)
+	w := runner.newConnection(n, peer, fmt.Sprint("exchange ", id), true, port)
+	w.subjectToFaults = true
+	runner.serveExchange(port, exchange, w, false)
 	return w
 }
 
-// talk serves a connection of an exchange.
-func (r *Runner) talk(d *door, x *exchange.Exchange, w *wire, transit bool) {
-	var ec *exchange.Conn
-	w.message = func(m *signal.Message) { r.scene.Fleet.Message(ec, m) }
-	w.closed = func() {
-		d.conns = slices.DeleteFunc(d.conns, func(o *wire) bool { return o == w })
-		delete(d.exch, w)
-		r.scene.Fleet.Closed(ec)
+// serveExchange serves a connection of an exchange.
+func (runner *Runner) serveExchange(port *exchangePort, served *exchange.Exchange, conn *connection, transit bool) {
+	var exchangeConn *exchange.Conn
+	conn.onMessage = func(m *signal.Message) { runner.simulation.Fleet.HandleMessage(exchangeConn, m) }
+	conn.onClosed = func() {
+		port.connections = slices.DeleteFunc(port.connections, func(other *connection) bool { return other == conn })
+		delete(port.exchangeConns, conn)
+		runner.simulation.Fleet.ConnClosed(exchangeConn)
 		if transit {
-			r.clock.After(redialAfter, func() { r.dialTransit(x.Cell) })
+			runner.clock.After(redialDelay, func() { runner.dialTransit(served.Number) })
 		}
 	}
-	ec = r.scene.Fleet.Open(x, transit, func(m *signal.Message) { w.toController(m) })
-	d.conns = append(d.conns, w)
-	d.exch[w] = ec
+	exchangeConn = runner.simulation.Fleet.OpenConn(served, transit, func(m *signal.Message) { conn.sendToController(m) })
+	port.connections = append(port.connections, conn)
+	port.exchangeConns[conn] = exchangeConn
 }
 
 // dialTransit connects the exchange of a cell with its controller.
-func (r *Runner) dialTransit(cell int) {
-	r.clock.After(r.hop, func() {
-		n, x := r.nodes[cell], r.scene.Fleet.Current(cell)
-		if n.dead {
-			r.clock.After(redialAfter, func() { r.dialTransit(cell) })
+func (runner *Runner) dialTransit(number int) {
+	runner.clock.After(runner.hopDelay, func() {
+		n, current := runner.nodes[number], runner.simulation.Fleet.Current(number)
+		if n.killed {
+			runner.clock.After(redialDelay, func() { runner.dialTransit(number) })
 			return
 		}
-		d := r.doors[x.ID]
-		w := r.connect(n, n.accept(), fmt.Sprint("exchange ", x.ID), false, d)
-		n.wires[w.peer] = w
-		r.talk(d, x, w, true)
+		port := runner.ports[current.ID]
+		conn := runner.newConnection(n, n.acceptCaller(), fmt.Sprint("exchange ", current.ID), false, port)
+		n.connections[conn.peer] = conn
+		runner.serveExchange(port, current, conn, true)
 	})
 }
 
 // dialCallers connects subscribers with their controller.
-func (r *Runner) dialCallers(cell int) {
-	r.clock.After(r.hop, func() {
-		again := func() { r.clock.After(redialAfter, func() { r.dialCallers(cell) }) }
-		n := r.nodes[cell]
-		if n.dead {
-			again()
+func (runner *Runner) dialCallers(number int) {
+	runner.clock.After(runner.hopDelay, func() {
+		redial := func() { runner.clock.After(redialDelay, func() { runner.dialCallers(number) }) }
+		n := runner.nodes[number]
+		if n.killed {
+			redial()
 			return
 		}
-		w := r.connect(n, n.accept(), fmt.Sprint("callers of ", cell), false, nil)
-		n.wires[w.peer] = w
-		var sc *subscriber.Conn
-		w.message = func(m *signal.Message) { r.scene.Crowd.Message(sc, m) }
-		w.closed = func() {
-			r.scene.Crowd.Closed(cell, sc)
-			again()
+		conn := runner.newConnection(n, n.acceptCaller(), fmt.Sprint("callers of ", number), false, nil)
+		n.connections[conn.peer] = conn
+		var callersConn *subscriber.Conn
+		conn.onMessage = func(m *signal.Message) { runner.simulation.Callers.HandleMessage(callersConn, m) }
+		conn.onClosed = func() {
+			runner.simulation.Callers.ConnClosed(number, callersConn)
+			redial()
 		}
-		sc = r.scene.Crowd.Open(cell, w.toController)
+		callersConn = runner.simulation.Callers.OpenConn(number, conn.sendToController)
 	})
 }
 
-// edge is what the scene asks of its connections.
-type edge struct{ r *Runner }
+// environment is what the scene asks of its connections.
+type environment struct{ runner *Runner }
 
-func (e edge) Open(id uint32) (string, error) {
-	e.r.doors[id] = &door{exch: map[*wire]*exchange.Conn{}}
+func (env environment) Listen(id uint32) (string, error) {
+	env.runner.ports[id] = &exchangePort{exchangeConns: map[*connection]*exchange.Conn{}}
 	return fmt.Sprint("exchange:", id), nil
 }
 
-func (e edge) Shut(id uint32) {
-	e.r.doors[id].shut = true
-	e.Break(id, "out of service", func(*exchange.Conn) bool { return true })
+func (env environment) StopListening(id uint32) {
+	env.runner.ports[id].closed = true
+	env.CloseConns(id, "out of service", func(*exchange.Conn) bool { return true })
 }
 
-func (e edge) Break(id uint32, why string, which func(*exchange.Conn) bool) int {
-	d, n := e.r.doors[id], 0
-	for _, w := range slices.Clone(d.conns) {
-		if which(d.exch[w]) {
-			n++
-			w.close(why, false)
+func (env environment) CloseConns(id uint32, reason string, matches func(*exchange.Conn) bool) int {
+	port, closed := env.runner.ports[id], 0
+	for _, candidate := range slices.Clone(port.connections) {
+		if matches(port.exchangeConns[candidate]) {
+			closed++
+			candidate.close(reason, false)
 		}
 	}
-	return n
+	return closed
 }
 
-// Fault of an exchange's connections; pieces make no difference where messages arrive whole.
-func (e edge) Fault(id uint32, f scene.Fault, on bool) {
-	d := e.r.doors[id]
-	switch f {
-	case scene.Mute:
-		d.mute = on
-	case scene.Stalled:
-		if d.stalled = on; !on {
-			for _, w := range slices.Clone(d.conns) {
-				w.flow()
+// SetFault of an exchange's connections; pieces make no difference where messages arrive whole.
+func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+	port := env.runner.ports[id]
+	switch fault {
+	case scene.HalfOpen:
+		port.halfOpen = on
+	case scene.StalledReader:
+		if port.stalled = on; !on {
+			for _, conn := range slices.Clone(port.connections) {
+				conn.resumeReading()
 			}
 		}
 	}
 }
 
-func (e edge) ListAway(away bool) {
-	if e.r.away = away; away {
-		for _, w := range slices.Clone(e.r.lists) {
-			w.close("the list is away", false)
+func (env environment) SetListUnavailable(unavailable bool) {
+	if env.runner.listUnavailable = unavailable; unavailable {
+		for _, conn := range slices.Clone(env.runner.listConnections) {
+			conn.close("the list is away", false)
 		}
 	}
 }
 
-func (e edge) Garbage(perSecond float64) func() {
-	over := false
-	for cell := range e.r.nodes {
-		n := e.r.nodes[cell]
-		if n.dead {
+func (env environment) SendMalformed(perSecond float64) func() {
+	stopped := false
+	for number := range env.runner.nodes {
+		n := env.runner.nodes[number]
+		if n.killed {
 			continue
 		}
-		w := e.r.connect(n, n.accept(), "junk", false, nil)
-		n.wires[w.peer] = w
-		w.message, w.closed = func(*signal.Message) {}, func() {}
-		var next func(i int)
-		next = func(i int) {
-			if over || !w.near {
+		conn := env.runner.newConnection(n, n.acceptCaller(), "junk", false, nil)
+		n.connections[conn.peer] = conn
+		conn.onMessage, conn.onClosed = func(*signal.Message) {}, func() {}
+		var sendNext func(i int)
+		sendNext = func(i int) {
+			if stopped || !conn.controllerOpen {
 				return
 			}
-			n.junk(w.peer, scene.Junk[i%len(scene.Junk)])
-			e.r.clock.After(time.Duration(float64(time.Second)/perSecond), func() { next(i + 1) })
+			n.receiveMalformed(conn.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
+			env.runner.clock.After(time.Duration(float64(time.Second)/perSecond), func() { sendNext(i + 1) })
 		}
-		next(0)
+		sendNext(0)
 	}
-	return func() { over = true }
+	return func() { stopped = true }
 }
 
-func (e edge) Restart(cell int) {
-	n := e.r.nodes[cell]
+func (env environment) RestartController(number int) {
+	n := env.runner.nodes[number]
 	n.kill()
-	e.r.stats = append(e.r.stats, n.core.Stats())
-	e.r.capture.Fact("killed", capture.Killed{Owner: owner(cell)})
-	if err := n.capture.Close(); err != nil && e.r.err == nil {
-		e.r.err = err
+	env.runner.endedStats = append(env.runner.endedStats, n.core.Stats())
+	env.runner.capture.Fact("killed", capture.Killed{Owner: controllerOwner(number)})
+	if err := n.capture.Close(); err != nil && env.runner.captureErr == nil {
+		env.runner.captureErr = err
 	}
-	e.r.clock.After(restartTakes, func() { e.r.start(cell) })
+	env.runner.clock.After(restartTime, func() { env.runner.startController(number) })
 }
 
-func (e edge) Fact(name string, v any) { e.r.capture.Fact(name, v) }
+func (env environment) Record(name string, value any) { env.runner.capture.Fact(name, value) }
 
-func sortedPeers(m map[controller.Peer]*wire) []controller.Peer {
-	return slices.SortedFunc(maps.Keys(m), func(a, b controller.Peer) int {
+func sortedPeers(connections map[controller.Peer]*connection) []controller.Peer {
+	return slices.SortedFunc(maps.Keys(connections), func(a, b controller.Peer) int {
 		return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.ID, b.ID))
 	})
 }
--- a/internal/virtual/wire.go
+++ b/internal/virtual/wire.go
@@ -6,123 +6,123 @@
 	"dahliaspindle/internal/signal"
 )
 
-// wire is one connection between a controller and a stand-in. What is said
+// connection is one connection between a controller and a stand-in. What is said
 // arrives a hop later, in order; what is under way towards an end that has
 // closed is lost, as with a socket.
-type wire struct {
-	r    *Runner
-	n    *node
-	peer controller.Peer
-	door *door // of an exchange that a controller dialled, or that dialled for its calls in transit; nil else
+type connection struct {
+	runner *Runner
+	node   *node
+	peer   controller.Peer
+	port   *exchangePort // of an exchange that a controller dialled, or that dialled for its calls in transit; nil else
 
-	message func(*signal.Message) // to the stand-in
-	closed  func()                // tells the stand-in
-	near    bool                  // the controller's end is open
-	far     bool                  // the stand-in's end is open
-	held    []*signal.Message     // read by nobody: the stand-in's reader stalls
-	nearTap *capture.ConnRecorder
-	farTap  *capture.ConnRecorder
-	faulty  bool // the door's faults hit it
+	onMessage          func(*signal.Message) // to the stand-in
+	onClosed           func()                // tells the stand-in
+	controllerOpen     bool                  // the controller's end is open
+	remoteOpen         bool                  // the stand-in's end is open
+	unread             []*signal.Message     // read by nobody: the stand-in's reader stalls
+	controllerRecorder *capture.ConnRecorder
+	remoteRecorder     *capture.ConnRecorder
+	subjectToFaults    bool // the door's faults hit it
 }
 
-// pipe is how many messages fit between a controller and a stand-in that does
+// maxUnreadMessages is how many messages fit between a controller and a stand-in that does
 // not read, before the controller's own queue fills: about a loopback socket's
 // buffers. What a full queue would do (refuse set-ups, then close) begins there.
-const pipe = 8192
+const maxUnreadMessages = 8192
 
-// toStandIn takes a message of the controller; false if it does not leave.
-func (w *wire) toStandIn(m *signal.Message) bool {
-	if !w.near {
+// sendToRemote takes a message of the controller; false if it does not leave.
+func (c *connection) sendToRemote(message *signal.Message) bool {
+	if !c.controllerOpen {
 		return false
 	}
-	if len(w.held) >= pipe {
-		if m.Kind != signal.Request || m.Command != signal.Add {
-			w.close("the peer reads too slowly", true)
+	if len(c.unread) >= maxUnreadMessages {
+		if message.Kind != signal.Request || message.Command != signal.Add {
+			c.close("the peer reads too slowly", true)
 		}
 		return false
 	}
-	if w.nearTap != nil {
-		w.nearTap.Sent(w.nearTap.Now(), m.Append(nil))
+	if c.controllerRecorder != nil {
+		c.controllerRecorder.Sent(c.controllerRecorder.Now(), message.Append(nil))
 	}
-	w.r.clock.After(w.r.hop, func() { w.arrive(m) })
+	c.runner.clock.After(c.runner.hopDelay, func() { c.arriveAtRemote(message) })
 	return true
 }
 
-// arrive is a message at the stand-in's end.
-func (w *wire) arrive(m *signal.Message) {
+// arriveAtRemote is a message at the stand-in's end.
+func (c *connection) arriveAtRemote(message *signal.Message) {
 	switch {
-	case !w.far:
-	case w.faulty && (w.door.stalled || len(w.held) > 0):
-		w.held = append(w.held, m)
+	case !c.remoteOpen:
+	case c.subjectToFaults && (c.port.stalled || len(c.unread) > 0):
+		c.unread = append(c.unread, message)
 	default:
-		w.read(m)
+		c.deliverToRemote(message)
 	}
 }
 
-func (w *wire) read(m *signal.Message) {
-	if w.farTap != nil {
-		w.farTap.Received(m.Append(nil))
+func (c *connection) deliverToRemote(message *signal.Message) {
+	if c.remoteRecorder != nil {
+		c.remoteRecorder.Received(message.Append(nil))
 	}
-	if !(w.faulty && w.door.mute) {
-		w.message(m)
+	if !(c.subjectToFaults && c.port.halfOpen) {
+		c.onMessage(message)
 	}
 }
 
-// flow lets a reader that had stalled go on.
-func (w *wire) flow() {
-	held := w.held
-	w.held = nil
-	for _, m := range held {
-		if w.far {
-			w.read(m)
+// resumeReading lets a reader that had stalled go on.
+func (c *connection) resumeReading() {
+	unread := c.unread
+	c.unread = nil
+	for _, message := range unread {
+		if c.remoteOpen {
+			c.deliverToRemote(message)
 		}
 	}
 }
 
-// toController takes a message of the stand-in.
-func (w *wire) toController(m *signal.Message) bool {
-	if !w.far || w.faulty && w.door.mute {
-		return w.far
+// sendToController takes a message of the stand-in.
+func (c *connection) sendToController(message *signal.Message) bool {
+	if !c.remoteOpen || c.subjectToFaults && c.port.halfOpen {
+		return c.remoteOpen
 	}
-	if w.farTap != nil {
-		w.farTap.Sent(w.farTap.Now(), m.Append(nil))
+	if c.remoteRecorder != nil {
+		c.remoteRecorder.Sent(c.remoteRecorder.Now(), message.Append(nil))
 	}
-	w.r.clock.After(w.r.hop, func() {
-		if w.near {
-			if w.nearTap != nil {
-				w.nearTap.Received(m.Append(nil))
+	c.runner.clock.After(c.runner.hopDelay, func() {
+		if c.controllerOpen {
+			if c.controllerRecorder != nil {
+				c.controllerRecorder.Received(message.Append(nil))
 			}
-			w.n.step(controller.Input{Kind: controller.InputMessage, Peer: w.peer, Message: m})
+			c.node.handleInput(controller.Input{Kind: controller.InputMessage, Peer: c.peer, Message: message})
 		}
 	})
 	return true
 }
 
 // close ends the connection from one side; the other hears of it a hop later.
-func (w *wire) close(why string, byController bool) {
+func (c *connection) close(reason string, byController bool) {
 	if byController {
-		w.endNear(why)
-		w.r.clock.After(w.r.hop, func() { w.endFar("closed by the peer") })
+		c.closeControllerEnd(reason)
+		c.runner.clock.After(c.runner.hopDelay, func() { c.closeRemoteEnd("closed by the peer") })
 	} else {
-		w.endFar(why)
-		w.r.clock.After(w.r.hop, func() { w.endNear("closed by the peer") })
+		c.closeRemoteEnd(reason)
+		c.runner.clock.After(c.runner.hopDelay, func() { c.closeControllerEnd("closed by the peer") })
 	}
 }
 
-func (w *wire) endFar(why string) {
-	if !w.far {
+func (c *connection) closeRemoteEnd(reason string) {
+	if !c.remoteOpen {
 		return
 	}
-	w.far, w.held = false, nil
-	w.farTap.Closed(why)
-	w.closed()
+	c.remoteOpen, c.unread = false, nil
+	c.remoteRecorder.Closed(reason)
+	c.onClosed()
 }
 
-func (w *wire) endNear(why string) {
-	if !w.near {
+func (c *connection) closeControllerEnd(reason string) {
+	if !c.controllerOpen {
 		return
 	}
-	w.near = false
-	w.nearTap.Closed(why)
-	w.n.lost(w)
+	c.controllerOpen = false
+	c.controllerRecorder.Closed(reason)
+	c.node.connectionLost(c)
 }
