--- a/internal/curve/curve.go
+++ b/internal/curve/curve.go
@@ -142,7 +142,14 @@
 		newest := time.Duration(0)
 		for _, counted := range measure.Slots(attempts, options, Resolutions[0]) {
 			key := Key(counted.Key)
-			slot := Slot{Attempts: counted.Attempts, FirstAttempts: counted.FirstAttempts, Lost: counted.Lost, Completed: counted.Completed, HeldSeconds: counted.HeldTime.Seconds(), ObservedSeconds: counted.Observed.Seconds()}
+			slot := Slot{
+				Attempts:        counted.Attempts,
+				FirstAttempts:   counted.FirstAttempts,
+				Lost:            counted.Lost,
+				Completed:       counted.Completed,
+				HeldSeconds:     counted.HeldTime.Seconds(),
+				ObservedSeconds: counted.Observed.Seconds(),
+			}
 			for i, step := range Resolutions {
 				if err := addToSlot(tx.Bucket(slotsBucket(i)), slotKey(key, counted.Begin-counted.Begin%step), slot); err != nil {
 					return err
--- a/internal/curve/curve_test.go
+++ b/internal/curve/curve_test.go
@@ -24,7 +24,15 @@
 	for at := from; at < to; {
 		traffic := erlang(math.Mod((at - start).Hours(), 24))
 		at += time.Duration(random.ExpFloat64() * 90 / max(traffic, 0.01) * 1e9)
-		attempt := measure.CallAttempt{Start: at, Source: 1, Dest: 2, Circuits: 1, Number: random.Uint64(), Incarnation: incarnation, EstablishedFor: time.Duration(random.ExpFloat64() * 90e9)}
+		attempt := measure.CallAttempt{
+			Start:          at,
+			Source:         1,
+			Dest:           2,
+			Circuits:       1,
+			Number:         random.Uint64(),
+			Incarnation:    incarnation,
+			EstablishedFor: time.Duration(random.ExpFloat64() * 90e9),
+		}
 		if attempt.Start+attempt.EstablishedFor <= to {
 			attempts = append(attempts, attempt)
 		}
@@ -76,12 +84,12 @@
 	}
 	hours := slotsOf(t, s, time.Hour)
 	hasSlot := map[int]bool{}
-	for _, h := range hours {
-		hour := int((h.Begin - start) / time.Hour)
+	for _, slot := range hours {
+		hour := int((slot.Begin - start) / time.Hour)
 		hasSlot[hour] = true
-		traffic, ok := h.Erlang()
+		traffic, ok := slot.Erlang()
 		want := (dailyTraffic(math.Mod(float64(hour), 24)) + dailyTraffic(math.Mod(float64(hour)+1, 24))) / 2
-		if h.ObservedSeconds > 3500 && (!ok || math.Abs(traffic-want) > 5*math.Sqrt(2*want*90/3600)) {
+		if slot.ObservedSeconds > 3500 && (!ok || math.Abs(traffic-want) > 5*math.Sqrt(2*want*90/3600)) {
 			t.Errorf("hour %d: %.2f erlang, want %.2f", hour, traffic, want)
 		}
 	}
@@ -91,8 +99,8 @@
 		}
 	}
 	quarters, observedSeconds := slotsOf(t, s, 15*time.Minute), 0.0
-	for _, q := range quarters {
-		observedSeconds += q.ObservedSeconds
+	for _, quarter := range quarters {
+		observedSeconds += quarter.ObservedSeconds
 	}
 	days := slotsOf(t, s, day)
 	if len(days) != 2 || math.Abs(days[0].ObservedSeconds+days[1].ObservedSeconds-observedSeconds) > 1e-6 || days[0].ObservedSeconds > 18*3600 {
--- a/internal/loss/erlang_test.go
+++ b/internal/loss/erlang_test.go
@@ -10,7 +10,7 @@
 
 // Compares with a published Erlang B table, to the last decimal of the table.
 func TestErlangBTable(t *testing.T) {
-	for _, c := range []struct {
+	for _, entry := range []struct {
 		circuits    int
 		loss        float64
 		wantTraffic float64
@@ -19,13 +19,13 @@
 		{1, 0.01, 0.0101, 4}, {2, 0.01, 0.153, 3}, {5, 0.01, 1.36, 2}, {10, 0.01, 4.46, 2}, {20, 0.01, 12.03, 2}, {30, 0.01, 20.34, 2},
 		{50, 0.01, 37.90, 2}, {100, 0.01, 84.06, 2}, {10, 0.001, 3.09, 2}, {10, 0.05, 6.22, 2}, {20, 0.02, 13.18, 2}, {50, 0.1, 49.56, 2},
 	} {
-		got, err := MaxTraffic(c.circuits, c.loss)
-		scale := math.Pow10(c.decimals)
-		if err != nil || math.Round(got*scale)/scale != c.wantTraffic {
-			t.Errorf("%d circuits at a loss of %v: %.5f erlang, the table has %v (%v)", c.circuits, c.loss, got, c.wantTraffic, err)
+		got, err := MaxTraffic(entry.circuits, entry.loss)
+		scale := math.Pow10(entry.decimals)
+		if err != nil || math.Round(got*scale)/scale != entry.wantTraffic {
+			t.Errorf("%d circuits at a loss of %v: %.5f erlang, the table has %v (%v)", entry.circuits, entry.loss, got, entry.wantTraffic, err)
 		}
-		if n, err := RequiredCircuits(got, c.loss); err != nil || n != c.circuits {
-			t.Errorf("%v erlang at a loss of %v: %d circuits, want %d (%v)", got, c.loss, n, c.circuits, err)
+		if n, err := RequiredCircuits(got, entry.loss); err != nil || n != entry.circuits {
+			t.Errorf("%v erlang at a loss of %v: %d circuits, want %d (%v)", got, entry.loss, n, entry.circuits, err)
 		}
 	}
 }
--- a/internal/loss/several.go
+++ b/internal/loss/several.go
@@ -50,54 +50,54 @@
 	weights[0] = 1
 	totalWeight := 1.0
 	carried := make([]float64, len(streams)) // circuits, not normalized
-	// classWeights[k][n] is the geometric sum of a peaked stream's states below n.
+	// classWeights[class][n] is the geometric sum of a peaked stream's states below n.
 	classWeights := make([][]float64, len(streams))
-	for k := range classWeights {
-		classWeights[k] = make([]float64, circuits+1)
+	for class := range classWeights {
+		classWeights[class] = make([]float64, circuits+1)
 	}
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
-		for k, s := range streams {
+		for class, s := range streams {
 			from := n - s.Circuits
 			if from < 0 || from > circuits-s.Circuits-s.Reservation {
 				continue
 			}
 			peakedness := max(s.Peakedness, 1)
 			term := s.Traffic / peakedness * float64(s.Circuits) * weights[from]
-			classWeights[k][n] = term
+			classWeights[class][n] = term
 			if peakedness > 1 {
-				classWeights[k][n] += (peakedness - 1) / peakedness * classWeights[k][from]
+				classWeights[class][n] += (peakedness - 1) / peakedness * classWeights[class][from]
 			}
-			total += classWeights[k][n]
+			total += classWeights[class][n]
 		}
 		weights[n] = total / float64(n)
-		for k := range streams {
+		for class := range streams {
 			if total > 0 {
-				carried[k] += classWeights[k][n]
+				carried[class] += classWeights[class][n]
 			}
 		}
 		if totalWeight += weights[n]; totalWeight > 1e250 { // normalize early: the weights of large groups overflow a float64
 			for i := 0; i <= n; i++ {
 				weights[i] /= totalWeight
-				for k := range classWeights {
-					classWeights[k][i] /= totalWeight
+				for class := range classWeights {
+					classWeights[class][i] /= totalWeight
 				}
 			}
-			for k := range carried {
-				carried[k] /= totalWeight
+			for class := range carried {
+				carried[class] /= totalWeight
 			}
 			totalWeight = 1
 		}
 	}
 	result := make([]Congestion, len(streams))
-	for k, s := range streams {
+	for class, s := range streams {
 		for n := max(circuits-s.Circuits-s.Reservation+1, 0); n <= circuits; n++ {
-			result[k].Time += weights[n] / totalWeight
+			result[class].Time += weights[n] / totalWeight
 		}
 		if s.Traffic > 0 {
 			// Mean number of circuits that the stream holds, from its share of each state.
-			meanCircuits := carried[k] / totalWeight
-			result[k].Traffic = min(max(1-meanCircuits/(s.Traffic*float64(s.Circuits)), 0), 1)
+			meanCircuits := carried[class] / totalWeight
+			result[class].Traffic = min(max(1-meanCircuits/(s.Traffic*float64(s.Circuits)), 0), 1)
 		}
 	}
 	return result, nil
--- a/internal/loss/several_test.go
+++ b/internal/loss/several_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestKaufmanRobertsAgainstMarkovChain(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		circuits  int
 		a, b      Stream
 		tolerance float64 // relative
@@ -87,19 +87,19 @@
 		// Trunk reservation in favour of the second stream is an approximation.
 		{20, Stream{Traffic: 9, Circuits: 1, Reservation: 1}, Stream{Traffic: 4, Circuits: 2}, 0.12},
 	} {
-		got, err := KaufmanRoberts(c.circuits, []Stream{c.a, c.b})
+		got, err := KaufmanRoberts(test.circuits, []Stream{test.a, test.b})
 		if err != nil {
 			t.Fatal(err)
 		}
-		blockedA, blockedB := solveTwoStreams(c.circuits, c.a, c.b)
-		if math.Abs(got[0].Time-blockedA) > c.tolerance*blockedA || math.Abs(got[1].Time-blockedB) > c.tolerance*blockedB {
-			t.Errorf("%d circuits: time congestion %.6f and %.6f, by the Markov chain %.6f and %.6f", c.circuits, got[0].Time, got[1].Time, blockedA, blockedB)
+		blockedA, blockedB := solveTwoStreams(test.circuits, test.a, test.b)
+		if math.Abs(got[0].Time-blockedA) > test.tolerance*blockedA || math.Abs(got[1].Time-blockedB) > test.tolerance*blockedB {
+			t.Errorf("%d circuits: time congestion %.6f and %.6f, by the Markov chain %.6f and %.6f", test.circuits, got[0].Time, got[1].Time, blockedA, blockedB)
 		}
-		if c.a.Reservation == 0 && (math.Abs(got[0].Traffic-blockedA) > 1e-6 || math.Abs(got[1].Traffic-blockedB) > 1e-6) {
-			t.Errorf("%d circuits: traffic congestion %.6f and %.6f differs from the Markov chain", c.circuits, got[0].Traffic, got[1].Traffic)
+		if test.a.Reservation == 0 && (math.Abs(got[0].Traffic-blockedA) > 1e-6 || math.Abs(got[1].Traffic-blockedB) > 1e-6) {
+			t.Errorf("%d circuits: traffic congestion %.6f and %.6f differs from the Markov chain", test.circuits, got[0].Traffic, got[1].Traffic)
 		}
-		if c.a.Reservation == 0 && c.circuits >= 10 && got[1].Time < 1.5*got[0].Time {
-			t.Errorf("%d circuits: calls of several circuits lose %.4f, calls of one circuit %.4f", c.circuits, got[1].Time, got[0].Time)
+		if test.a.Reservation == 0 && test.circuits >= 10 && got[1].Time < 1.5*got[0].Time {
+			t.Errorf("%d circuits: calls of several circuits lose %.4f, calls of one circuit %.4f", test.circuits, got[1].Time, got[0].Time)
 		}
 	}
 }
--- a/internal/measure/batch.go
+++ b/internal/measure/batch.go
@@ -282,15 +282,15 @@
 
 // hotNumbers returns the hot numbers in increasing order.
 func hotNumbers(attempts []CallAttempt) []uint64 {
-	total, lost := map[uint64]int{}, map[uint64]int{}
+	attemptCount, lost := map[uint64]int{}, map[uint64]int{}
 	for _, attempt := range attempts {
-		total[attempt.Number]++
+		attemptCount[attempt.Number]++
 		if attempt.Lost {
 			lost[attempt.Number]++
 		}
 	}
 	var hot []uint64
-	for number, count := range total {
+	for number, count := range attemptCount {
 		if count >= minHotAttempts && float64(lost[number]) >= minHotLossShare*float64(count) {
 			hot = append(hot, number)
 		}
--- a/internal/measure/batch_test.go
+++ b/internal/measure/batch_test.go
@@ -145,7 +145,15 @@
 // BenchmarkAdd compares Meter, with a tenth of the attempts lost, with a plain map of counts.
 func BenchmarkAdd(b *testing.B) {
 	attempt := func(i int) CallAttempt {
-		return CallAttempt{Start: time.Duration(i) * time.Millisecond, Source: 1, Dest: int32(i % 30), Circuits: 1, Number: uint64(i), Lost: i%10 == 0, EstablishedFor: second}
+		return CallAttempt{
+			Start:          time.Duration(i) * time.Millisecond,
+			Source:         1,
+			Dest:           int32(i % 30),
+			Circuits:       1,
+			Number:         uint64(i),
+			Lost:           i%10 == 0,
+			EstablishedFor: second,
+		}
 	}
 	b.Run("live", func(b *testing.B) {
 		meter := NewMeter(0, 15*time.Minute, 9*second)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -82,8 +82,14 @@
 // NewEstimator returns an estimator for attempts made since from. An attempt within
 // the retry window after a lost attempt for the same number counts as its repetition.
 func NewEstimator(from, retryWindow time.Duration) *Estimator {
-	return &Estimator{retryWindow: retryWindow, from: from, to: from, totalsByKey: map[Key]*totals{},
-		lastLost: [2]map[caller]time.Duration{{}, {}}, rotatedAt: from}
+	return &Estimator{
+		retryWindow: retryWindow,
+		from:        from,
+		to:          from,
+		totalsByKey: map[Key]*totals{},
+		lastLost:    [2]map[caller]time.Duration{{}, {}},
+		rotatedAt:   from,
+	}
 }
 
 // Meter measures the traffic of a running controller: it holds the estimator of the
@@ -199,8 +205,15 @@
 		if duration <= 0 {
 			continue
 		}
-		estimate := Estimate{Key: key, Tries: sums.attempts, First: sums.firstAttempts, Lost: sums.lost, Established: sums.established, Loss: float64(sums.lost) / float64(sums.attempts),
-			Carried: sums.circuitSeconds / duration.Seconds()}
+		estimate := Estimate{
+			Key:         key,
+			Tries:       sums.attempts,
+			First:       sums.firstAttempts,
+			Lost:        sums.lost,
+			Established: sums.established,
+			Loss:        float64(sums.lost) / float64(sums.attempts),
+			Carried:     sums.circuitSeconds / duration.Seconds(),
+		}
 		if sums.completed > 0 {
 			// Calls that were cut would have continued: their time counts, their end does not.
 			// This is the maximum likelihood estimate for censored exponential times.
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -32,35 +32,42 @@
 // simulateGroup offers first attempts to a group for the given time. Each lost caller
 // retries up to maxRetries times, and marks the retries if markRetries is set.
 func simulateGroup(erlang float64, circuits, maxRetries int, markRetries bool, seconds float64, seed uint64, report func(CallAttempt)) {
-	const holding = 10.0
+	const meanHolding = 10.0
 	random := rand.New(rand.NewPCG(seed, 7))
 	queue := &events{}
 	free, callers := circuits, uint64(0)
-	next := random.ExpFloat64() * holding / erlang
+	next := random.ExpFloat64() * meanHolding / erlang
 	heap.Push(queue, event{at: next, number: 1})
 	for queue.Len() > 0 {
-		e := heap.Pop(queue).(event)
-		if e.ends {
+		current := heap.Pop(queue).(event)
+		if current.ends {
 			free++
 			continue
 		}
-		if e.at > seconds {
+		if current.at > seconds {
 			break
 		}
-		if e.retries == 0 { // a first attempt: schedule the next one
+		if current.retries == 0 { // a first attempt: schedule the next one
 			callers++
-			heap.Push(queue, event{at: e.at + random.ExpFloat64()*holding/erlang, number: callers + 1})
+			heap.Push(queue, event{at: current.at + random.ExpFloat64()*meanHolding/erlang, number: callers + 1})
+		}
+		attempt := CallAttempt{
+			Start:       time.Duration(current.at * 1e9),
+			Dest:        1,
+			Number:      current.number,
+			MarkedRetry: markRetries && current.retries > 0,
+			Lost:        free == 0,
+			Circuits:    1,
 		}
-		attempt := CallAttempt{Start: time.Duration(e.at * 1e9), Dest: 1, Number: e.number, MarkedRetry: markRetries && e.retries > 0, Lost: free == 0, Circuits: 1}
 		if free == 0 {
-			if e.retries < maxRetries {
-				heap.Push(queue, event{at: e.at + 1 + random.ExpFloat64(), number: e.number, retries: e.retries + 1})
+			if current.retries < maxRetries {
+				heap.Push(queue, event{at: current.at + 1 + random.ExpFloat64(), number: current.number, retries: current.retries + 1})
 			}
 		} else {
-			held := random.ExpFloat64() * holding
+			held := random.ExpFloat64() * meanHolding
 			free--
 			attempt.EstablishedFor = time.Duration(held * 1e9)
-			heap.Push(queue, event{at: e.at + held, ends: true})
+			heap.Push(queue, event{at: current.at + held, ends: true})
 		}
 		report(attempt)
 	}
@@ -118,8 +125,8 @@
 	if n := len(estimator.lastLost[0]) + len(estimator.lastLost[1]); n > 2*maxLostCallers || estimator.EarlyRotations == 0 {
 		t.Errorf("%d callers remembered, %d early rotations", n, estimator.EarlyRotations)
 	}
-	if x := estimator.Estimates(time.Hour)[0]; x.Known || x.Loss != 1 {
-		t.Errorf("estimate without established calls: %+v", x)
+	if estimate := estimator.Estimates(time.Hour)[0]; estimate.Known || estimate.Loss != 1 {
+		t.Errorf("estimate without established calls: %+v", estimate)
 	}
 	if got := NewEstimator(0, time.Second).Estimates(0); got != nil {
 		t.Errorf("estimates without attempts: %+v", got)
--- a/internal/network/group.go
+++ b/internal/network/group.go
@@ -115,41 +115,41 @@
 func solveGroup(circuits int, classes []Class, sides *[2]sideTraffic, directShare [2][]float64, meanWait float64) groupState {
 	classCount := len(classes)
 	result := groupState{abandoned: make([]float64, classCount), directShare: directShare}
-	for e := range sides {
-		result.directBlocking[e], result.transitBlocking[e] = make([]float64, classCount), make([]float64, classCount)
-		result.freeProbability[e] = make([]float64, circuits+1)
+	for side := range sides {
+		result.directBlocking[side], result.transitBlocking[side] = make([]float64, classCount), make([]float64, classCount)
+		result.freeProbability[side] = make([]float64, circuits+1)
 	}
 	// Admission probabilities by class, side and circuits taken; 1 except near the full group.
 	direct, transit := make([][2][]float64, classCount), make([][2][]float64, classCount)
-	for e := range sides {
+	for side := range sides {
 		ownCalls := &binomialTails{byTaken: map[int][]float64{}}
-		for _, p := range directShare[e] {
+		for _, p := range directShare[side] {
 			ownCalls.probability += p
 		}
 		ownCalls.probability = min(ownCalls.probability, 1)
-		for c, cl := range classes {
+		for c, class := range classes {
 			highValueCalls := &binomialTails{byTaken: map[int][]float64{}}
-			for d := range classes {
-				if muchHigherValue(classes, d, c) {
-					highValueCalls.probability += directShare[e][d]
+			for other := range classes {
+				if muchHigherValue(classes, other, c) {
+					highValueCalls.probability += directShare[side][other]
 				}
 			}
 			var highValueReservation []float64
-			if sides[e].highValue != nil {
-				highValueReservation = sides[e].highValue[c]
+			if sides[side].highValue != nil {
+				highValueReservation = sides[side].highValue[c]
 			}
-			maxUnrestricted := circuits - cl.Circuits - int(math.Ceil(max(maxOrZero(highValueReservation), maxOrZero(sides[e].reservation))))
-			d, t := make([]float64, circuits+1), make([]float64, circuits+1)
-			for n := range d {
-				spare := circuits - n - cl.Circuits
+			maxUnrestricted := circuits - class.Circuits - int(math.Ceil(max(maxOrZero(highValueReservation), maxOrZero(sides[side].reservation))))
+			admitDirect, admitTransit := make([]float64, circuits+1), make([]float64, circuits+1)
+			for n := range admitDirect {
+				spare := circuits - n - class.Circuits
 				if n <= maxUnrestricted {
-					d[n], t[n] = 1, 1
+					admitDirect[n], admitTransit[n] = 1, 1
 					continue
 				}
-				d[n] = highValueCalls.admissionProbability(n, spare, highValueReservation)
-				t[n] = min(d[n], ownCalls.admissionProbability(n, spare, sides[e].reservation))
+				admitDirect[n] = highValueCalls.admissionProbability(n, spare, highValueReservation)
+				admitTransit[n] = min(admitDirect[n], ownCalls.admissionProbability(n, spare, sides[side].reservation))
 			}
-			direct[c][e], transit[c][e] = d, t
+			direct[c][side], transit[c][side] = admitDirect, admitTransit
 		}
 	}
 	weights := make([]float64, circuits+1)
@@ -157,14 +157,14 @@
 	totalWeight := 1.0
 	for n := 1; n <= circuits; n++ {
 		total := 0.0
-		for c, cl := range classes {
-			from := n - cl.Circuits
+		for c, class := range classes {
+			from := n - class.Circuits
 			if from < 0 {
 				continue
 			}
-			for e := range sides {
-				w := float64(cl.Circuits) * weights[from]
-				total += w * (sides[e].direct[c]*direct[c][e][from] + sides[e].transit[c]*transit[c][e][from])
+			for side := range sides {
+				weight := float64(class.Circuits) * weights[from]
+				total += weight * (sides[side].direct[c]*direct[c][side][from] + sides[side].transit[c]*transit[c][side][from])
 			}
 		}
 		weights[n] = total / float64(n)
@@ -177,10 +177,10 @@
 		}
 	}
 	releaseRate, offered := 0.0, 0.0
-	for c, cl := range classes {
-		for e := range sides {
-			circuitsOffered := (sides[e].direct[c] + sides[e].transit[c]) * float64(cl.Circuits)
-			releaseRate += circuitsOffered / cl.HoldingTime
+	for c, class := range classes {
+		for side := range sides {
+			circuitsOffered := (sides[side].direct[c] + sides[side].transit[c]) * float64(class.Circuits)
+			releaseRate += circuitsOffered / class.HoldingTime
 			offered += circuitsOffered
 		}
 	}
@@ -205,32 +205,32 @@
 		}
 		result.carried += p * float64(n)
 		for c := range classes {
-			for e := range sides {
-				result.directBlocking[e][c] += p * (1 - direct[c][e][n])
-				result.transitBlocking[e][c] += p * (1 - transit[c][e][n])
+			for side := range sides {
+				result.directBlocking[side][c] += p * (1 - direct[c][side][n])
+				result.transitBlocking[side][c] += p * (1 - transit[c][side][n])
 			}
 		}
 	}
 	result.divideCarried(circuits, classes, sides)
-	for e := range sides {
+	for side := range sides {
 		meanReservation := 0.0 // mean over the equally likely values
-		for _, r := range sides[e].reservation {
-			meanReservation += r / float64(len(sides[e].reservation))
+		for _, r := range sides[side].reservation {
+			meanReservation += r / float64(len(sides[side].reservation))
 		}
-		own := 0.0
-		for _, p := range result.directShare[e] {
-			own += p
+		ownShare := 0.0
+		for _, p := range result.directShare[side] {
+			ownShare += p
 		}
 		for n := range weights {
 			p := weights[n]
 			if n == circuits {
 				p += queueWeight
 			}
-			unreserved := max(float64(circuits-n)-max(meanReservation-own*float64(n), 0), 0)
+			unreserved := max(float64(circuits-n)-max(meanReservation-ownShare*float64(n), 0), 0)
 			whole := int(unreserved)
 			fraction := unreserved - float64(whole) // a fractional number is split between both neighbours
-			result.freeProbability[e][whole] += p * (1 - fraction)
-			result.freeProbability[e][min(whole+1, circuits)] += p * fraction
+			result.freeProbability[side][whole] += p * (1 - fraction)
+			result.freeProbability[side][min(whole+1, circuits)] += p * fraction
 		}
 	}
 	if nearlyFull := circuits - 2; nearlyFull >= 0 {
@@ -259,8 +259,8 @@
 		j, classRate := i, 0.0
 		for ; j < len(order) && classes[order[j]].Worth == classes[order[i]].Worth; j++ {
 			c := order[j]
-			for e := range sides {
-				classRate += sides[e].direct[c] * sides[e].waitShare[c] / classes[c].HoldingTime
+			for side := range sides {
+				classRate += sides[side].direct[c] * sides[side].waitShare[c] / classes[c].HoldingTime
 			}
 		}
 		arrivalRate += classRate
@@ -290,13 +290,13 @@
 func (s *groupState) divideCarried(circuits int, classes []Class, sides *[2]sideTraffic) {
 	var direct [2][]float64
 	carriedTotal, transit := 0.0, 0.0
-	for e := range sides {
-		direct[e] = make([]float64, len(classes))
-		for c, cl := range classes {
-			width := float64(cl.Circuits)
-			carriedCalls := sides[e].direct[c] * (1 - s.directBlocking[e][c] + s.directBlocking[e][c]*sides[e].waitShare[c]*(1-s.abandoned[c]))
-			direct[e][c] = width * carriedCalls
-			transit += width * sides[e].transit[c] * (1 - s.transitBlocking[e][c])
+	for side := range sides {
+		direct[side] = make([]float64, len(classes))
+		for c, class := range classes {
+			width := float64(class.Circuits)
+			carriedCalls := sides[side].direct[c] * (1 - s.directBlocking[side][c] + s.directBlocking[side][c]*sides[side].waitShare[c]*(1-s.abandoned[c]))
+			direct[side][c] = width * carriedCalls
+			transit += width * sides[side].transit[c] * (1 - s.transitBlocking[side][c])
 			carriedTotal += width * carriedCalls
 		}
 	}
@@ -305,9 +305,9 @@
 		return
 	}
 	s.transit = s.carried * transit / carriedTotal
-	for e := range direct {
-		for c := range direct[e] {
-			direct[e][c] /= carriedTotal
+	for side := range direct {
+		for c := range direct[side] {
+			direct[side][c] /= carriedTotal
 		}
 	}
 	s.directShare = direct
@@ -316,6 +316,6 @@
 // muchHigherValue reports whether class higher is worth more than highValueRatio
 // times class lower per circuit-second.
 func muchHigherValue(classes []Class, higher, lower int) bool {
-	value := func(x Class) float64 { return x.Worth / (float64(x.Circuits) * x.HoldingTime) }
+	value := func(class Class) float64 { return class.Worth / (float64(class.Circuits) * class.HoldingTime) }
 	return value(classes[higher]) > highValueRatio*value(classes[lower])
 }
--- a/internal/network/mesh.go
+++ b/internal/network/mesh.go
@@ -108,9 +108,9 @@
 			case len(m.Offered[i][j]) != len(m.Classes):
 				return invalid("traffic from %d to %d: %d classes, want %d", i, j, len(m.Offered[i][j]), len(m.Classes))
 			}
-			for k, a := range m.Offered[i][j] {
-				if !finite(a) || a > 1e6 || i == j && a != 0 {
-					return invalid("traffic from %d to %d, class %s: %v erlang", i, j, m.Classes[k].Name, a)
+			for k, traffic := range m.Offered[i][j] {
+				if !finite(traffic) || traffic > 1e6 || i == j && traffic != 0 {
+					return invalid("traffic from %d to %d, class %s: %v erlang", i, j, m.Classes[k].Name, traffic)
 				}
 			}
 		}
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -156,18 +156,18 @@
 // without trunk reservation: Erlang B of its direct traffic and of the overflow of
 // all other groups.
 func balancedLosses(exchanges, circuits int, traffic float64, tandems int) []float64 {
-	excess := func(b float64) float64 {
-		some := 1 - math.Pow(b, float64(exchanges-2))
-		rounds, r := 0.0, 1.0
+	excess := func(blocking float64) float64 {
+		anyFirstLeg := 1 - math.Pow(blocking, float64(exchanges-2))
+		rounds, allFailed := 0.0, 1.0
 		for range tandems {
-			rounds += r
-			r *= b
+			rounds += allFailed
+			allFailed *= blocking
 		}
-		e, err := loss.ErlangB(traffic+2*traffic*b*some*rounds, circuits)
+		offeredBlocking, err := loss.ErlangB(traffic+2*traffic*blocking*anyFirstLeg*rounds, circuits)
 		if err != nil {
 			panic(err)
 		}
-		return e - b
+		return offeredBlocking - blocking
 	}
 	var roots []float64
 	const steps = 20000
@@ -316,8 +316,8 @@
 	for i := range exchanges {
 		for j := range i {
 			a := 0.0
-			for c, cl := range mesh.Classes {
-				a += float64(cl.Circuits) * (mesh.Offered[i][j][c] + mesh.Offered[j][i][c])
+			for c, class := range mesh.Classes {
+				a += float64(class.Circuits) * (mesh.Offered[i][j][c] + mesh.Offered[j][i][c])
 			}
 			mesh.Circuits[i][j] = int(a + math.Sqrt(a)/2)
 			mesh.Circuits[j][i] = mesh.Circuits[i][j]
@@ -332,9 +332,9 @@
 		b.Run(map[int]string{7: "7", 30: "30", 80: "80"}[n], func(b *testing.B) {
 			m := randomMesh(n, 1)
 			for b.Loop() {
-				a := solve(b, m)
-				b.ReportMetric(float64(a.Iterations+a.FromFull.Iterations), "steps")
-				b.ReportMetric(a.LossByClass[0], "loss")
+				result := solve(b, m)
+				b.ReportMetric(float64(result.Iterations+result.FromFull.Iterations), "steps")
+				b.ReportMetric(result.LossByClass[0], "loss")
 			}
 		})
 	}
--- a/internal/network/solve.go
+++ b/internal/network/solve.go
@@ -31,8 +31,8 @@
 	}
 	fromEmpty, fromFull := newSolver(m, emptyNetwork).run(), newSolver(m, fullNetwork).run()
 	result := &Result{Solution: fromEmpty, FromFull: fromFull}
-	for c := range m.Classes {
-		if math.Abs(fromEmpty.LossByClass[c]-fromFull.LossByClass[c]) > bistableTolerance {
+	for class := range m.Classes {
+		if math.Abs(fromEmpty.LossByClass[class]-fromFull.LossByClass[class]) > bistableTolerance {
 			result.Bistable = true
 		}
 	}
@@ -95,8 +95,16 @@
 
 func newSolver(m *Mesh, start startState) *solver {
 	exchanges, classes := len(m.Circuits), len(m.Classes)
-	s := &solver{mesh: m, exchanges: exchanges, classes: classes, rejected: make([]float64, exchanges), utilization: make([]float64, exchanges), processorDemand: make([]float64, exchanges),
-		overTandem: newPairValues(exchanges, classes), lost: newPairValues(exchanges, classes)}
+	s := &solver{
+		mesh:            m,
+		exchanges:       exchanges,
+		classes:         classes,
+		rejected:        make([]float64, exchanges),
+		utilization:     make([]float64, exchanges),
+		processorDemand: make([]float64, exchanges),
+		overTandem:      newPairValues(exchanges, classes),
+		lost:            newPairValues(exchanges, classes),
+	}
 	for i := range exchanges {
 		s.groupIndex = append(s.groupIndex, make([]int, exchanges))
 		s.tandemShare = append(s.tandemShare, make([]float64, exchanges))
@@ -113,18 +121,18 @@
 			}
 			group := trunkGroup{a: i, b: j, circuits: circuits}
 			group.state.abandoned = make([]float64, classes)
-			for e := range 2 {
-				group.sides[e] = sideTraffic{direct: make([]float64, classes), transit: make([]float64, classes), waitShare: make([]float64, classes)}
-				group.state.directBlocking[e], group.state.transitBlocking[e], group.state.directShare[e] = make([]float64, classes), make([]float64, classes), make([]float64, classes)
-				group.state.freeProbability[e] = make([]float64, circuits+1)
-				group.state.freeProbability[e][circuits] = 1
+			for side := range 2 {
+				group.sides[side] = sideTraffic{direct: make([]float64, classes), transit: make([]float64, classes), waitShare: make([]float64, classes)}
+				group.state.directBlocking[side], group.state.transitBlocking[side], group.state.directShare[side] = make([]float64, classes), make([]float64, classes), make([]float64, classes)
+				group.state.freeProbability[side] = make([]float64, circuits+1)
+				group.state.freeProbability[side][circuits] = 1
 			}
 			for class := range classes {
 				group.state.abandoned[class] = 1
-				for e := range 2 {
-					group.state.directShare[e][class] = 0.5 / float64(classes)
+				for side := range 2 {
+					group.state.directShare[side][class] = 0.5 / float64(classes)
 					if start == fullNetwork {
-						group.state.directBlocking[e][class] = 0.5
+						group.state.directBlocking[side][class] = 0.5
 					}
 				}
 			}
@@ -229,9 +237,9 @@
 // group and processor, and returns the maximum change of a probability.
 func (s *solver) iterate(damping float64) float64 {
 	m := s.mesh
-	for x := range s.groups {
-		for e := range 2 {
-			traffic := &s.groups[x].sides[e]
+	for index := range s.groups {
+		for side := range 2 {
+			traffic := &s.groups[index].sides[side]
 			clear(traffic.direct)
 			clear(traffic.transit)
 			clear(traffic.waitShare)
@@ -256,24 +264,24 @@
 		change = max(change, math.Abs(next-old))
 		return old + damping*(next-old)
 	}
-	for x := range s.groups {
-		group := &s.groups[x]
-		now := solveGroup(group.circuits, m.Classes, &group.sides, group.state.directShare, m.MeanWait)
+	for index := range s.groups {
+		group := &s.groups[index]
+		next := solveGroup(group.circuits, m.Classes, &group.sides, group.state.directShare, m.MeanWait)
 		for c := range s.classes {
-			now.abandoned[c] = dampedUpdate(group.state.abandoned[c], now.abandoned[c])
-			for e := range 2 {
-				now.directBlocking[e][c] = dampedUpdate(group.state.directBlocking[e][c], now.directBlocking[e][c])
-				now.transitBlocking[e][c] = dampedUpdate(group.state.transitBlocking[e][c], now.transitBlocking[e][c])
-				now.directShare[e][c] = dampedUpdate(group.state.directShare[e][c], now.directShare[e][c])
+			next.abandoned[c] = dampedUpdate(group.state.abandoned[c], next.abandoned[c])
+			for side := range 2 {
+				next.directBlocking[side][c] = dampedUpdate(group.state.directBlocking[side][c], next.directBlocking[side][c])
+				next.transitBlocking[side][c] = dampedUpdate(group.state.transitBlocking[side][c], next.transitBlocking[side][c])
+				next.directShare[side][c] = dampedUpdate(group.state.directShare[side][c], next.directShare[side][c])
 			}
 		}
-		for e := range 2 {
-			for f := range now.freeProbability[e] {
-				now.freeProbability[e][f] = dampedUpdate(group.state.freeProbability[e][f], now.freeProbability[e][f])
+		for side := range 2 {
+			for f := range next.freeProbability[side] {
+				next.freeProbability[side][f] = dampedUpdate(group.state.freeProbability[side][f], next.freeProbability[side][f])
 			}
 		}
-		group.recentlyFull = dampedUpdate(group.recentlyFull, 1-math.Exp(-m.Reservation.Window*now.fullRate))
-		group.state = now
+		group.recentlyFull = dampedUpdate(group.recentlyFull, 1-math.Exp(-m.Reservation.Window*next.fullRate))
+		group.state = next
 	}
 	if processors := m.Processors; processors != nil {
 		for i := range s.exchanges {
@@ -288,21 +296,21 @@
 // processor with a bounded waiting time: M/M/1 with as many queue places as it
 // serves in that time.
 func processorLoss(demand, setupsPerSecond, maxQueueWait float64) (utilization, rejected float64) {
-	rho := demand / setupsPerSecond
+	load := demand / setupsPerSecond
 	places := 1 + maxQueueWait*setupsPerSecond
 	switch {
-	case rho <= 0:
+	case load <= 0:
 		return 0, 0
-	case math.Abs(rho-1) < 1e-9:
+	case math.Abs(load-1) < 1e-9:
 		rejected = 1 / (places + 1)
-	case rho < 1:
-		power := math.Pow(rho, places)
-		rejected = (1 - rho) * power / (1 - power*rho)
+	case load < 1:
+		power := math.Pow(load, places)
+		rejected = (1 - load) * power / (1 - power*load)
 	default: // the same formula with the reciprocal power, which does not overflow
-		x := math.Pow(rho, -places)
-		rejected = (rho - 1) / (rho - x)
+		power := math.Pow(load, -places)
+		rejected = (load - 1) / (load - power)
 	}
-	return rho, min(max(rejected, 0), 1)
+	return load, min(max(rejected, 0), 1)
 }
 
 // routeTraffic adds the traffic of one pair and class to the groups and processors.
@@ -411,25 +419,25 @@
 	m := s.mesh
 	base := float64(m.Reservation.Base)
 	recentlyFull, groups := make([]float64, s.exchanges), make([]float64, s.exchanges)
-	for x := range s.groups {
-		group := &s.groups[x]
-		for _, i := range []int{group.a, group.b} {
-			recentlyFull[i] += group.recentlyFull
-			groups[i]++
+	for index := range s.groups {
+		group := &s.groups[index]
+		for _, exchange := range []int{group.a, group.b} {
+			recentlyFull[exchange] += group.recentlyFull
+			groups[exchange]++
 		}
 	}
-	for x := range s.groups {
-		group := &s.groups[x]
-		for e, i := range []int{group.a, group.b} {
-			traffic := &group.sides[e]
+	for index := range s.groups {
+		group := &s.groups[index]
+		for side, exchange := range []int{group.a, group.b} {
+			traffic := &group.sides[side]
 			traffic.reservation = append(traffic.reservation[:0], base)
 			if m.Reservation.Window > 0 && group.recentlyFull > 0 {
 				traffic.reservation = traffic.reservation[:0]
-				if mean := traffic.directCircuits(m.Classes); math.Abs(mean-group.meanDirect[e]) > 1e-6*mean { // quantiles are expensive to compute
-					group.meanDirect[e], group.demandQuantiles[e] = mean, s.measuredDemand(traffic, func(int) bool { return true })
+				if mean := traffic.directCircuits(m.Classes); math.Abs(mean-group.meanDirect[side]) > 1e-6*mean { // quantiles are expensive to compute
+					group.meanDirect[side], group.demandQuantiles[side] = mean, s.measuredDemand(traffic, func(int) bool { return true })
 				}
-				for _, demand := range group.demandQuantiles[e] {
-					follow := (demand + math.Sqrt(demand)) * recentlyFull[i] / groups[i]
+				for _, demand := range group.demandQuantiles[side] {
+					follow := (demand + math.Sqrt(demand)) * recentlyFull[exchange] / groups[exchange]
 					traffic.reservation = append(traffic.reservation, min(base+group.recentlyFull*max(follow-base, 0), float64(group.circuits)))
 				}
 			}
@@ -451,8 +459,8 @@
 // directCircuits returns a side's direct demand in circuits.
 func (s *sideTraffic) directCircuits(classes []Class) float64 {
 	sum := 0.0
-	for c, cl := range classes {
-		sum += s.direct[c] * float64(cl.Circuits)
+	for c, class := range classes {
+		sum += s.direct[c] * float64(class.Circuits)
 	}
 	return sum
 }
@@ -466,11 +474,11 @@
 // distribution with its mean and variance (N. R. Campbell's theorem).
 func (s *solver) measuredDemand(traffic *sideTraffic, includes func(class int) bool) []float64 {
 	mean, variance := 0.0, 0.0
-	for c, cl := range s.mesh.Classes {
+	for c, class := range s.mesh.Classes {
 		if includes(c) {
-			circuits := traffic.direct[c] * float64(cl.Circuits)
+			circuits := traffic.direct[c] * float64(class.Circuits)
 			mean += circuits
-			variance += circuits * float64(cl.Circuits) * cl.HoldingTime / (2 * s.mesh.Reservation.Window)
+			variance += circuits * float64(class.Circuits) * class.HoldingTime / (2 * s.mesh.Reservation.Window)
 		}
 	}
 	if mean <= 0 {
@@ -478,8 +486,8 @@
 	}
 	distribution := distuv.Gamma{Alpha: mean * mean / variance, Beta: mean / variance}
 	quantiles := make([]float64, len(quantilePoints))
-	for i, p := range quantilePoints {
-		quantiles[i] = distribution.Quantile(p)
+	for i, point := range quantilePoints {
+		quantiles[i] = distribution.Quantile(point)
 	}
 	return quantiles
 }
@@ -514,12 +522,12 @@
 	solution.Loss, solution.Rerouted, solution.Utilization, solution.Rejected = s.lost, s.overTandem, s.utilization, s.rejected
 	solution.LossByClass = make([]float64, s.classes)
 	solution.Groups = make([][]Group, s.exchanges)
-	for i := range solution.Groups {
-		solution.Groups[i] = make([]Group, s.exchanges)
-		for j := range solution.Groups[i] {
-			if x := s.groupIndex[i][j]; x >= 0 {
-				group := &s.groups[x]
-				solution.Groups[i][j] = Group{group.state.carried, group.state.transit, group.state.timeCongestion}
+	for from := range solution.Groups {
+		solution.Groups[from] = make([]Group, s.exchanges)
+		for to := range solution.Groups[from] {
+			if index := s.groupIndex[from][to]; index >= 0 {
+				group := &s.groups[index]
+				solution.Groups[from][to] = Group{group.state.carried, group.state.transit, group.state.timeCongestion}
 			}
 		}
 	}
--- a/internal/plan/bound.go
+++ b/internal/plan/bound.go
@@ -174,7 +174,7 @@
 	columns := groupCount + s.exchanges + rows // groups, lost traffic, slack variables
 	costs := make([]float64, columns)
 	for k, group := range groups {
-		costs[k] = s.task.cost(group[0], group[1])
+		costs[k] = s.task.circuitCost(group[0], group[1])
 	}
 	matrix := mat.NewDense(rows, columns, nil)
 	limits := make([]float64, rows)
--- a/internal/plan/moves.go
+++ b/internal/plan/moves.go
@@ -119,8 +119,8 @@
 	sum := 0.0
 	for i := range s.exchanges {
 		for j := range s.exchanges {
-			for c, cl := range s.mesh.Classes {
-				sum += s.mesh.Offered[i][j][c] * float64(cl.Circuits) * normal.Loss[i][j][c]
+			for c, class := range s.mesh.Classes {
+				sum += s.mesh.Offered[i][j][c] * float64(class.Circuits) * normal.Loss[i][j][c]
 			}
 		}
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -93,11 +93,11 @@
 	return nil
 }
 
-func (t *Task) cost(i, j int) float64 {
+func (t *Task) circuitCost(from, to int) float64 {
 	if t.CircuitCost == nil {
 		return 1
 	}
-	return t.CircuitCost[i][j]
+	return t.CircuitCost[from][to]
 }
 
 // search holds the state of a search.
@@ -113,7 +113,11 @@
 
 func newSearch(ctx context.Context, t *Task) *search {
 	mesh := *t.Mesh
-	s := &search{task: t, ctx: ctx, exchanges: len(mesh.Circuits)}
+	s := &search{
+		task:      t,
+		ctx:       ctx,
+		exchanges: len(mesh.Circuits),
+	}
 	mesh.Offered = make([][][]float64, s.exchanges)
 	for i := range s.exchanges {
 		mesh.Offered[i] = make([][]float64, s.exchanges)
@@ -128,10 +132,10 @@
 	for i := range s.exchanges {
 		for j := range s.exchanges {
 			weightedDemand := 0.0
-			for c, cl := range mesh.Classes {
-				demand := (mesh.Offered[i][j][c] + mesh.Offered[j][i][c]) * float64(cl.Circuits)
+			for c, class := range mesh.Classes {
+				demand := (mesh.Offered[i][j][c] + mesh.Offered[j][i][c]) * float64(class.Circuits)
 				s.pairDemand[i][j] += demand
-				weightedDemand += demand * float64(cl.Circuits)
+				weightedDemand += demand * float64(class.Circuits)
 			}
 			s.pairPeakedness[i][j] = 1
 			if s.pairDemand[i][j] > 0 {
@@ -227,13 +231,13 @@
 		failures = append(failures, degraded)
 	}
 	for failed := range s.exchanges {
-		away := func(i, j int) bool { return i == failed || j == failed }
+		isFailed := func(i, j int) bool { return i == failed || j == failed }
 		addFailure(fmt.Sprintf("exchange %d", failed), func(i, j int) int {
-			if away(i, j) {
+			if isFailed(i, j) {
 				return 0
 			}
 			return circuits[i][j]
-		}, func(i, j int) bool { return !away(i, j) })
+		}, func(i, j int) bool { return !isFailed(i, j) })
 	}
 	if s.task.Region == nil || s.task.LinkShare == 0 {
 		return failures
@@ -284,7 +288,7 @@
 	if err0 != nil || err1 != nil || demand == 0 {
 		return 0
 	}
-	return demand * (lossBefore - lossAfter) / (s.task.cost(i, j) * float64(s.task.ModuleSize))
+	return demand * (lossBefore - lossAfter) / (s.task.circuitCost(i, j) * float64(s.task.ModuleSize))
 }
 
 // sizeByMoe sizes each group such that its next module has a marginal value below
@@ -294,11 +298,11 @@
 		maxModules := int(4*s.pairDemand[i][j])/s.task.ModuleSize + 20
 		low, high := 0, maxModules // in modules; the marginal value falls from the first or second module on
 		for low < high {
-			mid := (low + high) / 2
-			if s.marginalValue(i, j, mid*s.task.ModuleSize) < minValue {
-				high = mid
+			middle := (low + high) / 2
+			if s.marginalValue(i, j, middle*s.task.ModuleSize) < minValue {
+				high = middle
 			} else {
-				low = mid + 1
+				low = middle + 1
 			}
 		}
 		return float64(low * s.task.ModuleSize)
@@ -308,7 +312,7 @@
 func (s *search) totalCost(circuits [][]int) (cost float64, total int) {
 	for i := range s.exchanges {
 		for j := range i {
-			cost += float64(circuits[i][j]) * s.task.cost(i, j)
+			cost += float64(circuits[i][j]) * s.task.circuitCost(i, j)
 			total += circuits[i][j]
 		}
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -12,19 +12,23 @@
 )
 
 // randomTask returns a task with unequal pairs and two classes, and a mesh without groups.
-func randomTask(n int, seed uint64) *Task {
+func randomTask(exchanges int, seed uint64) *Task {
 	random := rand.New(rand.NewPCG(seed, 7))
-	mesh := &network.Mesh{Classes: []network.Class{{Name: "one", Circuits: 1, HoldingTime: 90, Worth: 1}, {Name: "two", Circuits: 2, HoldingTime: 120, Worth: 2}},
-		MaxTandems: 2, Reservation: network.Reservation{Base: 2, Window: 10}, MeanWait: 3}
+	mesh := &network.Mesh{
+		Classes:     []network.Class{{Name: "one", Circuits: 1, HoldingTime: 90, Worth: 1}, {Name: "two", Circuits: 2, HoldingTime: 120, Worth: 2}},
+		MaxTandems:  2,
+		Reservation: network.Reservation{Base: 2, Window: 10},
+		MeanWait:    3,
+	}
 	task := &Task{Mesh: mesh, TargetLoss: []float64{0.01, 0.03}, Growth: 1, ModuleSize: 1, MaxSolves: 200}
-	for i := range n {
-		mesh.Circuits = append(mesh.Circuits, make([]int, n))
-		mesh.Offered = append(mesh.Offered, make([][]float64, n))
+	for i := range exchanges {
+		mesh.Circuits = append(mesh.Circuits, make([]int, exchanges))
+		mesh.Offered = append(mesh.Offered, make([][]float64, exchanges))
 		task.Region = append(task.Region, i%2)
-		for j := range n {
+		for j := range exchanges {
 			mesh.Offered[i][j] = make([]float64, 2)
 			if i != j {
-				demand := 100 / float64(n) * math.Exp(0.5*random.NormFloat64())
+				demand := 100 / float64(exchanges) * math.Exp(0.5*random.NormFloat64())
 				mesh.Offered[i][j] = []float64{0.9 * demand, 0.05 * demand}
 			}
 		}
@@ -57,9 +61,9 @@
 		if plan.Cost > proportional.Cost || plan.Cost < plan.CostBound || plan.CostBound <= 0 {
 			t.Errorf("cost %v, proportional %v, bound %v", plan.Cost, proportional.Cost, plan.CostBound)
 		}
-		for c, x := range plan.PredictedLoss {
-			if x > task.TargetLoss[c] {
-				t.Errorf("class %d has a loss of %v, target %v", c, x, task.TargetLoss[c])
+		for c, loss := range plan.PredictedLoss {
+			if loss > task.TargetLoss[c] {
+				t.Errorf("class %d has a loss of %v, target %v", c, loss, task.TargetLoss[c])
 			}
 		}
 		if plan.Stopped {
@@ -245,39 +249,39 @@
 	}
 }
 
-func noTraffic(n int) [][][]float64 {
-	all := make([][][]float64, n)
-	for i := range all {
-		all[i] = make([][]float64, n)
-		for j := range all[i] {
-			all[i][j] = make([]float64, 2)
+func noTraffic(exchanges int) [][][]float64 {
+	offered := make([][][]float64, exchanges)
+	for i := range offered {
+		offered[i] = make([][]float64, exchanges)
+		for j := range offered[i] {
+			offered[i][j] = make([]float64, 2)
 		}
 	}
-	return all
+	return offered
 }
 
 // Compares Erlang A with its Markov chain, and checks its domain.
 func TestErlangA(t *testing.T) {
-	for _, x := range []struct {
-		a        float64
-		n        int
+	for _, test := range []struct {
+		traffic  float64
+		circuits int
 		patience float64
 	}{{9, 10, 0.1}, {30, 20, 0.03}, {2, 5, 2}, {1, 1, 1}} {
 		probability, sum, abandoned := 1.0, 1.0, 0.0
 		for n := 1; n < 400; n++ {
-			departureRate := float64(min(n, x.n))
-			if n > x.n {
-				departureRate += float64(n-x.n) / x.patience
+			departureRate := float64(min(n, test.circuits))
+			if n > test.circuits {
+				departureRate += float64(n-test.circuits) / test.patience
 			}
-			probability *= x.a / departureRate
+			probability *= test.traffic / departureRate
 			sum += probability
-			if n > x.n {
-				abandoned += probability * float64(n-x.n) / x.patience
+			if n > test.circuits {
+				abandoned += probability * float64(n-test.circuits) / test.patience
 			}
 		}
-		got, err := loss.ErlangA(x.a, x.n, x.patience)
-		if err != nil || math.Abs(got-abandoned/sum/x.a) > 1e-9 {
-			t.Errorf("%+v: %v, %v, want %v", x, got, err, abandoned/sum/x.a)
+		got, err := loss.ErlangA(test.traffic, test.circuits, test.patience)
+		if err != nil || math.Abs(got-abandoned/sum/test.traffic) > 1e-9 {
+			t.Errorf("%+v: %v, %v, want %v", test, got, err, abandoned/sum/test.traffic)
 		}
 	}
 	if _, err := loss.ErlangA(1, 1, -1); !errors.Is(err, loss.ErrDomain) {
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -41,14 +41,21 @@
 	}
 	exchanges := scenario.Fleet.Exchanges
 	shareSum, meanCircuitSeconds := 0.0, 0.0
-	mesh := &network.Mesh{MaxTandems: tandemsPerAttempt * min(scenario.Callers.MaxRedials+1, 2), Reservation: network.Reservation{Base: baseReservation, Window: measurementWindow, ProtectHighValue: true},
-		MeanWait: float64(scenario.Callers.MaxRedials+1)*meanWait + float64(scenario.Callers.MaxRedials)*scenario.Callers.MeanRedialDelay.Seconds()}
+	mesh := &network.Mesh{
+		MaxTandems:  tandemsPerAttempt * min(scenario.Callers.MaxRedials+1, 2),
+		Reservation: network.Reservation{Base: baseReservation, Window: measurementWindow, ProtectHighValue: true},
+		MeanWait:    float64(scenario.Callers.MaxRedials+1)*meanWait + float64(scenario.Callers.MaxRedials)*scenario.Callers.MeanRedialDelay.Seconds(),
+	}
 	for _, c := range scenario.Classes {
 		mesh.Classes = append(mesh.Classes, network.Class{Name: c.Name, Circuits: c.Circuits, HoldingTime: c.HoldingTime.Seconds(), Worth: c.Worth})
 		shareSum += c.Share
 		meanCircuitSeconds += c.Share * c.HoldingTime.Seconds() * float64(c.Circuits)
 	}
-	mesh.Processors = &network.Processors{ExamineWork: scenario.Processor.ExamineWork, FollowUpWork: scenario.Processor.FollowUpWork, MaxQueueWait: scenario.Processor.MaxQueueWait.Seconds()}
+	mesh.Processors = &network.Processors{
+		ExamineWork:  scenario.Processor.ExamineWork,
+		FollowUpWork: scenario.Processor.FollowUpWork,
+		MaxQueueWait: scenario.Processor.MaxQueueWait.Seconds(),
+	}
 	traffic := drawn.Traffic()
 	for i := range exchanges {
 		mesh.Circuits = append(mesh.Circuits, make([]int, exchanges))
@@ -56,8 +63,8 @@
 		mesh.Processors.SetupsPerSecond = append(mesh.Processors.SetupsPerSecond, drawn.Fleet.Current(i).SetUpsPerSecond())
 		for j := range exchanges {
 			offered := make([]float64, len(scenario.Classes))
-			for c, cl := range scenario.Classes {
-				offered[c] = traffic[i][j] * cl.Share * cl.HoldingTime.Seconds() / meanCircuitSeconds
+			for c, class := range scenario.Classes {
+				offered[c] = traffic[i][j] * class.Share * class.HoldingTime.Seconds() / meanCircuitSeconds
 			}
 			mesh.Offered[i][j] = offered
 		}
@@ -132,7 +139,12 @@
 		if err != nil {
 			return nil, err
 		}
-		result := &outcome{calls: make([]int, len(scenario.Classes)), lost: make([]int, len(scenario.Classes)), pairs: make([][]PairCounts, exchanges), virtualTime: day.Duration}
+		result := &outcome{
+			calls:       make([]int, len(scenario.Classes)),
+			lost:        make([]int, len(scenario.Classes)),
+			pairs:       make([][]PairCounts, exchanges),
+			virtualTime: day.Duration,
+		}
 		for i := range result.pairs {
 			result.pairs[i] = make([]PairCounts, exchanges)
 		}
--- a/internal/prove/prove_test.go
+++ b/internal/prove/prove_test.go
@@ -62,9 +62,20 @@
 
 func (s attemptSink) Put(r *flow.Record) {
 	if r.Kind == flow.KindCall && r.Route != flow.RouteTransit {
-		*s.attempts = append(*s.attempts, measure.CallAttempt{Start: r.Start, Source: r.Source, Dest: r.Dest, Via: r.Via, Class: r.Class, Circuits: int(r.Circuits),
-			Number: r.CalledNumber, MarkedRetry: r.Repeat, Lost: r.Outcome != flow.CallEnded && r.Outcome != flow.CallCut, Cut: r.Outcome == flow.CallCut,
-			EstablishedFor: r.EstablishedFor, Incarnation: s.incarnation})
+		*s.attempts = append(*s.attempts, measure.CallAttempt{
+			Start:          r.Start,
+			Source:         r.Source,
+			Dest:           r.Dest,
+			Via:            r.Via,
+			Class:          r.Class,
+			Circuits:       int(r.Circuits),
+			Number:         r.CalledNumber,
+			MarkedRetry:    r.Repeat,
+			Lost:           r.Outcome != flow.CallEnded && r.Outcome != flow.CallCut,
+			Cut:            r.Outcome == flow.CallCut,
+			EstablishedFor: r.EstablishedFor,
+			Incarnation:    s.incarnation,
+		})
 	}
 }
 
@@ -129,8 +140,8 @@
 	offered := 0.0
 	for i := range mesh.Offered {
 		for j := range mesh.Offered {
-			for c, cl := range mesh.Classes {
-				offered += mesh.Offered[i][j][c] * float64(cl.Circuits)
+			for c, class := range mesh.Classes {
+				offered += mesh.Offered[i][j][c] * float64(class.Circuits)
 			}
 		}
 	}
