--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -18,8 +18,8 @@
 )
 
 // RuleTitles holds the titles of the rules, indexed by rule number from 1.
-var RuleTitles = [6]string{"", "one final answer, in time", "at most one attempt in flight", "no new set-up after the drain grace",
-	"no cold exchange overloaded", "no retry within the release time"}
+var RuleTitles = [6]string{"", "one final answer, in time", "never two attempts out", "nothing new past the drain grace",
+	"no cold exchange pushed over", "no resend within the release time"}
 
 // Breach is one violation of a rule.
 type Breach struct {
@@ -269,7 +269,7 @@
 		}
 	}
 	if !hasRules {
-		c.report.Notes = append(c.report.Notes, "the capture does not record the limits of the rules: 0 was used")
+		c.report.Notes = append(c.report.Notes, "the capture does not tell the rules' figures: those of 0 were taken")
 	}
 	for i := range records {
 		if i == 0 {
@@ -470,7 +470,7 @@
 			c.setupsFromNumber[from] = append(c.setupsFromNumber[from], setup{r.At, controller})
 		}
 		if call == nil {
-			c.breach(1, r.At, controller, message.Termination, "set up without a caller's request")
+			c.breach(1, r.At, controller, message.Termination, "set up without a caller who asked")
 			return
 		}
 		switch {
@@ -480,7 +480,7 @@
 			c.breach(1, r.At, controller, call.name, "set up after the caller left")
 		}
 		if len(call.inFlight) > 0 {
-			c.breach(2, r.At, controller, call.name, fmt.Sprintf("set up with %d attempts in flight", len(call.inFlight)))
+			c.breach(2, r.At, controller, call.name, fmt.Sprintf("set up while %d attempts are out", len(call.inFlight)))
 		}
 		if call.blockedUntil > 0 {
 			c.countCase(5)
@@ -648,7 +648,7 @@
 			count := n - first + 1
 			budget := c.rules.OverloadFactor * setupCapacity(start, float64(s.sentAt-window-c.startTimes[i])/1e9, float64(s.sentAt-c.startTimes[i])/1e9)
 			if float64(count) > budget+math.Sqrt(budget)+1 && 3*informed >= 2*count {
-				c.breach(4, s.sentAt, s.controller, "", fmt.Sprintf("exchange %d, started %.1fs before, was sent %d set-ups within %v; its capacity is %.0f",
+				c.breach(4, s.sentAt, s.controller, "", fmt.Sprintf("exchange %d, started %.1fs before, was sent %d set-ups within %v and could do %.0f",
 					start.ExchangeID, float64(s.sentAt-c.startTimes[i])/1e9, count, c.rules.OverloadDuration, budget/c.rules.OverloadFactor))
 				break
 			}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -161,7 +161,7 @@
 			script.after(50).attemptIsSent(script.exchange1, 1, "a", 0)
 		}},
 		{"set-up without a caller", 1, "z", 0, "without a caller", func(script *scriptedCapture) { script.attemptIsSent(script.exchange1, 1, "z", 0) }},
-		{"two attempts in flight", 2, "a", 10, "with 1 attempts in flight", func(script *scriptedCapture) {
+		{"two attempts in flight", 2, "a", 10, "while 1 attempts are out", func(script *scriptedCapture) {
 			script.callerAdds(1, "a")
 			script.attemptIsSent(script.exchange1, 1, "a", 0)
 			script.after(10).attemptIsSent(script.exchange2, 1, "a", 1)
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -167,7 +167,7 @@
 }
 
 // errRunEnded is the reason for closing connections at the end of a run.
-var errRunEnded = errors.New("the run is over")
+var errRunEnded = errors.New("the day is over")
 
 // exchangeOwner returns the name of an exchange in captures.
 func exchangeOwner(id uint32) string { return fmt.Sprintf("exchange %d", id) }
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -145,7 +145,7 @@
 	env.runner.listUnavailable.Store(unavailable)
 	if unavailable {
 		for _, conn := range env.runner.listConns {
-			conn.Close(fmt.Errorf("the exchange list is unavailable"))
+			conn.Close(fmt.Errorf("the list is away"))
 		}
 	}
 }
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -319,7 +319,7 @@
 func (env environment) SetListUnavailable(unavailable bool) {
 	if env.runner.listUnavailable = unavailable; unavailable {
 		for _, conn := range slices.Clone(env.runner.listConnections) {
-			conn.close("the exchange list is unavailable", false)
+			conn.close("the list is away", false)
 		}
 	}
 }
