--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,4 +1,5 @@
-// All that decides; its interface is in api.go, what was changed of the paper in docs/design.md.
+// The decision logic. Its interface is in api.go, the differences from the paper in docs/design.md.
+
 package brain
 
 import (
