--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -13,10 +13,10 @@
 // Kind classifies an incoming message by the cost of losing it.
 type Kind uint8
 
-// Kinds, from the cheapest loss to the most costly.
+// Kinds, in ascending order of the cost of losing a message.
 const (
 	NewCall      Kind = iota // a call that is not accepted yet and can be refused with a reply
-	StatusUpdate             // circuit counts, exchange lists, signs of life: superseded by later ones, but a peer may wait for the reply
+	StatusUpdate             // circuit counts, exchange lists, liveness probes: superseded by later ones, but a peer may wait for the reply
 	Completion               // ends something that is counted: a reply, a release, a lost connection
 )
 
@@ -68,13 +68,13 @@
 	Since  time.Duration // when the exchange was reported as draining
 }
 
-// MaySend reports whether a set-up may be written now. notAfter is the set-up's
-// own time-out. An active block stops every set-up at once: the drain grace only
-// covers what had already been handed to the socket.
-func (b SetUpBlock) MaySend(now, notAfter time.Duration) bool { return !b.Active && now < notAfter }
+// MaySend reports whether a set-up may be written now. deadline is the time at
+// which the set-up expires. An active block stops every set-up at once: the drain
+// grace only covers data that was already passed to the socket.
+func (b SetUpBlock) MaySend(now, deadline time.Duration) bool { return !b.Active && now < deadline }
 
 // WriteDeadline is the time by which a write that was in progress when the
-// block began must be over. The other half of the drain grace is left for the
+// block began must have ended. The other half of the drain grace is left for the
 // transmission.
 func (b SetUpBlock) WriteDeadline(grace time.Duration) time.Duration { return b.Since + grace/2 }
 
@@ -98,7 +98,7 @@
 }
 
 // Backoff paces attempts to reach a peer with exponentially growing delays and
-// jitter, so that many senders do not return to one peer at the same time.
+// jitter, so that many senders do not retry one peer at the same time.
 type Backoff struct {
 	Min, Max time.Duration
 	Random   *rand.Rand
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -9,7 +9,7 @@
 )
 
 // At any depth completions and status updates are never shed, and no message is
-// refused while a cheaper one is accepted.
+// refused while one that is cheaper to lose is accepted.
 func TestIntakeAdmitsByCostOfLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		intake := Intake{Capacity: rapid.IntRange(10, 10000).Draw(t, "capacity")}
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -38,9 +38,8 @@
 	ParamDescription = 109
 )
 
-// Q.850 causes that are reported to callers. Congestion says that the call was
-// refused and that calling again is harmless; the others say that it has ended
-// or failed.
+// Q.850 causes that are reported to callers. Congestion means that the call was
+// refused and can be repeated safely; the others mean that it has ended or failed.
 const (
 	NormalClearing   = 16
 	TemporaryFailure = 41
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -56,22 +56,22 @@
 	return l, nil
 }
 
-// Dial connects to the listener at the address to.
-func (n *Network) Dial(ctx context.Context, to string) (net.Conn, error) {
+// Dial connects to the listener at the address target.
+func (n *Network) Dial(ctx context.Context, target string) (net.Conn, error) {
 	n.mu.Lock()
-	l, from := n.listeners[to], n.newAddress()
+	l, from := n.listeners[target], n.newAddress()
 	n.mu.Unlock()
 	if l == nil {
-		return nil, fmt.Errorf("dial %s: no listener at this address", to)
+		return nil, fmt.Errorf("dial %s: no listener at this address", target)
 	}
 	dialerEnd, listenerEnd := net.Pipe()
 	select {
 	case l.incoming <- &conn{listenerEnd, l.address, from}:
 		return &conn{dialerEnd, from, l.address}, nil
 	case <-l.closed:
-		return nil, fmt.Errorf("dial %s: listener closed", to)
+		return nil, fmt.Errorf("dial %s: listener closed", target)
 	case <-ctx.Done():
-		return nil, fmt.Errorf("dial %s: %w", to, ctx.Err())
+		return nil, fmt.Errorf("dial %s: %w", target, ctx.Err())
 	}
 }
 
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy defines the routing module that makes a controller's decisions:
-// the one of package brain, or one of two simple rules that serve as its baseline
-// with the same core and connections.
+// the one of package brain, or one of two simple rules that it is compared with,
+// using the same core and connections.
 package policy
 
 import (
@@ -75,9 +75,10 @@
 	lastTandem int // exchange number of the last tandem tried, -1 before; tandems are tried in ascending order
 }
 
-// simpleRule is a module without memory of load: no delay, no trunk reservation and
-// no pacing. It gives one final answer per call, makes one attempt at a time and
-// respects draining exchanges, but does not protect cold processors.
+// simpleRule is a module that does not track load: it neither delays nor paces calls
+// and applies no trunk reservation. It gives one final answer per call, makes one
+// attempt at a time and respects draining exchanges, but does not protect cold
+// processors.
 type simpleRule struct {
 	settings   brain.Settings
 	useTandems bool
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -15,7 +15,7 @@
 )
 
 // ControllerConfig returns the configuration of a controller core that starts at the
-// given time. Flows receives its flow records and may be nil.
+// given time. flows receives the controller's flow records and may be nil.
 func ControllerConfig(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
 	module := ModuleSettings(set)
 	patience := time.Duration(0)
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -23,7 +23,7 @@
 	Notify  = "NOTIFY"
 )
 
-// MaxMessageBytes is the length of the longest message.
+// MaxMessageBytes is the maximum length of a message, header included.
 const MaxMessageBytes = 16 << 10
 
 const version = "SIP/2.0"
--- a/internal/srvlist/srvlist.go
+++ b/internal/srvlist/srvlist.go
@@ -29,22 +29,22 @@
 	Name, Addr     string
 	Number         int // stable number of the exchange
 	State          brain.ExchangeState
-	StartUnixMilli int64 // start of the exchange if it was not there from the beginning, else 0
+	StartUnixMilli int64 // start of the exchange, 0 if it has run from the beginning
 }
 
 // List is the latest accepted exchange list.
 type List struct {
 	serial          uint64
-	entries         []Entry // sorted by name, without exchanges that left
+	entries         []Entry // sorted by name, without removed exchanges
 	latestQuery     uint64  // number of the latest query that was answered with this list
-	olderAnswers    int     // consecutive answers to later queries with a serial below this list's, none below the one before
+	olderAnswers    int     // consecutive answers to later queries with a serial below the list's; a serial below the previous one restarts the count
 	lastOlderSerial uint64  // serial of the last such answer
 	lastOlderQuery  uint64  // query of that answer
 }
 
 // olderAnswersToAccept is the number of consecutive answers with an older serial after which the last of
 // them is accepted. Serials restart with each start of a controller, so an answer from before the
-// restart that was cached on the way carries a high one, which must not block the list for good.
+// restart that a cache still returns carries a high serial, which must not block later updates for good.
 const olderAnswersToAccept = 4
 
 // Serial returns the serial of the list: the number of the last event that it includes.
@@ -137,7 +137,7 @@
 // ErrStale is wrapped by the error for an answer whose serial is older than the list's.
 var ErrStale = errors.New("stale list")
 
-// ApplyAnswer updates the list with an answer and returns the entries that changed: first those that left,
+// ApplyAnswer updates the list with an answer and returns the entries that changed: first the removed ones,
 // with state OutOfService, then those that are new or different. The query is identified by its number,
 // whose last 16 bits are its message ID. An answer that is malformed, incomplete, stale or to another
 // query changes no entry. Answers may arrive in another order than the queries were sent.
@@ -169,7 +169,7 @@
 		return nil, fmt.Errorf("resolver answer: %w", err)
 	}
 	if serial < l.serial {
-		switch { // an answer that a later one overtook does not count against the list
+		switch { // an answer that arrives after the answer to a later query is not counted
 		case query <= max(l.latestQuery, l.lastOlderQuery):
 		case serial < l.lastOlderSerial:
 			l.olderAnswers, l.lastOlderSerial, l.lastOlderQuery = 1, serial, query
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -38,8 +38,9 @@
 	WriteTimeout time.Duration
 	// DrainGrace is the drain grace that bounds a write in progress when set-ups are blocked.
 	DrainGrace time.Duration
-	Capture    *capture.ConnRecorder
-	// Now is the clock to which the notAfter of Send refers.
+	// Capture records the messages and the end of the connection; it may be nil.
+	Capture *capture.ConnRecorder
+	// Now is the clock to which the deadline of Send refers.
 	Now func() time.Duration
 	// LingerTimeout is how long FlushAndClose waits for the peer to close its
 	// side after this side was closed (half-close); 0 closes both sides at once.
@@ -58,7 +59,7 @@
 	Message(c *Conn[M], m M)
 	// Unreadable is called for each error after which the reader continues.
 	Unreadable(c *Conn[M], e RecoverableError)
-	// Unsent is called for each queued set-up that was not sent and never will be.
+	// Unsent is called for each queued set-up that is dropped without being sent.
 	Unsent(c *Conn[M], m M)
 	// Closed is called when the connection is closed.
 	Closed(c *Conn[M], reason error)
@@ -73,7 +74,7 @@
 // queuedMessage is a message that waits to be written.
 type queuedMessage[M Message] struct {
 	message  M
-	notAfter time.Duration
+	deadline time.Duration
 	setUp    bool
 }
 
@@ -83,20 +84,20 @@
 	options Options[M]
 	handler Handler[M]
 
-	mu            sync.Mutex
-	queue         []queuedMessage[M]
-	setUpBlock    guard.SetUpBlock
-	writingSetUps bool // a batch with set-ups is being written
-	deadlineCut   bool // Recall has shortened the deadline of that write
-	closed        bool
-	closeOnEmpty  bool // close once the queue is written
-	closeReason   error
-	runningLoops  int // goroutines that have not ended
-	wakeWriter    chan struct{}
-	done          chan struct{}
+	mu                     sync.Mutex
+	queue                  []queuedMessage[M]
+	setUpBlock             guard.SetUpBlock
+	writingSetUps          bool // a batch with set-ups is being written
+	writeDeadlineShortened bool // Recall has shortened the deadline of that write
+	closed                 bool
+	closeOnEmpty           bool // close once the queue is written
+	closeReason            error
+	runningLoops           int // goroutines that have not ended
+	wakeWriter             chan struct{}
+	done                   chan struct{}
 }
 
-// batchBytes is the approximate size of one write.
+// batchBytes bounds one write: no message is added to a batch that has reached this size.
 const batchBytes = 32 << 10
 
 // Start begins reading from and writing to netConn, which it owns from then on.
@@ -141,11 +142,11 @@
 // Done returns a channel that is closed once the handler's Closed method has returned.
 func (c *Conn[M]) Done() <-chan struct{} { return c.done }
 
-// Send queues a message and reports whether it was accepted. notAfter only
+// Send queues a message and reports whether it was accepted. deadline only
 // matters for set-ups: one that cannot be sent before then is passed to
 // Handler.Unsent. A connection whose queue is full is closed.
-func (c *Conn[M]) Send(m M, notAfter time.Duration) bool {
-	queued := queuedMessage[M]{m, notAfter, m.IsSetUp()}
+func (c *Conn[M]) Send(m M, deadline time.Duration) bool {
+	queued := queuedMessage[M]{m, deadline, m.IsSetUp()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -175,8 +176,8 @@
 			return true
 		}
 	}
-	if c.writingSetUps && !c.closed && !c.deadlineCut && c.options.RecallTimeout > 0 {
-		c.deadlineCut = true
+	if c.writingSetUps && !c.closed && !c.writeDeadlineShortened && c.options.RecallTimeout > 0 {
+		c.writeDeadlineShortened = true
 		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.options.RecallTimeout)) // fails only on a closed connection
 	}
 	return false
@@ -287,7 +288,7 @@
 func (c *Conn[M]) writeLoop() {
 	var buf []byte
 	var messageEnds []int // end of each message in buf
-	var batch, expired []queuedMessage[M]
+	var batch, unsent []queuedMessage[M]
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -295,15 +296,15 @@
 			return
 		}
 		now := c.options.Now()
-		buf, messageEnds, batch, expired = buf[:0], messageEnds[:0], batch[:0], expired[:0]
+		buf, messageEnds, batch, unsent = buf[:0], messageEnds[:0], batch[:0], unsent[:0]
 		dequeued, hasSetUps := 0, false
 		for _, queued := range c.queue {
 			if len(buf) >= batchBytes {
 				break
 			}
 			dequeued++
-			if queued.setUp && !c.setUpBlock.MaySend(now, queued.notAfter) {
-				expired = append(expired, queued)
+			if queued.setUp && !c.setUpBlock.MaySend(now, queued.deadline) {
+				unsent = append(unsent, queued)
 				continue
 			}
 			buf = queued.message.Append(buf)
@@ -314,14 +315,14 @@
 		if c.queue = c.queue[dequeued:]; len(c.queue) == 0 {
 			c.queue = nil
 		}
-		c.writingSetUps, c.deadlineCut = hasSetUps, false
-		sentAt := c.options.Capture.Now() // from here on nothing can be recalled
+		c.writingSetUps, c.writeDeadlineShortened = hasSetUps, false
+		sentAt := c.options.Capture.Now() // from here on the set-ups of the batch can't be recalled
 		if len(buf) > 0 {
 			_ = c.netConn.SetWriteDeadline(time.Now().Add(c.options.WriteTimeout)) // fails only on a closed connection
 		}
 		flushed, reason := c.closeOnEmpty && len(batch) == 0, c.closeReason
 		c.mu.Unlock()
-		for _, queued := range expired {
+		for _, queued := range unsent {
 			c.handler.Unsent(c, queued.message)
 		}
 		if len(buf) == 0 {
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -151,9 +151,10 @@
 	return 0, 0, 0, false
 }
 
-// Next returns a time before which no timer fires. A timer may fire then or
-// shortly after; calling Advance at that time makes Next return the following
-// such time. It returns false if no timer is set.
+// Next returns a time before which no timer fires: the current time if a timer is
+// already due, else the start of the first occupied slot. If the slot covers
+// several ticks, its timers may expire later; Advance then moves them to finer
+// slots, and Next returns a later time. It returns false if no timer is set.
 func (w *Wheel[T]) Next() (time.Duration, bool) {
 	if w.heads[dueList] != none {
 		return w.base + time.Duration(w.elapsed)*Tick, true
