--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -13,31 +13,32 @@
 	"dahliaspindle/internal/signal"
 )
 
-// script is a module that does what a test tells it, and keeps what it is told.
+// script is a routing module that responds as a test demands and records its events.
 type script struct {
-	told []brain.Event
-	on   func(e brain.Event) []brain.Action
+	events  []brain.Event
+	respond func(e brain.Event) []brain.Action
 }
 
-func (s *script) Handle(_ time.Duration, e brain.Event) []brain.Action {
-	s.told = append(s.told, e)
-	if s.on == nil {
+func (module *script) Handle(_ time.Duration, e brain.Event) []brain.Action {
+	module.events = append(module.events, e)
+	if module.respond == nil {
 		return nil
 	}
-	return s.on(e)
+	return module.respond(e)
 }
 
-func (s *script) ended() (all []brain.AttemptEnded) {
-	for _, e := range s.told {
-		if x, ok := e.(brain.AttemptEnded); ok {
-			all = append(all, x)
+// ended returns the reported outcomes of attempts.
+func (module *script) ended() (all []brain.AttemptEnded) {
+	for _, e := range module.events {
+		if ended, ok := e.(brain.AttemptEnded); ok {
+			all = append(all, ended)
 		}
 	}
 	return all
 }
 
-// sendTo sends each call once to an exchange.
-func sendTo(id uint32, timeout time.Duration) func(brain.Event) []brain.Action {
+// sendEachTo returns a response that sends each call once, to one exchange.
+func sendEachTo(id uint32, timeout time.Duration) func(brain.Event) []brain.Action {
 	return func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
@@ -53,556 +54,599 @@
 	}
 }
 
-// rig is a core with its peers played by the test.
-type rig struct {
-	t   fataler
-	c   *Controller
-	now time.Duration
-	out []Effect // of the last step
-	tx  map[Peer]uint32
+// harness drives a controller core in virtual time; the test acts as its peers.
+type harness struct {
+	t          failer
+	controller *Controller
+	now        time.Duration
+	effects    []Effect        // of the last input
+	lastSent   map[Peer]uint32 // last transaction ID sent by each peer
 }
 
-var testClasses = []brain.Class{{Name: "fetch", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 1},
-	{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 2}}
+var testClasses = []brain.Class{
+	{Name: "fetch", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 1},
+	{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 2},
+}
 
-func newRig(t fataler, m policy.Module) *rig {
-	r := &rig{t: t, now: time.Hour, tx: map[Peer]uint32{}}
-	r.c = New(r.now, Config{Module: m, Classes: testClasses, Self: 0,
-		MostCalls: 50000, MostPerPeer: 10000, MostRoutes: 1000, Connect: 300 * time.Millisecond, StandingLeft: 2 * time.Second,
-		Life:    guard.Life{After: time.Second, Lost: 3 * time.Second},
-		Release: guard.Release{Every: time.Second, Tries: 3}, Faults: guard.Faults{Most: 20, Each: 100 * time.Millisecond}})
-	return r
+func newHarness(t failer, module policy.Module) *harness {
+	h := &harness{t: t, now: time.Hour, lastSent: map[Peer]uint32{}}
+	h.controller = New(h.now, Config{
+		Module:              module,
+		Classes:             testClasses,
+		ExchangeNumber:      0,
+		MaxCalls:            50000,
+		MaxPendingPerCaller: 10000,
+		MaxExchanges:        1000,
+		LinkTimeout:         300 * time.Millisecond,
+		ShutdownGrace:       2 * time.Second,
+		Liveness:            guard.Liveness{ProbeAfter: time.Second, LostAfter: 3 * time.Second},
+		ReleaseRetry:        guard.ReleaseRetry{Interval: time.Second, MaxRequests: 3},
+		FaultLimit:          guard.FaultLimiter{Burst: 20, ForgiveEvery: 100 * time.Millisecond},
+	})
+	return h
 }
 
-func (r *rig) in(in Input) []Effect {
-	r.out = append([]Effect(nil), r.c.Handle(r.now, in)...)
-	return r.out
+// handle passes one input to the core and returns the effects.
+func (h *harness) handle(input Input) []Effect {
+	h.effects = append([]Effect(nil), h.controller.Handle(h.now, input)...)
+	return h.effects
 }
 
-// pass lets time go by in steps as the core asks for, and returns all effects.
-func (r *rig) pass(d time.Duration) []Effect {
+// advance lets time pass in steps that the core's timers set, and returns all effects.
+func (h *harness) advance(d time.Duration) []Effect {
 	var all []Effect
-	until := r.now + d
+	end := h.now + d
 	for {
-		at, ok := r.c.Next()
-		if !ok || at > until {
+		at, ok := h.controller.NextDeadline()
+		if !ok || at > end {
 			break
 		}
-		r.now = max(at, r.now)
-		all = append(all, r.in(Input{What: Clock})...)
+		h.now = max(at, h.now)
+		all = append(all, h.handle(Input{Kind: InputTimer})...)
 	}
-	r.now = until
-	all = append(all, r.in(Input{What: Clock})...)
-	r.out = all
+	h.now = end
+	all = append(all, h.handle(Input{Kind: InputTimer})...)
+	h.effects = all
 	return all
 }
 
-func (r *rig) say(p Peer, m *signal.Message) []Effect {
-	if m.Kind == signal.Request && m.ID == 0 {
-		r.tx[p]++
-		m.ID = r.tx[p]
+// receive passes a message of a peer to the core; a request without an ID gets the next one.
+func (h *harness) receive(peer Peer, msg *signal.Message) []Effect {
+	if msg.Kind == signal.Request && msg.ID == 0 {
+		h.lastSent[peer]++
+		msg.ID = h.lastSent[peer]
 	}
-	return r.in(Input{What: Command, Peer: p, Msg: m})
+	return h.handle(Input{Kind: InputMessage, Peer: peer, Message: msg})
 }
 
-func from(n uint64) Peer     { return Peer{Caller, n} }
-func exchangeNo(id int) Peer { return Peer{Exchange, uint64(id)} }
-func add(name string) *signal.Message {
-	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Term: name}).Put("Class", "fetch").
-		PutInt("Dest", 1).Put("Number", "77").PutSpan("Left", 4*time.Second)
+func callerPeer(n uint64) Peer { return Peer{RoleCaller, n} }
+func exchangePeer(id int) Peer { return Peer{RoleExchange, uint64(id)} }
+
+// addRequest returns the Add of a call of class fetch to exchange 1.
+func addRequest(name string) *signal.Message {
+	return (&signal.Message{Context: signal.ContextChoose, Command: signal.Add, Termination: name}).Put("Class", "fetch").
+		PutInt("Dest", 1).Put("Number", "77").PutDuration("Left", 4*time.Second)
 }
 
-// list tells the core of exchanges: number n has the id 100+n, state in, and its links come up.
-func (r *rig) list(cells ...int) {
-	m := &signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}
-	m.PutFlag("Complete", true)
-	for _, n := range cells {
-		m.Put("Exchange", entry(100+n, n, "in"))
+// announceList sends a complete exchange list and connects the links: the exchange
+// with number n has ID 100+n and is in service.
+func (h *harness) announceList(numbers ...int) {
+	msg := &signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}
+	msg.PutFlag("Complete", true)
+	for _, number := range numbers {
+		msg.Put("Exchange", listEntry(100+number, number, "in"))
 	}
-	r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: m})
-	for _, n := range cells {
-		r.in(Input{What: Up, Peer: exchangeNo(100 + n)})
+	h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: msg})
+	for _, number := range numbers {
+		h.handle(Input{Kind: InputConnected, Peer: exchangePeer(100 + number)})
 	}
 }
 
-func entry(id, cell int, state string) string {
-	return fmt.Sprintf("%d cell=%d state=%s since=0 at=127.0.0.1:%d", id, cell, state, id)
+// listEntry returns one entry of an exchange list.
+func listEntry(id, number int, state string) string {
+	return fmt.Sprintf("%d cell=%d state=%s since=0 at=127.0.0.1:%d", id, number, state, id)
 }
 
-func (r *rig) word(id, cell int, state string) []Effect {
-	return r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: (&signal.Message{ID: 9, Command: signal.Notify, Term: signal.Root}).
-		Put("Exchange", entry(id, cell, state))})
+// announceExchange sends an incomplete list with one entry.
+func (h *harness) announceExchange(id, number int, state string) []Effect {
+	return h.handle(Input{
+		Kind: InputMessage,
+		Peer: Peer{Role: RoleExchangeList},
+		Message: (&signal.Message{ID: 9, Command: signal.Notify, Termination: signal.Root}).
+			Put("Exchange", listEntry(id, number, state)),
+	})
 }
 
-// said picks the messages to a peer of a kind and command.
-func said(out []Effect, p Peer, k signal.Kind, c signal.Command) (all []*signal.Message) {
-	for _, e := range out {
-		if e.Do == Say && e.Peer == p && e.Msg.Kind == k && (e.Msg.Command == c || k == signal.Pending || k == signal.Fault) {
-			all = append(all, e.Msg)
+// messagesTo returns the messages of a kind and command that were sent to a peer.
+func messagesTo(effects []Effect, peer Peer, kind signal.Kind, command signal.Command) (all []*signal.Message) {
+	for _, effect := range effects {
+		if effect.Kind == EffectSend && effect.Peer == peer && effect.Message.Kind == kind &&
+			(effect.Message.Command == command || kind == signal.Pending || kind == signal.ErrorMessage) {
+			all = append(all, effect.Message)
 		}
 	}
 	return all
 }
 
-func did(out []Effect, d Do, p Peer) bool {
-	for _, e := range out {
-		if e.Do == d && e.Peer == p {
+// hasEffect reports whether an effect of a kind concerns a peer.
+func hasEffect(effects []Effect, kind EffectKind, peer Peer) bool {
+	for _, effect := range effects {
+		if effect.Kind == kind && effect.Peer == peer {
 			return true
 		}
 	}
 	return false
 }
 
-func one(t fataler, what string, all []*signal.Message) *signal.Message {
+// requireOne fails the test unless there is exactly one message, which it returns.
+func requireOne(t failer, description string, all []*signal.Message) *signal.Message {
 	t.Helper()
 	if len(all) != 1 {
-		t.Fatalf("%s: %d messages, want one", what, len(all))
+		t.Fatalf("%s: got %d messages, want 1", description, len(all))
 	}
 	return all[0]
 }
 
-// empty asks that nothing is left of calls and attempts.
-func (r *rig) empty() {
-	r.t.Helper()
-	s := r.c.Stats()
-	if s.Open != 0 || s.Standing != 0 || s.Held != 0 || len(r.c.calls) != 0 {
-		r.t.Fatalf("left over: %d open, %d standing, %d held, %d calls", s.Open, s.Standing, s.Held, len(r.c.calls))
+// requireNothingLeft fails the test if the core still holds calls or attempts.
+func (h *harness) requireNothingLeft() {
+	h.t.Helper()
+	stats := h.controller.Stats()
+	if stats.Pending != 0 || stats.Established != 0 || stats.HeldAttempts != 0 || len(h.controller.calls) != 0 {
+		h.t.Fatalf("not empty: %d pending, %d established, %d attempts held, %d calls", stats.Pending, stats.Established, stats.HeldAttempts, len(h.controller.calls))
 	}
-	for _, cl := range r.c.callers {
-		if len(cl.open) != 0 || len(cl.calls) != 0 {
-			r.t.Fatalf("left over with a caller: %d open, %d calls", len(cl.open), len(cl.calls))
+	for _, caller := range h.controller.callers {
+		if len(caller.pending) != 0 || len(caller.calls) != 0 {
+			h.t.Fatalf("caller not empty: %d pending, %d calls", len(caller.pending), len(caller.calls))
 		}
 	}
-	for _, l := range r.c.links {
-		if len(l.out) != 0 || len(l.held) != 0 || len(l.waiting) != 0 {
-			r.t.Fatalf("left over on link %d: %d out, %d held, %d waiting", l.id, len(l.out), len(l.held), len(l.waiting))
+	for _, link := range h.controller.links {
+		if len(link.pending) != 0 || len(link.held) != 0 || len(link.queued) != 0 {
+			h.t.Fatalf("link %d not empty: %d pending, %d held, %d queued", link.id, len(link.pending), len(link.held), len(link.queued))
 		}
 	}
 }
 
-func TestACallStandsAndEnds(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	out := r.say(from(1), add("a"))
-	set := one(t, "set-up", said(out, exchangeNo(101), signal.Request, signal.Add))
-	if set.Get("From") != "0" || set.Get("Dest") != "1" || set.Get("Width") != "1" || set.Get("Left") != "4s" || set.Get("Attempt") != "0" {
-		t.Fatalf("%s", set)
-	}
-	r.now += 50 * time.Millisecond
-	out = r.say(exchangeNo(101), set.Answer().Put("Group", "1 9 10"))
-	if ok := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); ok.Code != 0 || ok.Get("Via") != "direct" || ok.Context != set.Context {
-		t.Fatalf("%s", ok)
-	}
-	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-	one(t, "reply to the hang-up", said(out, from(1), signal.Reply, signal.Subtract))
-	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	if len(m.ended()) != 0 {
-		t.Fatal("the module is told before the exchange has let go")
-	}
-	r.say(exchangeNo(101), free.Answer())
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCompleted || !e[0].Final {
-		t.Fatalf("%+v", e)
-	}
-	r.empty()
-}
-
-// A caller gives up, or its connection dies, while the attempt is out.
-func TestCallerLeavesWhileAnAttemptIsOut(t *testing.T) {
-	for _, dies := range []bool{false, true} {
-		m := &script{on: sendTo(101, 3*time.Second)}
-		r := newRig(t, m)
-		r.list(0, 1)
-		set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-		var out []Effect
-		if dies {
-			out = r.in(Input{What: Down, Peer: from(1)})
-			if n := len(said(out, from(1), signal.Reply, signal.Add)); n != 0 {
-				t.Fatalf("%d answers to nobody", n)
+func TestCallIsEstablishedAndReleased(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	effects := h.receive(callerPeer(1), addRequest("a"))
+	setUp := requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
+	if setUp.Get("From") != "0" || setUp.Get("Dest") != "1" || setUp.Get("Width") != "1" ||
+		setUp.Get("Left") != "4s" || setUp.Get("Attempt") != "0" {
+		t.Fatalf("unexpected set-up: %s", setUp)
+	}
+	h.now += 50 * time.Millisecond
+	effects = h.receive(exchangePeer(101), setUp.NewReply().Put("Group", "1 9 10"))
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != 0 ||
+		reply.Get("Via") != "direct" || reply.Context != setUp.Context {
+		t.Fatalf("unexpected final reply: %s", reply)
+	}
+	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+	requireOne(t, "reply to the Subtract", messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract))
+	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
+	if len(module.ended()) != 0 {
+		t.Fatal("outcome reported before the exchange has released the call")
+	}
+	h.receive(exchangePeer(101), release.NewReply())
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final Completed", ended)
+	}
+	h.requireNothingLeft()
+}
+
+// A caller gives up, or its connection closes, while its attempt is in flight.
+func TestCallerLeavesDuringSetUp(t *testing.T) {
+	for _, disconnects := range []bool{false, true} {
+		module := &script{respond: sendEachTo(101, 3*time.Second)}
+		h := newHarness(t, module)
+		h.announceList(0, 1)
+		setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+		var effects []Effect
+		if disconnects {
+			effects = h.handle(Input{Kind: InputDisconnected, Peer: callerPeer(1)})
+			if n := len(messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); n != 0 {
+				t.Fatalf("%d replies to a closed connection", n)
 			}
 		} else {
-			out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-			if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.Gone {
-				t.Fatalf("%s", a)
+			effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+			if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.DoesNotExist {
+				t.Fatalf("unexpected final reply: %s", reply)
 			}
 		}
-		one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-		if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeCancelled || !e[0].Final {
-			t.Fatalf("%+v", e)
+		requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
+		if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCancelled || !ended[0].Final {
+			t.Fatalf("reported outcomes %+v, want one final Cancelled", ended)
 		}
-		// the answer crosses the withdrawal: it counts as late and moves nothing
-		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 || r.c.Stats().Late != 1 {
-			t.Fatalf("%+v", out)
+		// The exchange's reply crosses the release: it counts as late and has no effect.
+		if effects = h.receive(exchangePeer(101), setUp.NewReply()); len(effects) != 0 || h.controller.Stats().LateReplies != 1 {
+			t.Fatalf("late reply: effects %+v", effects)
 		}
-		// the release is asked for again until it is answered
-		free := one(t, "repeat", said(r.pass(1100*time.Millisecond), exchangeNo(101), signal.Request, signal.Subtract))
-		r.say(exchangeNo(101), free.Answer())
-		r.empty()
-		for _, e := range r.pass(10 * time.Second) {
-			if e.Do == Say && e.Msg.Command == signal.Add {
-				t.Fatalf("sent after the end: %s", e.Msg)
+		// The release is repeated until it is answered.
+		release := requireOne(t, "repeated release", messagesTo(h.advance(1100*time.Millisecond), exchangePeer(101), signal.Request, signal.Subtract))
+		h.receive(exchangePeer(101), release.NewReply())
+		h.requireNothingLeft()
+		for _, effect := range h.advance(10 * time.Second) {
+			if effect.Kind == EffectSend && effect.Message.Command == signal.Add {
+				t.Fatalf("set-up sent after the call's end: %s", effect.Message)
 			}
 		}
 	}
 }
 
-func TestReleasesThatAreNeverAnsweredCloseTheLink(t *testing.T) {
-	r := newRig(t, &script{on: sendTo(101, time.Second)})
-	r.list(0, 1)
-	r.say(from(1), add("a"))
+func TestUnansweredReleasesCloseLink(t *testing.T) {
+	h := newHarness(t, &script{respond: sendEachTo(101, time.Second)})
+	h.announceList(0, 1)
+	h.receive(callerPeer(1), addRequest("a"))
 	closed := false
 	for range 100 {
-		r.in(Input{What: Command, Peer: exchangeNo(101), Msg: &signal.Message{Kind: signal.Pending, ID: 99}}) // it lives
-		closed = closed || did(r.pass(200*time.Millisecond), Close, exchangeNo(101))
+		h.handle(Input{Kind: InputMessage, Peer: exchangePeer(101), Message: &signal.Message{Kind: signal.Pending, ID: 99}}) // sign of life
+		closed = closed || hasEffect(h.advance(200*time.Millisecond), EffectClose, exchangePeer(101))
 	}
 	if !closed {
-		t.Fatal("never closed")
-	}
-	r.in(Input{What: Down, Peer: exchangeNo(101)})
-	r.empty()
-}
-
-// A drain notice in the middle of set-ups, and one in the very step of a Send.
-func TestDrainNotice(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	sent := one(t, "set-up", said(r.say(from(1), add("out")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Down, Peer: exchangeNo(101)}) // the first is reset; its link is gone
-	r.say(from(1), add("waits"))                   // waits for the link
-	if len(r.c.links[101].waiting) != 1 {
-		t.Fatal("does not wait for its link")
-	}
-	out := r.word(101, 1, "draining")
-	if !did(out, Fence, exchangeNo(101)) {
-		t.Fatal("no fence")
-	}
-	if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.NoResources {
-		t.Fatalf("%s", a)
-	}
-	r.in(Input{What: Up, Peer: exchangeNo(101)})
-	// the module sends in the same instant all the same: nothing leaves
-	if n := len(said(r.say(from(1), add("late")), exchangeNo(101), signal.Request, signal.Add)); n != 0 {
+		t.Fatal("link not closed")
+	}
+	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)})
+	h.requireNothingLeft()
+}
+
+// An exchange starts draining while one set-up was lost with the link and another
+// waits for it, and the routing module sends a further call to it afterwards.
+func TestDrainingExchangeGetsNoSetUps(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	sent := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("pending")), exchangePeer(101), signal.Request, signal.Add))
+	h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}) // resets the first attempt
+	h.receive(callerPeer(1), addRequest("queued"))                    // queued for the link
+	if len(h.controller.links[101].queued) != 1 {
+		t.Fatal("set-up not queued for its link")
+	}
+	effects := h.announceExchange(101, 1, "draining")
+	if !hasEffect(effects, EffectBlock, exchangePeer(101)) {
+		t.Fatal("set-ups to a draining exchange not blocked")
+	}
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.InsufficientResources {
+		t.Fatalf("unexpected final reply: %s", reply)
+	}
+	h.handle(Input{Kind: InputConnected, Peer: exchangePeer(101)})
+	// The routing module sends another call nevertheless: no set-up is sent.
+	if n := len(messagesTo(h.receive(callerPeer(1), addRequest("late")), exchangePeer(101), signal.Request, signal.Add)); n != 0 {
 		t.Fatalf("%d set-ups to a draining exchange", n)
 	}
-	if n := len(said(r.pass(5*time.Second), exchangeNo(101), signal.Request, signal.Add)); n != 0 {
+	if n := len(messagesTo(h.advance(5*time.Second), exchangePeer(101), signal.Request, signal.Add)); n != 0 {
 		t.Fatalf("%d set-ups to a draining exchange", n)
 	}
 	var outcomes []brain.Outcome
-	for _, e := range m.ended() {
-		outcomes = append(outcomes, e.Outcome)
+	for _, ended := range module.ended() {
+		outcomes = append(outcomes, ended.Outcome)
 	}
 	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
-		t.Fatalf("%v (%s)", outcomes, sent.Term)
-	}
-	// back in service: the fence is lifted and set-ups leave
-	if !did(r.word(101, 1, "in"), Unfence, exchangeNo(101)) {
-		t.Fatal("the fence stays")
-	}
-	one(t, "set-up", said(r.say(from(1), add("b")), exchangeNo(101), signal.Request, signal.Add))
-}
-
-func TestSetUpsInTheQueueWhenTheFenceShuts(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	r.word(101, 1, "draining")
-	out := r.in(Input{What: Unsent, Peer: exchangeNo(101), Msg: set})
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeUnreachable {
-		t.Fatalf("%+v", e)
-	}
-	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
-	r.empty()
-}
-
-// Answers after the time-out, twice, to nothing; transaction ids used again.
-func TestAnswersAndIDsThatComeAgain(t *testing.T) {
-	m := &script{on: sendTo(101, time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	again := add("b")
-	again.ID = r.tx[from(1)]
-	out := r.in(Input{What: Command, Peer: from(1), Msg: again})
-	if p := said(out, from(1), signal.Pending, ""); len(p) != 1 || len(out) != 1 {
-		t.Fatalf("an open id again: %+v", out)
-	}
-	out = r.pass(1100 * time.Millisecond)
-	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
+		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Termination)
+	}
+	// Back in service: set-ups are sent again.
+	if !hasEffect(h.announceExchange(101, 1, "in"), EffectUnblock, exchangePeer(101)) {
+		t.Fatal("set-ups still blocked")
+	}
+	requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("b")), exchangePeer(101), signal.Request, signal.Add))
+}
+
+// A set-up that was queued when its exchange started draining is returned unsent.
+func TestUnsentSetUpToDrainingExchange(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+	h.announceExchange(101, 1, "draining")
+	effects := h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp})
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeUnreachable {
+		t.Fatalf("reported outcomes %+v, want one Unreachable", ended)
+	}
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
+	h.requireNothingLeft()
+}
+
+// Replies after the time-out, repeated, and to no transaction; transaction IDs used again.
+func TestLateRepliesAndDuplicateTransactionIDs(t *testing.T) {
+	module := &script{respond: sendEachTo(101, time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+	duplicate := addRequest("b")
+	duplicate.ID = h.lastSent[callerPeer(1)]
+	effects := h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
+	if replies := messagesTo(effects, callerPeer(1), signal.Pending, ""); len(replies) != 1 || len(effects) != 1 {
+		t.Fatalf("ID of a pending transaction used again: %+v", effects)
+	}
+	effects = h.advance(1100 * time.Millisecond)
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
 	for range 2 {
-		if out = r.say(exchangeNo(101), set.Answer()); len(out) != 0 {
-			t.Fatalf("a late answer moves %+v", out)
+		if effects = h.receive(exchangePeer(101), setUp.NewReply()); len(effects) != 0 {
+			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeTimedOut {
-		t.Fatalf("%+v", e)
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeTimedOut {
+		t.Fatalf("reported outcomes %+v, want one TimedOut", ended)
 	}
-	out = r.in(Input{What: Command, Peer: from(1), Msg: again})
-	if f := said(out, from(1), signal.Fault, ""); len(f) != 1 || f[0].Code != signal.BadIdentifier || len(out) != 1 {
-		t.Fatalf("a closed id again: %+v", out)
+	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
+	if replies := messagesTo(effects, callerPeer(1), signal.ErrorMessage, ""); len(replies) != 1 || replies[0].Code != signal.BadIdentifier ||
+		len(effects) != 1 {
+		t.Fatalf("ID of a completed transaction used again: %+v", effects)
 	}
-	if s := r.c.Stats(); s.Late != 2 || s.Doubled != 2 || s.Taken != 1 {
-		t.Fatalf("%+v", s)
+	if stats := h.controller.Stats(); stats.LateReplies != 2 || stats.DuplicateIDs != 2 || stats.Accepted != 1 {
+		t.Fatalf("unexpected counters: %+v", stats)
 	}
-	if out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "nobody"}); one(t, "reply", said(out, from(1), signal.Reply, signal.Subtract)).Code != signal.NoSuchTerm {
-		t.Fatalf("%+v", out)
+	if effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "nobody"}); requireOne(t, "reply",
+		messagesTo(effects, callerPeer(1), signal.Reply, signal.Subtract)).Code != signal.UnknownTermination {
+		t.Fatalf("Subtract of an unknown call: %+v", effects)
 	}
 }
 
-// A link breaks with 500 set-ups out, of which 200 had not left.
-func TestLinkBreaksWithManyOut(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	var sets []*signal.Message
+// A link is lost with 500 attempts, of which 200 set-ups had not been sent.
+func TestLinkLostWithManyAttempts(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	var setUps []*signal.Message
 	for n := range 500 {
-		sets = append(sets, one(t, "set-up", said(r.say(from(1), add(fmt.Sprint("c", n))), exchangeNo(101), signal.Request, signal.Add)))
+		setUps = append(setUps, requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest(fmt.Sprint("c", n))), exchangePeer(101), signal.Request, signal.Add)))
 	}
 	answers := 0
-	for _, s := range sets[300:] {
-		answers += len(said(r.in(Input{What: Unsent, Peer: exchangeNo(101), Msg: s}), from(1), signal.Reply, signal.Add))
+	for _, setUp := range setUps[300:] {
+		answers += len(messagesTo(h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp}), callerPeer(1), signal.Reply, signal.Add))
 	}
-	answers += len(said(r.in(Input{What: Down, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
-	answers += len(said(r.in(Input{What: Down, Peer: exchangeNo(101)}), from(1), signal.Reply, signal.Add))
+	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
+	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
 	count, seen := map[brain.Outcome]int{}, map[string]bool{}
-	for _, e := range m.ended() {
-		if seen[e.CallID] {
-			t.Fatalf("call %s is told twice", e.CallID)
+	for _, ended := range module.ended() {
+		if seen[ended.CallID] {
+			t.Fatalf("two outcomes reported for call %s", ended.CallID)
 		}
-		seen[e.CallID] = true
-		count[e.Outcome]++
+		seen[ended.CallID] = true
+		count[ended.Outcome]++
 	}
 	if count[brain.OutcomeReset] != 300 || count[brain.OutcomeUnreachable] != 200 || answers != 500 {
-		t.Fatalf("%v, %d answers", count, answers)
+		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 Unreachable and 500 replies", count, answers)
 	}
-	r.empty()
+	h.requireNothingLeft()
 }
 
-// A call in transit whose source hangs up while the tandem's attempt is out.
-func TestSourceOfTransitHangsUp(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	out := r.say(from(7), add("c3-1/3.0").Put("Source", "3"))
-	if e, ok := m.told[len(m.told)-1].(brain.Call); !ok || !e.Transit || e.Via != 3 {
-		t.Fatalf("%+v", m.told)
+// The source of a call in transit releases it while the tandem's attempt is in flight.
+func TestTransitSourceReleasesDuringSetUp(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	effects := h.receive(callerPeer(7), addRequest("c3-1/3.0").Put("Source", "3"))
+	if event, ok := module.events[len(module.events)-1].(brain.Call); !ok || !event.Transit || event.Via != 3 {
+		t.Fatalf("events %+v, want a transit call from exchange 3 last", module.events)
 	}
-	one(t, "set-up", said(out, exchangeNo(101), signal.Request, signal.Add))
-	out = r.say(from(7), &signal.Message{Command: signal.Subtract, Term: "c3-1/3.0"})
-	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	r.say(exchangeNo(101), free.Answer())
-	r.empty()
+	requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
+	effects = h.receive(callerPeer(7), &signal.Message{Command: signal.Subtract, Termination: "c3-1/3.0"})
+	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
+	h.receive(exchangePeer(101), release.NewReply())
+	h.requireNothingLeft()
 }
 
+// A caller that floods the controller with malformed commands is disconnected; other
+// callers are still served.
 func TestFloodOfMalformedCommands(t *testing.T) {
-	r := newRig(t, &script{})
-	r.list(0, 1)
+	h := newHarness(t, &script{})
+	h.announceList(0, 1)
 	closed := 0
 	for n := range 100 {
-		out := r.in(Input{What: Garbled, Peer: from(5), Bad: signal.SyntaxError{ID: uint32(n), Code: signal.BadCommand, What: "no command"}})
+		effects := h.handle(Input{Kind: InputMalformed, Peer: callerPeer(5), SyntaxError: signal.SyntaxError{ID: uint32(n), Code: signal.UnknownCommand, Reason: "no command"}})
 		switch {
-		case did(out, Close, from(5)):
+		case hasEffect(effects, EffectClose, callerPeer(5)):
 			closed++
-		case n > 0 && one(t, "error", said(out, from(5), signal.Reply, signal.Add)).ID != uint32(n):
-			t.Fatalf("%+v", out)
+		case n > 0 && requireOne(t, "error", messagesTo(effects, callerPeer(5), signal.Reply, signal.Add)).ID != uint32(n):
+			t.Fatalf("unexpected reply to a malformed message: %+v", effects)
 		}
 	}
 	if closed < 70 {
-		t.Fatalf("closed %d times", closed)
-	}
-	// others are heard all the while
-	if r.say(from(6), &signal.Message{Command: signal.AuditValue, Term: signal.Root}); len(r.out) != 1 {
-		t.Fatalf("%+v", r.out)
-	}
-}
-
-// What own callers offer is measured and told: redials by their number, calls in
-// transit not at all; without a measurement it says so.
-func TestTrafficIsTold(t *testing.T) {
-	r := newRig(t, &script{on: sendTo(101, 3*time.Second)})
-	ask := &signal.Message{Command: signal.AuditValue, Term: trafficTerm}
-	if a := one(t, "answer", said(r.say(from(1), ask), from(1), signal.Reply, signal.AuditValue)); a.Code != signal.BadValue {
-		t.Fatalf("%s", a)
-	}
-	r.c.cfg.Traffic = measure.NewLive(r.now, 10*time.Minute, 9*time.Second)
-	r.list(0, 1)
-	for i := range 61 { // a call each 10 s that stands for 5: half an erlang
-		m := add(fmt.Sprint("c", i))
-		m.Fields[2].Value = fmt.Sprint(1000 + i)
-		set := one(t, "set-up", said(r.say(from(1), m), exchangeNo(101), signal.Request, signal.Add))
-		r.say(exchangeNo(101), set.Answer())
-		r.pass(5 * time.Second)
-		sub := one(t, "release", said(r.say(from(1), &signal.Message{Command: signal.Subtract, Term: m.Term}), exchangeNo(101), signal.Request, signal.Subtract))
-		r.say(exchangeNo(101), sub.Answer())
-		r.pass(5 * time.Second)
-		for _, e := range r.out { // signs of life keep the links up
-			if e.Do == Say && e.Msg.Command == signal.AuditValue && e.Msg.Kind == signal.Request {
-				r.say(e.Peer, e.Msg.Answer())
+		t.Fatalf("connection closed after only %d of 100 messages", closed)
+	}
+	// Other callers are still served.
+	if h.receive(callerPeer(6), &signal.Message{Command: signal.AuditValue, Termination: signal.Root}); len(h.effects) != 1 {
+		t.Fatalf("audit of another caller: effects %+v", h.effects)
+	}
+}
+
+// An audit of TRAFFIC returns the measured traffic of own callers, and an error
+// while traffic is not measured.
+func TestTrafficAudit(t *testing.T) {
+	h := newHarness(t, &script{respond: sendEachTo(101, 3*time.Second)})
+	audit := &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}
+	if reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), audit), callerPeer(1), signal.Reply, signal.AuditValue)); reply.Code != signal.BadValue {
+		t.Fatalf("audit without a measurement: %s", reply)
+	}
+	h.controller.config.TrafficMeter = measure.NewLive(h.now, 10*time.Minute, 9*time.Second)
+	h.announceList(0, 1)
+	for i := range 61 { // a call of 5 s every 10 s: 0.5 Erlang
+		msg := addRequest(fmt.Sprint("c", i))
+		msg.Descriptors[2].Value = fmt.Sprint(1000 + i)
+		setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), msg), exchangePeer(101), signal.Request, signal.Add))
+		h.receive(exchangePeer(101), setUp.NewReply())
+		h.advance(5 * time.Second)
+		release := requireOne(t, "release", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: msg.Termination}), exchangePeer(101), signal.Request, signal.Subtract))
+		h.receive(exchangePeer(101), release.NewReply())
+		h.advance(5 * time.Second)
+		for _, effect := range h.effects { // answer the probes, so that the links stay connected
+			if effect.Kind == EffectSend && effect.Message.Command == signal.AuditValue && effect.Message.Kind == signal.Request {
+				h.receive(effect.Peer, effect.Message.NewReply())
 			}
 		}
 	}
-	a := one(t, "answer", said(r.say(from(1), &signal.Message{Command: signal.AuditValue, Term: trafficTerm}), from(1), signal.Reply, signal.AuditValue))
+	reply := requireOne(t, "audit reply", messagesTo(h.receive(callerPeer(1), &signal.Message{Command: signal.AuditValue, Termination: trafficTerm}), callerPeer(1), signal.Reply, signal.AuditValue))
 	var dest, tries, first, lost int
 	var class string
 	var erlang, low, high float64
-	if _, err := fmt.Sscanf(a.Get("Offered"), "%d %s tries=%d first=%d lost=%d erlang=%f %f %f", &dest, &class, &tries, &first, &lost, &erlang, &low, &high); err != nil {
-		t.Fatalf("%s: %v", a, err)
+	if _, err := fmt.Sscanf(reply.Get("Offered"), "%d %s tries=%d first=%d lost=%d erlang=%f %f %f", &dest, &class, &tries, &first, &lost, &erlang, &low, &high); err != nil {
+		t.Fatalf("%s: %v", reply, err)
 	}
 	if dest != 1 || class != "fetch" || tries != 60 && tries != 61 || first != tries || lost != 0 || erlang < 0.47 || erlang > 0.53 || low > 0.5 || high < 0.5 {
-		t.Errorf("%s", a)
+		t.Errorf("unexpected traffic estimate: %s", reply)
 	}
 }
 
-func TestTenThousandOpenTransactions(t *testing.T) {
-	r := newRig(t, &script{})
-	r.list(0, 1)
+// A caller with the maximum number of pending calls gets no more; another caller does.
+func TestPendingLimitPerCaller(t *testing.T) {
+	h := newHarness(t, &script{})
+	h.announceList(0, 1)
 	for n := range 10000 {
-		r.say(from(1), add(fmt.Sprint("c", n)))
+		h.receive(callerPeer(1), addRequest(fmt.Sprint("c", n)))
 	}
-	if a := one(t, "refusal", said(r.say(from(1), add("more")), from(1), signal.Reply, signal.Add)); a.Code != signal.TooManyOpen || a.Get("Taken") != "no" {
-		t.Fatalf("%s", a)
+	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("more")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.TooManyPending || reply.Get("Taken") != "no" {
+		t.Fatalf("unexpected reply over the limit: %s", reply)
 	}
-	if s := r.c.Stats(); s.Taken != 10000 || s.NotTaken != 1 {
-		t.Fatalf("%+v", s)
+	if stats := h.controller.Stats(); stats.Accepted != 10000 || stats.AddsRejected != 1 {
+		t.Fatalf("unexpected counters: %+v", stats)
 	}
-	if out := r.say(from(2), add("other")); len(said(out, from(2), signal.Reply, signal.Add)) != 0 {
-		t.Fatal("another caller is refused too")
+	if effects := h.receive(callerPeer(2), addRequest("other")); len(messagesTo(effects, callerPeer(2), signal.Reply, signal.Add)) != 0 {
+		t.Fatal("limit of one caller applied to another caller")
 	}
 }
 
-func TestBadAddsAreNotTaken(t *testing.T) {
-	m := &script{}
-	r := newRig(t, m)
+// An Add with a missing or invalid descriptor is rejected and the reply names the descriptor.
+func TestInvalidAddsAreRejected(t *testing.T) {
+	module := &script{}
+	h := newHarness(t, module)
 	cases := map[string]*signal.Message{
-		"Class":  {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
-		"Left":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
-		"Dest":   {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
-		"Width":  add("a").Put("Width", "0"),
-		"Number": {Command: signal.Add, Term: "a", Fields: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
-		"Source": add("a").Put("Source", "x"),
-	}
-	for place, a := range cases {
-		out := r.say(from(1), a)
-		if e := one(t, place, said(out, from(1), signal.Reply, signal.Add)); e.Code == 0 || !strings.Contains(e.Text, place) || e.Get("Taken") != "no" {
-			t.Errorf("%s: %s", place, e)
+		"Class":  {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "none"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}}},
+		"Left":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}}},
+		"Dest":   {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "-1"}, {Name: "Left", Value: "1s"}}},
+		"Width":  addRequest("a").Put("Width", "0"),
+		"Number": {Command: signal.Add, Termination: "a", Descriptors: []signal.Field{{Name: "Class", Value: "fetch"}, {Name: "Dest", Value: "1"}, {Name: "Left", Value: "1s"}, {Name: "Number", Value: "x"}}},
+		"Source": addRequest("a").Put("Source", "x"),
+	}
+	for descriptor, request := range cases {
+		effects := h.receive(callerPeer(1), request)
+		if reply := requireOne(t, descriptor, messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code == 0 ||
+			!strings.Contains(reply.Text, descriptor) || reply.Get("Taken") != "no" {
+			t.Errorf("invalid %s: %s", descriptor, reply)
 		}
 	}
-	if len(m.told) != 0 {
-		t.Fatalf("the module was told %v", m.told)
-	}
-}
-
-// The list is away at the start, comes, goes, and comes back with other ids.
-func TestListComesAndGoes(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	out := r.say(from(1), add("early")) // nothing is known yet
-	one(t, "answer", said(out, from(1), signal.Reply, signal.Add))
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Down, Peer: Peer{Role: List}})
-	r.say(exchangeNo(101), set.Answer()) // the last list stays in force
-	r.in(Input{What: Up, Peer: Peer{Role: List}})
-	w := (&signal.Message{ID: 1, Command: signal.Notify, Term: signal.Root}).Put("Complete", "yes").
-		Put("Exchange", entry(200, 0, "in")).Put("Exchange", entry(201, 1, "in"))
-	out = r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: w})
-	if !did(out, Dial, exchangeNo(201)) || !did(out, Fence, exchangeNo(101)) || did(out, HangUp, exchangeNo(101)) {
-		t.Fatalf("%+v", out)
-	}
-	// the call that stands at the old one ends there; then its link is dropped
-	out = r.say(from(1), &signal.Message{Command: signal.Subtract, Term: "a"})
-	out = r.say(exchangeNo(101), one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract)).Answer())
-	if !did(out, HangUp, exchangeNo(101)) || r.c.links[101] != nil {
-		t.Fatal("the old link is kept")
-	}
-	bad := (&signal.Message{ID: 2, Command: signal.Notify, Term: signal.Root}).Put("Exchange", "7 cell=x")
-	if a := one(t, "error", said(r.in(Input{What: Command, Peer: Peer{Role: List}, Msg: bad}), Peer{Role: List}, signal.Reply, signal.Notify)); a.Code != signal.BadValue {
-		t.Fatalf("%s", a)
-	}
-}
-
-func TestHalfOpenPeerIsFoundAndCut(t *testing.T) {
-	r := newRig(t, &script{on: sendTo(101, 9*time.Second)})
-	r.list(0, 1)
-	r.say(from(1), add("a"))
-	out := r.pass(3500 * time.Millisecond)
-	if n := len(said(out, exchangeNo(101), signal.Request, signal.AuditValue)); n < 1 || n > 3 {
-		t.Fatalf("%d signs of life asked for", n)
-	}
-	if !did(out, Close, exchangeNo(101)) {
-		t.Fatal("the silent link stays")
-	}
-}
-
-func TestLeaveAnswersAndEnds(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("stands")), exchangeNo(101), signal.Request, signal.Add))
-	r.say(exchangeNo(101), set.Answer())
-	out := one(t, "set-up", said(r.say(from(1), add("out")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Leave})
-	if a := one(t, "refusal", said(r.say(from(1), add("new")), from(1), signal.Reply, signal.Add)); a.Code != signal.NotReady || a.Get("Taken") != "no" {
-		t.Fatalf("%s", a)
-	}
-	r.say(exchangeNo(101), out.Refuse(signal.NoResources, "").Put("Note", "processor-full"))
-	all := r.pass(2100 * time.Millisecond)
-	n := one(t, "notice", said(all, from(1), signal.Request, signal.Notify))
-	if n.Get("Event") != "cut" {
-		t.Fatalf("%s", n)
-	}
-	free := one(t, "release", said(all, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
-		t.Fatal("does not leave")
-	}
-	r.empty()
-}
-
-// fataler is a test, or a check of one property.
-type fataler interface {
+	if len(module.events) != 0 {
+		t.Fatalf("events of rejected calls: %v", module.events)
+	}
+}
+
+// The exchange list is unreachable at the start, connects, disconnects, and comes
+// back with other IDs for the same numbers.
+func TestExchangeListReconnectsWithNewIDs(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	effects := h.receive(callerPeer(1), addRequest("early")) // no exchange is known yet
+	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+	h.handle(Input{Kind: InputDisconnected, Peer: Peer{Role: RoleExchangeList}})
+	h.receive(exchangePeer(101), setUp.NewReply()) // the last list stays in force
+	h.handle(Input{Kind: InputConnected, Peer: Peer{Role: RoleExchangeList}})
+	update := (&signal.Message{ID: 1, Command: signal.Notify, Termination: signal.Root}).Put("Complete", "yes").
+		Put("Exchange", listEntry(200, 0, "in")).Put("Exchange", listEntry(201, 1, "in"))
+	effects = h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: update})
+	if !hasEffect(effects, EffectConnect, exchangePeer(201)) || !hasEffect(effects, EffectBlock, exchangePeer(101)) ||
+		hasEffect(effects, EffectDisconnect, exchangePeer(101)) {
+		t.Fatalf("effects of the new list: %+v", effects)
+	}
+	// The call established at the old exchange ends there; then the link is removed.
+	effects = h.receive(callerPeer(1), &signal.Message{Command: signal.Subtract, Termination: "a"})
+	effects = h.receive(exchangePeer(101), requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract)).NewReply())
+	if !hasEffect(effects, EffectDisconnect, exchangePeer(101)) || h.controller.links[101] != nil {
+		t.Fatal("unused link of a delisted exchange not removed")
+	}
+	bad := (&signal.Message{ID: 2, Command: signal.Notify, Termination: signal.Root}).Put("Exchange", "7 cell=x")
+	if reply := requireOne(t, "error", messagesTo(h.handle(Input{Kind: InputMessage, Peer: Peer{Role: RoleExchangeList}, Message: bad}), Peer{Role: RoleExchangeList}, signal.Reply, signal.Notify)); reply.Code != signal.BadValue {
+		t.Fatalf("unexpected reply to an invalid list: %s", reply)
+	}
+}
+
+// A peer that does not answer the probes is disconnected.
+func TestHalfOpenLinkIsClosed(t *testing.T) {
+	h := newHarness(t, &script{respond: sendEachTo(101, 9*time.Second)})
+	h.announceList(0, 1)
+	h.receive(callerPeer(1), addRequest("a"))
+	effects := h.advance(3500 * time.Millisecond)
+	if n := len(messagesTo(effects, exchangePeer(101), signal.Request, signal.AuditValue)); n < 1 || n > 3 {
+		t.Fatalf("%d probes sent, want 1 to 3", n)
+	}
+	if !hasEffect(effects, EffectClose, exchangePeer(101)) {
+		t.Fatal("link to an unresponsive peer not closed")
+	}
+}
+
+// A shutdown rejects new calls, lets pending calls complete, and cuts established
+// calls after the grace.
+func TestShutdownEndsAllCalls(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("established")), exchangePeer(101), signal.Request, signal.Add))
+	h.receive(exchangePeer(101), setUp.NewReply())
+	pending := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("pending")), exchangePeer(101), signal.Request, signal.Add))
+	h.handle(Input{Kind: InputShutdown})
+	if reply := requireOne(t, "refusal", messagesTo(h.receive(callerPeer(1), addRequest("new")), callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.NotReady || reply.Get("Taken") != "no" {
+		t.Fatalf("unexpected reply during the shutdown: %s", reply)
+	}
+	h.receive(exchangePeer(101), pending.NewErrorReply(signal.InsufficientResources, "").Put("Note", "processor-full"))
+	all := h.advance(2100 * time.Millisecond)
+	notice := requireOne(t, "notification", messagesTo(all, callerPeer(1), signal.Request, signal.Notify))
+	if notice.Get("Event") != "cut" {
+		t.Fatalf("unexpected notification: %s", notice)
+	}
+	release := requireOne(t, "release", messagesTo(all, exchangePeer(101), signal.Request, signal.Subtract))
+	if !hasEffect(h.receive(exchangePeer(101), release.NewReply()), EffectStopped, Peer{}) {
+		t.Fatal("shutdown not completed")
+	}
+	h.requireNothingLeft()
+}
+
+// failer is implemented by *testing.T, *testing.B and *rapid.T.
+type failer interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// A call that is answered by its exchange only after those that stood were cut
-// is cut as well, and does not keep the controller.
-func TestCallThatStandsLateDoesNotKeepALeavingController(t *testing.T) {
-	r := newRig(t, &script{on: sendTo(101, 9*time.Second)})
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("late")), exchangeNo(101), signal.Request, signal.Add))
-	r.in(Input{What: Leave})
-	r.pass(2500 * time.Millisecond)
-	r.say(exchangeNo(101), set.Answer())
-	out := r.pass(300 * time.Millisecond)
-	one(t, "notice", said(out, from(1), signal.Request, signal.Notify))
-	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	if !did(r.say(exchangeNo(101), free.Answer()), Left, Peer{}) {
-		t.Fatal("does not leave")
-	}
-	r.empty()
-}
-
-func TestModuleThatSendsTwiceIsNotObeyed(t *testing.T) {
-	m := &script{on: func(e brain.Event) []brain.Action {
-		if e, ok := e.(brain.Call); ok {
-			s := brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: time.Second}
-			return []brain.Action{s, s}
+// A call that becomes established only after the established calls were cut is cut
+// as well, and does not block the shutdown.
+func TestCallEstablishedDuringShutdownIsCut(t *testing.T) {
+	h := newHarness(t, &script{respond: sendEachTo(101, 9*time.Second)})
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("late")), exchangePeer(101), signal.Request, signal.Add))
+	h.handle(Input{Kind: InputShutdown})
+	h.advance(2500 * time.Millisecond)
+	h.receive(exchangePeer(101), setUp.NewReply())
+	effects := h.advance(300 * time.Millisecond)
+	requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify))
+	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
+	if !hasEffect(h.receive(exchangePeer(101), release.NewReply()), EffectStopped, Peer{}) {
+		t.Fatal("shutdown not completed")
+	}
+	h.requireNothingLeft()
+}
+
+// A second Send for a call with an attempt in flight is ignored.
+func TestSecondSendIsIgnored(t *testing.T) {
+	module := &script{respond: func(e brain.Event) []brain.Action {
+		if event, ok := e.(brain.Call); ok {
+			send := brain.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
+			return []brain.Action{send, send}
 		}
 		return nil
 	}}
-	r := newRig(t, m)
-	r.list(0, 1)
-	one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	if len(m.ended()) != 0 {
-		t.Fatalf("the attempt that is out is told as over: %+v", m.ended())
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+	if len(module.ended()) != 0 {
+		t.Fatalf("outcome reported for an attempt in flight: %+v", module.ended())
 	}
 }
 
-// The module gives up while its attempt is out: one answer, and the attempt is withdrawn.
-func TestGiveUpWithdrawsWhatIsOut(t *testing.T) {
-	m := &script{on: func(e brain.Event) []brain.Action {
+// The routing module gives up a call with an attempt in flight: the caller gets one
+// final reply and the attempt is withdrawn.
+func TestGiveUpWithdrawsAttempt(t *testing.T) {
+	module := &script{respond: func(e brain.Event) []brain.Action {
 		switch e := e.(type) {
 		case brain.Call:
 			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: 3 * time.Second}, brain.SetTimer{Token: 1, Delay: time.Second}}
@@ -611,34 +655,34 @@
 		}
 		return nil
 	}}
-	r := newRig(t, m)
-	r.list(0, 1)
-	r.say(from(1), add("a"))
-	out := r.pass(1100 * time.Millisecond)
-	if a := one(t, "answer", said(out, from(1), signal.Reply, signal.Add)); a.Code != signal.Unavailable {
-		t.Fatalf("%s", a)
-	}
-	free := one(t, "release", said(out, exchangeNo(101), signal.Request, signal.Subtract))
-	r.say(exchangeNo(101), free.Answer())
-	if e := m.ended(); len(e) != 1 || !e[0].Final {
-		t.Fatalf("told %+v, want one end", e)
-	}
-	r.empty()
-}
-
-// A call that stands is over when its link breaks, and its caller hears so.
-func TestBrokenLinkCutsWhatStands(t *testing.T) {
-	m := &script{on: sendTo(101, 3*time.Second)}
-	r := newRig(t, m)
-	r.list(0, 1)
-	set := one(t, "set-up", said(r.say(from(1), add("a")), exchangeNo(101), signal.Request, signal.Add))
-	r.say(exchangeNo(101), set.Answer())
-	out := r.in(Input{What: Down, Peer: exchangeNo(101)})
-	if n := one(t, "notice", said(out, from(1), signal.Request, signal.Notify)); n.Get("Event") != "cut" || n.Term != "a" {
-		t.Fatalf("%s", n)
-	}
-	if e := m.ended(); len(e) != 1 || e[0].Outcome != brain.OutcomeReset || !e[0].Final {
-		t.Fatalf("%+v", e)
-	}
-	r.empty()
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	h.receive(callerPeer(1), addRequest("a"))
+	effects := h.advance(1100 * time.Millisecond)
+	if reply := requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add)); reply.Code != signal.Unavailable {
+		t.Fatalf("unexpected final reply: %s", reply)
+	}
+	release := requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
+	h.receive(exchangePeer(101), release.NewReply())
+	if ended := module.ended(); len(ended) != 1 || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final outcome", ended)
+	}
+	h.requireNothingLeft()
+}
+
+// An established call ends when its link is lost, and its caller is notified.
+func TestLostLinkCutsEstablishedCalls(t *testing.T) {
+	module := &script{respond: sendEachTo(101, 3*time.Second)}
+	h := newHarness(t, module)
+	h.announceList(0, 1)
+	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
+	h.receive(exchangePeer(101), setUp.NewReply())
+	effects := h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)})
+	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Termination != "a" {
+		t.Fatalf("unexpected notification: %s", notice)
+	}
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset || !ended[0].Final {
+		t.Fatalf("reported outcomes %+v, want one final Reset", ended)
+	}
+	h.requireNothingLeft()
 }
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -14,7 +14,7 @@
 
 // caller is a caller's connection.
 type caller struct {
-	id       Conn
+	id       ConnID
 	open     int // set-ups not answered
 	standing int // calls that were set up or adopted here
 	said     bool
@@ -36,11 +36,11 @@
 	stood    time.Duration
 }
 
-func (c *Core) callerUp(id Conn) {
+func (c *Core) callerUp(id ConnID) {
 	k := &caller{id: id, since: c.now}
 	c.callers[id] = k
 	c.order = append(c.order, k)
-	if c.cfg.Conns > 0 && len(c.callers) > c.cfg.Conns {
+	if c.cfg.MaxConns > 0 && len(c.callers) > c.cfg.MaxConns {
 		c.evict(k)
 	}
 }
@@ -68,12 +68,12 @@
 		return
 	}
 	c.Stats.ConnsShut++
-	c.do(Shut{k.id, why})
+	c.do(CloseConn{k.id, why})
 	c.callerDown(k.id)
 }
 
 // callerDown forgets a connection. Nobody is left there to be answered; what stands goes on.
-func (c *Core) callerDown(id Conn) {
+func (c *Core) callerDown(id ConnID) {
 	k := c.callers[id]
 	if k == nil {
 		return
@@ -116,11 +116,11 @@
 	c.order = rest
 }
 
-func (c *Core) callerSays(in CallerSays) {
+func (c *Core) callerSays(in CallerMessage) {
 	k := c.callers[in.Conn]
 	if k == nil {
-		if NewCall(in.Msg) { // read before the connection is closed, which has been decided
-			c.turnAway(in.Conn, in.Msg.Call)
+		if IsNewCall(in.Msg) { // read before the connection is closed, which has been decided
+			c.turnAway(in.Conn, in.Msg.CallID)
 		}
 		return
 	}
@@ -131,8 +131,8 @@
 	case isup.Release:
 		c.released(k, in.Msg)
 	case isup.Test:
-		c.do(Say{k.id, (&isup.Message{Type: isup.Tested, Call: in.Msg.Call}).With(isup.Cause, []byte{1})})
-	case isup.Progress, isup.Released, isup.Tested:
+		c.do(SendToCaller{k.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
+	case isup.Progress, isup.ReleaseComplete, isup.TestResult:
 	default:
 		c.Stats.Invalid++
 		c.shut(k, fmt.Sprintf("message of type %d", in.Msg.Type))
@@ -140,36 +140,36 @@
 }
 
 func release(id uint64, cause byte) *isup.Message {
-	return (&isup.Message{Type: isup.Release, Call: id}).With(isup.Cause, []byte{cause})
+	return (&isup.Message{Type: isup.Release, CallID: id}).Add(isup.ParamCause, []byte{cause})
 }
 
 // refusal is a release that says that trying again is harmless, and when.
 func refusal(id uint64, backoff time.Duration) *isup.Message {
 	m := release(id, isup.Congestion)
 	if backoff > 0 {
-		m.With(isup.StayAway, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
+		m.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
 	}
 	return m
 }
 
-// NewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
-func NewCall(m *isup.Message) bool {
-	figures, _ := m.Get(isup.Figures)
+// IsNewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
+func IsNewCall(m *isup.Message) bool {
+	figures, _ := m.Get(isup.ParamRouting)
 	return m.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
-// TurnAway is the answer to a set-up that is not taken: refused, with a time to come back where the
+// NewRejection is the answer to a set-up that is not taken: refused, with a time to come back where the
 // settings allow one.
-func TurnAway(id uint64, s brain.Settings) *isup.Message {
+func NewRejection(id uint64, s brain.Settings) *isup.Message {
 	if !s.Backoff {
 		return refusal(id, 0)
 	}
 	return refusal(id, s.BackoffMax)
 }
 
-func (c *Core) turnAway(to Conn, id uint64) {
+func (c *Core) turnAway(to ConnID, id uint64) {
 	c.Stats.Refused++
-	c.do(Say{to, TurnAway(id, c.cfg.Settings)})
+	c.do(SendToCaller{to, NewRejection(id, c.cfg.Settings)})
 }
 
 // request is a set-up that was read.
@@ -186,33 +186,33 @@
 		v, _ := m.Get(code)
 		return string(v)
 	}
-	class, ok := c.classes[text(isup.Class)]
+	class, ok := c.classes[text(isup.ParamClass)]
 	if !ok {
-		return r, fmt.Errorf("unknown class %.40q", text(isup.Class))
+		return r, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
 	}
-	r.class, r.Class = text(isup.Class), class
-	ms, err := strconv.ParseUint(text(isup.Patience), 10, 22)
+	r.class, r.Class = text(isup.ParamClass), class
+	ms, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
 	if err != nil {
 		return r, fmt.Errorf("patience: %w", err)
 	}
 	r.Remaining = time.Duration(ms) * time.Millisecond
-	r.number = text(isup.Number)
+	r.number = text(isup.ParamNumber)
 	if r.CalledNumber, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
 		return r, fmt.Errorf("number %.40q", r.number)
 	}
 	r.HasCalledNumber = true
-	switch v := text(isup.Retry); v {
+	switch v := text(isup.ParamRetry); v {
 	case "1":
 		r.Repeat = true
 	case "", "0":
 	default:
 		return r, fmt.Errorf("retry %.40q", v)
 	}
-	r.desc, ok = m.Get(isup.Description)
+	r.desc, ok = m.Get(isup.ParamDescription)
 	if !ok {
 		return r, fmt.Errorf("no description")
 	}
-	return r, c.figures(&r, text(isup.Figures))
+	return r, c.figures(&r, text(isup.ParamRouting))
 }
 
 func (c *Core) figures(r *request, text string) error {
@@ -258,8 +258,8 @@
 	return nil
 }
 
-func (c *Core) setUp(k *caller, in CallerSays) {
-	id := in.Msg.Call
+func (c *Core) setUp(k *caller, in CallerMessage) {
+	id := in.Msg.CallID
 	have := c.calls[id]
 	r, err := c.read(in.Msg)
 	switch {
@@ -277,16 +277,16 @@
 		return
 	case err != nil:
 		c.Stats.Invalid++
-		c.do(Say{k.id, release(id, isup.InvalidContents)})
+		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
 		return
-	case c.closed, k.open >= c.cfg.PerConn, len(c.calls) >= c.cfg.Calls:
+	case c.closed, k.open >= c.cfg.MaxPendingPerConn, len(c.calls) >= c.cfg.MaxCalls:
 		c.turnAway(k.id, id)
 		return
 	}
 	x := &call{id: id, name: fmt.Sprintf("%016x", id), from: k, class: r.class, number: r.number, desc: r.desc}
 	if !c.fits(x) {
 		c.Stats.Invalid++
-		c.do(Say{k.id, release(id, isup.InvalidContents)})
+		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
 		return
 	}
 	c.Stats.Calls++
@@ -297,7 +297,7 @@
 	c.open++
 	k.open++
 	r.ID = x.name
-	r.Remaining -= max(c.now-in.At, 0)
+	r.Remaining -= max(c.now-in.ReceivedAt, 0)
 	c.feed(r.Call)
 }
 
@@ -312,15 +312,15 @@
 		return
 	}
 	if e, ended := c.recent[id]; ended && e.ghost == nil {
-		c.do(Say{k.id, release(id, e.cause)})
+		c.do(SendToCaller{k.id, release(id, e.cause)})
 		return
 	}
 	p := c.names[r.at]
 	if p == nil {
-		c.do(Say{k.id, release(id, isup.TemporaryFailure)})
+		c.do(SendToCaller{k.id, release(id, isup.TemporaryFailure)})
 		return
 	}
-	if len(c.calls) >= c.cfg.Calls {
+	if len(c.calls) >= c.cfg.MaxCalls {
 		return
 	}
 	c.Stats.Adopted++
@@ -333,7 +333,7 @@
 
 // released is a caller's word that a set-up is given up or that a call is over.
 func (c *Core) released(k *caller, m *isup.Message) {
-	x := c.calls[m.Call]
+	x := c.calls[m.CallID]
 	if x == nil {
 		return
 	}
@@ -341,7 +341,7 @@
 	if x.standing {
 		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
 		c.over(x, brain.OutcomeCancelled, isup.NormalClearing, true)
-		c.do(Say{k.id, &isup.Message{Type: isup.Released, Call: m.Call}})
+		c.do(SendToCaller{k.id, &isup.Message{Type: isup.ReleaseComplete, CallID: m.CallID}})
 		return
 	}
 	if x.from == k {
@@ -373,5 +373,5 @@
 	if t := c.tries[x.id]; t != nil {
 		c.withdraw(t, brain.OutcomeTimedOut) // before the answer is said: nothing is sent after it
 	}
-	c.do(Say{x.from.id, m})
+	c.do(SendToCaller{x.from.id, m})
 }
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -9,7 +9,7 @@
 )
 
 // feed hands an event to the module and carries out what it asks for.
-func (c *Core) feed(e brain.Event) { c.module.Give(c.now, e, c.act) }
+func (c *Core) feed(e brain.Event) { c.module.Dispatch(c.now, e, c.act) }
 
 func (c *Core) act(a brain.Action) {
 	switch a := a.(type) {
@@ -40,7 +40,7 @@
 		if a.Log {
 			level = slog.LevelInfo
 		}
-		if c.cfg.Debug || a.Log {
+		if c.cfg.LogAllVerdicts || a.Log {
 			c.log(level, "verdict", "call", a.CallID, "reason", a.Reason, "scope", a.Scope, "cell", a.ExchangeNumber, "nth", a.Count)
 		}
 	}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -1,4 +1,5 @@
-// Package setup turns a controller's settings into what its core and its module start with.
+// Package setup converts the settings of a controller into the configurations of its
+// core and its routing module.
 package setup
 
 import (
@@ -13,36 +14,66 @@
 	"dahliaspindle/internal/settings"
 )
 
-// Core is what a controller core starts with at a time; flows takes its records, nil for none.
-func Core(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
-	b := Module(set)
+// ControllerConfig returns the configuration of a controller core that starts at the
+// given time. Flows receives its flow records and may be nil.
+func ControllerConfig(now time.Duration, set *settings.Controller, flows flow.Sink) controller.Config {
+	module := ModuleSettings(set)
 	patience := time.Duration(0)
-	for _, c := range set.Classes {
-		patience = max(patience, c.Patience)
+	for _, class := range set.Classes {
+		patience = max(patience, class.Patience)
 	}
 	return controller.Config{
-		Module: policy.New(set.Policy, b), Classes: b.Classes, Self: set.Self, Number: set.Number,
-		MostCalls: set.Limits.Calls, MostPerPeer: set.Limits.PerPeer, MostRoutes: set.Limits.Exchanges,
-		Connect: set.Peers.Connect, StandingLeft: set.Limits.Leave,
-		Life:    guard.Life{After: set.Peers.SignAfter, Lost: set.Peers.LostAfter},
-		Release: guard.Release{Every: set.Peers.Release, Tries: set.Peers.Releases},
-		Faults:  guard.Faults{Most: set.Limits.Faults, Each: 100 * time.Millisecond},
-		Flows:   flows, Interim: set.Flows.Interim,
-		Traffic: measure.NewLive(now, set.Limits.Measure, patience),
+		Module:              policy.New(set.Policy, module),
+		Classes:             module.Classes,
+		ExchangeNumber:      set.Self,
+		ControllerNumber:    set.Number,
+		MaxCalls:            set.Limits.Calls,
+		MaxPendingPerCaller: set.Limits.TransactionsPerPeer,
+		MaxExchanges:        set.Limits.Exchanges,
+		LinkTimeout:         set.Peers.ConnectWait,
+		ShutdownGrace:       set.Limits.ShutdownGrace,
+		Liveness:            guard.Liveness{ProbeAfter: set.Peers.ProbeAfter, LostAfter: set.Peers.LostAfter},
+		ReleaseRetry:        guard.ReleaseRetry{Interval: set.Peers.ReleaseRetryAfter, MaxRequests: set.Peers.MaxReleaseAttempts},
+		FaultLimit:          guard.FaultLimiter{Burst: set.Limits.UnreadableMessages, ForgiveEvery: 100 * time.Millisecond},
+		FlowSink:            flows,
+		InterimInterval:     set.Flows.InterimInterval,
+		TrafficMeter:        measure.NewLive(now, set.Limits.MeasurementPeriod, patience),
 	}
 }
 
-// Module is what the decision module starts with, from the settings.
-func Module(set *settings.Controller) brain.Settings {
-	b := brain.Settings{Seed: set.Seed, Self: set.Self, Me: set.Number, Controllers: set.Controllers,
-		ReleaseWait: set.Rules.Release, ResendAfter: set.Rules.ResendAfter, DrainGrace: set.Rules.DrainGrace,
-		AnswerSlack: set.Rules.AnswerSlack, ColdFrom: set.Rules.ColdFrom, ColdFor: set.Rules.ColdFor,
-		OverloadFactor: set.Rules.OverloadFactor, OverloadFor: set.Rules.OverloadFor, MaxAttempts: set.Rules.Attempts,
-		BackoffMax: set.Rules.BackoffMost, Backoff: set.Rules.BackoffMost > 0, Cancelling: true,
-		Advice: set.Rules.Advice, MarksRepeat: set.Rules.MarksRepeat, Tick: time.Millisecond}
-	for _, c := range set.Classes {
-		b.Classes = append(b.Classes, brain.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: c.Aim,
-			GiveUp: c.Patience, Holding: c.Holding, Width: c.Circuits})
+// ModuleSettings returns the settings of the routing module.
+func ModuleSettings(set *settings.Controller) brain.Settings {
+	module := brain.Settings{
+		Seed:           set.Seed,
+		Self:           set.Self,
+		Me:             set.Number,
+		Controllers:    set.Controllers,
+		ReleaseWait:    set.Rules.ReleaseTime,
+		ResendAfter:    set.Rules.ResendAfter,
+		DrainGrace:     set.Rules.DrainGrace,
+		AnswerSlack:    set.Rules.AnswerSlack,
+		ColdFrom:       set.Rules.ColdCapacity,
+		ColdFor:        set.Rules.ColdDuration,
+		OverloadFactor: set.Rules.OverloadFactor,
+		OverloadFor:    set.Rules.OverloadDuration,
+		MaxAttempts:    set.Rules.MaxAttempts,
+		BackoffMax:     set.Rules.MaxBackoff,
+		Backoff:        set.Rules.MaxBackoff > 0,
+		Cancelling:     true,
+		Advice:         set.Rules.RouteAdvice,
+		MarksRepeat:    set.Rules.CallersMarkRetries,
+		Tick:           time.Millisecond,
 	}
-	return b
+	for _, class := range set.Classes {
+		module.Classes = append(module.Classes, brain.Class{
+			Name:      class.Name,
+			Worth:     class.Worth,
+			LateWorth: class.LateWorth,
+			Aim:       class.SetUpTarget,
+			GiveUp:    class.Patience,
+			Holding:   class.HoldingTime,
+			Width:     class.Circuits,
+		})
+	}
+	return module
 }
