--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -12,366 +12,399 @@
 	"dahliaspindle/internal/isup"
 )
 
-// caller is a caller's connection.
-type caller struct {
-	id       ConnID
-	open     int // set-ups not answered
-	standing int // calls that were set up or adopted here
-	said     bool
-	since    time.Duration // of the last word, or of the connection
-	gone     bool
+// callerConn is a connection of a caller.
+type callerConn struct {
+	id              ConnID
+	pending         int           // set-ups without a final answer
+	established     int           // calls set up or adopted on this connection
+	messageReceived bool          // at least one
+	quietSince      time.Duration // time of the last message, end of a call or accept
+	closed          bool
 }
 
-type call struct {
-	id       uint64
-	name     string // of the Call-ID and in the module
-	from     *caller
-	class    string
-	number   string
-	desc     []byte
-	attempts int
-	at       *peer // where it stands
-	standing bool
-	adopted  bool
-	stood    time.Duration
+// activeCall is a call that is pending or established.
+type activeCall struct {
+	id            uint64
+	callID        string // id in hexadecimal, as in the Call-ID and towards the module
+	conn          *callerConn
+	class         string
+	number        string
+	description   []byte
+	attempts      int
+	peer          *peerExchange // where the call is established, nil while pending
+	established   bool
+	adopted       bool // established before this process knew it
+	establishedAt time.Duration
 }
 
-func (c *Core) callerUp(id ConnID) {
-	k := &caller{id: id, since: c.now}
-	c.callers[id] = k
-	c.order = append(c.order, k)
-	if c.cfg.MaxConns > 0 && len(c.callers) > c.cfg.MaxConns {
-		c.evict(k)
+// handleCallerConnected registers a connection and, above the limit, closes one.
+func (c *Core) handleCallerConnected(id ConnID) {
+	conn := &callerConn{id: id, quietSince: c.now}
+	c.conns[id] = conn
+	c.connsByAge = append(c.connsByAge, conn)
+	if c.cfg.MaxConns > 0 && len(c.conns) > c.cfg.MaxConns {
+		c.evictConn(conn)
 	}
 }
 
-// evict makes room: one that has said nothing goes first, then one without a call, the longest
-// quiet first; then the new one.
-func (c *Core) evict(fresh *caller) {
-	var victim *caller
-	for _, k := range c.order {
-		if k.gone || k.open > 0 || k == fresh || k.standing > 0 {
+// evictConn closes one connection to stay within the limit. Only connections without calls are
+// candidates: those that never sent a message first, then the longest quiet. Without a candidate the
+// new connection is closed.
+func (c *Core) evictConn(newConn *callerConn) {
+	var victim *callerConn
+	for _, conn := range c.connsByAge {
+		if conn.closed || conn.pending > 0 || conn == newConn || conn.established > 0 {
 			continue
 		}
-		if victim == nil || victim.said && !k.said || victim.said == k.said && k.since < victim.since {
-			victim = k
+		if victim == nil || victim.messageReceived && !conn.messageReceived ||
+			victim.messageReceived == conn.messageReceived && conn.quietSince < victim.quietSince {
+			victim = conn
 		}
 	}
 	if victim == nil {
-		victim = fresh
+		victim = newConn
 	}
-	c.shut(victim, "too many connections")
+	c.closeConn(victim, "too many connections")
 }
 
-func (c *Core) shut(k *caller, why string) {
-	if k.gone {
+// closeConn closes a connection and abandons its pending calls.
+func (c *Core) closeConn(conn *callerConn, reason string) {
+	if conn.closed {
 		return
 	}
 	c.Stats.ConnsShut++
-	c.do(CloseConn{k.id, why})
-	c.callerDown(k.id)
+	c.emit(CloseConn{conn.id, reason})
+	c.handleCallerDisconnected(conn.id)
 }
 
-// callerDown forgets a connection. Nobody is left there to be answered; what stands goes on.
-func (c *Core) callerDown(id ConnID) {
-	k := c.callers[id]
-	if k == nil {
+// handleCallerDisconnected removes a connection. Its pending calls are abandoned, since nobody is left to
+// answer; established calls continue.
+func (c *Core) handleCallerDisconnected(id ConnID) {
+	conn := c.conns[id]
+	if conn == nil {
 		return
 	}
-	delete(c.callers, id)
-	k.gone = true
-	if k.open == 0 {
+	delete(c.conns, id)
+	conn.closed = true
+	if conn.pending == 0 {
 		return
 	}
-	var left []uint64
-	for _, x := range c.calls {
-		if x.from == k && !x.standing {
-			left = append(left, x.id)
+	var pendingIDs []uint64
+	for _, call := range c.calls {
+		if call.conn == conn && !call.established {
+			pendingIDs = append(pendingIDs, call.id)
 		}
 	}
-	slices.Sort(left)
-	for _, id := range left {
-		c.givenUp(c.calls[id])
+	slices.Sort(pendingIDs)
+	for _, id := range pendingIDs {
+		c.abandonCall(c.calls[id])
 	}
 }
 
-// sweepCallers closes connections that say nothing.
-func (c *Core) sweepCallers() {
-	rest := c.order[:0]
-	for _, k := range c.order {
+// closeIdleConns closes connections without calls that have sent no message for too long.
+func (c *Core) closeIdleConns() {
+	remaining := c.connsByAge[:0]
+	for _, conn := range c.connsByAge {
 		switch {
-		case k.gone:
+		case conn.closed:
 			continue
-		case k.open > 0 || k.standing > 0:
-		case !k.said && c.now-k.since > mute:
-			c.shut(k, "nothing said")
+		case conn.pending > 0 || conn.established > 0:
+		case !conn.messageReceived && c.now-conn.quietSince > firstMessageTimeout:
+			c.closeConn(conn, "no message received")
 			continue
-		case c.now-k.since > idle:
-			c.shut(k, "idle")
+		case c.now-conn.quietSince > idleTimeout:
+			c.closeConn(conn, "idle")
 			continue
 		}
-		rest = append(rest, k)
+		remaining = append(remaining, conn)
 	}
-	clear(c.order[len(rest):])
-	c.order = rest
+	clear(c.connsByAge[len(remaining):])
+	c.connsByAge = remaining
 }
 
-func (c *Core) callerSays(in CallerMessage) {
-	k := c.callers[in.Conn]
-	if k == nil {
-		if IsNewCall(in.Msg) { // read before the connection is closed, which has been decided
-			c.turnAway(in.Conn, in.Msg.CallID)
+// handleCallerMessage dispatches a message of a caller.
+func (c *Core) handleCallerMessage(in CallerMessage) {
+	conn := c.conns[in.Conn]
+	if conn == nil {
+		if IsNewCall(in.Msg) { // read before the connection was closed, handled after the close was decided
+			c.rejectCall(in.Conn, in.Msg.CallID)
 		}
 		return
 	}
-	k.said, k.since = true, c.now
+	conn.messageReceived, conn.quietSince = true, c.now
 	switch in.Msg.Type {
 	case isup.SetUp:
-		c.setUp(k, in)
+		c.handleSetUp(conn, in)
 	case isup.Release:
-		c.released(k, in.Msg)
+		c.handleCallerRelease(conn, in.Msg)
 	case isup.Test:
-		c.do(SendToCaller{k.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
+		c.emit(SendToCaller{conn.id, (&isup.Message{Type: isup.TestResult, CallID: in.Msg.CallID}).Add(isup.ParamCause, []byte{1})})
 	case isup.Progress, isup.ReleaseComplete, isup.TestResult:
 	default:
 		c.Stats.Invalid++
-		c.shut(k, fmt.Sprintf("message of type %d", in.Msg.Type))
+		c.closeConn(conn, fmt.Sprintf("unexpected message type %d", in.Msg.Type))
 	}
 }
 
-func release(id uint64, cause byte) *isup.Message {
+// newRelease returns a release of a call with a cause.
+func newRelease(id uint64, cause byte) *isup.Message {
 	return (&isup.Message{Type: isup.Release, CallID: id}).Add(isup.ParamCause, []byte{cause})
 }
 
-// refusal is a release that says that trying again is harmless, and when.
-func refusal(id uint64, backoff time.Duration) *isup.Message {
-	m := release(id, isup.Congestion)
+// newCongestionRelease returns a release that allows a retry, after the backoff if it is positive. The
+// backoff is rounded up to whole milliseconds.
+func newCongestionRelease(id uint64, backoff time.Duration) *isup.Message {
+	msg := newRelease(id, isup.Congestion)
 	if backoff > 0 {
-		m.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
+		msg.Add(isup.ParamRetryAfter, strconv.AppendInt(nil, int64((backoff+time.Millisecond-1)/time.Millisecond), 10))
 	}
-	return m
+	return msg
 }
 
-// IsNewCall tells whether a message is a set-up that wants an answer and may get one at the edge.
-func IsNewCall(m *isup.Message) bool {
-	figures, _ := m.Get(isup.ParamRouting)
-	return m.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
+// IsNewCall reports whether a message is the set-up of a new call, which may be rejected before it
+// reaches the core. The set-up of an established call (one with an "at" figure) expects no answer.
+func IsNewCall(msg *isup.Message) bool {
+	figures, _ := msg.Get(isup.ParamRouting)
+	return msg.Type == isup.SetUp && !strings.Contains(string(figures), "at:")
 }
 
-// NewRejection is the answer to a set-up that is not taken: refused, with a time to come back where the
-// settings allow one.
-func NewRejection(id uint64, s brain.Settings) *isup.Message {
-	if !s.Backoff {
-		return refusal(id, 0)
+// NewRejection returns the answer to a set-up that is not accepted: a release with cause congestion, and
+// with the longest backoff where the settings allow one.
+func NewRejection(id uint64, settings brain.Settings) *isup.Message {
+	if !settings.Backoff {
+		return newCongestionRelease(id, 0)
 	}
-	return refusal(id, s.BackoffMax)
+	return newCongestionRelease(id, settings.BackoffMax)
 }
 
-func (c *Core) turnAway(to ConnID, id uint64) {
+// rejectCall refuses a set-up without passing it to the module.
+func (c *Core) rejectCall(conn ConnID, id uint64) {
 	c.Stats.Refused++
-	c.do(SendToCaller{to, NewRejection(id, c.cfg.Settings)})
+	c.emit(SendToCaller{conn, NewRejection(id, c.cfg.Settings)})
 }
 
-// request is a set-up that was read.
-type request struct {
+// setUpRequest is a parsed set-up.
+type setUpRequest struct {
 	brain.Call
 	class, number string
-	desc          []byte
-	at            string
+	description   []byte
+	peerName      string // exchange of a call that is established already, else empty
 }
 
-// read takes a set-up apart. The error names what is wrong with it.
-func (c *Core) read(m *isup.Message) (r request, err error) {
+// parseSetUp parses a set-up. The error names the first invalid parameter.
+func (c *Core) parseSetUp(msg *isup.Message) (request setUpRequest, err error) {
 	text := func(code byte) string {
-		v, _ := m.Get(code)
-		return string(v)
+		value, _ := msg.Get(code)
+		return string(value)
 	}
-	class, ok := c.classes[text(isup.ParamClass)]
+	class, ok := c.classIndexes[text(isup.ParamClass)]
 	if !ok {
-		return r, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
+		return request, fmt.Errorf("unknown class %.40q", text(isup.ParamClass))
 	}
-	r.class, r.Class = text(isup.ParamClass), class
-	ms, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
+	request.class, request.Class = text(isup.ParamClass), class
+	millis, err := strconv.ParseUint(text(isup.ParamPatience), 10, 22)
 	if err != nil {
-		return r, fmt.Errorf("patience: %w", err)
+		return request, fmt.Errorf("invalid patience: %w", err)
 	}
-	r.Remaining = time.Duration(ms) * time.Millisecond
-	r.number = text(isup.ParamNumber)
-	if r.CalledNumber, err = strconv.ParseUint(r.number, 16, 64); err != nil || len(r.number) != 16 {
-		return r, fmt.Errorf("number %.40q", r.number)
+	request.Remaining = time.Duration(millis) * time.Millisecond
+	request.number = text(isup.ParamNumber)
+	if request.CalledNumber, err = strconv.ParseUint(request.number, 16, 64); err != nil || len(request.number) != 16 {
+		return request, fmt.Errorf("invalid number %.40q", request.number)
 	}
-	r.HasCalledNumber = true
-	switch v := text(isup.ParamRetry); v {
+	request.HasCalledNumber = true
+	switch value := text(isup.ParamRetry); value {
 	case "1":
-		r.Repeat = true
+		request.Repeat = true
 	case "", "0":
 	default:
-		return r, fmt.Errorf("retry %.40q", v)
+		return request, fmt.Errorf("invalid retry mark %.40q", value)
 	}
-	r.desc, ok = m.Get(isup.ParamDescription)
+	request.description, ok = msg.Get(isup.ParamDescription)
 	if !ok {
-		return r, fmt.Errorf("no description")
+		return request, fmt.Errorf("missing description")
 	}
-	return r, c.figures(&r, text(isup.ParamRouting))
+	return request, c.parseFigures(&request, text(isup.ParamRouting))
 }
 
-func (c *Core) figures(r *request, text string) error {
-	r.Via = -1
-	var dest, width, via bool
+// parseFigures parses the figures of a set-up ("name:value" pairs separated by semicolons) into request.
+// Unknown figures are ignored.
+func (c *Core) parseFigures(request *setUpRequest, text string) error {
+	request.Via = -1
+	var hasDest, hasWidth, hasVia bool
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(part, ":")
 		if !ok {
-			return fmt.Errorf("figures %.80q", text)
+			return fmt.Errorf("malformed figures %.80q", text)
 		}
 		if name == "at" {
-			r.at = value
+			request.peerName = value
 			continue
 		}
 		n, err := strconv.ParseInt(value, 10, 32)
 		if err != nil {
-			return fmt.Errorf("figure %.20q: %w", name, err)
+			return fmt.Errorf("invalid figure %.20q: %w", name, err)
 		}
 		switch name {
 		case "dest":
-			dest, r.Destination = true, int(n)
+			hasDest, request.Destination = true, int(n)
 		case "width":
-			width, r.Width = true, int(n)
+			hasWidth, request.Width = true, int(n)
 		case "via":
-			via, r.Via = true, int(n)
+			hasVia, request.Via = true, int(n)
 		case "transit":
-			r.Transit = n == 1
+			request.Transit = n == 1
 		case "again":
-			r.Reconnect = n == 1
+			request.Reconnect = n == 1
 		}
 		if (name == "transit" || name == "again") && n != 0 && n != 1 {
 			return fmt.Errorf("figure %.20q out of range in %.80q", name, text)
 		}
 	}
 	switch {
-	case !dest || !c.served(r.Destination) || r.Destination == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
-		return fmt.Errorf("no such destination in %.80q", text)
-	case !width || r.Width < 1 || r.Width > c.widest:
-		return fmt.Errorf("width out of range in %.80q", text)
-	case r.Via < -1 || r.Transit && !via:
-		return fmt.Errorf("via out of range in %.80q", text)
+	case !hasDest || !c.isKnownDestination(request.Destination) || request.Destination == c.cfg.Settings.Self && !c.cfg.Settings.Pools:
+		return fmt.Errorf("missing or unknown destination in %.80q", text)
+	case !hasWidth || request.Width < 1 || request.Width > c.maxWidth:
+		return fmt.Errorf("missing or invalid width in %.80q", text)
+	case request.Via < -1 || request.Transit && !hasVia:
+		return fmt.Errorf("missing or invalid via in %.80q", text)
 	}
 	return nil
 }
 
-func (c *Core) setUp(k *caller, in CallerMessage) {
+// handleSetUp adopts, rejects or starts a call. A call that is started is passed to the module.
+func (c *Core) handleSetUp(conn *callerConn, in CallerMessage) {
 	id := in.Msg.CallID
-	have := c.calls[id]
-	r, err := c.read(in.Msg)
+	existing := c.calls[id]
+	request, err := c.parseSetUp(in.Msg)
 	switch {
-	case err == nil && r.at != "":
-		c.adopt(k, have, id, r)
+	case err == nil && request.peerName != "":
+		c.adoptCall(conn, existing, id, request)
 		return
-	case have != nil && have.from == k:
-		// a word about it would be taken for the answer to the first
+	case existing != nil && existing.conn == conn:
+		// The caller would take a rejection for the answer to the first set-up.
 		c.Stats.Invalid++
-		c.shut(k, "two set-ups under one id")
+		c.closeConn(conn, "two set-ups with the same id")
 		return
-	case have != nil:
+	case existing != nil:
 		c.Stats.Invalid++
-		c.turnAway(k.id, id)
+		c.rejectCall(conn.id, id)
 		return
 	case err != nil:
 		c.Stats.Invalid++
-		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
+		c.emit(SendToCaller{conn.id, newRelease(id, isup.InvalidContents)})
 		return
-	case c.closed, k.open >= c.cfg.MaxPendingPerConn, len(c.calls) >= c.cfg.MaxCalls:
-		c.turnAway(k.id, id)
+	case c.listenerClosed, conn.pending >= c.cfg.MaxPendingPerConn, len(c.calls) >= c.cfg.MaxCalls:
+		c.rejectCall(conn.id, id)
 		return
 	}
-	x := &call{id: id, name: fmt.Sprintf("%016x", id), from: k, class: r.class, number: r.number, desc: r.desc}
-	if !c.fits(x) {
+	call := &activeCall{
+		id:          id,
+		callID:      fmt.Sprintf("%016x", id),
+		conn:        conn,
+		class:       request.class,
+		number:      request.number,
+		description: request.description,
+	}
+	if !c.fitsMessageSize(call) {
 		c.Stats.Invalid++
-		c.do(SendToCaller{k.id, release(id, isup.InvalidContents)})
+		c.emit(SendToCaller{conn.id, newRelease(id, isup.InvalidContents)})
 		return
 	}
 	c.Stats.Calls++
-	if r.Repeat {
+	if request.Repeat {
 		c.Stats.Again++
 	}
-	c.calls[id] = x
-	c.open++
-	k.open++
-	r.ID = x.name
-	r.Remaining -= max(c.now-in.ReceivedAt, 0)
-	c.feed(r.Call)
+	c.calls[id] = call
+	c.pending++
+	conn.pending++
+	request.ID = call.callID
+	request.Remaining -= max(c.now-in.ReceivedAt, 0)
+	c.notifyModule(request.Call)
 }
 
-// adopt takes over a call that stands already, for which no answer is owed.
-func (c *Core) adopt(k *caller, have *call, id uint64, r request) {
-	if have != nil {
-		if have.standing && have.from != k {
-			have.from.standing--
-			have.from = k
-			k.standing++
+// adoptCall registers a call that is established already, or moves it to the caller's new connection.
+// Such a set-up gets no answer, except a release if the call has ended or its exchange is unknown.
+func (c *Core) adoptCall(conn *callerConn, existing *activeCall, id uint64, request setUpRequest) {
+	if existing != nil {
+		if existing.established && existing.conn != conn {
+			existing.conn.established--
+			existing.conn = conn
+			conn.established++
 		}
 		return
 	}
-	if e, ended := c.recent[id]; ended && e.ghost == nil {
-		c.do(SendToCaller{k.id, release(id, e.cause)})
+	if ending, ended := c.recentEndings[id]; ended && ending.withdrawnPeer == nil {
+		c.emit(SendToCaller{conn.id, newRelease(id, ending.cause)})
 		return
 	}
-	p := c.names[r.at]
-	if p == nil {
-		c.do(SendToCaller{k.id, release(id, isup.TemporaryFailure)})
+	peer := c.peersByName[request.peerName]
+	if peer == nil {
+		c.emit(SendToCaller{conn.id, newRelease(id, isup.TemporaryFailure)})
 		return
 	}
 	if len(c.calls) >= c.cfg.MaxCalls {
 		return
 	}
 	c.Stats.Adopted++
-	x := &call{id: id, name: fmt.Sprintf("%016x", id), from: k, class: r.class, number: r.number,
-		at: p, standing: true, adopted: true, stood: c.now}
-	c.calls[id] = x
-	k.standing++
-	p.calls[id] = x
+	call := &activeCall{
+		id:            id,
+		callID:        fmt.Sprintf("%016x", id),
+		conn:          conn,
+		class:         request.class,
+		number:        request.number,
+		peer:          peer,
+		established:   true,
+		adopted:       true,
+		establishedAt: c.now,
+	}
+	c.calls[id] = call
+	conn.established++
+	peer.calls[id] = call
 }
 
-// released is a caller's word that a set-up is given up or that a call is over.
-func (c *Core) released(k *caller, m *isup.Message) {
-	x := c.calls[m.CallID]
-	if x == nil {
+// handleCallerRelease handles the release of a caller: it ends an established call, on whatever
+// connection it arrives, or abandons a pending one on its own connection.
+func (c *Core) handleCallerRelease(conn *callerConn, msg *isup.Message) {
+	call := c.calls[msg.CallID]
+	if call == nil {
 		return
 	}
-	c.log(slog.LevelDebug, "caller's release", "call", x.name, "standing", x.standing, "stood", c.now-x.stood, "out", c.tries[x.id] != nil, "cause", m.Cause())
-	if x.standing {
-		c.hangUp(x.at, x.id, x.name, isup.NormalClearing)
-		c.over(x, brain.OutcomeCancelled, isup.NormalClearing, true)
-		c.do(SendToCaller{k.id, &isup.Message{Type: isup.ReleaseComplete, CallID: m.CallID}})
+	c.log(slog.LevelDebug, "caller's release", "call", call.callID, "standing", call.established, "stood", c.now-call.establishedAt,
+		"out", c.attempts[call.id] != nil, "cause", msg.Cause())
+	if call.established {
+		c.releaseAtPeer(call.peer, call.id, call.callID, isup.NormalClearing)
+		c.endEstablishedCall(call, brain.OutcomeCancelled, isup.NormalClearing, true)
+		c.emit(SendToCaller{conn.id, &isup.Message{Type: isup.ReleaseComplete, CallID: msg.CallID}})
 		return
 	}
-	if x.from == k {
-		c.givenUp(x)
+	if call.conn == conn {
+		c.abandonCall(call)
 	}
 }
 
-// givenUp is a call whose caller stopped waiting: no answer is owed.
-func (c *Core) givenUp(x *call) {
+// abandonCall ends a pending call whose caller stopped waiting. No answer is sent.
+func (c *Core) abandonCall(call *activeCall) {
 	c.Stats.Gone++
-	c.closeOpen(x)
-	c.feed(brain.CallAbandoned{CallID: x.name})
-	if t := c.tries[x.id]; t != nil { // where the module may not cancel
-		c.withdraw(t, brain.OutcomeCancelled)
+	c.removePending(call)
+	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
+	if attempt := c.attempts[call.id]; attempt != nil { // the module does not cancel where cancelling is disabled
+		c.withdrawAttempt(attempt, brain.OutcomeCancelled)
 	}
 }
 
-// closeOpen takes a call out of those that are owed an answer.
-func (c *Core) closeOpen(x *call) {
-	c.open--
-	x.from.open--
-	x.from.since = c.now
-	delete(c.calls, x.id)
+// removePending removes a call from those that await a final answer.
+func (c *Core) removePending(call *activeCall) {
+	c.pending--
+	call.conn.pending--
+	call.conn.quietSince = c.now
+	delete(c.calls, call.id)
 }
 
-// answer gives the final answer to an open set-up.
-func (c *Core) answer(x *call, m *isup.Message) {
-	c.closeOpen(x)
-	if t := c.tries[x.id]; t != nil {
-		c.withdraw(t, brain.OutcomeTimedOut) // before the answer is said: nothing is sent after it
+// sendFinalAnswer sends the final answer to a pending call. An attempt in flight is withdrawn first.
+func (c *Core) sendFinalAnswer(call *activeCall, msg *isup.Message) {
+	c.removePending(call)
+	if attempt := c.attempts[call.id]; attempt != nil {
+		c.withdrawAttempt(attempt, brain.OutcomeTimedOut) // before the answer, after which no set-up may be sent
 	}
-	c.do(SendToCaller{x.from.id, m})
+	c.emit(SendToCaller{call.conn.id, msg})
 }
