--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -9,7 +9,7 @@
 	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/signal"
-	"dahliaspindle/internal/wheel"
+	"dahliaspindle/internal/timerwheel"
 )
 
 // attemptStage is the stage of an attempt.
@@ -33,7 +33,7 @@
 	setUpTransaction uint32        // of the Add
 	startedAt        time.Duration
 	deadline         time.Duration // for the reply to the Add
-	timer            wheel.Handle
+	timer            timerwheel.Handle
 	stage            attemptStage
 	releaseRequests  int           // number of Subtracts sent
 	outcome          brain.Outcome // in stageReleasing: reported to the routing module once released
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,7 +26,7 @@
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/signal"
-	"dahliaspindle/internal/wheel"
+	"dahliaspindle/internal/timerwheel"
 )
 
 // Role is the kind of a peer.
@@ -181,7 +181,7 @@
 	config       Config
 	now          time.Duration
 	classIndex   map[string]int
-	timers       *wheel.Wheel[timer]
+	timers       *timerwheel.Wheel[timer]
 	callers      map[uint64]*callerConn
 	calls        map[string]*call // by context, as the routing module names them
 	links        map[uint64]*exchangeLink
@@ -208,7 +208,7 @@
 		dispatcher:   policy.Dispatcher{Module: cfg.Module},
 		now:          now,
 		classIndex:   map[string]int{},
-		timers:       wheel.New[timer](now),
+		timers:       timerwheel.New[timer](now),
 		callers:      map[uint64]*callerConn{},
 		calls:        map[string]*call{},
 		links:        map[uint64]*exchangeLink{},
--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -10,7 +10,7 @@
 	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/sip"
-	"dahliaspindle/internal/wheel"
+	"dahliaspindle/internal/timerwheel"
 )
 
 // callAttempt is one set-up at an exchange. It is kept until the attempt ends or the call is
@@ -23,7 +23,7 @@
 	invite    *sip.Message // as sent on the link
 	startedAt time.Duration
 	deadline  time.Duration
-	timer     wheel.Handle
+	timer     timerwheel.Handle
 }
 
 // startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -17,7 +17,7 @@
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
-	"dahliaspindle/internal/wheel"
+	"dahliaspindle/internal/timerwheel"
 )
 
 type (
@@ -247,7 +247,7 @@
 	maxWidth      int            // of all classes, in circuits
 	shutdownGrace time.Duration  // from Shutdown to the latest ShutdownComplete
 	now           time.Duration
-	timers        *wheel.Wheel[timerEvent]
+	timers        *timerwheel.Wheel[timerEvent]
 	effects       []Effect
 	module        policy.Dispatcher
 	random        *rand.Rand // jitter of the intervals between connection attempts
@@ -292,7 +292,7 @@
 		module:        policy.Dispatcher{Module: cfg.Module},
 		classIndexes:  map[string]int{},
 		now:           now,
-		timers:        wheel.New[timerEvent](now),
+		timers:        timerwheel.New[timerEvent](now),
 		conns:         map[ConnID]*callerConn{},
 		calls:         map[uint64]*activeCall{},
 		attempts:      map[uint64]*callAttempt{},
--- a/internal/standin/world/loop.go
+++ b/internal/standin/world/loop.go
@@ -10,8 +10,8 @@
 	"dahliaspindle/internal/capture"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/internal/timerwheel"
 	"dahliaspindle/internal/transport"
-	"dahliaspindle/internal/wheel"
 )
 
 // eventLoop runs the whole simulation in one goroutine. It is the simulation's
@@ -20,7 +20,7 @@
 	baseTime  time.Duration // startedAt since 1970
 	startedAt time.Time     // with its monotonic clock reading
 	now       time.Duration // time of the current event
-	timers    *wheel.Wheel[func()]
+	timers    *timerwheel.Wheel[func()]
 	events    chan func()
 }
 
@@ -28,7 +28,7 @@
 	loop := &eventLoop{startedAt: time.Now(), events: make(chan func(), 8192)}
 	loop.baseTime = time.Duration(loop.startedAt.UnixNano())
 	loop.now = loop.baseTime
-	loop.timers = wheel.New[func()](loop.now)
+	loop.timers = timerwheel.New[func()](loop.now)
 	return loop
 }
 
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,8 +1,8 @@
-// Package wheel implements a hierarchical timing wheel for many short timers
+// Package timerwheel implements a hierarchical timing wheel for many short timers
 // (G. Varghese and T. Lauck, "Hashed and hierarchical timing wheels", 1987).
 // Setting and stopping a timer takes constant time, and the next expiry is found
 // from one occupancy bitmap per level. The wheel has no clock of its own.
-package wheel
+package timerwheel
 
 import (
 	"math/bits"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
