--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,7 +20,7 @@
 	"dahliaspindle/internal/daemon"
 	"dahliaspindle/internal/settings"
 	"dahliaspindle/internal/standin/exchange"
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/internal/standin/subscriber"
 	"dahliaspindle/internal/standin/world"
 )
@@ -143,7 +143,7 @@
 }
 
 // newResult combines the audit report with the tables of call outcomes.
-func newResult(options Options, report *audit.Report, simulation *scene.Simulation) *Result {
+func newResult(options Options, report *audit.Report, sim *simulation.Simulation) *Result {
 	result := &Result{
 		Scenario:  options.Scenario.Name,
 		Seed:      options.Scenario.Seed,
@@ -153,18 +153,18 @@
 		Calls:     report.Calls,
 		Capture:   options.Dir,
 		Messages:  report.Messages,
-		Fleet:     simulation.Fleet.Counts,
+		Fleet:     sim.Fleet.Counts,
 		Breaches:  report.Breaches,
 		Notes:     report.Notes,
 	}
-	AddTables(result, options.Scenario, simulation)
+	AddTables(result, options.Scenario, sim)
 	return result
 }
 
 // AddTables adds the call outcomes of a simulation by class and by trouble to result.
-func AddTables(result *Result, scenario *settings.Scenario, simulation *scene.Simulation) {
+func AddTables(result *Result, scenario *settings.Scenario, sim *simulation.Simulation) {
 	add := func(name string, rows *[]Row, matches func(*subscriber.Call) bool) {
-		tally := simulation.Callers.Tally(matches)
+		tally := sim.Callers.Tally(matches)
 		*rows = append(*rows, Row{name, tally, tally.ServiceRatio()})
 	}
 	for i, class := range scenario.Classes {
@@ -173,9 +173,9 @@
 	add("hot number", &result.Classes, func(call *subscriber.Call) bool { return call.ToHotNumber })
 	add("all", &result.Classes, func(*subscriber.Call) bool { return true })
 	result.ServiceRatio = result.Classes[len(result.Classes)-1].ServiceRatio
-	for _, trouble := range simulation.Troubles() {
+	for _, trouble := range sim.Troubles() {
 		add(fmt.Sprintf("%s at %v: %s", trouble.Kind, trouble.At, trouble.Description), &result.Troubles, func(call *subscriber.Call) bool {
-			firstAttempt := simulation.FirstAttemptTime(call)
+			firstAttempt := sim.FirstAttemptTime(call)
 			return firstAttempt >= trouble.Start && firstAttempt < trouble.End
 		})
 	}
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -17,7 +17,7 @@
 	"dahliaspindle/internal/network"
 	"dahliaspindle/internal/settings"
 	"dahliaspindle/internal/standin/exchange"
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/internal/standin/subscriber"
 	"dahliaspindle/internal/virtual"
 )
@@ -35,7 +35,7 @@
 
 // ScenarioMesh returns the mesh of a scenario, with the fleet drawn from its seed.
 func ScenarioMesh(scenario *settings.Scenario) (*network.Mesh, error) {
-	drawn, err := scene.New(scenario, &virtual.Clock{}, inertEdge{})
+	drawn, err := simulation.New(scenario, &virtual.Clock{}, inertEdge{})
 	if err != nil {
 		return nil, fmt.Errorf("drawing the fleet of %s: %w", scenario.Name, err)
 	}
@@ -128,7 +128,7 @@
 	}
 	exchanges := scenario.Fleet.Exchanges
 	simulateSeed := func(seed int) (*outcome, error) {
-		day, err := virtual.Run(scenario, virtual.Options{Prepare: func(s *scene.Simulation) {
+		day, err := virtual.Run(scenario, virtual.Options{Prepare: func(s *simulation.Simulation) {
 			for i := range exchanges {
 				for j := range i {
 					s.Fleet.ResizeGroup(i, j, circuits[i][j])
@@ -210,13 +210,13 @@
 	return observed, nil
 }
 
-// inertEdge is a scene.Edge without effect, for a scene that is not run.
+// inertEdge is a simulation.Environment without effect, for a simulation that is not run.
 type inertEdge struct{}
 
 func (inertEdge) Listen(uint32) (string, error)                            { return "nowhere", nil }
 func (inertEdge) StopListening(uint32)                                     {}
 func (inertEdge) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (inertEdge) SetFault(uint32, scene.Fault, bool)                       {}
+func (inertEdge) SetFault(uint32, simulation.Fault, bool)                  {}
 func (inertEdge) SetListUnavailable(bool)                                  {}
 func (inertEdge) SendMalformed(float64) func()                             { return func() {} }
 func (inertEdge) RestartController(int)                                    {}
--- a/internal/standin/scene/scene.go
+++ b/internal/standin/simulation/simulation.go
@@ -1,9 +1,9 @@
-// Package scene assembles the simulation of one scenario without any I/O: the
+// Package simulation assembles the simulation of one scenario without any I/O: the
 // exchanges, the exchange list, the callers, the traffic between them and the
 // troubles of the scenario. Its owner provides the time (exchange.Scheduler) and the
 // connections (Environment): package world with sockets in real time, package
 // virtual in memory and virtual time.
-package scene
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/scene/scene_test.go
+++ b/internal/standin/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package scene_test
+package simulation_test
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 
 	"dahliaspindle/internal/settings"
 	"dahliaspindle/internal/standin/exchange"
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/scenarios"
 )
 
@@ -54,7 +54,7 @@
 func (unreachableEnvironment) Listen(uint32) (string, error)                            { return "nowhere", nil }
 func (unreachableEnvironment) StopListening(uint32)                                     {}
 func (unreachableEnvironment) CloseConns(uint32, string, func(*exchange.Conn) bool) int { return 0 }
-func (unreachableEnvironment) SetFault(uint32, scene.Fault, bool)                       {}
+func (unreachableEnvironment) SetFault(uint32, simulation.Fault, bool)                  {}
 func (unreachableEnvironment) SetListUnavailable(bool)                                  {}
 func (unreachableEnvironment) SendMalformed(float64) func()                             { return func() {} }
 func (unreachableEnvironment) RestartController(int)                                    {}
@@ -71,12 +71,12 @@
 	}
 	scenario.Troubles, scenario.Fleet.Exchanges, scenario.Load.Level, scenario.Load.Swing = nil, 30, 1, 0
 	clock := &coarseClock{tick: time.Millisecond}
-	simulation, err := scene.New(scenario, clock, unreachableEnvironment{})
+	sim, err := simulation.New(scenario, clock, unreachableEnvironment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := false
-	simulation.Start(nil, func() { ended = true })
+	sim.Start(nil, func() { ended = true })
 	for !ended {
 		next := heap.Pop(&clock.pending).(event)
 		clock.now = next.at
@@ -84,7 +84,7 @@
 	}
 	// 30 exchanges offer 100 erlang of circuits each; a call takes 6.7 circuit-seconds on average
 	want := 30 * 100 / 6.7 * scenario.Length.Seconds()
-	if got := float64(len(simulation.Callers.Calls)); got < 0.97*want || got > 1.03*want {
+	if got := float64(len(sim.Callers.Calls)); got < 0.97*want || got > 1.03*want {
 		t.Errorf("%.0f calls, want %.0f within 3%%", got, want)
 	}
 }
--- a/internal/standin/scene/trouble.go
+++ b/internal/standin/simulation/trouble.go
@@ -1,4 +1,4 @@
-package scene
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/world/faults.go
+++ b/internal/standin/world/faults.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 )
 
 // connFaults holds the faults of the connections of one exchange.
@@ -124,7 +124,7 @@
 				case <-time.After(time.Duration(float64(time.Second) / perSecond)):
 				}
 				_ = conn.SetWriteDeadline(time.Now().Add(time.Second))
-				if _, err := conn.Write([]byte(scene.MalformedMessages[i%len(scene.MalformedMessages)])); err != nil {
+				if _, err := conn.Write([]byte(simulation.MalformedMessages[i%len(simulation.MalformedMessages)])); err != nil {
 					return
 				}
 			}
--- a/internal/standin/world/world.go
+++ b/internal/standin/world/world.go
@@ -16,7 +16,7 @@
 	"dahliaspindle/internal/signal"
 	"dahliaspindle/internal/standin/exchange"
 	"dahliaspindle/internal/standin/exlist"
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/internal/standin/subscriber"
 	"dahliaspindle/internal/transport"
 )
@@ -51,7 +51,7 @@
 
 // Runner runs the simulation of one scenario on a network.
 type Runner struct {
-	*scene.Simulation
+	*simulation.Simulation
 	scenario    *settings.Scenario
 	loop        *eventLoop
 	network     Network
@@ -83,9 +83,9 @@
 		loopDone:  make(chan struct{}),
 		listeners: map[uint32]*exchangeListener{},
 	}
-	simulation, err := scene.New(scenario, runner.loop, environment{runner})
+	sim, err := simulation.New(scenario, runner.loop, environment{runner})
 	if err == nil {
-		runner.Simulation = simulation
+		runner.Simulation = sim
 		runner.listListener, err = network.Listen()
 	}
 	if err != nil {
@@ -96,7 +96,7 @@
 	return runner, nil
 }
 
-// environment implements scene.Environment. All methods but Listen are called in the
+// environment implements simulation.Environment. All methods but Listen are called in the
 // loop.
 type environment struct{ runner *Runner }
 
@@ -127,12 +127,12 @@
 	return closed
 }
 
-func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+func (env environment) SetFault(id uint32, fault simulation.Fault, on bool) {
 	faults := env.runner.listeners[id].faults
 	switch {
-	case fault == scene.HalfOpen:
+	case fault == simulation.HalfOpen:
 		faults.halfOpen.Store(on)
-	case fault == scene.FragmentedWrites:
+	case fault == simulation.FragmentedWrites:
 		faults.fragments.Store(on)
 	case on:
 		faults.stalled.Store(true)
--- a/internal/virtual/runner.go
+++ b/internal/virtual/runner.go
@@ -1,5 +1,5 @@
 // Package virtual runs a scenario in virtual time: one controller core with its
-// routing module per exchange, connected to the simulated network of package scene
+// routing module per exchange, connected to the simulated network of package simulation
 // without sockets, goroutines or a wall clock. Runs are deterministic: the same
 // scenario, seed and policy give the same result for every call.
 //
@@ -22,7 +22,7 @@
 	"dahliaspindle/internal/signal"
 	"dahliaspindle/internal/standin/exchange"
 	"dahliaspindle/internal/standin/exlist"
-	"dahliaspindle/internal/standin/scene"
+	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/internal/standin/subscriber"
 )
 
@@ -33,7 +33,7 @@
 	HopDelay    time.Duration                                        // one way, on all connections of controllers; 0: 50 us
 	NewFlowSink func(number int) flow.Sink                           // called at each start of a controller; nil: no flow records
 	NewCapture  func(owner string, now func() int64) *capture.Writer // nil: no captures
-	Prepare     func(*scene.Simulation)                              // changes the simulation before the start; may be nil
+	Prepare     func(*simulation.Simulation)                         // changes the simulation before the start; may be nil
 }
 
 // startTime is the virtual time at which every run starts.
@@ -55,7 +55,7 @@
 	options         Options
 	hopDelay        time.Duration
 	clock           *Clock
-	simulation      *scene.Simulation
+	simulation      *simulation.Simulation
 	nodes           []*node                  // by exchange number
 	startCounts     []uint64                 // by exchange number
 	ports           map[uint32]*exchangePort // by exchange ID
@@ -78,7 +78,7 @@
 
 // Result is the result of a run.
 type Result struct {
-	*scene.Simulation
+	*simulation.Simulation
 	CircuitsInUse   int                // at the end, when all connections are closed
 	AllStopped      bool               // all controllers shut down within the time allowed
 	Events          uint64             // number of events handled
@@ -103,12 +103,12 @@
 		startCounts: make([]uint64, scenario.Fleet.Exchanges),
 	}
 	runner.capture = runner.newCaptureWriter("stand-ins")
-	simulation, err := scene.New(scenario, runner.clock, environment{runner})
+	sim, err := simulation.New(scenario, runner.clock, environment{runner})
 	if err != nil {
 		return nil, fmt.Errorf("scenario %s: creating the simulated network: %w", scenario.Name, err)
 	}
-	if runner.simulation = simulation; options.Prepare != nil {
-		options.Prepare(simulation)
+	if runner.simulation = sim; options.Prepare != nil {
+		options.Prepare(sim)
 	}
 	for number := range scenario.Fleet.Exchanges {
 		runner.nodes = append(runner.nodes, nil)
@@ -119,7 +119,7 @@
 		runner.dialTransit(number)
 	}
 	ended := false
-	simulation.Start(nil, func() { ended = true })
+	sim.Start(nil, func() { ended = true })
 	if !runner.clock.Run(startTime+scenario.Length+time.Hour, func() bool { return ended }) {
 		return nil, fmt.Errorf("scenario %s: the run does not end", scenario.Name)
 	}
@@ -130,7 +130,7 @@
 		return !slices.ContainsFunc(runner.nodes, func(n *node) bool { return !n.stopped })
 	})
 	result := &Result{
-		Simulation: simulation,
+		Simulation: sim,
 		AllStopped: allStopped,
 		Events:     runner.clock.Events(),
 		Duration:   runner.clock.now - startTime,
@@ -140,7 +140,7 @@
 		runner.endedStats = append(runner.endedStats, node.core.Stats())
 	}
 	runner.clock.Run(runner.clock.now+runner.hopDelay, func() bool { return false }) // closes the connections
-	result.CircuitsInUse, result.ControllerStats = simulation.Fleet.CircuitsInUse(), runner.endedStats
+	result.CircuitsInUse, result.ControllerStats = sim.Fleet.CircuitsInUse(), runner.endedStats
 	for _, node := range runner.nodes {
 		runner.captureErr = cmp.Or(runner.captureErr, node.capture.Close())
 	}
@@ -277,7 +277,7 @@
 	})
 }
 
-// environment implements scene.Environment.
+// environment implements simulation.Environment.
 type environment struct{ runner *Runner }
 
 func (env environment) Listen(id uint32) (string, error) {
@@ -302,12 +302,12 @@
 }
 
 // SetFault ignores FragmentedWrites, because messages always arrive whole.
-func (env environment) SetFault(id uint32, fault scene.Fault, on bool) {
+func (env environment) SetFault(id uint32, fault simulation.Fault, on bool) {
 	port := env.runner.ports[id]
 	switch fault {
-	case scene.HalfOpen:
+	case simulation.HalfOpen:
 		port.halfOpen = on
-	case scene.StalledReader:
+	case simulation.StalledReader:
 		if port.stalled = on; !on {
 			for _, conn := range slices.Clone(port.connections) {
 				conn.resumeReading()
@@ -339,7 +339,7 @@
 			if stopped || !conn.controllerOpen {
 				return
 			}
-			n.receiveMalformed(conn.peer, scene.MalformedMessages[i%len(scene.MalformedMessages)])
+			n.receiveMalformed(conn.peer, simulation.MalformedMessages[i%len(simulation.MalformedMessages)])
 			env.runner.clock.After(time.Duration(float64(time.Second)/perSecond), func() { sendNext(i + 1) })
 		}
 		sendNext(0)
