--- a/internal/daemon/day_test.go
+++ b/internal/daemon/day_test.go
@@ -19,7 +19,7 @@
 	"dahliaspindle/internal/demo"
 	"dahliaspindle/internal/memnet"
 	"dahliaspindle/internal/settings"
-	"dahliaspindle/internal/standin/world"
+	"dahliaspindle/internal/standin/realtime"
 	"dahliaspindle/scenarios"
 )
 
@@ -38,7 +38,7 @@
 	network     memnet.Network
 	captures    []*captureBuffer
 	addresses   []net.Addr
-	environment *world.Runner
+	environment *realtime.Runner
 	heldCounts  []func() int // calls and attempts that each controller still holds
 }
 
@@ -61,7 +61,7 @@
 	report, result := &audit.Report{}, &demo.Result{}
 	synctest.Test(t, func(t *testing.T) {
 		captureWriter := sim.newCapture("stand-ins")
-		environment, err := world.New(sim.scenario, world.Network{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
+		environment, err := realtime.New(sim.scenario, realtime.Network{Listen: sim.network.Listen, Dial: sim.network.Dial}, captureWriter)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,9 +20,9 @@
 	"dahliaspindle/internal/daemon"
 	"dahliaspindle/internal/settings"
 	"dahliaspindle/internal/standin/exchange"
+	"dahliaspindle/internal/standin/realtime"
 	"dahliaspindle/internal/standin/simulation"
 	"dahliaspindle/internal/standin/subscriber"
-	"dahliaspindle/internal/standin/world"
 )
 
 // Options configures a demo run.
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: time.Second}
-	runner, err := world.New(options.Scenario, world.Network{
+	runner, err := realtime.New(options.Scenario, realtime.Network{
 		Listen: func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") },
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
@@ -182,7 +182,7 @@
 }
 
 // controllerProcesses runs the controllers as processes. It implements
-// world.Controllers.
+// realtime.Controllers.
 type controllerProcesses struct {
 	options       Options
 	listAddress   string
--- a/internal/standin/world/faults.go
+++ b/internal/standin/realtime/faults.go
@@ -1,4 +1,4 @@
-package world
+package realtime
 
 import (
 	"net"
--- a/internal/standin/world/world.go
+++ b/internal/standin/realtime/realtime.go
@@ -1,6 +1,6 @@
-// Package world runs the simulation of a scenario in real time over a network of
+// Package realtime runs the simulation of a scenario in real time over a network of
 // sockets or in memory. The controllers are run by its user.
-package world
+package realtime
 
 import (
 	"context"
--- a/internal/standin/simulation/simulation.go
+++ b/internal/standin/simulation/simulation.go
@@ -1,7 +1,7 @@
 // Package simulation assembles the simulation of one scenario without any I/O: the
 // exchanges, the exchange list, the callers, the traffic between them and the
 // troubles of the scenario. Its owner provides the time (exchange.Scheduler) and the
-// connections (Environment): package world with sockets in real time, package
+// connections (Environment): package realtime with sockets in real time, package
 // virtual in memory and virtual time.
 package simulation
 
