--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/signal"
 	"dahliaspindle/internal/timerwheel"
+	"dahliaspindle/routing"
 )
 
 // attemptStage is the stage of an attempt.
@@ -35,13 +35,13 @@
 	deadline         time.Duration // for the reply to the Add
 	timer            timerwheel.Handle
 	stage            attemptStage
-	releaseRequests  int           // number of Subtracts sent
-	outcome          brain.Outcome // in stageReleasing: reported to the routing module once released
-	reported         bool          // the outcome was reported to the routing module
+	releaseRequests  int             // number of Subtracts sent
+	outcome          routing.Outcome // in stageReleasing: reported to the routing module once released
+	reported         bool            // the outcome was reported to the routing module
 }
 
 // startAttempt carries out a StartAttempt of the routing module.
-func (c *Controller) startAttempt(action brain.StartAttempt) {
+func (c *Controller) startAttempt(action routing.StartAttempt) {
 	call := c.calls[action.CallID]
 	if call == nil || call.state != statePending || call.attempt != nil && !call.attempt.reported {
 		// The call has ended or has an attempt in flight: logged, not sent.
@@ -49,7 +49,7 @@
 		if call != nil && call.state == statePending {
 			return
 		}
-		c.notifyModule(brain.AttemptEnded{CallID: action.CallID, ExchangeID: action.ExchangeID, Outcome: brain.OutcomeNotSent, Final: true})
+		c.notifyModule(routing.AttemptEnded{CallID: action.CallID, ExchangeID: action.ExchangeID, Outcome: routing.OutcomeNotSent, Final: true})
 		return
 	}
 	c.stats.Attempts++
@@ -68,7 +68,7 @@
 	}
 	switch {
 	case attempt.link == nil || attempt.link.blocked:
-		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
+		c.finishAttempt(attempt, routing.OutcomeUnreachable, signal.Message{})
 	case attempt.link.state.connected:
 		c.sendSetUp(attempt)
 	default:
@@ -116,10 +116,10 @@
 	case stageQueued:
 		attempt.link.queued = removeAttempt(attempt.link.queued, attempt)
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
+		c.finishAttempt(attempt, routing.OutcomeUnreachable, signal.Message{})
 	case stageSent:
 		c.stats.TimedOut++
-		c.withdrawAttempt(attempt, brain.OutcomeTimedOut)
+		c.withdrawAttempt(attempt, routing.OutcomeTimedOut)
 	case stageReleasing:
 		retryAt, lost := c.config.ReleaseRetry.Next(c.now, attempt.releaseRequests)
 		if lost {
@@ -134,7 +134,7 @@
 
 // withdrawAttempt releases an attempt that is not established and reports the
 // outcome to the routing module at once.
-func (c *Controller) withdrawAttempt(attempt *attempt, outcome brain.Outcome) {
+func (c *Controller) withdrawAttempt(attempt *attempt, outcome routing.Outcome) {
 	switch attempt.stage {
 	case stageQueued:
 		attempt.link.queued = removeAttempt(attempt.link.queued, attempt)
@@ -180,7 +180,7 @@
 
 // finishAttempt removes an attempt for which the exchange holds nothing any more,
 // and reports its outcome to the routing module.
-func (c *Controller) finishAttempt(attempt *attempt, outcome brain.Outcome, reply signal.Message) {
+func (c *Controller) finishAttempt(attempt *attempt, outcome routing.Outcome, reply signal.Message) {
 	c.timers.Stop(attempt.timer)
 	if attempt.stage != stageQueued && attempt.stage != stageReleased {
 		delete(attempt.link.pending, attempt.transaction)
@@ -198,7 +198,7 @@
 }
 
 // reportOutcome reports the outcome of an attempt to the routing module, once.
-func (c *Controller) reportOutcome(attempt *attempt, outcome brain.Outcome, reply signal.Message) {
+func (c *Controller) reportOutcome(attempt *attempt, outcome routing.Outcome, reply signal.Message) {
 	if attempt.reported {
 		return
 	}
@@ -209,7 +209,7 @@
 		c.stats.Established--
 		call.state = stateEnded
 	}
-	event := brain.AttemptEnded{
+	event := routing.AttemptEnded{
 		CallID:     call.id,
 		Attempt:    attempt.number,
 		ExchangeID: attempt.exchangeID,
@@ -228,9 +228,9 @@
 		call.attempt = nil
 	}
 	switch outcome {
-	case brain.OutcomeReset:
+	case routing.OutcomeReset:
 		c.stats.Reset++
-	case brain.OutcomeCancelled:
+	case routing.OutcomeCancelled:
 		c.stats.Cancelled++
 	}
 	c.notifyModule(event)
@@ -238,7 +238,7 @@
 
 // releaseCall ends an established call. The outcome is reported to the routing
 // module when the exchange has confirmed the release.
-func (c *Controller) releaseCall(call *call, outcome brain.Outcome) {
+func (c *Controller) releaseCall(call *call, outcome routing.Outcome) {
 	attempt := call.attempt
 	call.state = stateEnded
 	c.stats.Established--
@@ -256,8 +256,8 @@
 	c.timers.Stop(attempt.timer)
 	if call.state != statePending { // the caller left, and the routing module did not cancel the attempt
 		attempt.reported = true
-		c.notifyModule(brain.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
-		attempt.reported, attempt.outcome = false, brain.OutcomeCompleted
+		c.notifyModule(routing.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
+		attempt.reported, attempt.outcome = false, routing.OutcomeCompleted
 		c.startRelease(attempt, 0)
 		return
 	}
@@ -277,7 +277,7 @@
 	if c.config.InterimInterval > 0 {
 		c.timers.Set(c.now+c.config.InterimInterval, timer{interimCall: call})
 	}
-	c.notifyModule(brain.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
+	c.notifyModule(routing.CallEstablished{CallID: call.id, Attempt: attempt.number, ExchangeID: attempt.exchangeID, Elapsed: c.now - attempt.startedAt})
 }
 
 // handleExchangeMessage handles a message of an exchange.
@@ -328,13 +328,13 @@
 		if call == nil || call.name != msg.Termination || call.attempt == nil || call.attempt.link != link {
 			return
 		}
-		outcome := brain.OutcomeCompleted
+		outcome := routing.OutcomeCompleted
 		if msg.Get("Event") == "cut" {
-			outcome = brain.OutcomeReset
+			outcome = routing.OutcomeReset
 		}
 		switch attempt := call.attempt; {
 		case call.state == stateEstablished:
-			if outcome == brain.OutcomeReset {
+			if outcome == routing.OutcomeReset {
 				c.stats.Cut++
 				c.recordCallEnd(call, flow.CallCut)
 				c.notifyCaller(call, "cut")
@@ -348,7 +348,7 @@
 			}
 			c.finishAttempt(attempt, outcome, signal.Message{}) // the exchange has already released it
 		case attempt.stage == stageSent:
-			c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
+			c.finishAttempt(attempt, routing.OutcomeReset, signal.Message{})
 		case attempt.stage == stageReleasing:
 			c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 		}
@@ -365,7 +365,7 @@
 	case attempt == nil:
 	case attempt.stage == stageSent:
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
+		c.finishAttempt(attempt, routing.OutcomeUnreachable, signal.Message{})
 	case attempt.stage == stageReleasing: // recalled before it was sent: there is nothing to release
 		c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // BenchmarkCall runs calls through the core and the routing module, from the Add to
@@ -15,7 +15,7 @@
 func BenchmarkCall(b *testing.B) {
 	for _, established := range []int{0, 20000} {
 		b.Run(fmt.Sprint(established, " established"), func(b *testing.B) {
-			h := newHarness(b, brain.New(brain.Settings{
+			h := newHarness(b, routing.New(routing.Settings{
 				Seed:           1,
 				Controllers:    2,
 				Classes:        testClasses,
--- a/internal/controller/caller.go
+++ b/internal/controller/caller.go
@@ -9,11 +9,11 @@
 	"strconv"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // callerConn is one connection that brings calls.
@@ -80,12 +80,12 @@
 	pendingSent    bool // a Pending was sent: the call is delayed
 	tandemAttempts int
 	repeat         bool
-	calledNumber   uint64        // number, as the flow record holds it
-	sourceExchange int           // number of the exchange where the call originates
-	establishedAt  time.Duration // 0 before
-	verdict        brain.Verdict // the routing module's last one
-	verdictText    string        // verdict as text
-	failureNote    string        // of the last attempt; reported to the source of a call in transit
+	calledNumber   uint64          // number, as the flow record holds it
+	sourceExchange int             // number of the exchange where the call originates
+	establishedAt  time.Duration   // 0 before
+	verdict        routing.Verdict // the routing module's last one
+	verdictText    string          // verdict as text
+	failureNote    string          // of the last attempt; reported to the source of a call in transit
 }
 
 // handleCallerMessage handles a message of a caller.
@@ -165,8 +165,8 @@
 )
 
 // parseCall reads an Add.
-func (c *Controller) parseCall(msg *signal.Message) (*call, brain.Call, error) {
-	call, event := &call{number: msg.Get("Number")}, brain.Call{Via: -1}
+func (c *Controller) parseCall(msg *signal.Message) (*call, routing.Call, error) {
+	call, event := &call{number: msg.Get("Number")}, routing.Call{Via: -1}
 	class, ok := c.classIndex[msg.Get("Class")]
 	if !ok {
 		return nil, event, fmt.Errorf("descriptor Class: %.40q is not one of this network's", msg.Get("Class"))
@@ -224,7 +224,7 @@
 		c.stats.Abandoned++
 		call.state = stateEnded
 		c.recordCallEnd(call, flow.CallAbandoned)
-		c.notifyModule(brain.CallAbandoned{CallID: call.id}) // cancels the attempt in flight before the final reply
+		c.notifyModule(routing.CallAbandoned{CallID: call.id}) // cancels the attempt in flight before the final reply
 		c.sendFinalReply(call, &signal.Message{Code: signal.DoesNotExist, Text: "the caller left"})
 		if call.attempt == nil || call.attempt.stage == stageReleased {
 			c.removeCall(call)
@@ -232,7 +232,7 @@
 	case stateEstablished:
 		c.stats.Ended++
 		c.recordCallEnd(call, flow.CallEnded)
-		c.releaseCall(call, brain.OutcomeCompleted)
+		c.releaseCall(call, routing.OutcomeCompleted)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
 // Package controller is the core of one exchange's call control. It takes
 // commands of peers as inputs, returns commands to peers as effects, and is
 // handed the time with every input. It owns calls, attempts and timers and
-// carries out the decisions of the routing module (package brain); it selects
+// carries out the decisions of the routing module (package routing); it selects
 // no route and admits, delays and refuses no call itself. It has no socket,
 // goroutine, file or clock of its own, so that hundreds of controllers can run
 // in virtual time.
@@ -20,13 +20,13 @@
 	"slices"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/signal"
 	"dahliaspindle/internal/timerwheel"
+	"dahliaspindle/routing"
 )
 
 // Role is the kind of a peer.
@@ -98,11 +98,11 @@
 	// set-up: if that has not been sent yet, it is recalled, and the release is
 	// returned as InputUnsent instead of being sent.
 	RecallID uint32
-	Address  string        // with EffectConnect
-	Text     string        // with EffectClose: the reason; with EffectLog: the message
-	Level    slog.Level    // with EffectLog
-	Call     string        // with EffectSend of a set-up, EffectLog and EffectVerdict: the call's name
-	Verdict  brain.Verdict // with EffectVerdict
+	Address  string          // with EffectConnect
+	Text     string          // with EffectClose: the reason; with EffectLog: the message
+	Level    slog.Level      // with EffectLog
+	Call     string          // with EffectSend of a set-up, EffectLog and EffectVerdict: the call's name
+	Verdict  routing.Verdict // with EffectVerdict
 }
 
 // EffectKind is the kind of an Effect.
@@ -133,10 +133,10 @@
 
 // Config is the configuration of a controller.
 type Config struct {
-	// Module makes the decisions: the routing module (package brain), or one of
+	// Module makes the decisions: the routing module (package routing), or one of
 	// the simple rules that it is compared with.
 	Module              policy.Module
-	Classes             []brain.Class
+	Classes             []routing.Class
 	ExchangeNumber      int           // number of the own exchange
 	ControllerNumber    int           // number of this controller
 	MaxCalls            int           // pending and established calls together
@@ -187,7 +187,7 @@
 	links        map[uint64]*exchangeLink
 	listLink     linkState
 	exchangeIDs  map[int]uint64 // ID of the exchange that serves a number
-	groupReports map[int]brain.GroupStatus
+	groupReports map[int]routing.GroupStatus
 	lastContext  uint32
 	shuttingDown bool
 	stopped      bool
@@ -213,7 +213,7 @@
 		calls:        map[string]*call{},
 		links:        map[uint64]*exchangeLink{},
 		exchangeIDs:  map[int]uint64{},
-		groupReports: map[int]brain.GroupStatus{},
+		groupReports: map[int]routing.GroupStatus{},
 	}
 	for i, class := range cfg.Classes {
 		c.classIndex[class.Name] = i
@@ -287,7 +287,7 @@
 func (c *Controller) timerExpired(expired timer) {
 	switch {
 	case expired.module:
-		c.notifyModule(brain.TimerExpired{Token: expired.token})
+		c.notifyModule(routing.TimerExpired{Token: expired.token})
 	case expired.attempt != nil:
 		c.attemptTimerExpired(expired.attempt)
 	case expired.link != nil && expired.connection == expired.link.connectionCount:
@@ -400,7 +400,7 @@
 		if call := c.calls[id]; call.state == stateEstablished {
 			c.notifyCaller(call, "cut")
 			c.recordCallEnd(call, flow.CallCut)
-			c.releaseCall(call, brain.OutcomeReset)
+			c.releaseCall(call, routing.OutcomeReset)
 		}
 	}
 	c.timers.Set(c.now+endRetryInterval, timer{endEstablished: true})
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -6,20 +6,20 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // script is a routing module that responds as a test demands and records its events.
 type script struct {
-	events  []brain.Event
-	respond func(e brain.Event) []brain.Action
+	events  []routing.Event
+	respond func(e routing.Event) []routing.Action
 }
 
-func (module *script) Handle(_ time.Duration, e brain.Event) []brain.Action {
+func (module *script) Handle(_ time.Duration, e routing.Event) []routing.Action {
 	module.events = append(module.events, e)
 	if module.respond == nil {
 		return nil
@@ -28,9 +28,9 @@
 }
 
 // ended returns the reported outcomes of attempts.
-func (module *script) ended() (all []brain.AttemptEnded) {
+func (module *script) ended() (all []routing.AttemptEnded) {
 	for _, e := range module.events {
-		if ended, ok := e.(brain.AttemptEnded); ok {
+		if ended, ok := e.(routing.AttemptEnded); ok {
 			all = append(all, ended)
 		}
 	}
@@ -38,16 +38,16 @@
 }
 
 // sendEachTo returns a response that sends each call once, to one exchange.
-func sendEachTo(id uint32, timeout time.Duration) func(brain.Event) []brain.Action {
-	return func(e brain.Event) []brain.Action {
+func sendEachTo(id uint32, timeout time.Duration) func(routing.Event) []routing.Action {
+	return func(e routing.Event) []routing.Action {
 		switch e := e.(type) {
-		case brain.Call:
-			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: id, Timeout: timeout}}
-		case brain.CallAbandoned:
-			return []brain.Action{brain.CancelAttempt{CallID: e.CallID}}
-		case brain.AttemptEnded:
+		case routing.Call:
+			return []routing.Action{routing.StartAttempt{CallID: e.ID, ExchangeID: id, Timeout: timeout}}
+		case routing.CallAbandoned:
+			return []routing.Action{routing.CancelAttempt{CallID: e.CallID}}
+		case routing.AttemptEnded:
 			if !e.Final {
-				return []brain.Action{brain.RefuseCall{CallID: e.CallID}}
+				return []routing.Action{routing.RefuseCall{CallID: e.CallID}}
 			}
 		}
 		return nil
@@ -63,7 +63,7 @@
 	lastSent   map[Peer]uint32 // last transaction ID sent by each peer
 }
 
-var testClasses = []brain.Class{
+var testClasses = []routing.Class{
 	{Name: "fetch", Worth: 1, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 1},
 	{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 9 * time.Second, Holding: 10 * time.Second, Width: 2},
 }
@@ -229,7 +229,7 @@
 		t.Fatal("outcome reported before the exchange has released the call")
 	}
 	h.receive(exchangePeer(101), release.NewReply())
-	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCompleted || !ended[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final Completed", ended)
 	}
 	h.requireNothingLeft()
@@ -255,7 +255,7 @@
 			}
 		}
 		requireOne(t, "release", messagesTo(effects, exchangePeer(101), signal.Request, signal.Subtract))
-		if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCancelled || !ended[0].Final {
+		if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCancelled || !ended[0].Final {
 			t.Fatalf("reported outcomes %+v, want one final Cancelled", ended)
 		}
 		// The exchange's reply crosses the release: it counts as late and has no effect.
@@ -317,11 +317,11 @@
 	if n := len(messagesTo(h.advance(5*time.Second), exchangePeer(101), signal.Request, signal.Add)); n != 0 {
 		t.Fatalf("%d set-ups to a draining exchange", n)
 	}
-	var outcomes []brain.Outcome
+	var outcomes []routing.Outcome
 	for _, ended := range module.ended() {
 		outcomes = append(outcomes, ended.Outcome)
 	}
-	if fmt.Sprint(outcomes) != fmt.Sprint([]brain.Outcome{brain.OutcomeReset, brain.OutcomeUnreachable, brain.OutcomeUnreachable}) {
+	if fmt.Sprint(outcomes) != fmt.Sprint([]routing.Outcome{routing.OutcomeReset, routing.OutcomeUnreachable, routing.OutcomeUnreachable}) {
 		t.Fatalf("reported outcomes %v (first call %s)", outcomes, sent.Termination)
 	}
 	// Back in service: set-ups are sent again.
@@ -339,7 +339,7 @@
 	setUp := requireOne(t, "set-up", messagesTo(h.receive(callerPeer(1), addRequest("a")), exchangePeer(101), signal.Request, signal.Add))
 	h.announceExchange(101, 1, "draining")
 	effects := h.handle(Input{Kind: InputUnsent, Peer: exchangePeer(101), Message: setUp})
-	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeUnreachable {
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeUnreachable {
 		t.Fatalf("reported outcomes %+v, want one Unreachable", ended)
 	}
 	requireOne(t, "final reply", messagesTo(effects, callerPeer(1), signal.Reply, signal.Add))
@@ -365,7 +365,7 @@
 			t.Fatalf("late reply has effects %+v", effects)
 		}
 	}
-	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeTimedOut {
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeTimedOut {
 		t.Fatalf("reported outcomes %+v, want one TimedOut", ended)
 	}
 	effects = h.handle(Input{Kind: InputMessage, Peer: callerPeer(1), Message: duplicate})
@@ -397,7 +397,7 @@
 	}
 	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
 	answers += len(messagesTo(h.handle(Input{Kind: InputDisconnected, Peer: exchangePeer(101)}), callerPeer(1), signal.Reply, signal.Add))
-	count, seen := map[brain.Outcome]int{}, map[string]bool{}
+	count, seen := map[routing.Outcome]int{}, map[string]bool{}
 	for _, ended := range module.ended() {
 		if seen[ended.CallID] {
 			t.Fatalf("two outcomes reported for call %s", ended.CallID)
@@ -405,7 +405,7 @@
 		seen[ended.CallID] = true
 		count[ended.Outcome]++
 	}
-	if count[brain.OutcomeReset] != 300 || count[brain.OutcomeUnreachable] != 200 || answers != 500 {
+	if count[routing.OutcomeReset] != 300 || count[routing.OutcomeUnreachable] != 200 || answers != 500 {
 		t.Fatalf("outcomes %v and %d final replies, want 300 Reset, 200 Unreachable and 500 replies", count, answers)
 	}
 	h.requireNothingLeft()
@@ -417,7 +417,7 @@
 	h := newHarness(t, module)
 	h.announceList(0, 1)
 	effects := h.receive(callerPeer(7), addRequest("c3-1/3.0").Put("Source", "3"))
-	if event, ok := module.events[len(module.events)-1].(brain.Call); !ok || !event.Transit || event.Via != 3 {
+	if event, ok := module.events[len(module.events)-1].(routing.Call); !ok || !event.Transit || event.Via != 3 {
 		t.Fatalf("events %+v, want a transit call from exchange 3 last", module.events)
 	}
 	requireOne(t, "set-up", messagesTo(effects, exchangePeer(101), signal.Request, signal.Add))
@@ -628,10 +628,10 @@
 
 // A second StartAttempt for a call with an attempt in flight is ignored.
 func TestSecondStartAttemptIsIgnored(t *testing.T) {
-	module := &script{respond: func(e brain.Event) []brain.Action {
-		if event, ok := e.(brain.Call); ok {
-			action := brain.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
-			return []brain.Action{action, action}
+	module := &script{respond: func(e routing.Event) []routing.Action {
+		if event, ok := e.(routing.Call); ok {
+			action := routing.StartAttempt{CallID: event.ID, ExchangeID: 101, Timeout: time.Second}
+			return []routing.Action{action, action}
 		}
 		return nil
 	}}
@@ -646,12 +646,12 @@
 // The routing module fails a call with an attempt in flight: the caller gets one
 // final reply and the attempt is withdrawn.
 func TestFailCallWithdrawsAttempt(t *testing.T) {
-	module := &script{respond: func(e brain.Event) []brain.Action {
+	module := &script{respond: func(e routing.Event) []routing.Action {
 		switch e := e.(type) {
-		case brain.Call:
-			return []brain.Action{brain.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: 3 * time.Second}, brain.SetTimer{Token: 1, Delay: time.Second}}
-		case brain.TimerExpired:
-			return []brain.Action{brain.FailCall{CallID: "1"}}
+		case routing.Call:
+			return []routing.Action{routing.StartAttempt{CallID: e.ID, ExchangeID: 101, Timeout: 3 * time.Second}, routing.SetTimer{Token: 1, Delay: time.Second}}
+		case routing.TimerExpired:
+			return []routing.Action{routing.FailCall{CallID: "1"}}
 		}
 		return nil
 	}}
@@ -681,7 +681,7 @@
 	if notice := requireOne(t, "notification", messagesTo(effects, callerPeer(1), signal.Request, signal.Notify)); notice.Get("Event") != "cut" || notice.Termination != "a" {
 		t.Fatalf("unexpected notification: %s", notice)
 	}
-	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset || !ended[0].Final {
+	if ended := module.ended(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeReset || !ended[0].Final {
 		t.Fatalf("reported outcomes %+v, want one final Reset", ended)
 	}
 	h.requireNothingLeft()
--- a/internal/controller/flows.go
+++ b/internal/controller/flows.go
@@ -1,10 +1,10 @@
 package controller
 
 import (
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // recordCallEnd counts a call at its end and emits its flow record. It is called
@@ -85,19 +85,19 @@
 
 // flowOutcomes maps the routing module's outcomes to those of flow records.
 var flowOutcomes = [...]flow.Outcome{
-	brain.OutcomeCompleted:   flow.AttemptCompleted,
-	brain.OutcomeFailed:      flow.AttemptFailed,
-	brain.OutcomeRejected:    flow.AttemptRejected,
-	brain.OutcomeTimedOut:    flow.AttemptTimedOut,
-	brain.OutcomeUnreachable: flow.AttemptUnreachable,
-	brain.OutcomeReset:       flow.AttemptReset,
-	brain.OutcomeCancelled:   flow.AttemptCancelled,
-	brain.OutcomeNotSent:     flow.AttemptNotSent,
+	routing.OutcomeCompleted:   flow.AttemptCompleted,
+	routing.OutcomeFailed:      flow.AttemptFailed,
+	routing.OutcomeRejected:    flow.AttemptRejected,
+	routing.OutcomeTimedOut:    flow.AttemptTimedOut,
+	routing.OutcomeUnreachable: flow.AttemptUnreachable,
+	routing.OutcomeReset:       flow.AttemptReset,
+	routing.OutcomeCancelled:   flow.AttemptCancelled,
+	routing.OutcomeNotSent:     flow.AttemptNotSent,
 }
 
 // recordAttemptEnd counts an attempt when its outcome is reported to the routing
 // module, and emits its flow record.
-func (c *Controller) recordAttemptEnd(attempt *attempt, outcome brain.Outcome, reply *signal.Message) {
+func (c *Controller) recordAttemptEnd(attempt *attempt, outcome routing.Outcome, reply *signal.Message) {
 	call := attempt.call
 	c.record = flow.Record{
 		Kind:          flow.KindAttempt,
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -6,14 +6,14 @@
 	"strconv"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // notifyModule passes an event to the routing module and carries out its actions.
 // It then sends a Pending for each call that was delayed.
-func (c *Controller) notifyModule(event brain.Event) {
+func (c *Controller) notifyModule(event routing.Event) {
 	if !c.dispatcher.Dispatch(c.now, event, c.perform) {
 		return
 	}
@@ -27,11 +27,11 @@
 }
 
 // perform carries out one action of the routing module.
-func (c *Controller) perform(action brain.Action) {
+func (c *Controller) perform(action routing.Action) {
 	switch action := action.(type) {
-	case brain.StartAttempt:
+	case routing.StartAttempt:
 		c.startAttempt(action)
-	case brain.RefuseCall:
+	case routing.RefuseCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Refused++
 			c.recordCallEnd(call, flow.CallRefused)
@@ -41,19 +41,19 @@
 			}
 			c.finishCall(call, msg)
 		}
-	case brain.FailCall:
+	case routing.FailCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.stats.Failed++
 			c.recordCallEnd(call, flow.CallFailed)
 			c.finishCall(call, &signal.Message{Code: signal.Unavailable, Text: "failed"})
 		}
-	case brain.CancelAttempt:
+	case routing.CancelAttempt:
 		if call := c.calls[action.CallID]; call != nil && call.attempt != nil && call.attempt.number == action.Attempt {
-			c.withdrawAttempt(call.attempt, brain.OutcomeCancelled)
+			c.withdrawAttempt(call.attempt, routing.OutcomeCancelled)
 		}
-	case brain.SetTimer:
+	case routing.SetTimer:
 		c.timers.Set(c.now+action.Delay, timer{module: true, token: action.Token})
-	case brain.Verdict:
+	case routing.Verdict:
 		if call := c.calls[action.CallID]; call != nil {
 			c.applyVerdict(call, action)
 		}
@@ -79,7 +79,7 @@
 	}
 	call.state = stateEnded
 	if call.attempt != nil {
-		c.withdrawAttempt(call.attempt, brain.OutcomeTimedOut) // before the final reply: no set-up is sent after it
+		c.withdrawAttempt(call.attempt, routing.OutcomeTimedOut) // before the final reply: no set-up is sent after it
 	}
 	c.sendFinalReply(call, msg)
 	if call.attempt == nil || call.attempt.stage == stageReleased {
@@ -89,7 +89,7 @@
 
 // applyVerdict stores the routing module's verdict with the call. If the call turns
 // out to be delayed, notifyModule sends its caller a Pending.
-func (c *Controller) applyVerdict(call *call, verdict brain.Verdict) {
+func (c *Controller) applyVerdict(call *call, verdict routing.Verdict) {
 	call.verdict = verdict
 	call.verdictText = fmt.Sprintf("%s; %s %d", verdict.Reason, verdict.Scope, verdict.ExchangeNumber)
 	c.effects = append(c.effects, Effect{Kind: EffectVerdict, Call: call.name, Peer: peerOf(call), Verdict: verdict})
@@ -118,36 +118,36 @@
 // is the one where the controller runs, the peer exchange the one that the set-up
 // was sent to.
 var failureNotes = map[string]struct {
-	outcome brain.Outcome
-	note    brain.Note
+	outcome routing.Outcome
+	note    routing.Note
 }{
-	"no-circuit":            {brain.OutcomeNotSent, brain.NoteNoCircuit},            // the trunk group between own and peer exchange is full
-	"own-processor":         {brain.OutcomeNotSent, brain.NoteProcessorFull},        // the own exchange is out of service
-	"over":                  {brain.OutcomeNotSent, brain.NoteNone},                 // the caller's deadline had passed
-	"turned-back":           {brain.OutcomeRejected, brain.NoteCrankback},           // cranked back by the tandem
-	"turned-back-processor": {brain.OutcomeRejected, brain.NoteOnwardProcessorFull}, // cranked back by the tandem: the destination's processor is overloaded
-	"processor-full":        {brain.OutcomeRejected, brain.NoteProcessorFull},       // rejected by the peer exchange
-	"lines-busy":            {brain.OutcomeFailed, brain.NoteLinesBusy},             // all lines of the called number are busy
-	"fault":                 {brain.OutcomeFailed, brain.NoteNone},                  // signalling error
-	"cut":                   {brain.OutcomeReset, brain.NoteNone},                   // cut during the set-up
-	"withdrawn":             {brain.OutcomeCancelled, brain.NoteNone},               // released by a Subtract
-	"not-in-service":        {brain.OutcomeUnreachable, brain.NoteNone},             // the peer exchange accepts no new calls
+	"no-circuit":            {routing.OutcomeNotSent, routing.NoteNoCircuit},            // the trunk group between own and peer exchange is full
+	"own-processor":         {routing.OutcomeNotSent, routing.NoteProcessorFull},        // the own exchange is out of service
+	"over":                  {routing.OutcomeNotSent, routing.NoteNone},                 // the caller's deadline had passed
+	"turned-back":           {routing.OutcomeRejected, routing.NoteCrankback},           // cranked back by the tandem
+	"turned-back-processor": {routing.OutcomeRejected, routing.NoteOnwardProcessorFull}, // cranked back by the tandem: the destination's processor is overloaded
+	"processor-full":        {routing.OutcomeRejected, routing.NoteProcessorFull},       // rejected by the peer exchange
+	"lines-busy":            {routing.OutcomeFailed, routing.NoteLinesBusy},             // all lines of the called number are busy
+	"fault":                 {routing.OutcomeFailed, routing.NoteNone},                  // signalling error
+	"cut":                   {routing.OutcomeReset, routing.NoteNone},                   // cut during the set-up
+	"withdrawn":             {routing.OutcomeCancelled, routing.NoteNone},               // released by a Subtract
+	"not-in-service":        {routing.OutcomeUnreachable, routing.NoteNone},             // the peer exchange accepts no new calls
 }
 
 // failureOutcome returns the outcome of a failed set-up. A reply without a known
 // Note counts as a signalling failure, unless its code says that the set-up was
 // not started.
-func failureOutcome(msg *signal.Message) brain.Outcome {
+func failureOutcome(msg *signal.Message) routing.Outcome {
 	if failure, ok := failureNotes[msg.Get("Note")]; ok {
 		return failure.outcome
 	}
 	switch msg.Code {
 	case signal.NotReady, signal.Unavailable, signal.TooManyPending, signal.ServiceStateChanging:
-		return brain.OutcomeUnreachable
+		return routing.OutcomeUnreachable
 	case signal.InsufficientResources:
-		return brain.OutcomeRejected
+		return routing.OutcomeRejected
 	}
-	return brain.OutcomeFailed
+	return routing.OutcomeFailed
 }
 
 // maxProcessorWait limits the Wait that an overloaded processor asks for.
@@ -155,7 +155,7 @@
 
 // processorNote returns the Note of a failed set-up and the Wait that an overloaded
 // processor asks for.
-func processorNote(msg *signal.Message) (brain.Note, time.Duration) {
+func processorNote(msg *signal.Message) (routing.Note, time.Duration) {
 	wait, err := msg.Duration("Wait")
 	if err != nil {
 		wait = 0
@@ -165,8 +165,8 @@
 
 // parseReport reads the state of the trunk group and the share of traffic to hold
 // back from a reply.
-func (c *Controller) parseReport(msg *signal.Message) brain.StatusReport {
-	var report brain.StatusReport
+func (c *Controller) parseReport(msg *signal.Message) routing.StatusReport {
+	var report routing.StatusReport
 	if _, free, size, ok := parseGroup(msg.Get("Group")); ok {
 		report.CircuitsKnown, report.FreeCircuits, report.GroupSize = true, free, size
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // linkState is the connection state of a permanent link.
@@ -115,7 +115,7 @@
 		for _, attempt := range held {
 			switch attempt.stage {
 			case stageSent:
-				c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
+				c.finishAttempt(attempt, routing.OutcomeReset, signal.Message{})
 			case stageReleasing: // the exchange releases everything that was set up over a lost link
 				c.finishAttempt(attempt, attempt.outcome, signal.Message{})
 			case stageEstablished:
@@ -126,7 +126,7 @@
 				if call.caller != nil {
 					delete(call.caller.calls, call.name)
 				}
-				c.finishAttempt(attempt, brain.OutcomeReset, signal.Message{})
+				c.finishAttempt(attempt, routing.OutcomeReset, signal.Message{})
 			}
 		}
 		c.dropIfUnused(link)
@@ -203,10 +203,10 @@
 }
 
 // applyListEntry applies one entry of the exchange list.
-func (c *Controller) applyListEntry(entry brain.Exchange, address string) {
+func (c *Controller) applyListEntry(entry routing.Exchange, address string) {
 	id := uint64(entry.ID)
 	link := c.links[id]
-	if entry.State == brain.OutOfService {
+	if entry.State == routing.OutOfService {
 		if link != nil {
 			c.blockLink(link, true)
 		}
@@ -222,7 +222,7 @@
 		c.effects = append(c.effects, Effect{Kind: EffectConnect, Peer: link.peer(), Address: address})
 	}
 	link.number, link.delisted = entry.Number, false
-	if entry.State == brain.Draining {
+	if entry.State == routing.Draining {
 		c.blockLink(link, false)
 		return
 	}
@@ -245,22 +245,22 @@
 	link.queued = nil
 	for _, attempt := range queued {
 		c.stats.NoLink++
-		c.finishAttempt(attempt, brain.OutcomeUnreachable, signal.Message{})
+		c.finishAttempt(attempt, routing.OutcomeUnreachable, signal.Message{})
 	}
 	c.dropIfUnused(link)
 }
 
 // states maps the state words of the exchange list.
-var states = map[string]brain.ExchangeState{
-	"in":       brain.InService,
-	"draining": brain.Draining,
-	"out":      brain.OutOfService,
+var states = map[string]routing.ExchangeState{
+	"in":       routing.InService,
+	"draining": routing.Draining,
+	"out":      routing.OutOfService,
 }
 
 // parseExchangeList reads the "Exchange: ID cell=N state=in since=MS at=ADDR" lines
 // of a notification. It returns the entries and, in the same order, their addresses.
-func (c *Controller) parseExchangeList(msg *signal.Message) (brain.ExchangeListUpdate, []string, error) {
-	update := brain.ExchangeListUpdate{Complete: msg.Flag("Complete")}
+func (c *Controller) parseExchangeList(msg *signal.Message) (routing.ExchangeListUpdate, []string, error) {
+	update := routing.ExchangeListUpdate{Complete: msg.Flag("Complete")}
 	var addresses []string
 	for _, line := range msg.All("Exchange") {
 		fields := strings.Fields(line)
@@ -271,7 +271,7 @@
 		if err != nil {
 			return update, nil, fmt.Errorf("descriptor Exchange: %.40q is no id", fields[0])
 		}
-		entry, address := brain.Exchange{ID: uint32(id), Number: -1, State: -1}, ""
+		entry, address := routing.Exchange{ID: uint32(id), Number: -1, State: -1}, ""
 		for _, field := range fields[1:] {
 			name, value, _ := strings.Cut(field, "=")
 			switch name {
@@ -297,7 +297,7 @@
 				address = value
 			}
 		}
-		if entry.Number < 0 || entry.State < 0 || address == "" && entry.State != brain.OutOfService {
+		if entry.Number < 0 || entry.State < 0 || address == "" && entry.State != routing.OutOfService {
 			return update, nil, fmt.Errorf("descriptor Exchange %d: cell, state or at is missing", id)
 		}
 		update.Entries, addresses = append(update.Entries, entry), append(addresses, address)
@@ -316,7 +316,7 @@
 		if !ok {
 			continue
 		}
-		circuits := brain.GroupStatus{OK: true, Report: brain.StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}}
+		circuits := routing.GroupStatus{OK: true, Report: routing.StatusReport{CircuitsKnown: true, FreeCircuits: free, GroupSize: size}}
 		c.groupReports[number] = circuits
 		if id, ok := c.exchangeIDs[number]; ok {
 			circuits.ExchangeID = uint32(id)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/signal"
+	"dahliaspindle/routing"
 )
 
 // recordCounter is a flow sink that counts the records.
@@ -114,7 +114,7 @@
 func TestCallRulesUnderRandomEvents(t *testing.T) {
 	notes := []string{"no-circuit", "turned-back", "processor-full", "lines-busy", "cut", "fault", "own-processor", "turned-back-processor", "none"}
 	rapid.Check(t, func(t *rapid.T) {
-		settings := brain.Settings{
+		settings := routing.Settings{
 			Seed:           rapid.Uint64().Draw(t, "seed"),
 			Self:           0,
 			Controllers:    4,
@@ -130,7 +130,7 @@
 			Cancelling:     true,
 			Tick:           time.Millisecond,
 		}
-		h := newHarness(t, brain.New(settings))
+		h := newHarness(t, routing.New(settings))
 		sink := &recordCounter{}
 		h.controller.config.FlowSink = sink
 		checker := &ruleChecker{
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -11,13 +11,13 @@
 	"io"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/wire"
+	"dahliaspindle/routing"
 )
 
 // instance is one running controller.
 type instance struct {
-	controller      *brain.Controller
+	controller      *routing.Controller
 	classIndex      map[string]int // class number by name
 	circuitsByClass []int          // default circuits per call
 }
@@ -26,7 +26,7 @@
 type server struct {
 	now       time.Duration
 	instances map[int]*instance
-	lists     map[int][]brain.Exchange // exchange lists by list number
+	lists     map[int][]routing.Exchange // exchange lists by list number
 	encoder   *json.Encoder
 }
 
@@ -37,7 +37,7 @@
 	writer := bufio.NewWriterSize(out, 1<<20)
 	s := &server{
 		instances: map[int]*instance{},
-		lists:     map[int][]brain.Exchange{},
+		lists:     map[int][]routing.Exchange{},
 		encoder:   json.NewEncoder(writer),
 	}
 	inBatch := false
@@ -122,9 +122,9 @@
 }
 
 // exchangeList converts the entries of a Ledger event.
-func exchangeList(entries []wire.ListEntry) ([]brain.Exchange, error) {
-	states := map[string]brain.ExchangeState{"IN": brain.InService, "LAME": brain.Draining, "OUT": brain.OutOfService}
-	var list []brain.Exchange
+func exchangeList(entries []wire.ListEntry) ([]routing.Exchange, error) {
+	states := map[string]routing.ExchangeState{"IN": routing.InService, "LAME": routing.Draining, "OUT": routing.OutOfService}
+	var list []routing.Exchange
 	for i, entry := range entries {
 		if entry.ExchangeID == nil || entry.ExchangeNumber == nil || entry.State == nil {
 			return nil, fmt.Errorf("field rows: entry %d lacks exchange, cell or stage_state", i)
@@ -133,7 +133,7 @@
 		if !ok {
 			return nil, fmt.Errorf("field stage_state: unknown state %q", *entry.State)
 		}
-		list = append(list, brain.Exchange{ID: *entry.ExchangeID, Number: *entry.ExchangeNumber, State: state, StartedAt: time.Duration(entry.Since)})
+		list = append(list, routing.Exchange{ID: *entry.ExchangeID, Number: *entry.ExchangeNumber, State: state, StartedAt: time.Duration(entry.Since)})
 	}
 	return list, nil
 }
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("field settings: %w", err)
 	}
-	inst := &instance{controller: brain.New(moduleSettings), classIndex: map[string]int{}}
+	inst := &instance{controller: routing.New(moduleSettings), classIndex: map[string]int{}}
 	for i, class := range moduleSettings.Classes {
 		inst.classIndex[class.Name] = i
 		inst.circuitsByClass = append(inst.circuitsByClass, class.Width)
@@ -154,7 +154,7 @@
 
 // moduleEvent converts an event for the module; the result is nil if the module needs
 // no notice of it.
-func (s *server) moduleEvent(inst *instance, e *wire.Event) (brain.Event, error) {
+func (s *server) moduleEvent(inst *instance, e *wire.Event) (routing.Event, error) {
 	switch e.Type {
 	case "Discovery":
 		if *e.UpdateKind == "unavailable" {
@@ -169,7 +169,7 @@
 		}
 		switch *e.UpdateKind {
 		case "update", "replace", "restored":
-			return brain.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: list}, nil
+			return routing.ExchangeListUpdate{Complete: *e.UpdateKind != "update", Entries: list}, nil
 		}
 		return nil, fmt.Errorf("field how: unknown kind %q", *e.UpdateKind)
 	case "Ask":
@@ -177,7 +177,7 @@
 		if !ok {
 			return nil, fmt.Errorf("field priority: unknown class %q", *e.Class)
 		}
-		call := brain.Call{
+		call := routing.Call{
 			ID:          *e.CallID,
 			Class:       class,
 			Remaining:   time.Duration(*e.TimeLeft),
@@ -199,13 +199,13 @@
 		}
 		return call, nil
 	case "Hangup":
-		return brain.CallAbandoned{CallID: *e.CallID}, nil
+		return routing.CallAbandoned{CallID: *e.CallID}, nil
 	case "Bell":
-		return brain.TimerExpired{Token: *e.Token}, nil
+		return routing.TimerExpired{Token: *e.Token}, nil
 	case "PeerData":
-		return brain.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
+		return routing.PeerMessage{From: *e.Sender, Data: []byte(*e.Payload)}, nil
 	case "ProbeResult":
-		return brain.GroupStatus{
+		return routing.GroupStatus{
 			ExchangeID: *e.ExchangeID,
 			OK:         *e.Status == 200,
 			ProbeReply: durationOf(e.Elapsed) > 0,
@@ -213,26 +213,26 @@
 			Report:     loadReport(e.Load),
 		}, nil
 	case "Started":
-		return brain.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Elapsed: durationOf(e.Elapsed)}, nil
+		return routing.CallEstablished{CallID: *e.CallID, Attempt: *e.Attempt, ExchangeID: *e.ExchangeID, Elapsed: durationOf(e.Elapsed)}, nil
 	case "Reply":
 		outcome, ok := outcomesByStatus[*e.Status]
 		if !ok {
 			return nil, fmt.Errorf("field reason: unknown outcome %d", *e.Status)
 		}
-		ended := brain.AttemptEnded{
+		ended := routing.AttemptEnded{
 			CallID:     *e.CallID,
 			Attempt:    *e.Attempt,
 			ExchangeID: *e.ExchangeID,
 			Outcome:    outcome,
 			Elapsed:    durationOf(e.Elapsed),
 			Final:      e.Final,
-			Note:       brain.Note(e.Note),
+			Note:       routing.Note(e.Note),
 			Report:     loadReport(e.Load),
 		}
 		// A note above 16 whose remainder modulo 16 is NoteProcessorFull carries the waiting
 		// time of the processor, in milliseconds, as its quotient.
-		if e.Note > 16 && e.Note%16 == int(brain.NoteProcessorFull) {
-			ended.Note, ended.RetryAfter = brain.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
+		if e.Note > 16 && e.Note%16 == int(routing.NoteProcessorFull) {
+			ended.Note, ended.RetryAfter = routing.NoteProcessorFull, time.Duration(e.Note/16)*time.Millisecond
 		}
 		return ended, nil
 	}
@@ -240,15 +240,15 @@
 }
 
 // outcomesByStatus gives the outcome of an attempt for the status of a Reply event.
-var outcomesByStatus = map[int]brain.Outcome{
-	200: brain.OutcomeCompleted,
-	500: brain.OutcomeFailed,
-	503: brain.OutcomeRejected,
-	504: brain.OutcomeTimedOut,
-	502: brain.OutcomeUnreachable,
-	598: brain.OutcomeReset,
-	499: brain.OutcomeCancelled,
-	410: brain.OutcomeNotSent,
+var outcomesByStatus = map[int]routing.Outcome{
+	200: routing.OutcomeCompleted,
+	500: routing.OutcomeFailed,
+	503: routing.OutcomeRejected,
+	504: routing.OutcomeTimedOut,
+	502: routing.OutcomeUnreachable,
+	598: routing.OutcomeReset,
+	499: routing.OutcomeCancelled,
+	410: routing.OutcomeNotSent,
 }
 
 // durationOf returns an optional duration in nanoseconds, 0 if it is absent.
@@ -260,8 +260,8 @@
 }
 
 // loadReport converts the load report of an event.
-func loadReport(load wire.LoadReport) brain.StatusReport {
-	var report brain.StatusReport
+func loadReport(load wire.LoadReport) routing.StatusReport {
+	var report routing.StatusReport
 	free, freeKnown := load.Get("idle")
 	size, sizeKnown := load.Get("circuits")
 	report.CircuitsKnown, report.FreeCircuits, report.GroupSize = freeKnown && sizeKnown, int(free), int(size)
@@ -270,21 +270,21 @@
 }
 
 // writeAction writes an action of the controller with the given id.
-func (s *server) writeAction(id int, inst *instance, a brain.Action) error {
+func (s *server) writeAction(id int, inst *instance, a routing.Action) error {
 	out := wire.Action{Controller: &id}
 	switch a := a.(type) {
-	case brain.StartAttempt:
+	case routing.StartAttempt:
 		out.Type, out.CallID, out.ExchangeID, out.Timeout = "Send", a.CallID, &a.ExchangeID, int64(a.Timeout)
-	case brain.RefuseCall:
+	case routing.RefuseCall:
 		out.Type, out.CallID, out.Backoff = "PushBack", a.CallID, int64(a.RetryAfter)
-	case brain.FailCall:
+	case routing.FailCall:
 		out.Type, out.CallID = "GiveUp", a.CallID
-	case brain.CancelAttempt:
+	case routing.CancelAttempt:
 		out.Type, out.CallID, out.Attempt = "StopAttempt", a.CallID, &a.Attempt
-	case brain.SetTimer:
+	case routing.SetTimer:
 		ns := int64(a.Delay)
 		out.Type, out.Token, out.Delay = "SetAlarm", &a.Token, &ns
-	case brain.Verdict:
+	case routing.Verdict:
 		if !a.Log {
 			return nil
 		}
--- a/internal/interwork/attempt.go
+++ b/internal/interwork/attempt.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/timerwheel"
+	"dahliaspindle/routing"
 )
 
 // callAttempt is one set-up at an exchange. It is kept until the attempt ends or the call is
@@ -28,7 +28,7 @@
 
 // startAttempt starts the attempt that the module asked for. The set-up is sent at once if a suitable
 // link is up; otherwise the attempt waits, and a link is dialed unless a dial is in progress already.
-func (c *Core) startAttempt(call *activeCall, action brain.StartAttempt) {
+func (c *Core) startAttempt(call *activeCall, action routing.StartAttempt) {
 	peer := c.peersByID[action.ExchangeID]
 	attempt := &callAttempt{
 		call:      call,
@@ -40,10 +40,10 @@
 	call.attempts++
 	c.attempts[call.id] = attempt
 	c.Stats.Attempts++
-	if peer == nil || peer.State != brain.InService {
+	if peer == nil || peer.State != routing.InService {
 		attempt.peer = &peerExchange{id: action.ExchangeID, removed: true}
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeUnreachable})
 		return
 	}
 	attempt.timer = c.timers.Set(attempt.deadline, timerEvent{attempt: attempt})
@@ -106,19 +106,19 @@
 
 // withdrawAttempt cancels an attempt and reports its outcome. An attempt that was never sent cannot have
 // timed out at the exchange: it is reported as OutcomeUnreachable.
-func (c *Core) withdrawAttempt(attempt *callAttempt, outcome brain.Outcome) {
+func (c *Core) withdrawAttempt(attempt *callAttempt, outcome routing.Outcome) {
 	link := attempt.link
 	c.removeAttempt(attempt)
 	if link == nil {
-		if outcome == brain.OutcomeTimedOut {
-			outcome = brain.OutcomeUnreachable
+		if outcome == routing.OutcomeTimedOut {
+			outcome = routing.OutcomeUnreachable
 		}
 	} else {
 		c.recordEnding(attempt.call.id, callEnding{withdrawnPeer: attempt.peer, withdrawnLink: link})
 		c.emit(WithdrawSetUp{link.id, attempt.call.callID, &sip.Message{Method: sip.Cancel, URI: "sip:" + attempt.call.number + "@net",
 			CallID: attempt.call.callID, CSeq: 1, CSeqMethod: sip.Cancel}})
 	}
-	c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
+	c.reportEnded(attempt, routing.AttemptEnded{Outcome: outcome})
 }
 
 // handleAttemptTimeout withdraws an attempt that was not answered in time. Its link is used for new
@@ -126,7 +126,7 @@
 func (c *Core) handleAttemptTimeout(attempt *callAttempt) {
 	c.Stats.TimedOut++
 	link := attempt.link
-	c.withdrawAttempt(attempt, brain.OutcomeTimedOut)
+	c.withdrawAttempt(attempt, routing.OutcomeTimedOut)
 	if link != nil && link.up {
 		link.suspect = true
 		c.sendPing(link)
@@ -139,7 +139,7 @@
 	id, err := strconv.ParseUint(in.Msg.CallID, 16, 64)
 	if attempt := c.attempts[id]; err == nil && attempt != nil && attempt.invite == in.Msg {
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeNotSent})
 	}
 }
 
@@ -189,20 +189,20 @@
 
 // outcomeByStatus maps the final responses to INVITE that tell how an attempt ended. Any other failure
 // status counts as OutcomeFailed.
-var outcomeByStatus = map[int]brain.Outcome{
-	503: brain.OutcomeRejected,
-	480: brain.OutcomeNotSent,
-	504: brain.OutcomeReset,
-	408: brain.OutcomeTimedOut,
+var outcomeByStatus = map[int]routing.Outcome{
+	503: routing.OutcomeRejected,
+	480: routing.OutcomeNotSent,
+	504: routing.OutcomeReset,
+	408: routing.OutcomeTimedOut,
 }
 
 // noteByFailWord maps the values of the Fail-Word header field to the notes of the module.
-var noteByFailWord = map[string]brain.Note{
-	"atb":  brain.NoteNoCircuit,
-	"rtb":  brain.NoteCrankback,
-	"racc": brain.NoteOnwardProcessorFull,
-	"acc":  brain.NoteProcessorFull,
-	"sub":  brain.NoteLinesBusy,
+var noteByFailWord = map[string]routing.Note{
+	"atb":  routing.NoteNoCircuit,
+	"rtb":  routing.NoteCrankback,
+	"racc": routing.NoteOnwardProcessorFull,
+	"acc":  routing.NoteProcessorFull,
+	"sub":  routing.NoteLinesBusy,
 }
 
 // handleFinalResponse handles a final response to an INVITE.
@@ -221,18 +221,18 @@
 	call := attempt.call
 	c.log(slog.LevelDebug, "answer", "call", msg.CallID, "status", msg.Status, "link", link.id, "after", c.now-attempt.startedAt)
 	if msg.Status >= 300 {
-		ended := brain.AttemptEnded{
-			Outcome: brain.OutcomeFailed,
+		ended := routing.AttemptEnded{
+			Outcome: routing.OutcomeFailed,
 			Note:    noteByFailWord[msg.Get("Fail-Word")],
 			Report:  c.parseReport(link.peer, msg),
 		}
 		if outcome, ok := outcomeByStatus[msg.Status]; ok {
 			ended.Outcome = outcome
 		}
-		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == brain.NoteProcessorFull {
+		if ms, err := strconv.Atoi(msg.Get("Proc-Wait")); err == nil && ended.Note == routing.NoteProcessorFull {
 			ended.RetryAfter = time.Duration(max(ms, 0)) * time.Millisecond
 		}
-		if ended.Outcome == brain.OutcomeReset {
+		if ended.Outcome == routing.OutcomeReset {
 			c.Stats.Cut++
 		}
 		c.removeAttempt(attempt)
@@ -242,7 +242,7 @@
 	c.removeAttempt(attempt)
 	if c.calls[id] != call { // abandoned in the meantime
 		c.sendBye(link, byeRequest{id, call.callID, isup.NormalClearing})
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeCancelled})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeCancelled})
 		return
 	}
 	c.Stats.Answered++
@@ -252,7 +252,7 @@
 	call.conn.established++
 	call.established, call.establishedAt, call.peer, call.description = true, c.now, link.peer, nil
 	link.peer.calls[id] = call
-	c.notifyModule(brain.CallEstablished{
+	c.notifyModule(routing.CallEstablished{
 		CallID:     call.callID,
 		Attempt:    attempt.number,
 		ExchangeID: link.peer.id,
@@ -287,9 +287,9 @@
 		return
 	}
 	cause := sip.ParseCause(msg.Get("Reason"))
-	outcome := brain.OutcomeReset
+	outcome := routing.OutcomeReset
 	if cause == isup.NormalClearing {
-		outcome = brain.OutcomeCompleted
+		outcome = routing.OutcomeCompleted
 	}
 	c.log(slog.LevelDebug, "release", "call", msg.CallID, "exchange", peer.Name, "cause", cause)
 	switch call, attempt := c.calls[id], c.attempts[id]; {
@@ -301,10 +301,10 @@
 		c.removeAttempt(attempt)
 		c.recordEnding(id, callEnding{cause: cause})
 		c.sendFinalAnswer(call, newRelease(id, cause))
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: outcome})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: outcome})
 	case attempt != nil && attempt.peer == peer && attempt.link != nil: // abandoned in the meantime
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeReset})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeReset})
 	case call == nil:
 		if ending, known := c.recentEndings[id]; !known || ending.withdrawnPeer != nil {
 			c.recordEnding(id, callEnding{cause: cause})
@@ -314,7 +314,7 @@
 
 // endEstablishedCall ends an established call. The release is sent to its caller unless the caller
 // released the call itself.
-func (c *Core) endEstablishedCall(call *activeCall, outcome brain.Outcome, cause byte, byCaller bool) {
+func (c *Core) endEstablishedCall(call *activeCall, outcome routing.Outcome, cause byte, byCaller bool) {
 	c.log(slog.LevelDebug, "over", "call", call.callID, "outcome", outcome, "cause", cause, "stood", c.now-call.establishedAt,
 		"conn", call.conn.id, "gone", call.conn.closed)
 	delete(c.calls, call.id)
@@ -335,7 +335,7 @@
 	if call.adopted {
 		return
 	}
-	c.notifyModule(brain.AttemptEnded{
+	c.notifyModule(routing.AttemptEnded{
 		CallID:     call.callID,
 		Attempt:    call.attempts - 1,
 		ExchangeID: call.peer.id,
@@ -353,12 +353,12 @@
 		return
 	}
 	peer.lastReport = report
-	c.notifyModule(brain.GroupStatus{ExchangeID: peer.id, OK: true, Report: report})
+	c.notifyModule(routing.GroupStatus{ExchangeID: peer.id, OK: true, Report: report})
 }
 
 // parseReport reads the state of the trunk group towards the exchange from a message. The report is
 // known only if both the free and the total number of circuits are given.
-func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report brain.StatusReport) {
+func (c *Core) parseReport(peer *peerExchange, msg *sip.Message) (report routing.StatusReport) {
 	var hasFree, hasSize bool
 	for part := range strings.SplitSeq(msg.Get("Link-State"), ";") {
 		name, value, _ := strings.Cut(part, ":")
--- a/internal/interwork/caller.go
+++ b/internal/interwork/caller.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
+	"dahliaspindle/routing"
 )
 
 // callerConn is a connection of a caller.
@@ -164,13 +164,13 @@
 // IsNewCall reports whether a message is the set-up of a new call, which may be rejected before it
 // reaches the core. The set-up of an established call (one whose routing has an "at" value) expects no answer.
 func IsNewCall(msg *isup.Message) bool {
-	routing, _ := msg.Get(isup.ParamRouting)
-	return msg.Type == isup.SetUp && !strings.Contains(string(routing), "at:")
+	value, _ := msg.Get(isup.ParamRouting)
+	return msg.Type == isup.SetUp && !strings.Contains(string(value), "at:")
 }
 
 // NewRejection returns the answer to a set-up that is not accepted: a release with cause congestion, and
 // with the longest backoff where the settings allow one.
-func NewRejection(id uint64, settings brain.Settings) *isup.Message {
+func NewRejection(id uint64, settings routing.Settings) *isup.Message {
 	if !settings.Backoff {
 		return newCongestionRelease(id, 0)
 	}
@@ -185,7 +185,7 @@
 
 // setUpRequest is a parsed set-up.
 type setUpRequest struct {
-	brain.Call
+	routing.Call
 	class, number string
 	description   []byte
 	peerName      string // exchange of a call that is established already, else empty
@@ -373,7 +373,7 @@
 		"out", c.attempts[call.id] != nil, "cause", msg.Cause())
 	if call.established {
 		c.releaseAtPeer(call.peer, call.id, call.callID, isup.NormalClearing)
-		c.endEstablishedCall(call, brain.OutcomeCancelled, isup.NormalClearing, true)
+		c.endEstablishedCall(call, routing.OutcomeCancelled, isup.NormalClearing, true)
 		c.emit(SendToCaller{conn.id, &isup.Message{Type: isup.ReleaseComplete, CallID: msg.CallID}})
 		return
 	}
@@ -386,9 +386,9 @@
 func (c *Core) abandonCall(call *activeCall) {
 	c.Stats.Gone++
 	c.removePending(call)
-	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
+	c.notifyModule(routing.CallAbandoned{CallID: call.callID})
 	if attempt := c.attempts[call.id]; attempt != nil { // the module does not cancel where cancelling is disabled
-		c.withdrawAttempt(attempt, brain.OutcomeCancelled)
+		c.withdrawAttempt(attempt, routing.OutcomeCancelled)
 	}
 }
 
@@ -404,7 +404,7 @@
 func (c *Core) sendFinalAnswer(call *activeCall, msg *isup.Message) {
 	c.removePending(call)
 	if attempt := c.attempts[call.id]; attempt != nil {
-		c.withdrawAttempt(attempt, brain.OutcomeTimedOut) // before the answer, after which no set-up may be sent
+		c.withdrawAttempt(attempt, routing.OutcomeTimedOut) // before the answer, after which no set-up may be sent
 	}
 	c.emit(SendToCaller{call.conn.id, msg})
 }
--- a/internal/interwork/core_test.go
+++ b/internal/interwork/core_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
+	"dahliaspindle/routing"
 )
 
 func TestCallIsEstablishedAndReleased(t *testing.T) {
@@ -32,7 +32,7 @@
 	if got := h.sentToCaller(1, 7); got != "9 12/16" {
 		t.Errorf("caller received %q", got)
 	}
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCompleted || !ended[0].Final {
 		t.Errorf("module received %+v", ended)
 	}
 }
@@ -41,17 +41,17 @@
 	for _, test := range []struct {
 		status int
 		header []string
-		want   brain.AttemptEnded
+		want   routing.AttemptEnded
 	}{
-		{503, []string{"Fail-Word", "rtb"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteCrankback}},
-		{503, []string{"Fail-Word", "racc"}, brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteOnwardProcessorFull}},
+		{503, []string{"Fail-Word", "rtb"}, routing.AttemptEnded{Outcome: routing.OutcomeRejected, Note: routing.NoteCrankback}},
+		{503, []string{"Fail-Word", "racc"}, routing.AttemptEnded{Outcome: routing.OutcomeRejected, Note: routing.NoteOnwardProcessorFull}},
 		{503, []string{"Fail-Word", "acc", "Proc-Wait", "120"},
-			brain.AttemptEnded{Outcome: brain.OutcomeRejected, Note: brain.NoteProcessorFull, RetryAfter: 120 * time.Millisecond}},
-		{480, []string{"Fail-Word", "atb"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteNoCircuit}},
-		{480, []string{"Fail-Word", "acc"}, brain.AttemptEnded{Outcome: brain.OutcomeNotSent, Note: brain.NoteProcessorFull}},
-		{486, []string{"Fail-Word", "sub"}, brain.AttemptEnded{Outcome: brain.OutcomeFailed, Note: brain.NoteLinesBusy}},
-		{500, nil, brain.AttemptEnded{Outcome: brain.OutcomeFailed}},
-		{504, nil, brain.AttemptEnded{Outcome: brain.OutcomeReset}},
+			routing.AttemptEnded{Outcome: routing.OutcomeRejected, Note: routing.NoteProcessorFull, RetryAfter: 120 * time.Millisecond}},
+		{480, []string{"Fail-Word", "atb"}, routing.AttemptEnded{Outcome: routing.OutcomeNotSent, Note: routing.NoteNoCircuit}},
+		{480, []string{"Fail-Word", "acc"}, routing.AttemptEnded{Outcome: routing.OutcomeNotSent, Note: routing.NoteProcessorFull}},
+		{486, []string{"Fail-Word", "sub"}, routing.AttemptEnded{Outcome: routing.OutcomeFailed, Note: routing.NoteLinesBusy}},
+		{500, nil, routing.AttemptEnded{Outcome: routing.OutcomeFailed}},
+		{504, nil, routing.AttemptEnded{Outcome: routing.OutcomeReset}},
 	} {
 		module, h, sent := newHarnessWithPendingCall(t, 1)
 		h.handle(LinkMessage{sent.Link, newResponse(7, test.status, test.header...)})
@@ -101,7 +101,7 @@
 func TestLateAnswerIsReleasedAndSecondAttemptSucceeds(t *testing.T) {
 	module, h, first := newHarnessWithPendingCall(t, 2)
 	h.advance(time.Second)
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeTimedOut {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeTimedOut {
 		t.Fatalf("ended attempts %+v", ended)
 	}
 	second, _ := h.lastSent(sip.Invite, 7)
@@ -127,7 +127,7 @@
 		t.Errorf("caller received %q, %d withdrawn, %d ACK, %d BYE",
 			h.sentToCaller(1, 7), h.countWithdrawn(7), h.countSent(sip.Ack, 7), h.countSent(sip.Bye, 7))
 	}
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCancelled || !ended[0].Final {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCancelled || !ended[0].Final {
 		t.Errorf("module received %+v", ended)
 	}
 	h.handleCallerMessage(2, newSetUp(8, 1))
@@ -187,7 +187,7 @@
 func TestCallToExchangeOffTheListIsPassedToModule(t *testing.T) {
 	h := newHarness(t, nil)
 	removed := testEntry(3)
-	removed.State = brain.OutOfService
+	removed.State = routing.OutOfService
 	h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{removed}})
 	h.handleCallerMessage(1, newSetUp(7, 3))
 	h.handleCallerMessage(1, newSetUp(8, 99))
@@ -283,7 +283,7 @@
 	module, h, sent := newHarnessWithPendingCall(t, 1)
 	h.addLink(1)
 	h.handle(LinkDown{Link: sent.Link})
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeReset {
 		t.Fatalf("ended attempts %+v", ended)
 	}
 	if h.countSent(sip.Bye, 7) != 1 {
@@ -299,7 +299,7 @@
 		h.handle(LinkDown{Link: dial.Link, Refused: true})
 	}
 	h.pendingDials = nil
-	if ended := module.endedEvents(); len(ended) != 2 || ended[1].Outcome != brain.OutcomeUnreachable || h.countSent(sip.Invite, 8) != 0 {
+	if ended := module.endedEvents(); len(ended) != 2 || ended[1].Outcome != routing.OutcomeUnreachable || h.countSent(sip.Invite, 8) != 0 {
 		t.Errorf("ended attempts %+v", ended)
 	}
 }
@@ -308,7 +308,7 @@
 	for name, trigger := range map[string]func(h *testHarness){
 		"removed from the list": func(h *testHarness) {
 			entry := testEntry(1)
-			entry.State = brain.OutOfService
+			entry.State = routing.OutOfService
 			h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
 		},
 		"restarted": func(h *testHarness) {
@@ -352,7 +352,7 @@
 		if got := h.sentToCaller(1, 7); got != "9 12/41" {
 			t.Errorf("%s: caller received %q", name, got)
 		}
-		if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset || !ended[0].Final {
+		if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeReset || !ended[0].Final {
 			t.Errorf("%s: module received %+v", name, ended)
 		}
 	}
@@ -369,9 +369,9 @@
 	}
 	h.handleCallerMessage(1, newSetUp(8, 1)) // waits for a link
 	entry := testEntry(1)
-	entry.State = brain.Draining
+	entry.State = routing.Draining
 	h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeNotSent {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeNotSent {
 		t.Errorf("ended attempts %+v", ended)
 	}
 	h.completeDials()
@@ -394,7 +394,7 @@
 		h.now += 50 * time.Millisecond
 		h.handle(Tick{})
 	}
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeReset ||
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeReset ||
 		ended[0].Elapsed > pingDelayPending+pingTimeout+2*maintenanceInterval {
 		t.Errorf("ended attempts %+v", ended)
 	}
@@ -507,7 +507,7 @@
 		h.effects = nil
 		h.advance(100 * time.Millisecond)
 		h.handle(CallerDisconnected{conn})
-		entry.State = brain.OutOfService
+		entry.State = routing.OutOfService
 		h.handle(ExchangeListUpdate{Changes: []srvlist.Entry{entry}})
 	}
 	h.advance(time.Minute)
@@ -533,7 +533,7 @@
 	if got := h.sentToCaller(1, 7); got != "12/16" || h.countSent(sip.Invite, 7) != 1 {
 		t.Errorf("caller received %q after %d attempts", got, h.countSent(sip.Invite, 7))
 	}
-	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted || !ended[0].Final {
+	if ended := module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCompleted || !ended[0].Final {
 		t.Errorf("module received %+v", ended)
 	}
 	h.handleCallerMessage(1, newSetUp(8, 1))
@@ -543,7 +543,7 @@
 	if h.sentToCaller(1, 8) != "12/41" || h.countSent(sip.Invite, 8) != 1 {
 		t.Errorf("caller received %q after %d attempts", h.sentToCaller(1, 8), h.countSent(sip.Invite, 8))
 	}
-	if ended := module.endedEvents(); len(ended) != 2 || ended[1].Outcome != brain.OutcomeReset || !ended[1].Final {
+	if ended := module.endedEvents(); len(ended) != 2 || ended[1].Outcome != routing.OutcomeReset || !ended[1].Final {
 		t.Errorf("module received %+v", ended)
 	}
 	h.handle(LinkMessage{sent.Link, newResponse(8, 200)})
--- a/internal/interwork/harness_test.go
+++ b/internal/interwork/harness_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
+	"dahliaspindle/routing"
 )
 
 // startTime is the clock time at which tests start.
@@ -18,11 +18,11 @@
 
 // scriptedModule is a routing module that responds as a test tells it and records its events.
 type scriptedModule struct {
-	events  []brain.Event
-	respond func(e brain.Event) []brain.Action
+	events  []routing.Event
+	respond func(e routing.Event) []routing.Action
 }
 
-func (m *scriptedModule) Handle(_ time.Duration, e brain.Event) []brain.Action {
+func (m *scriptedModule) Handle(_ time.Duration, e routing.Event) []routing.Action {
 	m.events = append(m.events, e)
 	if m.respond == nil {
 		return nil
@@ -31,9 +31,9 @@
 }
 
 // endedEvents returns the ends of attempts that were reported to the module.
-func (m *scriptedModule) endedEvents() (ended []brain.AttemptEnded) {
+func (m *scriptedModule) endedEvents() (ended []routing.AttemptEnded) {
 	for _, e := range m.events {
-		if e, ok := e.(brain.AttemptEnded); ok {
+		if e, ok := e.(routing.AttemptEnded); ok {
 			ended = append(ended, e)
 		}
 	}
@@ -51,9 +51,9 @@
 }
 
 // testSettings are the settings of the core and of the real module.
-var testSettings = brain.Settings{Self: 0, Controllers: 3, MaxAttempts: 6, ReleaseWait: 300 * time.Millisecond, Cancelling: true,
+var testSettings = routing.Settings{Self: 0, Controllers: 3, MaxAttempts: 6, ReleaseWait: 300 * time.Millisecond, Cancelling: true,
 	DrainGrace: 250 * time.Millisecond, Backoff: true, BackoffMax: 2 * time.Second, Tick: 5 * time.Millisecond,
-	Classes: []brain.Class{{Name: "voice", Worth: 1, Aim: time.Second, GiveUp: 4 * time.Second, Width: 1, Holding: 10 * time.Second},
+	Classes: []routing.Class{{Name: "voice", Worth: 1, Aim: time.Second, GiveUp: 4 * time.Second, Width: 1, Holding: 10 * time.Second},
 		{Name: "wide", Worth: 2, Aim: time.Second, GiveUp: 4 * time.Second, Width: 2, Holding: 10 * time.Second}}}
 
 // testEntry returns the list entry of the exchange with the given number.
@@ -67,7 +67,7 @@
 	h := &testHarness{t: t, module: module, now: startTime}
 	var policyModule policy.Module = module
 	if module == nil {
-		policyModule = brain.New(testSettings)
+		policyModule = routing.New(testSettings)
 	}
 	h.core = New(Config{
 		Module:            policyModule,
@@ -290,26 +290,26 @@
 // refuses it.
 func newDirectModule(maxAttempts int) *scriptedModule {
 	m := &scriptedModule{}
-	attempts, calls := map[string]int{}, map[string]brain.Call{}
-	send := func(id string) []brain.Action {
+	attempts, calls := map[string]int{}, map[string]routing.Call{}
+	send := func(id string) []routing.Action {
 		attempts[id]++
-		return []brain.Action{brain.StartAttempt{CallID: id, ExchangeID: uint32(calls[id].Destination + 1), Timeout: time.Second}}
+		return []routing.Action{routing.StartAttempt{CallID: id, ExchangeID: uint32(calls[id].Destination + 1), Timeout: time.Second}}
 	}
-	m.respond = func(e brain.Event) []brain.Action {
+	m.respond = func(e routing.Event) []routing.Action {
 		switch e := e.(type) {
-		case brain.Call:
+		case routing.Call:
 			calls[e.ID] = e
 			return send(e.ID)
-		case brain.CallAbandoned:
-			return []brain.Action{brain.CancelAttempt{CallID: e.CallID, Attempt: attempts[e.CallID] - 1}}
-		case brain.AttemptEnded:
+		case routing.CallAbandoned:
+			return []routing.Action{routing.CancelAttempt{CallID: e.CallID, Attempt: attempts[e.CallID] - 1}}
+		case routing.AttemptEnded:
 			if e.Final {
 				return nil
 			}
 			if attempts[e.CallID] < maxAttempts {
 				return send(e.CallID)
 			}
-			return []brain.Action{brain.RefuseCall{CallID: e.CallID, RetryAfter: 1500 * time.Microsecond}}
+			return []routing.Action{routing.RefuseCall{CallID: e.CallID, RetryAfter: 1500 * time.Microsecond}}
 		}
 		return nil
 	}
--- a/internal/interwork/interwork.go
+++ b/internal/interwork/interwork.go
@@ -11,13 +11,13 @@
 	"slices"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
 	"dahliaspindle/internal/timerwheel"
+	"dahliaspindle/routing"
 )
 
 type (
@@ -153,7 +153,7 @@
 // Config configures a Core.
 type Config struct {
 	Module              policy.Module
-	Settings            brain.Settings
+	Settings            routing.Settings
 	ConnectTimeout      time.Duration // limit for establishing a connection to an exchange
 	EpochUnixNano       int64         // Unix time in nanoseconds at time 0 of the clock
 	MaxLinks            int           // connections to exchanges
@@ -358,7 +358,7 @@
 	case event.attempt != nil:
 		c.handleAttemptTimeout(event.attempt)
 	default:
-		c.notifyModule(brain.TimerExpired{Token: event.token})
+		c.notifyModule(routing.TimerExpired{Token: event.token})
 	}
 }
 
@@ -419,7 +419,7 @@
 // answerAtShutdown answers a call that is still pending at the end of the grace period: failed, or refused
 // if no attempt was made.
 func (c *Core) answerAtShutdown(call *activeCall) {
-	c.notifyModule(brain.CallAbandoned{CallID: call.callID})
+	c.notifyModule(routing.CallAbandoned{CallID: call.callID})
 	if call.attempts > 0 {
 		c.Stats.Failed++
 		c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
--- a/internal/interwork/links_test.go
+++ b/internal/interwork/links_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
+	"dahliaspindle/routing"
 )
 
 // The exchange list may start empty or grow far beyond its initial length. The number of links must stay
@@ -87,7 +87,7 @@
 		t.Errorf("%d links closed as idle, %d resets, %d links to exchange 2", idleCloses, resets, len(h.core.peersByName["s-2"].links))
 	}
 	h.handle(LinkMessage{h.firstLinkUp(1), newBye(7, 16)})
-	if ended := h.module.endedEvents(); len(ended) != 1 || ended[0].Outcome != brain.OutcomeCompleted {
+	if ended := h.module.endedEvents(); len(ended) != 1 || ended[0].Outcome != routing.OutcomeCompleted {
 		t.Errorf("ended attempts %+v", ended)
 	}
 }
@@ -195,7 +195,7 @@
 		t.Errorf("ended attempts %+v", ended)
 	}
 	h.handle(Unsent{Link: second.Link, Msg: second.Msg})
-	if ended := h.module.endedEvents(); len(ended) != 2 || ended[1].Outcome != brain.OutcomeNotSent {
+	if ended := h.module.endedEvents(); len(ended) != 2 || ended[1].Outcome != routing.OutcomeNotSent {
 		t.Errorf("ended attempts %+v", ended)
 	}
 }
--- a/internal/interwork/module.go
+++ b/internal/interwork/module.go
@@ -4,40 +4,40 @@
 	"log/slog"
 	"strconv"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
+	"dahliaspindle/routing"
 )
 
 // notifyModule passes an event to the routing module and carries out the actions it returns.
-func (c *Core) notifyModule(event brain.Event) { c.module.Dispatch(c.now, event, c.applyAction) }
+func (c *Core) notifyModule(event routing.Event) { c.module.Dispatch(c.now, event, c.applyAction) }
 
 // applyAction carries out one action of the routing module. Actions on calls that are not pending any
 // more are ignored.
-func (c *Core) applyAction(action brain.Action) {
+func (c *Core) applyAction(action routing.Action) {
 	switch action := action.(type) {
-	case brain.StartAttempt:
+	case routing.StartAttempt:
 		if call := c.pendingCall(action.CallID); call != nil && c.attempts[call.id] == nil {
 			c.startAttempt(call, action)
 		}
-	case brain.RefuseCall:
+	case routing.RefuseCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Refused++
 			c.sendFinalAnswer(call, newCongestionRelease(call.id, action.RetryAfter))
 		}
-	case brain.FailCall:
+	case routing.FailCall:
 		if call := c.pendingCall(action.CallID); call != nil {
 			c.Stats.Failed++
 			c.sendFinalAnswer(call, newRelease(call.id, isup.TemporaryFailure))
 		}
-	case brain.CancelAttempt:
+	case routing.CancelAttempt:
 		if id, err := strconv.ParseUint(action.CallID, 16, 64); err == nil {
 			if attempt := c.attempts[id]; attempt != nil && attempt.number == action.Attempt {
-				c.withdrawAttempt(attempt, brain.OutcomeCancelled)
+				c.withdrawAttempt(attempt, routing.OutcomeCancelled)
 			}
 		}
-	case brain.SetTimer:
+	case routing.SetTimer:
 		c.timers.Set(c.now+action.Delay, timerEvent{token: action.Token})
-	case brain.Verdict:
+	case routing.Verdict:
 		level := slog.LevelDebug
 		if action.Log {
 			level = slog.LevelInfo
@@ -62,7 +62,7 @@
 }
 
 // reportEnded reports the end of an attempt to the module.
-func (c *Core) reportEnded(attempt *callAttempt, ended brain.AttemptEnded) {
+func (c *Core) reportEnded(attempt *callAttempt, ended routing.AttemptEnded) {
 	call := attempt.call
 	ended.CallID, ended.Attempt, ended.ExchangeID, ended.Elapsed = call.callID, attempt.number, attempt.peer.id, c.now-attempt.startedAt
 	ended.Final = c.calls[call.id] != call || call.established
--- a/internal/interwork/peer.go
+++ b/internal/interwork/peer.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
+	"dahliaspindle/routing"
 )
 
 // peerExchange is an exchange of the exchange list with its links and calls.
@@ -22,7 +22,7 @@
 	calls       map[uint64]*activeCall // established at this exchange
 	pendingByes []byeRequest           // to be sent once a link is up
 	removed     bool
-	lastReport  brain.StatusReport // last known state of the trunk group
+	lastReport  routing.StatusReport // last known state of the trunk group
 
 	lastHeardAt     time.Duration // last message or connect
 	exclusiveUntil  time.Duration // until then set-ups do not share links
@@ -70,11 +70,11 @@
 // handleExchangeListUpdate applies changes of the exchange list and passes them to the module. Peers are
 // removed and links are dialed only once the module knows the new list.
 func (c *Core) handleExchangeListUpdate(in ExchangeListUpdate) {
-	var exchanges []brain.Exchange
+	var exchanges []routing.Exchange
 	for _, entry := range in.Changes {
 		peer := c.peersByName[entry.Name]
 		if peer == nil {
-			if entry.State == brain.OutOfService {
+			if entry.State == routing.OutOfService {
 				continue
 			}
 			c.lastPeerID++
@@ -87,7 +87,7 @@
 		peer.Entry = entry
 		c.log(slog.LevelInfo, "exchange", "name", entry.Name, "cell", entry.Number, "state", entry.State,
 			"born", entry.StartUnixMilli, "addr", entry.Addr)
-		exchanges = append(exchanges, brain.Exchange{
+		exchanges = append(exchanges, routing.Exchange{
 			ID:        peer.id,
 			Number:    entry.Number,
 			State:     entry.State,
@@ -95,9 +95,9 @@
 		})
 		c.applyEntryChange(peer, previous)
 	}
-	c.notifyModule(brain.ExchangeListUpdate{Complete: in.Complete, Entries: exchanges})
+	c.notifyModule(routing.ExchangeListUpdate{Complete: in.Complete, Entries: exchanges})
 	for _, entry := range in.Changes { // after the module has been notified
-		if peer := c.peersByName[entry.Name]; peer != nil && entry.State == brain.OutOfService {
+		if peer := c.peersByName[entry.Name]; peer != nil && entry.State == routing.OutOfService {
 			c.removePeer(peer)
 		} else if peer != nil {
 			c.maintainLinks(peer)
@@ -117,17 +117,17 @@
 		}
 		peer.connectFailures, peer.retryAt, peer.refusingSince, peer.lastHeardAt = 0, 0, 0, c.now
 	}
-	if (peer.State == brain.InService) != (previous.State == brain.InService) {
+	if (peer.State == routing.InService) != (previous.State == routing.InService) {
 		for _, link := range peer.links {
-			c.emit(HoldSetUps{link.id, peer.State != brain.InService})
+			c.emit(HoldSetUps{link.id, peer.State != routing.InService})
 		}
 	}
-	if peer.State == brain.InService {
+	if peer.State == routing.InService {
 		return
 	}
 	for _, attempt := range slices.Clone(peer.waiting) { // the exchange takes no new calls
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeNotSent})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeNotSent})
 	}
 }
 
@@ -159,7 +159,7 @@
 			ended++
 			c.Stats.Forgotten++
 			c.releaseAtPeer(peer, call.id, call.callID, isup.TemporaryFailure)
-			c.endEstablishedCall(call, brain.OutcomeReset, isup.TemporaryFailure, false)
+			c.endEstablishedCall(call, routing.OutcomeReset, isup.TemporaryFailure, false)
 		}
 	}
 	if ended > 0 {
@@ -206,7 +206,7 @@
 		wanted = busyCount + 1
 	}
 	wanted = min(wanted, c.maxLinksPerPeer())
-	if peer.State != brain.InService {
+	if peer.State != routing.InService {
 		wanted = 1
 	}
 	if peer.connectFailures > 0 {
@@ -320,7 +320,7 @@
 	peer := link.peer
 	link.up, link.lastHeardAt, link.lastUsedAt = true, c.now, c.now
 	peer.lastHeardAt, peer.connectFailures, peer.refusingSince, peer.retryAt = c.now, 0, 0, 0
-	if peer.State != brain.InService {
+	if peer.State != routing.InService {
 		c.emit(HoldSetUps{link.id, true})
 	}
 	byes := peer.pendingByes
@@ -360,7 +360,7 @@
 		for _, attempt := range slices.Clone(peer.waiting) {
 			c.Stats.NoConnect++
 			c.removeAttempt(attempt)
-			c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeUnreachable})
+			c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeUnreachable})
 		}
 	}
 	c.maintainLinks(peer)
@@ -392,7 +392,7 @@
 		c.Stats.Resets++
 		c.releaseAtPeer(link.peer, attempt.call.id, attempt.call.callID, isup.TemporaryFailure)
 		c.removeAttempt(attempt)
-		c.reportEnded(attempt, brain.AttemptEnded{Outcome: brain.OutcomeReset})
+		c.reportEnded(attempt, routing.AttemptEnded{Outcome: routing.OutcomeReset})
 	}
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/srvlist"
 	"dahliaspindle/internal/wire"
+	"dahliaspindle/routing"
 )
 
 // Environment variables that locate and override the configuration.
@@ -30,7 +30,7 @@
 	Name, ListenAddr, ResolverAddr string
 	MaxDescriptors                 int // open file descriptors, sockets included
 	MemoryBytes                    int64
-	ModuleSettings                 brain.Settings
+	ModuleSettings                 routing.Settings
 	ConnectTimeout, IdleTimeout    time.Duration // of connections to exchanges: for opening one, and until an unused one is closed
 	ExchangeList                   *srvlist.List // the list known at the start
 }
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/interwork"
 	"dahliaspindle/internal/isup"
 	"dahliaspindle/internal/sip"
 	"dahliaspindle/internal/srvlist"
+	"dahliaspindle/routing"
 )
 
 // steppedNode is a node whose inputs the test processes one by one, in place of
@@ -183,12 +183,12 @@
 			n.processUntil(isLeaveInput)
 		},
 		"module": func(n *steppedNode, caller *testCaller, leave func()) {
-			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: brain.Draining}}})
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: routing.Draining}}})
 			caller.sendSetUp(7, "3000")
 			n.processUntil(isSetUpInput)
 			leave()
 			n.processUntil(isLeaveInput)
-			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: brain.InService}}})
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: n.testNode.exchange.listener.Addr().String(), Number: 1, State: routing.InService}}})
 		},
 		"retry timer": func(n *steppedNode, caller *testCaller, leave func()) {
 			caller.sendSetUp(7, "3000")
@@ -234,11 +234,11 @@
 			n.process(interwork.CallerDisconnected{Conn: 1})
 		},
 		"exchange removed": func(n *steppedNode) {
-			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Number: 1, State: brain.OutOfService}}})
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Number: 1, State: routing.OutOfService}}})
 		},
 		"address reused by a new exchange": func(n *steppedNode) {
 			addr := n.testNode.exchange.listener.Addr().String()
-			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: addr, Number: 1, State: brain.Draining}, {Name: "s-2", Addr: addr, Number: 2}}})
+			n.process(interwork.ExchangeListUpdate{Changes: []srvlist.Entry{{Name: "s-1", Addr: addr, Number: 1, State: routing.Draining}, {Name: "s-2", Addr: addr, Number: 2}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -5,13 +5,13 @@
 import (
 	"time"
 
-	"dahliaspindle/brain"
 	"dahliaspindle/internal/controller"
 	"dahliaspindle/internal/flow"
 	"dahliaspindle/internal/guard"
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/policy"
 	"dahliaspindle/internal/settings"
+	"dahliaspindle/routing"
 )
 
 // ControllerConfig returns the configuration of a controller core that starts at the
@@ -42,8 +42,8 @@
 }
 
 // ModuleSettings returns the settings of the routing module.
-func ModuleSettings(set *settings.Controller) brain.Settings {
-	module := brain.Settings{
+func ModuleSettings(set *settings.Controller) routing.Settings {
+	module := routing.Settings{
 		Seed:           set.Seed,
 		Self:           set.Self,
 		Me:             set.Number,
@@ -65,7 +65,7 @@
 		Tick:           time.Millisecond,
 	}
 	for _, class := range set.Classes {
-		module.Classes = append(module.Classes, brain.Class{
+		module.Classes = append(module.Classes, routing.Class{
 			Name:      class.Name,
 			Worth:     class.Worth,
 			LateWorth: class.LateWorth,
--- a/internal/srvlist/srvlist.go
+++ b/internal/srvlist/srvlist.go
@@ -15,7 +15,7 @@
 
 	"github.com/miekg/dns"
 
-	"dahliaspindle/brain"
+	"dahliaspindle/routing"
 )
 
 // Service is the DNS name under which the exchanges are listed.
@@ -28,7 +28,7 @@
 type Entry struct {
 	Name, Addr     string
 	Number         int // stable number of the exchange
-	State          brain.ExchangeState
+	State          routing.ExchangeState
 	StartUnixMilli int64 // start of the exchange if it was not there from the beginning, else 0
 }
 
@@ -51,10 +51,10 @@
 func (l *List) Serial() uint64 { return l.serial }
 
 // stateByHealth maps the values of "health" in the configuration to states.
-var stateByHealth = map[string]brain.ExchangeState{
-	"active":  brain.InService,
-	"leaving": brain.Draining,
-	"left":    brain.OutOfService,
+var stateByHealth = map[string]routing.ExchangeState{
+	"active":  routing.InService,
+	"leaving": routing.Draining,
+	"left":    routing.OutOfService,
 }
 
 // ParseKnown returns the list that results from the events in a configuration. An error names the entry
@@ -111,9 +111,9 @@
 func (l *List) apply(entry Entry) bool {
 	i, listed := l.find(entry.Name)
 	switch {
-	case entry.State == brain.OutOfService && listed:
+	case entry.State == routing.OutOfService && listed:
 		l.entries = slices.Delete(l.entries, i, i+1)
-	case entry.State == brain.OutOfService || listed && l.entries[i] == entry:
+	case entry.State == routing.OutOfService || listed && l.entries[i] == entry:
 		return false
 	case listed:
 		l.entries[i] = entry
@@ -187,7 +187,7 @@
 	var changes []Entry
 	for _, previous := range l.Entries() {
 		if !slices.ContainsFunc(listed, func(entry Entry) bool { return entry.Name == previous.Name }) {
-			previous.State = brain.OutOfService
+			previous.State = routing.OutOfService
 			l.apply(previous)
 			changes = append(changes, previous)
 		}
@@ -227,7 +227,7 @@
 		}
 		entry := Entry{Name: name, Addr: net.JoinHostPort(ip, strconv.Itoa(int(srv.Port)))}
 		if srv.Priority != 0 {
-			entry.State = brain.Draining
+			entry.State = routing.Draining
 		}
 		number, err := strconv.Atoi(txtValue(txt, "cell"))
 		if err != nil {
--- a/internal/srvlist/srvlist_test.go
+++ b/internal/srvlist/srvlist_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/miekg/dns"
 
-	"dahliaspindle/brain"
+	"dahliaspindle/routing"
 )
 
 // knownJSON is the list of a configuration: two exchanges, one of which began to drain at event 41.
@@ -29,8 +29,8 @@
 }
 
 // The entries of knownJSON.
-var entryA, entryB = Entry{"s-a", "10.1.0.9:3868", 2, brain.InService, 0},
-	Entry{"s-b", "10.1.0.8:3868", 0, brain.Draining, 7}
+var entryA, entryB = Entry{"s-a", "10.1.0.9:3868", 2, routing.InService, 0},
+	Entry{"s-b", "10.1.0.8:3868", 0, routing.Draining, 7}
 
 // newAnswerPacket returns a packed answer with the given entries, after change, if any, has modified it.
 func newAnswerPacket(t testing.TB, id uint16, serial uint32, change func(*dns.Msg), entries ...Entry) []byte {
@@ -83,10 +83,10 @@
 
 func TestAnswerReturnsChangedEntries(t *testing.T) {
 	list := newTestList(t)
-	entryC := Entry{"s-c", "10.1.0.8:3868", 0, brain.InService, 99}
+	entryC := Entry{"s-c", "10.1.0.8:3868", 0, routing.InService, 99}
 	got, err := list.ApplyAnswer(5, newAnswerPacket(t, 5, 43, nil, entryC, entryA))
 	removed := entryB
-	removed.State = brain.OutOfService
+	removed.State = routing.OutOfService
 	if err != nil || !reflect.DeepEqual(got, []Entry{removed, entryC}) {
 		t.Fatalf("changes %+v, error %v", got, err)
 	}
@@ -129,7 +129,7 @@
 func TestConsecutiveOlderAnswersOverruleHighSerial(t *testing.T) {
 	list := newTestList(t)
 	removed := entryA
-	removed.State = brain.OutOfService
+	removed.State = routing.OutOfService
 	if _, err := list.ApplyAnswer(5, newAnswerPacket(t, 5, 900, nil, entryA, entryB)); err != nil || list.Serial() != 900 {
 		t.Fatalf("serial %d, error %v", list.Serial(), err)
 	}
--- a/internal/wire/module.go
+++ b/internal/wire/module.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"time"
 
-	"dahliaspindle/brain"
+	"dahliaspindle/routing"
 )
 
 // Module converts the settings, which come from the first message of the simulator or
 // from the configuration of a platform node, into settings of the routing module.
 // Values that make no sense, such as a negative time, are an error.
-func (s *Settings) Module(seed uint64) (brain.Settings, error) {
+func (s *Settings) Module(seed uint64) (routing.Settings, error) {
 	if len(s.Classes) == 0 {
-		return brain.Settings{}, errors.New("no classes in profiles")
+		return routing.Settings{}, errors.New("no classes in profiles")
 	}
-	settings := brain.Settings{
+	settings := routing.Settings{
 		Seed:           seed,
 		Self:           -1,
 		Me:             s.ControllerNumber,
@@ -43,7 +43,7 @@
 		settings.Self = *s.Network.OwnExchange
 	}
 	for i, profile := range s.Classes {
-		class := brain.Class{
+		class := routing.Class{
 			Name:      profile.Name,
 			Worth:     profile.Worth,
 			LateWorth: profile.LateWorth,
@@ -61,7 +61,7 @@
 			class.Pools = s.Network.PoolsByClass[i]
 		}
 		if class.Aim < 0 || class.GiveUp < 0 || class.Holding < 0 || class.Width < 0 || class.Worth < 0 {
-			return brain.Settings{}, fmt.Errorf("class %q has a negative value", profile.Name)
+			return routing.Settings{}, fmt.Errorf("class %q has a negative value", profile.Name)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
@@ -79,7 +79,7 @@
 		{"quantum_ns", settings.Tick},
 	} {
 		if field.duration < 0 {
-			return brain.Settings{}, fmt.Errorf("%s is negative", field.name)
+			return routing.Settings{}, fmt.Errorf("%s is negative", field.name)
 		}
 	}
 	return settings, nil
--- a/brain/cold_exchange.go
+++ b/routing/cold_exchange.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 const (
 	coldBudgetShare = 0.8  // share of a cold processor's budget that is used
--- a/brain/brain.go
+++ b/routing/routing.go
@@ -1,4 +1,4 @@
-// Package brain decides admission and routing for the call control of one
+// Package routing decides admission and routing for the call control of one
 // exchange.
 //
 // A [Controller] receives events and returns the actions to take. It does no
@@ -10,7 +10,7 @@
 // has circuits, over one tandem when it has none, and otherwise waits briefly.
 // Windows of pending set-ups keep processors out of overload, and circuits are
 // reserved for direct calls and for high-value classes.
-package brain
+package routing
 
 import (
 	"math/rand/v2"
--- a/brain/waiting_order.go
+++ b/routing/waiting_order.go
@@ -1,4 +1,4 @@
-package brain
+package routing
 
 import (
 	"cmp"
