--- a/cmd/dahliaspindle/plan.go
+++ b/cmd/dahliaspindle/plan.go
@@ -16,9 +16,9 @@
 	"dahliaspindle/internal/measure"
 	"dahliaspindle/internal/network"
 	"dahliaspindle/internal/plan"
-	"dahliaspindle/internal/prove"
 	"dahliaspindle/internal/report"
 	"dahliaspindle/internal/settings"
+	"dahliaspindle/internal/validation"
 )
 
 // planningOptions holds the options that plan, advise and prove have in common.
@@ -90,7 +90,7 @@
 		return nil, exitError{2, errors.New("--load must be greater than 0 and at most 10")}
 	}
 	scenario.Load.Swing, scenario.Fleet.DriftPeriod, scenario.Troubles = 0, 0, nil // the plan is for an hour of constant traffic
-	mesh, err := prove.ScenarioMesh(scenario)
+	mesh, err := validation.ScenarioMesh(scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -370,7 +370,7 @@
 	}
 	ctx, stop = contextWithLimit(24 * time.Hour)
 	defer stop()
-	simulated, err := prove.Simulate(ctx, planner.scenario, made.Circuits, c.Seeds)
+	simulated, err := validation.Simulate(ctx, planner.scenario, made.Circuits, c.Seeds)
 	if err != nil {
 		return exitError{2, err}
 	}
--- a/internal/prove/prove.go
+++ b/internal/validation/validation.go
@@ -1,7 +1,7 @@
-// Package prove compares the losses that the network model predicts with simulated
+// Package validation compares the losses that the network model predicts with simulated
 // days of the same routing module: it derives the mesh of a scenario, simulates the
 // scenario with given group sizes on many seeds, and counts the losses of its callers.
-package prove
+package validation
 
 import (
 	"context"
--- a/internal/prove/prove_test.go
+++ b/internal/validation/validation_test.go
@@ -1,4 +1,4 @@
-package prove
+package validation
 
 import (
 	"context"
